--- a/crates/fault-soak/tests/short_run.rs
+++ b/crates/fault-soak/tests/short_run.rs
@@ -1,5 +1,5 @@
 //! A short run of the soak on the programs as `cargo` builds them, so that the soak itself stays in working order. Longer runs
-//! over many seeds, on a program all of whose calls the shim sees, are in `docs/operators/soak.md`.
+//! over many seeds, on a program all of whose calls the shim sees, are in `docs/operators/fault-soak.md`.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
