--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -6,7 +6,6 @@
 use marblefall_control_plane::plan::ApplyError;
 use marblefall_control_plane::supervisor::SupervisorError;
 use marblefall_control_plane::JsonFileError;
-use marblefall_delivery::error_chain;
 use marblefall_delivery::instance::InstanceError;
 use marblefall_delivery::snapshot_store;
 use marblefall_endpoint_lists::last_good_store::StoreError;
@@ -22,7 +21,7 @@
     #[error("it is told in the output")]
     Reported,
     /// The instance on the platform ended with an error.
-    #[error("{}", error_chain(.0))]
+    #[error("{}", error_reporter::Report::new(.0))]
     Instance(#[from] InstanceError),
     /// The daemon of a fleet ended with an error.
     #[error(transparent)]
--- a/crates/control-plane/src/supervisor.rs
+++ b/crates/control-plane/src/supervisor.rs
@@ -30,7 +30,6 @@
 use instance_handle::{InstanceHandle, StartContext};
 use listeners::{FrontendListeners, ListenerKey};
 use marblefall_coordination::message::PolicyVerdict;
-use marblefall_delivery::error_chain;
 use marblefall_delivery::instance::{self, InstanceCommand, InstanceError, SHUTDOWN_TIMEOUT};
 use marblefall_delivery::log_line;
 use marblefall_delivery::net::spawner::Spawner;
@@ -55,7 +54,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SupervisorError {
     /// The process's signals cannot be watched.
-    #[error("{}", error_chain(.0))]
+    #[error("{}", error_reporter::Report::new(.0))]
     Signals(#[from] InstanceError),
     /// What is applied cannot be read.
     #[error(transparent)]
--- a/crates/coordination/src/identifiers.rs
+++ b/crates/coordination/src/identifiers.rs
@@ -2,7 +2,7 @@
 //!
 //! All of them travel between members and stand in stored files as `postcard`, which goes by the order of fields.
 
-use marblefall_scheduler::Time;
+use marblefall_time::Time;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/coordination/src/leader.rs
+++ b/crates/coordination/src/leader.rs
@@ -9,7 +9,7 @@
 use crate::message::{LeaseGrant, LeaseRequest, PolicyVerdict, ToLeader, ToMember};
 use crate::replicated_state::{LeaderEntry, ReplicatedState};
 use crate::settings::{CoordinationSettings, PartitionPolicy};
-use marblefall_scheduler::{Span, Time};
+use marblefall_time::{Span, Time};
 use std::collections::BTreeMap;
 
 /// After so many resend intervals without a verdict a member gets no further lease before it gives one.
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -6,7 +6,7 @@
 use crate::identifiers::{Epoch, Policy, ProcessIncarnation, ProposalId, Revision};
 use crate::message::{LeaseGrant, LeaseRequest, ToLeader, ToMember};
 use crate::settings::CoordinationSettings;
-use marblefall_scheduler::{Span, Time};
+use marblefall_time::{Span, Time};
 
 /// What the member's driver must do.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -17,7 +17,7 @@
 use crate::replicated_state::LeaderEntry;
 use crate::settings::CoordinationSettings;
 use crate::voter::{Voter, VoterAction, VoterMessage, VoterSetup, VotingStatus};
-use marblefall_scheduler::{Span, Time};
+use marblefall_time::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/coordination/src/node/operator.rs
+++ b/crates/coordination/src/node/operator.rs
@@ -7,7 +7,7 @@
 use crate::identifiers::{Author, ClockReading, MemberId, Micros, Policy, Revision};
 use crate::leader::{Leader, LeaderAction};
 use crate::replicated_state::{KnownChange, LeaderEntry, ReplicatedState, ResolvedChange};
-use marblefall_scheduler::Time;
+use marblefall_time::Time;
 use serde::{Deserialize, Serialize};
 
 /// What an operator asks of the group.
@@ -100,7 +100,7 @@
     /// The revision that it last reported as applied.
     pub applied: Option<Revision>,
     /// Microseconds since its last request to this leader.
-    pub last_heard: Option<Micros>,
+    pub since_last_request: Option<Micros>,
     /// Whether it votes.
     pub votes: bool,
     /// Whether operators confirmed that it is stopped.
@@ -224,7 +224,7 @@
             MemberStatus {
                 member: *member,
                 applied: report.and_then(|report| report.applied),
-                last_heard: report.map(|report| (view.now - report.received_at).0),
+                since_last_request: report.map(|report| (view.now - report.received_at).0),
                 votes: self.setup.voters.contains(member),
                 excluded: view.state.excluded.contains(member),
             }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a group: leases, timeouts, and what a network partition costs.
 
-use marblefall_scheduler::Span;
+use marblefall_time::Span;
 
 /// What a network partition costs, by the operators' choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -23,7 +23,7 @@
 use crate::persistent_state::PersistentState;
 use crate::replicated_state::{LeaderEntry, LogEntry, ReplicatedState};
 use leadership::{Leadership, LeaseRound};
-use marblefall_scheduler::{Span, Time};
+use marblefall_time::{Span, Time};
 use omnipaxos::OmniPaxos;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/coordination/src/voter/amnesia.rs
+++ b/crates/coordination/src/voter/amnesia.rs
@@ -9,7 +9,7 @@
 use crate::identifiers::{MemberId, StorageId, StorageVersion};
 use crate::persistent_state::PersistentState;
 use crate::replicated_state::{LogEntry, ReplicatedState};
-use marblefall_scheduler::Time;
+use marblefall_time::Time;
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
 use omnipaxos::messages::Message;
 use std::collections::btree_map::Entry;
--- a/crates/coordination/src/voter/leadership.rs
+++ b/crates/coordination/src/voter/leadership.rs
@@ -6,7 +6,7 @@
 use super::{Participation, Voter, VoterAction, VoterMessage};
 use crate::identifiers::{Epoch, MemberId};
 use crate::replicated_state::LogEntry;
-use marblefall_scheduler::{Span, Time};
+use marblefall_time::{Span, Time};
 use omnipaxos::ballot_leader_election::Ballot;
 use std::collections::BTreeSet;
 
--- a/crates/coordination/src/voter/replication.rs
+++ b/crates/coordination/src/voter/replication.rs
@@ -5,7 +5,7 @@
 use super::{Participation, PaxosMessage, Voter, VoterAction, VoterMessage};
 use crate::identifiers::{MemberId, StorageId};
 use crate::replicated_state::{LogEntry, ReplicatedState};
-use marblefall_scheduler::Time;
+use marblefall_time::Time;
 use omnipaxos::util::LogEntry as PaxosEntry;
 use omnipaxos::{ClusterConfig, ServerConfig};
 use std::collections::BTreeMap;
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use marblefall_coordination::identifiers::{MemberId, Policy, Revision};
 use marblefall_coordination::message::PolicyVerdict;
-use marblefall_scheduler::Time;
+use marblefall_time::Time;
 use rand::Rng;
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
--- a/crates/coordination/tests/nodes/daemon.rs
+++ b/crates/coordination/tests/nodes/daemon.rs
@@ -4,7 +4,7 @@
 use super::simulation::Mutant;
 use marblefall_coordination::identifiers::{MemberId, Revision};
 use marblefall_coordination::node::{Frame, Node};
-use marblefall_scheduler::Time;
+use marblefall_time::Time;
 use std::collections::VecDeque;
 
 /// Frames under way from one node to another arrive in the order in which they were sent.
--- a/crates/coordination/tests/nodes/simulation.rs
+++ b/crates/coordination/tests/nodes/simulation.rs
@@ -11,7 +11,7 @@
 use marblefall_coordination::persistent_state::PersistentState;
 use marblefall_coordination::replicated_state::ChangeOutcome;
 use marblefall_coordination::settings::{CoordinationSettings, PartitionPolicy};
-use marblefall_scheduler::Span;
+use marblefall_time::Span;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
--- a/crates/coordination/tests/policy_change/simulation.rs
+++ b/crates/coordination/tests/policy_change/simulation.rs
@@ -10,7 +10,7 @@
 use marblefall_coordination::message::{PolicyVerdict, ToLeader, ToMember};
 use marblefall_coordination::replicated_state::{LeaderEntry, LogEntry, ReplicatedState};
 use marblefall_coordination::settings::{CoordinationSettings, PartitionPolicy};
-use marblefall_scheduler::{Span, Time};
+use marblefall_time::{Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -218,14 +218,14 @@
     let present = MemberStatus {
         member: MemberId(0),
         applied: Some(Revision(5)),
-        last_heard: Some(1500),
+        since_last_request: Some(1500),
         votes: true,
         excluded: false,
     };
     let absent = MemberStatus {
         member: MemberId(1),
         applied: None,
-        last_heard: None,
+        since_last_request: None,
         votes: false,
         excluded: true,
     };
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -6,7 +6,6 @@
     InstanceError, PlatformFrontendConfig, StateFolder,
 };
 use crate::core::engine::{EngineEvent, EngineSettings};
-use crate::error_chain;
 use crate::frontend::platform::PlatformFrontend;
 use crate::log_line;
 use crate::net::discovery::{ListWatch, NameIndex};
@@ -15,6 +14,7 @@
 use crate::system_error::is_transient;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
+use error_reporter::Report;
 use marblefall_scheduler::{Idempotency, MessageClass};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -74,7 +74,7 @@
     let engine = EngineSettings {
         scheduler: settings,
         seed: u64::from_str_radix(&config.seed, 16).unwrap_or_default(),
-        remember_ms: vec![0; class_names.len()],
+        retention_ms: vec![0; class_names.len()],
         max_remembered: 0,
     };
     let admin_listener = bind_admin(config.admin_listen.as_deref())?;
@@ -185,7 +185,7 @@
             Some(InstanceCommand::DiscoveryMoved(address))
         }
         Err(error) => {
-            let cause = error_chain(&error);
+            let cause = Report::new(&error);
             log_line!("configuration kept as it was, {cause}");
             None
         }
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -8,7 +8,6 @@
 pub mod clock;
 pub mod core;
 pub mod counters;
-mod error_chain;
 pub mod frontend;
 pub mod hot_restart;
 pub mod instance;
@@ -18,5 +17,3 @@
 pub mod rules;
 pub mod snapshot_store;
 mod system_error;
-
-pub use error_chain::error_chain;
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -7,7 +7,6 @@
 mod ids;
 mod route;
 mod settings;
-mod time;
 
 pub use action::Action;
 pub use attempt::{NewMessage, Outcome, PriorAttempts, RateLimitReport};
@@ -22,4 +21,5 @@
     DeduplicationScope, DestinationKind, DiscoveryMode, Idempotency, Limits, MessageClass,
     RateHints, Rules, Settings, Tenant, ValueDecay,
 };
-pub use time::{Span, Time};
+
+pub use marblefall_time::{Span, Time};
--- a/crates/scheduler/src/interface/attempt.rs
+++ b/crates/scheduler/src/interface/attempt.rs
@@ -31,7 +31,7 @@
 
 impl Outcome {
     /// Whether it proves that the message was not executed.
-    pub fn not_executed(self) -> bool {
+    pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
             Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent
@@ -72,7 +72,7 @@
     pub attempts: u32,
     /// When and where the first attempt was sent that may have been executed. One in flight when the earlier
     /// incarnation ended may have been.
-    pub first_executed: Option<(Time, EndpointId)>,
+    pub first_possible_execution: Option<(Time, EndpointId)>,
     /// When and where the latest attempt was sent, if the incarnation that sent it still waits for the answer: its end
     /// will be reported as if this incarnation had sent it.
     pub in_flight: Option<(Time, EndpointId)>,
--- a/crates/scheduler/src/interface/settings.rs
+++ b/crates/scheduler/src/interface/settings.rs
@@ -100,7 +100,7 @@
     /// Calls in flight at once.
     pub max_in_flight: usize,
     /// Open messages at once, sent or not.
-    pub max_pending: usize,
+    pub max_open_messages: usize,
     /// Attempts for one message.
     pub max_attempts: u32,
     /// Calls that one connection carries at once.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -9,7 +9,7 @@
 mod wire;
 
 use adapter::{Adapter, InputError};
-use std::error::Error;
+use error_reporter::Report;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
@@ -42,24 +42,12 @@
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("marblefall-simulator-adapter: {}", error_chain(&error));
+            eprintln!("marblefall-simulator-adapter: {}", Report::new(&error));
             ExitCode::FAILURE
         }
     }
 }
 
-/// An error with its sources, on one line.
-fn error_chain(error: &dyn Error) -> String {
-    let mut text = error.to_string();
-    let mut source = error.source();
-    while let Some(cause) = source {
-        text.push_str(": ");
-        text.push_str(&cause.to_string());
-        source = cause.source();
-    }
-    text
-}
-
 fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut text = Vec::new();
--- a/crates/scheduler/src/interface/time.rs
+++ b/crates/time/src/lib.rs
@@ -1,42 +1,46 @@
-//! Moments and lengths of time on the embedding program's clock.
+//! Points in time and spans on the embedding program's monotonic clock.
+//!
+//! State machines receive the time with their events. This package gives them the types for it, and no clock.
+
+#![forbid(unsafe_code)]
 
 use std::ops::{Add, Sub};
 
-/// A moment on the embedding program's monotonic clock, in microseconds. Only differences mean anything.
+/// A point in time on a monotonic clock, in microseconds. Its zero is arbitrary: only differences are meaningful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Time(pub i64);
 
-/// A length of time, in microseconds.
+/// A length of time in microseconds; negative where the later of two points was subtracted from the earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Span(pub i64);
 
 impl Time {
-    /// The moment that lies `ms` milliseconds after the clock's zero.
+    /// The point in time `ms` milliseconds after the clock's zero, rounded to a microsecond.
     pub fn from_ms(ms: f64) -> Time {
         Time((ms * 1000.0).round() as i64)
     }
 
-    /// This moment in milliseconds after the clock's zero.
+    /// Milliseconds since the clock's zero.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// The empty span.
     pub const ZERO: Span = Span(0);
 
-    /// A span of `ms` milliseconds.
+    /// A span of `ms` milliseconds, rounded to a microsecond.
     pub fn from_ms(ms: f64) -> Span {
         Span((ms * 1000.0).round() as i64)
     }
 
-    /// This span in milliseconds.
+    /// Length in milliseconds.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// This span in seconds.
+    /// Length in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
