--- a/crates/cli/src/destinations.rs
+++ b/crates/cli/src/destinations.rs
@@ -60,7 +60,7 @@
     let mut rows = Vec::new();
     for instance in applied.manifest.instances.keys() {
         let folder = home.join("instances").join(instance);
-        let now_ms = SteadyClock::of_folder(&folder).unix_ms();
+        let now_ms = SteadyClock::read_or_wall_clock(&folder).unix_ms();
         let records = snapshot_store::read(&LocalDisk, &folder)
             .map_err(|source| CommandError::Snapshot { folder, source })?;
         // A destination that left the manifest is no longer of interest.
--- a/crates/cli/src/endpoint_lists/check.rs
+++ b/crates/cli/src/endpoint_lists/check.rs
@@ -156,7 +156,7 @@
                         name: content.name,
                         changes: candidate.changes.clone(),
                     });
-                    lists.put_in_force(candidate);
+                    lists.activate(candidate);
                 }
                 Err(report) => {
                     rejections.push(report);
--- a/crates/cli/src/group/connection.rs
+++ b/crates/cli/src/group/connection.rs
@@ -61,7 +61,9 @@
     /// Whether the leader has heard a member within the duration of a lease; `None` where it never did.
     pub fn is_heard(&self, member: &MemberStatus) -> Option<bool> {
         let lease_ms = self.membership.group.lease_ms as i64;
-        member.last_heard.map(|micros| micros / 1000 <= lease_ms)
+        member
+            .since_last_request
+            .map(|micros| micros / 1000 <= lease_ms)
     }
 
     /// A member's name.
--- a/crates/cli/src/group/status.rs
+++ b/crates/cli/src/group/status.rs
@@ -88,7 +88,7 @@
 fn member_text(connection: &Connection, member: &MemberStatus, committed: Revision) -> String {
     let applied = member.applied;
     let revision = applied.map_or("-".to_owned(), |revision| revision.0.to_string());
-    let heard = member.last_heard;
+    let heard = member.since_last_request;
     let heard = heard.map_or("never".to_owned(), |micros| {
         format!("{} ms ago", micros / 1000)
     });
@@ -140,7 +140,7 @@
         "name": connection.name(member.member),
         "state": member_state(connection, member, committed),
         "revision": member.applied.map(|revision| revision.0),
-        "heard_ms_ago": member.last_heard.map(|micros| micros / 1000),
+        "heard_ms_ago": member.since_last_request.map(|micros| micros / 1000),
         "votes": member.votes,
     })
 }
--- a/crates/control-plane/src/endpoint_directory.rs
+++ b/crates/control-plane/src/endpoint_directory.rs
@@ -9,7 +9,7 @@
 use marblefall_delivery::core::destination_table::{
     DestinationEntry, DestinationTable, EndpointEntry, TableError,
 };
-use marblefall_delivery::frontend::cloudevents::event::Mode;
+use marblefall_delivery::frontend::cloudevents::event::ContentMode;
 use marblefall_delivery::frontend::cloudevents::Target;
 use marblefall_endpoint_lists::{ActiveLists, Endpoint};
 use marblefall_scheduler::DestinationId;
@@ -68,7 +68,7 @@
 
 /// A directory while it is filled.
 struct DirectoryBuilder {
-    encodings: HashMap<(Mode, String), u16>,
+    encodings: HashMap<(ContentMode, String), u16>,
     targets: Vec<Target>,
     table: DestinationTable,
 }
--- a/crates/control-plane/src/instance_config.rs
+++ b/crates/control-plane/src/instance_config.rs
@@ -192,11 +192,11 @@
 
     fn engine_settings(self) -> EngineSettings {
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        let remember_ms = |class: &ClassSpec| class.remember_s as i64 * 1000;
+        let retention_ms = |class: &ClassSpec| class.remember_s as i64 * 1000;
         EngineSettings {
             scheduler: self.scheduler_settings(),
             seed: since_epoch.map_or(0, |since_epoch| since_epoch.as_nanos() as u64),
-            remember_ms: self.classes.classes().map(remember_ms).collect(),
+            retention_ms: self.classes.classes().map(retention_ms).collect(),
             max_remembered: self.manifest.limits.max_remembered,
         }
     }
@@ -229,7 +229,7 @@
         let limits = &self.manifest.limits;
         m::Limits {
             max_in_flight: limits.max_in_flight,
-            max_pending: limits.max_open,
+            max_open_messages: limits.max_open,
             max_attempts: limits.max_attempts,
             streams_per_connection: 1,
             idle_timeout: span(limits.idle_timeout_ms),
--- a/crates/control-plane/src/list_watcher/scanner.rs
+++ b/crates/control-plane/src/list_watcher/scanner.rs
@@ -260,7 +260,7 @@
             );
         }
         let (revision, endpoint_changes) = (offer.revision(), offer.changes.len());
-        self.lists.write(|lists| lists.put_in_force(offer));
+        self.lists.write(|lists| lists.activate(offer));
         log_line!(
             code = "endpoint-list-in-force",
             file,
--- a/crates/control-plane/src/manifest/spec.rs
+++ b/crates/control-plane/src/manifest/spec.rs
@@ -1,7 +1,7 @@
 //! The entries of a manifest. Operators write them, and they are stored as part of what is applied: `#[serde(rename)]`
 //! keeps the keys of earlier versions.
 
-use marblefall_delivery::frontend::cloudevents::event::Mode;
+use marblefall_delivery::frontend::cloudevents::event::ContentMode;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
 pub struct DestinationSpec {
     /// The content mode in which it wants events.
     #[serde(default, rename = "mode")]
-    pub content_mode: Mode,
+    pub content_mode: ContentMode,
     /// The path at its endpoints.
     #[serde(default = "root_path")]
     pub path: String,
--- a/crates/delivery/benches/step.rs
+++ b/crates/delivery/benches/step.rs
@@ -59,7 +59,7 @@
     };
     let limits = Limits {
         max_in_flight: 16,
-        max_pending: 128,
+        max_open_messages: 128,
         max_attempts: 8,
         ..Limits::default()
     };
@@ -77,7 +77,7 @@
     EngineSettings {
         scheduler: settings,
         seed: 1,
-        remember_ms: vec![0],
+        retention_ms: vec![0],
         max_remembered: 0,
     }
 }
--- a/crates/delivery/src/clock.rs
+++ b/crates/delivery/src/clock.rs
@@ -74,7 +74,7 @@
 
     /// The clock that processes of a state folder count by, for who only reads what they wrote; the wall clock where the
     /// folder has none of this machine's.
-    pub fn of_folder(folder: &Path) -> SteadyClock {
+    pub fn read_or_wall_clock(folder: &Path) -> SteadyClock {
         let known = read(folder, &boot_id()).ok().flatten();
         known.unwrap_or_else(SteadyClock::from_wall_clock)
     }
--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -16,7 +16,7 @@
     id: MessageId,
     message: Rc<Message>,
     /// What an earlier submission of it may have done.
-    first_executed: Option<AttemptRecord>,
+    first_possible_execution: Option<AttemptRecord>,
     /// Other identities under which it was submitted in the same batch.
     aliases: Vec<Vec<u8>>,
 }
@@ -36,8 +36,8 @@
 impl Engine {
     /// Takes a submission: it is answered, joins an earlier one, or is offered to the scheduler.
     pub(super) fn submit(&mut self, request: RequestId, message: Message, batch: &mut Batch<'_>) {
-        let first_executed = match self.look_up(&message, &batch.submissions) {
-            Lookup::New(first_executed) => first_executed,
+        let first_possible_execution = match self.look_up(&message, &batch.submissions) {
+            Lookup::New(first_possible_execution) => first_possible_execution,
             Lookup::Open(id) => return self.join(id, request, message, batch),
             Lookup::Finished(id, outcome) => {
                 log_journal_error(self.store.add_alias(id, &message.identity), batch.commands);
@@ -55,23 +55,25 @@
         self.use_destination(message.destination, batch);
         let id = self.store.allocate_id();
         let new_message = scheduler_message(id, &message, batch.now);
-        batch.scheduler_events.push(match &first_executed {
-            None => m::Event::Accepted(new_message),
-            Some(attempt) => {
-                let first_executed = Some(self.sent_attempt(batch.now, attempt));
-                let prior = m::PriorAttempts {
-                    attempts: 0,
-                    first_executed,
-                    in_flight: None,
-                };
-                m::Event::Resumed(new_message, prior)
-            }
-        });
+        batch
+            .scheduler_events
+            .push(match &first_possible_execution {
+                None => m::Event::Accepted(new_message),
+                Some(attempt) => {
+                    let first_possible_execution = Some(self.sent_attempt(batch.now, attempt));
+                    let prior = m::PriorAttempts {
+                        attempts: 0,
+                        first_possible_execution,
+                        in_flight: None,
+                    };
+                    m::Event::Resumed(new_message, prior)
+                }
+            });
         self.waiting_clients.insert(id, vec![request]);
         batch.submissions.push(Submission {
             id,
             message: Rc::new(message),
-            first_executed,
+            first_possible_execution,
             aliases: Vec::new(),
         });
     }
@@ -155,7 +157,9 @@
         match record.completion().map(|completion| completion.outcome) {
             None => Lookup::Open(id),
             // It was told to come again: a new try, bound by what the earlier one may have done.
-            Some(FinalOutcome::Returned { .. }) => Lookup::New(record.first_executed.clone()),
+            Some(FinalOutcome::Returned { .. }) => {
+                Lookup::New(record.first_possible_execution.clone())
+            }
             Some(outcome) => Lookup::Finished(id, outcome),
         }
     }
@@ -218,11 +222,11 @@
             }
             let Submission {
                 message,
-                first_executed,
+                first_possible_execution,
                 aliases,
                 ..
             } = submission;
-            if let Err(error) = self.store.accept(id, message, first_executed) {
+            if let Err(error) = self.store.accept(id, message, first_possible_execution) {
                 commands.push(EngineCommand::Log(format!(
                     "the journal does not take a message: {error}"
                 )));
@@ -269,8 +273,13 @@
                 message,
                 retry_after,
             } if *message == submission.id => {
-                let first_executed = submission.first_executed.as_ref();
-                let outcome = self.returned(now, &submission.message, first_executed, *retry_after);
+                let first_possible_execution = submission.first_possible_execution.as_ref();
+                let outcome = self.returned(
+                    now,
+                    &submission.message,
+                    first_possible_execution,
+                    *retry_after,
+                );
                 Some(match outcome {
                     FinalOutcome::Returned { retry_after_ms } => {
                         SubmitResponse::Rejected { retry_after_ms }
--- a/crates/delivery/src/core/engine/attempts.rs
+++ b/crates/delivery/src/core/engine/attempts.rs
@@ -29,7 +29,8 @@
             self.use_destination(destination, batch);
         }
         log_journal_error(
-            self.store.attempt_finished(id, !outcome.not_executed()),
+            self.store
+                .attempt_finished(id, !outcome.proves_not_executed()),
             batch.commands,
         );
         let delivered = outcome == m::Outcome::Delivered;
@@ -95,8 +96,9 @@
                 let Some(record) = self.store.get(message) else {
                     return;
                 };
-                let first_executed = record.first_executed.as_ref();
-                let outcome = self.returned(now, &record.message, first_executed, retry_after);
+                let first_possible_execution = record.first_possible_execution.as_ref();
+                let outcome =
+                    self.returned(now, &record.message, first_possible_execution, retry_after);
                 self.finish(now, message, outcome, commands);
             }
             m::Action::Fail(message) => {
@@ -156,7 +158,7 @@
         };
         let message = record.message.clone();
         let window = self.policy.deduplication_window(message.class);
-        let window_end = match (window, &record.first_executed) {
+        let window_end = match (window, &record.first_possible_execution) {
             (Some(window), Some(first)) => {
                 now.monotonic_of(first.started_ms) + window - DEDUPLICATION_MARGIN
             }
@@ -236,11 +238,11 @@
         &self,
         now: Timestamp,
         message: &Message,
-        first_executed: Option<&AttemptRecord>,
+        first_possible_execution: Option<&AttemptRecord>,
         retry_after: m::Span,
     ) -> FinalOutcome {
         let window = self.policy.deduplication_window(message.class);
-        let first = first_executed.filter(|_| message.origin == Origin::CloudEvents);
+        let first = first_possible_execution.filter(|_| message.origin == Origin::CloudEvents);
         if let (Some(window), Some(first)) = (window, first) {
             let window_end = now.monotonic_of(first.started_ms) + window - DEDUPLICATION_MARGIN;
             if now.monotonic + retry_after >= window_end {
@@ -266,7 +268,7 @@
         let message = record.message.clone();
         let from_platform = message.origin == Origin::Platform;
         let notice_owed = from_platform && outcome != FinalOutcome::Delivered;
-        let keep_until_ms = now.unix_ms + self.policy.remember_ms(message.class);
+        let keep_until_ms = now.unix_ms + self.policy.retention_ms(message.class);
         match self.store.finish(id, outcome, notice_owed, keep_until_ms) {
             Ok(false) => return,
             finished => log_journal_error(finished.map(|_| ()), commands),
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -103,10 +103,10 @@
             }
             self.in_flight_elsewhere.insert(id);
         }
-        let first = record.first_executed.as_ref();
+        let first = record.first_possible_execution.as_ref();
         let prior = m::PriorAttempts {
             attempts: record.attempts,
-            first_executed: first.map(|attempt| self.sent_attempt(now, attempt)),
+            first_possible_execution: first.map(|attempt| self.sent_attempt(now, attempt)),
             in_flight,
         };
         let message = super::acceptance::scheduler_message(id, &record.message, now);
@@ -383,14 +383,14 @@
     ) {
         let id = result.message_id;
         let class = self.store.get(id).map(|record| record.message.class);
-        let remember_ms = class.map_or(0, |class| self.policy.remember_ms(class));
+        let retention_ms = class.map_or(0, |class| self.policy.retention_ms(class));
         let report = AttemptReport {
             attempt: result.attempt,
             outcome: result.outcome,
             duration: result.duration,
             disposition: result.disposition,
             rate_limit: result.rate_limit,
-            keep_until_ms: now.unix_ms + remember_ms,
+            keep_until_ms: now.unix_ms + retention_ms,
         };
         log_journal_error(self.store.report_attempt(id, report), commands);
         if result.outcome == m::Outcome::Delivered {
--- a/crates/delivery/src/core/engine/settings.rs
+++ b/crates/delivery/src/core/engine/settings.rs
@@ -16,7 +16,7 @@
     /// For the scheduler's random numbers.
     pub seed: u64,
     /// For each class, how long a finished message of the CloudEvents frontend is remembered, in milliseconds.
-    pub remember_ms: Vec<i64>,
+    pub retention_ms: Vec<i64>,
     /// How many of them at most.
     pub max_remembered: usize,
 }
@@ -71,7 +71,7 @@
     /// For each kind of destination, whether its endpoints are separate routes.
     separate_routes: Vec<bool>,
     pub max_open: usize,
-    remember_ms: Vec<i64>,
+    retention_ms: Vec<i64>,
     pub max_remembered: usize,
 }
 
@@ -82,7 +82,7 @@
         let EngineSettings {
             mut scheduler,
             seed,
-            remember_ms,
+            retention_ms,
             max_remembered,
         } = settings;
         let policy = Policy {
@@ -92,8 +92,8 @@
                 .iter()
                 .map(|kind| kind.separate_routes)
                 .collect(),
-            max_open: scheduler.limits.max_pending,
-            remember_ms,
+            max_open: scheduler.limits.max_open_messages,
+            retention_ms,
             max_remembered,
         };
         for class in &mut scheduler.classes {
@@ -105,8 +105,8 @@
     }
 
     /// How long a finished message of a class is remembered, in milliseconds.
-    pub fn remember_ms(&self, class: m::ClassId) -> i64 {
-        self.remember_ms.get(class.0).copied().unwrap_or(0)
+    pub fn retention_ms(&self, class: m::ClassId) -> i64 {
+        self.retention_ms.get(class.0).copied().unwrap_or(0)
     }
 
     /// The window in which receivers drop repeats of a class, where they do.
--- a/crates/delivery/src/core/journal_record.rs
+++ b/crates/delivery/src/core/journal_record.rs
@@ -228,7 +228,7 @@
     let Some(record) = messages.get_mut(&id) else {
         return;
     };
-    if !record.finish_attempt(!report.outcome.not_executed()) {
+    if !record.finish_attempt(!report.outcome.proves_not_executed()) {
         return;
     }
     let delivered = report.outcome == Outcome::Delivered;
@@ -255,7 +255,7 @@
         .number(message.expires_ms);
     out.bytes(&message.attributes).bytes(&message.body);
     out.number(record.attempts.into());
-    out.option(record.first_executed.as_ref(), Encoder::attempt);
+    out.option(record.first_possible_execution.as_ref(), Encoder::attempt);
     out.option(record.in_flight(), Encoder::attempt);
     out.option(completion, |out, completion| {
         out.outcome(completion.outcome)
@@ -291,7 +291,7 @@
         body: input.bytes()?,
     };
     let attempts = input.number()? as u32;
-    let first_executed = input.option(Decoder::attempt)?;
+    let first_possible_execution = input.option(Decoder::attempt)?;
     let in_flight = input.option(Decoder::attempt)?;
     let outcome = input.option(Decoder::outcome)?;
     let notice_owed = input.flag()?;
@@ -312,7 +312,7 @@
     Some(MessageRecord {
         message: Rc::new(message),
         attempts,
-        first_executed,
+        first_possible_execution,
         state,
         aliases,
     })
--- a/crates/delivery/src/core/message_record.rs
+++ b/crates/delivery/src/core/message_record.rs
@@ -54,7 +54,7 @@
     /// Attempts started.
     pub attempts: u32,
     /// The first attempt that may have been executed.
-    pub first_executed: Option<AttemptRecord>,
+    pub first_possible_execution: Option<AttemptRecord>,
     /// Where it stands.
     pub state: MessageState,
     /// Other identities under which it was submitted.
@@ -67,7 +67,7 @@
         MessageRecord {
             message,
             attempts: 0,
-            first_executed: None,
+            first_possible_execution: None,
             state: MessageState::Pending,
             aliases: Vec::new(),
         }
@@ -114,7 +114,7 @@
             }
         };
         if let Some(unfinished) = unfinished {
-            self.first_executed.get_or_insert(unfinished);
+            self.first_possible_execution.get_or_insert(unfinished);
         }
     }
 
@@ -124,7 +124,7 @@
             return false;
         };
         if may_have_executed {
-            self.first_executed.get_or_insert(attempt);
+            self.first_possible_execution.get_or_insert(attempt);
         }
         true
     }
--- a/crates/delivery/src/core/message_store.rs
+++ b/crates/delivery/src/core/message_store.rs
@@ -130,7 +130,7 @@
         id
     }
 
-    /// Accepts a message: it is in the journal when this returns. `first_executed` is what an earlier submission of the
+    /// Accepts a message: it is in the journal when this returns. `first_possible_execution` is what an earlier submission of the
     /// same message may have done.
     ///
     /// # Errors
@@ -139,10 +139,10 @@
         &mut self,
         id: MessageId,
         message: Rc<Message>,
-        first_executed: Option<AttemptRecord>,
+        first_possible_execution: Option<AttemptRecord>,
     ) -> io::Result<()> {
         let record = MessageRecord {
-            first_executed,
+            first_possible_execution,
             ..MessageRecord::new(message)
         };
         let segment =
--- a/crates/delivery/src/frontend/cloudevents.rs
+++ b/crates/delivery/src/frontend/cloudevents.rs
@@ -10,7 +10,7 @@
 use crate::net::http::{Fields, RequestHead, ResponseHead};
 use crate::net::pool::{AttemptOutcome, EncodedRequest};
 use crate::net::response_fields::retry_after;
-use event::{Context, EventError, Mode};
+use event::{ContentMode, Context, EventError};
 use marblefall_scheduler::{ClassId, DestinationId, Outcome, RateLimitReport};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Target {
     /// The mode in which its endpoints take them.
-    pub mode: Mode,
+    pub mode: ContentMode,
     /// The path at its endpoints.
     pub path: String,
 }
--- a/crates/delivery/src/frontend/cloudevents/event.rs
+++ b/crates/delivery/src/frontend/cloudevents/event.rs
@@ -35,7 +35,7 @@
 /// How HTTP carries an event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Mode {
+pub enum ContentMode {
     /// Attributes as header fields, the data as the body.
     #[default]
     Binary,
@@ -278,10 +278,10 @@
 pub fn encode<'a>(
     context: &Context,
     data: &'a [u8],
-    mode: Mode,
+    mode: ContentMode,
 ) -> (Vec<(String, String)>, Cow<'a, [u8]>) {
     match mode {
-        Mode::Structured => {
+        ContentMode::Structured => {
             let content_type = (
                 "Content-Type".to_owned(),
                 "application/cloudevents+json; charset=utf-8".to_owned(),
@@ -289,7 +289,7 @@
             let body = encode_structured(context, data);
             (vec![content_type], Cow::Owned(body))
         }
-        Mode::Binary => (binary_fields(context), Cow::Borrowed(data)),
+        ContentMode::Binary => (binary_fields(context), Cow::Borrowed(data)),
     }
 }
 
--- a/crates/delivery/src/frontend/cloudevents/event/tests.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/tests.rs
@@ -8,7 +8,7 @@
 }
 
 /// Encodes an event in a mode and decodes it again.
-fn round_trip(context: &Context, data: &[u8], mode: Mode) -> (Context, Vec<u8>) {
+fn round_trip(context: &Context, data: &[u8], mode: ContentMode) -> (Context, Vec<u8>) {
     let (fields, body) = encode(context, data, mode);
     let lines: Vec<String> = fields
         .iter()
@@ -28,7 +28,7 @@
         data, br#"{"n":1.50,"big":12345678901234567890123}"#,
         "JSON is kept to the letter"
     );
-    let (fields, _) = encode(&context, &data, Mode::Binary);
+    let (fields, _) = encode(&context, &data, ContentMode::Binary);
     let field = |name: &str| {
         fields
             .iter()
@@ -45,9 +45,9 @@
         Some("application/json"),
         "data of no declared type is JSON"
     );
-    let (binary, same) = round_trip(&context, &data, Mode::Binary);
+    let (binary, same) = round_trip(&context, &data, ContentMode::Binary);
     assert_eq!((binary.text("id"), &same), (context.text("id"), &data));
-    let (back, again) = round_trip(&binary, &same, Mode::Structured);
+    let (back, again) = round_trip(&binary, &same, ContentMode::Structured);
     assert_eq!((back.text("count").as_deref(), again), (Some("-7"), data));
 }
 
@@ -65,8 +65,8 @@
             "ce-specversion: 1.0\r\nce-id: 1\r\nce-source: s\r\nce-type: t\r\nContent-Type: {media}"
         );
         let (context, had) = parse(&head, data).unwrap();
-        let (there, carried) = round_trip(&context, &had, Mode::Structured);
-        let (back, same) = round_trip(&there, &carried, Mode::Binary);
+        let (there, carried) = round_trip(&context, &had, ContentMode::Structured);
+        let (back, same) = round_trip(&there, &carried, ContentMode::Binary);
         assert_eq!(
             (back.attributes, same.as_slice()),
             (context.attributes, data),
@@ -77,7 +77,7 @@
     let (context, data) = parse(JSON, body.as_bytes()).unwrap();
     assert_eq!(data, b"\x00\xff\x01");
     assert_eq!(
-        round_trip(&context, &data, Mode::Structured),
+        round_trip(&context, &data, ContentMode::Structured),
         (context.clone(), data.clone())
     );
 }
@@ -138,7 +138,7 @@
 fn attribute_values_cannot_add_header_lines() {
     let body = r#"{"specversion":"1.0","id":"1\r\nX: y","source":"s","type":"t","datacontenttype":"a/b\r\nX: y"}"#;
     let (context, data) = parse(JSON, body.as_bytes()).unwrap();
-    let (fields, _) = encode(&context, &data, Mode::Binary);
+    let (fields, _) = encode(&context, &data, ContentMode::Binary);
     assert!(fields
         .iter()
         .all(|(_, value)| !value.contains(['\r', '\n'])));
--- a/crates/delivery/src/instance/shutdown.rs
+++ b/crates/delivery/src/instance/shutdown.rs
@@ -130,7 +130,11 @@
             && (open_messages == 0 || engine.has_handed_over())
             && self.clients.connections() == 0;
         // Clients that do not know of the end yet still come.
-        let is_done = is_idle && self.clients.closing_from().is_some_and(|from| from <= now);
+        let is_done = is_idle
+            && self
+                .clients
+                .clients_notified_at()
+                .is_some_and(|from| from <= now);
         if is_done {
             self.clients.stop_accepting();
         }
--- a/crates/delivery/src/net/connection.rs
+++ b/crates/delivery/src/net/connection.rs
@@ -3,7 +3,7 @@
 //! Messages are read in place: `read_*` leave what they read in the buffer, and the caller consumes it. A read that is
 //! dropped before it is over loses nothing.
 
-use super::http::{self, Chunks, Framing, ParseError, Piece};
+use super::http::{self, ChunkedDecoder, DecodeStep, Framing, ParseError};
 use crate::log_line;
 use crate::system_error::is_of_this_machine;
 use async_io::{Async, Timer};
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// The peer cannot be reached.
-    pub async fn connect_once_possible(to: SocketAddr) -> io::Result<Connection> {
+    pub async fn connect_with_retry(to: SocketAddr) -> io::Result<Connection> {
         loop {
             let error = match Connection::connect(to).await {
                 Err(error) => error,
@@ -285,15 +285,15 @@
     }
 
     async fn read_chunked_body(&mut self, head: usize, max_len: usize) -> Result<usize, ReadError> {
-        let mut chunks = Chunks::default();
+        let mut chunks = ChunkedDecoder::default();
         let mut content = 0;
         loop {
             match chunks.next(&self.bytes()[head + content..])? {
-                Piece::Done => return Ok(content),
-                Piece::More => self.fill_message().await?,
-                Piece::Content(len) => content += len,
+                DecodeStep::Done => return Ok(content),
+                DecodeStep::More => self.fill_message().await?,
+                DecodeStep::Content(len) => content += len,
                 // The pieces of content are joined in place.
-                Piece::Skip(len) => {
+                DecodeStep::Skip(len) => {
                     let at = self.consumed + head + content;
                     self.buffer.copy_within(at + len..self.filled, at);
                     self.filled -= len;
--- a/crates/delivery/src/net/discovery/fetch.rs
+++ b/crates/delivery/src/net/discovery/fetch.rs
@@ -32,7 +32,7 @@
 }
 
 async fn fetch(discovery: SocketAddr) -> Result<Option<EndpointList>, ReadError> {
-    let mut connection = Connection::connect_once_possible(discovery)
+    let mut connection = Connection::connect_with_retry(discovery)
         .await
         .map_err(ReadError::Io)?;
     let request =
--- a/crates/delivery/src/net/discovery/notices.rs
+++ b/crates/delivery/src/net/discovery/notices.rs
@@ -166,7 +166,7 @@
 ) -> Result<u16, ReadError> {
     let mut connection = match kept.take().filter(Connection::is_reusable) {
         Some(connection) => connection,
-        None => Connection::connect_once_possible(address)
+        None => Connection::connect_with_retry(address)
             .await
             .map_err(ReadError::Io)?,
     };
--- a/crates/delivery/src/net/discovery/watch/stream.rs
+++ b/crates/delivery/src/net/discovery/watch/stream.rs
@@ -6,7 +6,7 @@
 use super::WatchProgress;
 use crate::core::engine::EngineEvent;
 use crate::net::connection::{Connection, ReadError};
-use crate::net::http::{self, Chunks, Framing, Piece};
+use crate::net::http::{self, ChunkedDecoder, DecodeStep, Framing};
 use async_channel::Sender;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -45,21 +45,21 @@
     progress: &Cell<WatchProgress>,
 ) -> Result<Infallible, EndCode> {
     let mut connection = open(&request).await?;
-    let mut chunks = Chunks::default();
+    let mut chunks = ChunkedDecoder::default();
     let mut lines = LineBuffer::default();
     loop {
         match chunks
             .next(connection.bytes())
             .map_err(|error| error.code())?
         {
-            Piece::Done => return Err(ReadError::Closed.code()),
-            Piece::Skip(len) => connection.consume(len),
-            Piece::More => match connection.fill().await {
+            DecodeStep::Done => return Err(ReadError::Closed.code()),
+            DecodeStep::Skip(len) => connection.consume(len),
+            DecodeStep::More => match connection.fill().await {
                 Ok(true) => {}
                 Ok(false) => return Err(ReadError::Closed.code()),
                 Err(error) => return Err(ReadError::Io(error).code()),
             },
-            Piece::Content(len) => {
+            DecodeStep::Content(len) => {
                 lines.push(&connection.bytes()[..len]);
                 connection.consume(len);
                 receive_lines(&request, progress, &mut lines)?;
@@ -71,7 +71,7 @@
 /// Sends the request and reads the head of its response.
 async fn open(request: &StreamRequest<'_>) -> Result<Connection, EndCode> {
     let address = request.address;
-    let Ok(mut connection) = Connection::connect_once_possible(address).await else {
+    let Ok(mut connection) = Connection::connect_with_retry(address).await else {
         return Err("no-connection");
     };
     let revision = request.since_revision.get();
--- a/crates/delivery/src/net/http.rs
+++ b/crates/delivery/src/net/http.rs
@@ -1,11 +1,11 @@
 //! HTTP/1.1 as far as outbound delivery needs it.
 //!
-//! Parsers look at the read buffer in place: a head borrows from it, a chunked body ([`Chunks`]) is joined within it, and
+//! Parsers look at the read buffer in place: a head borrows from it, a chunked body ([`ChunkedDecoder`]) is joined within it, and
 //! only what must outlive the buffer is copied by the caller.
 
 mod chunks;
 
-pub use chunks::{Chunks, Piece};
+pub use chunks::{ChunkedDecoder, DecodeStep};
 
 /// Why a message cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/delivery/src/net/http/chunks.rs
+++ b/crates/delivery/src/net/http/chunks.rs
@@ -7,7 +7,7 @@
 
 /// The state of reading a chunked body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Chunks {
+pub enum ChunkedDecoder {
     /// A size line comes next.
     #[default]
     Size,
@@ -23,7 +23,7 @@
 
 /// What comes next in a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum DecodeStep {
     /// So many bytes to skip, of which none is content.
     Skip(usize),
     /// So many bytes of content.
@@ -34,56 +34,56 @@
     Done,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// What `input` starts with; the caller consumes that many bytes and asks again.
     ///
     /// # Errors
     /// The body is malformed.
-    pub fn next(&mut self, input: &[u8]) -> Result<Piece, ParseError> {
+    pub fn next(&mut self, input: &[u8]) -> Result<DecodeStep, ParseError> {
         match *self {
-            Chunks::Done => Ok(Piece::Done),
-            Chunks::Size => self.read_size(input),
-            Chunks::Data(_) if input.is_empty() => Ok(Piece::More),
-            Chunks::Data(left) => {
+            ChunkedDecoder::Done => Ok(DecodeStep::Done),
+            ChunkedDecoder::Size => self.read_size(input),
+            ChunkedDecoder::Data(_) if input.is_empty() => Ok(DecodeStep::More),
+            ChunkedDecoder::Data(left) => {
                 let available = left.min(input.len());
                 *self = if available == left {
-                    Chunks::DataEnd
+                    ChunkedDecoder::DataEnd
                 } else {
-                    Chunks::Data(left - available)
+                    ChunkedDecoder::Data(left - available)
                 };
-                Ok(Piece::Content(available))
+                Ok(DecodeStep::Content(available))
             }
-            Chunks::DataEnd => match input {
+            ChunkedDecoder::DataEnd => match input {
                 [b'\r', b'\n', ..] => {
-                    *self = Chunks::Size;
-                    Ok(Piece::Skip(2))
+                    *self = ChunkedDecoder::Size;
+                    Ok(DecodeStep::Skip(2))
                 }
-                [] | [b'\r'] => Ok(Piece::More),
+                [] | [b'\r'] => Ok(DecodeStep::More),
                 _ => Err(ParseError::Malformed),
             },
-            Chunks::Trailer => {
+            ChunkedDecoder::Trailer => {
                 let Some(len) = line_len(input)? else {
-                    return Ok(Piece::More);
+                    return Ok(DecodeStep::More);
                 };
                 if len == 2 {
-                    *self = Chunks::Done;
+                    *self = ChunkedDecoder::Done;
                 }
-                Ok(Piece::Skip(len))
+                Ok(DecodeStep::Skip(len))
             }
         }
     }
 
-    fn read_size(&mut self, input: &[u8]) -> Result<Piece, ParseError> {
+    fn read_size(&mut self, input: &[u8]) -> Result<DecodeStep, ParseError> {
         let Some(len) = line_len(input)? else {
-            return Ok(Piece::More);
+            return Ok(DecodeStep::More);
         };
         let size = chunk_size(&input[..len - 2])?;
         *self = if size == 0 {
-            Chunks::Trailer
+            ChunkedDecoder::Trailer
         } else {
-            Chunks::Data(size)
+            ChunkedDecoder::Data(size)
         };
-        Ok(Piece::Skip(len))
+        Ok(DecodeStep::Skip(len))
     }
 }
 
--- a/crates/delivery/src/net/pool.rs
+++ b/crates/delivery/src/net/pool.rs
@@ -213,7 +213,7 @@
         let connect_by = attempt
             .timeout_at
             .min(Instant::now() + self.limits.connect_timeout);
-        let connecting = before(connect_by, Connection::connect_once_possible(address));
+        let connecting = before(connect_by, Connection::connect_with_retry(address));
         let code = match until_cancelled(cancelled, connecting).await {
             Some(Some(Ok(connection))) => {
                 return Ok(PooledConnection {
--- a/crates/delivery/src/net/server/client_connections.rs
+++ b/crates/delivery/src/net/server/client_connections.rs
@@ -25,7 +25,7 @@
     next_request: Cell<u64>,
     /// Set once the process is about to end: connections are then closed with their next response. From this time on
     /// no client is expected that does not know of it.
-    closing_from: Cell<Option<Instant>>,
+    clients_notified_at: Cell<Option<Instant>>,
     pub(super) table: ConnectionTable,
     max_connections: usize,
     counters: Rc<Counters>,
@@ -52,7 +52,7 @@
             events,
             waiting: RefCell::default(),
             next_request: Cell::default(),
-            closing_from: Cell::default(),
+            clients_notified_at: Cell::default(),
             table: ConnectionTable::default(),
             max_connections,
             counters,
@@ -83,17 +83,17 @@
 
     /// Closes each connection with its next response. From `from` on, no client is expected that does not know of it.
     pub fn begin_closing(&self, from: Instant) {
-        self.closing_from.set(Some(from));
+        self.clients_notified_at.set(Some(from));
     }
 
     /// The time given to [`ClientConnections::begin_closing`].
-    pub fn closing_from(&self) -> Option<Instant> {
-        self.closing_from.get()
+    pub fn clients_notified_at(&self) -> Option<Instant> {
+        self.clients_notified_at.get()
     }
 
     /// Whether a connection stays open after its response.
     pub(super) fn keeps_connections(&self) -> bool {
-        self.closing_from.get().is_none() && !self.draining.get()
+        self.clients_notified_at.get().is_none() && !self.draining.get()
     }
 
     /// Closes the listeners, once the connections that wait in their queues are taken: those would be reset.
@@ -225,6 +225,6 @@
 
     #[cfg(test)]
     pub(super) fn reopen(&self) {
-        self.closing_from.set(None);
+        self.clients_notified_at.set(None);
     }
 }
--- a/crates/delivery/src/rules.rs
+++ b/crates/delivery/src/rules.rs
@@ -62,7 +62,7 @@
     if record.in_flight().is_some() {
         return Err(Rule::OneAttemptInFlight);
     }
-    let (Some(first), Some(class)) = (&record.first_executed, class) else {
+    let (Some(first), Some(class)) = (&record.first_possible_execution, class) else {
         return Ok(());
     };
     match class.idempotency {
--- a/crates/delivery/src/rules/tests.rs
+++ b/crates/delivery/src/rules/tests.rs
@@ -39,7 +39,7 @@
         body: Vec::new(),
     };
     let mut record = MessageRecord::new(Rc::new(message));
-    record.first_executed = may_have_executed.then(attempt);
+    record.first_possible_execution = may_have_executed.then(attempt);
     record
 }
 
--- a/crates/delivery/tests/common/mod.rs
+++ b/crates/delivery/tests/common/mod.rs
@@ -55,7 +55,7 @@
     EngineSettings {
         scheduler: settings,
         seed: 1,
-        remember_ms: vec![0; idempotencies.len()],
+        retention_ms: vec![0; idempotencies.len()],
         max_remembered: 0,
     }
 }
@@ -64,7 +64,7 @@
 pub fn limits(max_open: usize) -> Limits {
     Limits {
         max_in_flight: 4,
-        max_pending: max_open,
+        max_open_messages: max_open,
         max_attempts: 8,
         max_retry_after: Span::from_ms(3000.0),
         ..Limits::default()
--- a/crates/delivery/tests/engine.rs
+++ b/crates/delivery/tests/engine.rs
@@ -45,7 +45,7 @@
         ..limits(50)
     };
     EngineSettings {
-        remember_ms: vec![60_000; 2],
+        retention_ms: vec![60_000; 2],
         max_remembered: 100,
         ..engine_settings(&[KEYED, Idempotency::Idempotent], limits)
     }
@@ -126,7 +126,7 @@
     assert_eq!(
         (
             record.attempts,
-            record.first_executed.is_some(),
+            record.first_possible_execution.is_some(),
             record.message.body.len()
         ),
         (1, true, 9)
@@ -715,5 +715,8 @@
     });
     assert!(failed.is_some_and(|n| n > 0));
     let record = store.get(id).unwrap();
-    assert_eq!((record.in_flight(), &record.first_executed), (None, &None));
+    assert_eq!(
+        (record.in_flight(), &record.first_possible_execution),
+        (None, &None)
+    );
 }
--- a/crates/delivery/tests/idle_destinations.rs
+++ b/crates/delivery/tests/idle_destinations.rs
@@ -24,7 +24,7 @@
 fn settings() -> EngineSettings {
     let limits = Limits {
         max_in_flight: 64,
-        max_pending: 20_000,
+        max_open_messages: 20_000,
         max_attempts: 8,
         cancellation_allowed: true,
         max_retry_after: Span::from_ms(90_000.0),
@@ -54,7 +54,7 @@
     EngineSettings {
         scheduler: settings,
         seed: 1,
-        remember_ms: vec![60_000],
+        retention_ms: vec![60_000],
         max_remembered: 100,
     }
 }
--- a/crates/delivery/tests/parsers.rs
+++ b/crates/delivery/tests/parsers.rs
@@ -4,7 +4,7 @@
 use marblefall_delivery::frontend::cloudevents::event;
 use marblefall_delivery::net::admin::{self, AdminCall};
 use marblefall_delivery::net::discovery::EndpointList;
-use marblefall_delivery::net::http::{self, Chunks, Piece, StatusLine};
+use marblefall_delivery::net::http::{self, ChunkedDecoder, DecodeStep, StatusLine};
 use marblefall_delivery::net::response_fields::{rate_limit_report, retry_after};
 use quickcheck::{Gen, QuickCheck, Testable};
 
@@ -34,18 +34,23 @@
 
 /// Feeds bytes to the chunk parser in pieces cut at random, as reads would return them.
 fn dechunk(bytes: &[u8], cuts: &[u8]) -> Result<(Vec<u8>, usize), http::ParseError> {
-    let (mut chunks, mut content, mut at, mut seen, mut cuts) =
-        (Chunks::default(), Vec::new(), 0, 0, cuts.iter().cycle());
+    let (mut chunks, mut content, mut at, mut seen, mut cuts) = (
+        ChunkedDecoder::default(),
+        Vec::new(),
+        0,
+        0,
+        cuts.iter().cycle(),
+    );
     loop {
         match chunks.next(&bytes[at..seen])? {
-            Piece::Done => return Ok((content, at)),
-            Piece::Skip(len) => at += len,
-            Piece::Content(len) => {
+            DecodeStep::Done => return Ok((content, at)),
+            DecodeStep::Skip(len) => at += len,
+            DecodeStep::Content(len) => {
                 content.extend(&bytes[at..at + len]);
                 at += len;
             }
-            Piece::More if seen == bytes.len() => return Ok((content, at)),
-            Piece::More => {
+            DecodeStep::More if seen == bytes.len() => return Ok((content, at)),
+            DecodeStep::More => {
                 seen = (seen + 1 + usize::from(cuts.next().copied().unwrap_or(0) % 7))
                     .min(bytes.len());
             }
@@ -122,8 +127,8 @@
             if let Ok((context, data)) =
                 event::decode(&http::request(structured).unwrap().fields, &bytes)
             {
-                event::encode(&context, &data, event::Mode::Binary);
-                event::encode(&context, &data, event::Mode::Structured);
+                event::encode(&context, &data, event::ContentMode::Binary);
+                event::encode(&context, &data, event::ContentMode::Structured);
             }
         }
         true
--- a/crates/delivery/tests/policy_change.rs
+++ b/crates/delivery/tests/policy_change.rs
@@ -50,7 +50,7 @@
         ..limits(8)
     };
     EngineSettings {
-        remember_ms: vec![60_000; idempotencies.len()],
+        retention_ms: vec![60_000; idempotencies.len()],
         max_remembered: 100,
         ..engine_settings(idempotencies, limits)
     }
--- a/crates/delivery/tests/stored_data.rs
+++ b/crates/delivery/tests/stored_data.rs
@@ -82,7 +82,7 @@
         (in_flight.attempts, &in_flight.state),
         (1, &MessageState::Pending)
     );
-    assert_eq!(in_flight.first_executed, attempt(100, "bole-1"));
+    assert_eq!(in_flight.first_possible_execution, attempt(100, "bole-1"));
 
     let in_backoff = message(&store, "in-backoff");
     assert_eq!(
@@ -90,7 +90,10 @@
         (1, &MessageState::Pending)
     );
     assert_eq!(
-        (in_backoff.message.origin, &in_backoff.first_executed),
+        (
+            in_backoff.message.origin,
+            &in_backoff.first_possible_execution
+        ),
         (Origin::CloudEvents, &None)
     );
 
@@ -101,7 +104,7 @@
         (FinalOutcome::Failed, true)
     );
     assert_eq!(completion.keep_until_ms, STORED_AT_MS + 60_000);
-    assert_eq!(owed.first_executed, attempt(300, "bole-1"));
+    assert_eq!(owed.first_possible_execution, attempt(300, "bole-1"));
     assert!(owed.message.body.is_empty() && owed.message.attributes.is_empty());
 
     let aliased = message(&store, "aliased");
@@ -131,7 +134,7 @@
         (handed_over.attempts, &handed_over.state),
         (1, &MessageState::Pending)
     );
-    assert_eq!(handed_over.first_executed, None);
+    assert_eq!(handed_over.first_possible_execution, None);
     let delivered = message(&store, "delivered-after-handover")
         .completion()
         .unwrap()
--- a/crates/endpoint-lists/benches/evaluate.rs
+++ b/crates/endpoint-lists/benches/evaluate.rs
@@ -42,7 +42,7 @@
         destinations: Some(destinations),
         ..ListRules::default()
     });
-    active.put_in_force(active.evaluate("a", first.as_bytes()).expect("sound"));
+    active.activate(active.evaluate("a", first.as_bytes()).expect("sound"));
     let mut group = criterion.benchmark_group("list of 10,000 destinations and 20,000 endpoints");
     group
         .sample_size(20)
@@ -58,7 +58,7 @@
     group.bench_function("take", |bench| {
         bench.iter_batched(
             || (active.clone(), candidate.clone()),
-            |(mut active, candidate)| active.put_in_force(candidate),
+            |(mut active, candidate)| active.activate(candidate),
             criterion::BatchSize::LargeInput,
         )
     });
--- a/crates/endpoint-lists/src/active_lists.rs
+++ b/crates/endpoint-lists/src/active_lists.rs
@@ -155,7 +155,7 @@
     }
 
     /// Puts a list in force.
-    pub fn put_in_force(&mut self, candidate: Candidate) {
+    pub fn activate(&mut self, candidate: Candidate) {
         for (file, remaining) in self.superseded(&candidate) {
             if remaining.destinations.is_empty() {
                 self.lists.remove(&file);
--- a/crates/endpoint-lists/tests/endpoint_lists.rs
+++ b/crates/endpoint-lists/tests/endpoint_lists.rs
@@ -95,7 +95,7 @@
             new.revision += old.revision + 1;
             let (before, after) = (old.to_toml(), new.to_toml());
             let mut active = ActiveLists::new(ListRules::default());
-            active.put_in_force(active.evaluate("a", before.as_bytes()).unwrap());
+            active.activate(active.evaluate("a", before.as_bytes()).unwrap());
             let unmoved = active.clone();
             (0..after.len()).all(|at| {
                 let tail = before.as_bytes().get(at..).unwrap_or_default();
@@ -157,7 +157,7 @@
 
 fn active() -> ActiveLists {
     let mut active = ActiveLists::new(rules());
-    active.put_in_force(active.evaluate("roster.toml", GOOD.as_bytes()).unwrap());
+    active.activate(active.evaluate("roster.toml", GOOD.as_bytes()).unwrap());
     active
 }
 
@@ -349,9 +349,9 @@
         .replacen("revision = 8\n", allowed, 1)
         .replace("revision = 8", "revision = 9");
     rest = rest.replace(&GOOD[bole], "");
-    active.put_in_force(active.evaluate("roster.toml", rest.as_bytes()).unwrap());
+    active.activate(active.evaluate("roster.toml", rest.as_bytes()).unwrap());
     assert_eq!(active.destinations_without_list(), ["bole"]);
-    active.put_in_force(active.evaluate("second.toml", text.as_bytes()).unwrap());
+    active.activate(active.evaluate("second.toml", text.as_bytes()).unwrap());
     assert!(active.destinations_without_list().is_empty());
     // A partner that leaves the operators' file counts for nothing, but its list is not lost.
     let mut fewer = rules();
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -17,7 +17,7 @@
 //!         ordered: false,
 //!     }],
 //!     kinds: vec![DestinationKind { separate_routes: false, max_batch: 1 }],
-//!     limits: Limits { max_in_flight: 8, max_pending: 100, max_attempts: 6, ..Limits::default() },
+//!     limits: Limits { max_in_flight: 8, max_open_messages: 100, max_attempts: 6, ..Limits::default() },
 //!     instances: 1,
 //!     ..Settings::default()
 //! };
--- a/crates/scheduler/src/policy/admission.rs
+++ b/crates/scheduler/src/policy/admission.rs
@@ -59,7 +59,7 @@
     /// Ends what there is no room for, once what may be sent is sent: a message of little weight that leaves
     /// at once needs no room, though all that wait for a busy destination weigh more.
     pub(crate) fn make_room(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let room = (self.settings.limits.max_pending as f64 * PENDING_PART) as usize;
+        let room = (self.settings.limits.max_open_messages as f64 * PENDING_PART) as usize;
         while self.messages.len() > room.max(1) {
             let stake = |id: &MessageId| self.stake(now, &self.messages[id]);
             let ids = self.pending.all();
--- a/crates/scheduler/src/policy/retry.rs
+++ b/crates/scheduler/src/policy/retry.rs
@@ -20,7 +20,7 @@
         id: EndpointId,
         endpoint: &Endpoint,
     ) -> bool {
-        let Some((first_sent, earlier)) = message.first_executed else {
+        let Some((first_sent, earlier)) = message.first_possible_execution else {
             return true;
         };
         match self.settings.classes[message.class.0].idempotency {
@@ -54,7 +54,8 @@
                 let message = &self.messages[id];
                 let owed = self.is_owed_attempt(now, message);
                 let until = if owed { backoff_until } else { opens_at };
-                let shut_out = message.first_executed.is_none() && until > Some(message.deadline);
+                let shut_out =
+                    message.first_possible_execution.is_none() && until > Some(message.deadline);
                 shut_out || self.hopeless_at(message, quickest) <= now
             };
             // Those never tried are lost in the order of their deadlines.
@@ -73,7 +74,7 @@
         let time = message.deadline - message.submitted_at;
         let owed_until = message.submitted_at + Span::from_ms(time.ms() * OWED_PART);
         let new = message.accepted_at == Some(now);
-        !new && message.first_executed.is_none() && now < owed_until
+        !new && message.first_possible_execution.is_none() && now < owed_until
     }
 
     /// When the first route of a destination opens; `None` while only an outcome may open one.
@@ -100,7 +101,7 @@
         let used_up = message.attempts >= self.settings.limits.max_attempts;
         let too_late = message.deadline - quickest;
         let idempotency = self.settings.classes[message.class.0].idempotency;
-        match (idempotency, message.first_executed) {
+        match (idempotency, message.first_possible_execution) {
             _ if used_up => past,
             (Idempotency::NonIdempotent, Some(_)) => past,
             (Idempotency::IdempotencyKey { window, .. }, Some((first_sent, _))) => {
@@ -119,7 +120,7 @@
                 scope: DeduplicationScope::All,
                 ..
             } => true,
-            _ => message.first_executed.is_none(),
+            _ => message.first_possible_execution.is_none(),
         };
         actions.push(if harmless && now < message.deadline {
             Action::Reject {
--- a/crates/scheduler/src/policy/selection.rs
+++ b/crates/scheduler/src/policy/selection.rs
@@ -69,7 +69,7 @@
                 if self.order_allows_at(id, message).is_none_or(|at| at > now) {
                     continue;
                 }
-                let pick = match message.first_executed {
+                let pick = match message.first_possible_execution {
                     None => Some(any),
                     Some(_) => self.pick_endpoint(now, destination, Some(message)),
                 };
@@ -184,7 +184,7 @@
             return Some(past);
         };
         // A message's own further attempts do not wait for itself.
-        let paused = message.first_executed.is_none();
+        let paused = message.first_possible_execution.is_none();
         let at = if paused { queue.paused_until } else { past };
         Some(at).filter(|_| queue.messages.front() == Some(&id))
     }
--- a/crates/scheduler/src/scheduler/calls.rs
+++ b/crates/scheduler/src/scheduler/calls.rs
@@ -49,12 +49,12 @@
     fn close_attempt(&mut self, now: Time, end: &AttemptEnd) -> Option<Attempt> {
         let message = self.messages.get_mut(&end.message)?;
         let attempt = message.in_flight.take()?;
-        let not_executed = end.outcome.not_executed();
-        if !not_executed && message.first_executed.is_none() {
-            message.first_executed = Some((attempt.sent, attempt.endpoint));
+        let proves_not_executed = end.outcome.proves_not_executed();
+        if !proves_not_executed && message.first_possible_execution.is_none() {
+            message.first_possible_execution = Some((attempt.sent, attempt.endpoint));
         }
         let answered = matches!(end.outcome, Outcome::Delivered | Outcome::Error);
-        let may_be_running = !not_executed && !answered;
+        let may_be_running = !proves_not_executed && !answered;
         let queue = message
             .ordering_key
             .and_then(|key| self.ordering_queues.get_mut(&key));
--- a/crates/scheduler/src/scheduler/messages.rs
+++ b/crates/scheduler/src/scheduler/messages.rs
@@ -35,7 +35,7 @@
         self.accepted_count += 1.0;
         // The window, the count of attempts and what a repeat may do hold across incarnations.
         let attempts = prior.map_or(0, |prior| prior.attempts);
-        let first_executed = prior.and_then(|prior| prior.first_executed);
+        let first_possible_execution = prior.and_then(|prior| prior.first_possible_execution);
         if attempts > 0 {
             self.note_vain_attempts(now, new);
         }
@@ -45,7 +45,7 @@
                 .remove(known.destination, known.deadline, new.message);
         }
         if in_flight.is_none() {
-            let tried = if attempts > 0 || first_executed.is_some() {
+            let tried = if attempts > 0 || first_possible_execution.is_some() {
                 Tried::Yes
             } else {
                 Tried::No
@@ -67,7 +67,7 @@
             deadline: new.deadline,
             attempts,
             in_flight,
-            first_executed,
+            first_possible_execution,
             finished: false,
         };
         self.messages.insert(new.message, message);
--- a/crates/scheduler/src/state/message.rs
+++ b/crates/scheduler/src/state/message.rs
@@ -16,7 +16,7 @@
     pub attempts: u32,
     pub in_flight: Option<Attempt>,
     /// The first attempt that may have been executed.
-    pub first_executed: Option<(Time, EndpointId)>,
+    pub first_possible_execution: Option<(Time, EndpointId)>,
     /// Whether it has its final outcome.
     pub finished: bool,
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -67,7 +67,7 @@
         value_decay: ValueDecay::Halving,
         limits: Limits {
             max_in_flight: 4,
-            max_pending: 100,
+            max_open_messages: 100,
             max_attempts: 6,
             streams_per_connection: 1,
             idle_timeout: Span::from_ms(15000.0),
--- a/crates/scheduler/tests/delivery_rules.rs
+++ b/crates/scheduler/tests/delivery_rules.rs
@@ -448,7 +448,7 @@
         new_message,
         PriorAttempts {
             attempts,
-            first_executed: ran,
+            first_possible_execution: ran,
             in_flight: None,
         },
     ))
--- a/crates/scheduler/tests/ordinary_path.rs
+++ b/crates/scheduler/tests/ordinary_path.rs
@@ -508,7 +508,7 @@
 #[test]
 fn full_instance_rejects_the_least_valuable_message() {
     let mut set = one_slot();
-    set.limits.max_pending = 10;
+    set.limits.max_open_messages = 10;
     let mut scheduler = TestScheduler::new(set);
     let (old, event) = scheduler.submitted_earlier(0, 0, 9000.0);
     scheduler.handle(event);
@@ -519,7 +519,7 @@
 #[test]
 fn full_instance_sends_what_may_go_at_once() {
     let mut set = settings();
-    set.limits.max_pending = 10;
+    set.limits.max_open_messages = 10;
     let mut scheduler = TestScheduler::with_destinations(set, 2);
     scheduler.warm_up(0);
     scheduler.warm_up(1);
@@ -845,13 +845,13 @@
     let scheduler = || TestScheduler::with_destinations(set.clone(), 1);
     let tried = PriorAttempts {
         attempts: 1,
-        first_executed: None,
+        first_possible_execution: None,
         in_flight: None,
     };
     assert!(let_go_by_an_answer(&mut scheduler(), 12, Some(tried)) <= 1);
     let untried = PriorAttempts {
         attempts: 0,
-        first_executed: None,
+        first_possible_execution: None,
         in_flight: None,
     };
     assert!(let_go_by_an_answer(&mut scheduler(), 12, Some(untried)) > 5);
--- a/crates/scheduler/tests/recovery_over_time.rs
+++ b/crates/scheduler/tests/recovery_over_time.rs
@@ -128,7 +128,7 @@
 fn three() -> Settings {
     let mut set = settings();
     (set.instances, set.rate_hints) = (3, RateHints::Approximate);
-    (set.limits.max_in_flight, set.limits.max_pending) = (16, 1000);
+    (set.limits.max_in_flight, set.limits.max_open_messages) = (16, 1000);
     let rules = &mut set.rules;
     (rules.ramp_start, rules.ramp_duration) = (0.27, Span::from_ms(10_000.0));
     (rules.overload_factor, rules.overload_window) = (1.5, Span::from_ms(2000.0));
@@ -367,7 +367,7 @@
     if listed == 0.0 {
         set.rate_hints = RateHints::Absent;
     }
-    (set.limits.max_in_flight, set.limits.max_pending) = (9, 60);
+    (set.limits.max_in_flight, set.limits.max_open_messages) = (9, 60);
     let (down, back) = (20.0, 20.0 + s);
     let scene = Scene {
         set,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -102,7 +102,7 @@
     pub max_attempts: u32,
     /// Open messages at once.
     #[serde(rename = "max_open")]
-    pub max_pending: u64,
+    pub max_open_messages: u64,
     /// The longest `Retry-After` that clients honour.
     #[serde(default)]
     pub max_retry_after_ms: f64,
--- a/crates/settings/src/scheduler.rs
+++ b/crates/settings/src/scheduler.rs
@@ -54,7 +54,7 @@
         let limits = &self.limits;
         m::Limits {
             max_in_flight: self.domain.max_in_flight as usize,
-            max_pending: limits.max_pending as usize,
+            max_open_messages: limits.max_open_messages as usize,
             max_attempts: limits.max_attempts,
             streams_per_connection: limits.streams_per_connection as usize,
             idle_timeout: Span::from_ms(limits.idle_timeout_ms),
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/check.rs
@@ -304,7 +304,7 @@
             return;
         };
         if let Some((_, sent)) = open.out.take() {
-            if !outcome.not_executed() {
+            if !outcome.proves_not_executed() {
                 open.ran.get_or_insert(sent);
             }
         }
--- a/crates/simulation/src/cored.rs
+++ b/crates/simulation/src/cored.rs
@@ -100,7 +100,7 @@
 
 fn setup(settings: Settings, seed: u64) -> EngineSettings {
     EngineSettings {
-        remember_ms: vec![0; settings.classes.len()],
+        retention_ms: vec![0; settings.classes.len()],
         scheduler: settings,
         seed,
         max_remembered: 0,
--- a/crates/simulation/src/doubles.rs
+++ b/crates/simulation/src/doubles.rs
@@ -114,7 +114,9 @@
                 *outcome = Outcome::ConnectFailed;
             }
             (Event::Resumed(..), Fault::LosesOnRestart) => return None,
-            (Event::Resumed(_, past), Fault::ForgetsLegsOnRestart) => past.first_executed = None,
+            (Event::Resumed(_, past), Fault::ForgetsLegsOnRestart) => {
+                past.first_possible_execution = None
+            }
             (Event::EndpointsUpdated(entries), Fault::IgnoresDrains) => {
                 entries
                     .iter_mut()
--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -164,7 +164,7 @@
     fn limits(&mut self, form: &CouriersForm) -> m::Limits {
         m::Limits {
             max_in_flight: self.count("couriers.slots", form.slots, 16, 1, 100_000),
-            max_pending: self.count("couriers.max_open", form.max_open, 1000, 1, 10_000_000),
+            max_open_messages: self.count("couriers.max_open", form.max_open, 1000, 1, 10_000_000),
             max_attempts: self.count("couriers.max_attempts", form.max_attempts, 8, 1, 1000) as u32,
             streams_per_connection: 1,
             idle_timeout: self.span("couriers.conn_idle_s", form.conn_idle_s, 15.0),
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -78,7 +78,7 @@
     /// Whether its attempt holds a connection that is counted.
     holds_connection: bool,
     /// The first attempt that may have been executed.
-    first_executed: Option<(Time, EndpointId)>,
+    first_possible_execution: Option<(Time, EndpointId)>,
     ended: bool,
 }
 
@@ -91,7 +91,7 @@
             attempts: 0,
             in_flight: None,
             holds_connection: false,
-            first_executed: None,
+            first_possible_execution: None,
             ended: false,
         }
     }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -117,8 +117,10 @@
         let Some((endpoint, sent)) = message.in_flight.take() else {
             return;
         };
-        if !outcome.not_executed() {
-            message.first_executed.get_or_insert((sent, endpoint));
+        if !outcome.proves_not_executed() {
+            message
+                .first_possible_execution
+                .get_or_insert((sent, endpoint));
         }
         if std::mem::take(&mut message.holds_connection) {
             let is_whole = matches!(
--- a/crates/simulation/src/simulation/couriers.rs
+++ b/crates/simulation/src/simulation/couriers.rs
@@ -39,7 +39,7 @@
         let resumed = owed.into_iter().map(|(id, message)| {
             let prior = PriorAttempts {
                 attempts: message.attempts,
-                first_executed: message.first_executed,
+                first_possible_execution: message.first_possible_execution,
                 in_flight: None,
             };
             Event::Resumed(new_message(*id, message), prior)
@@ -137,7 +137,9 @@
             let Some((endpoint, sent)) = message.in_flight.take() else {
                 continue;
             };
-            message.first_executed.get_or_insert((sent, endpoint));
+            message
+                .first_possible_execution
+                .get_or_insert((sent, endpoint));
             if std::mem::take(&mut message.holds_connection) {
                 self.wires
                     .give_back(self.now, crash.courier, endpoint.0, false);
