--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,50 +1,43 @@
-//! Hosts the instances: turns lines into events and actions into lines. Decides nothing.
+//! Hosts the instances: turns lines into events and actions into lines. It takes no decisions.
 //!
-//! A batch begins with a mark of the time and ends with a line of its own; each instance that is named in it takes its
-//! events at once, in the order in which the instances were first named.
+//! A batch starts with a line that has its time and ends with a line of its own. Each instance that is named in it handles
+//! its events at the end, in the order in which the instances were first named.
 
+use crate::error::InputError;
 use crate::instance::Instance;
-use crate::wire::{Line, Reply, Row, UpdateKind};
-use marblefall_scheduler as m;
+use crate::wire::{EndpointEntry, Line, Reply, UpdateKind};
+use marblefall_scheduler::{Event, Time};
+use std::any::Any;
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Why a line cannot be used.
-#[derive(Debug, thiserror::Error)]
-pub enum InputError {
-    #[error("a batch begins inside another")]
-    NestedBatch,
-    #[error("a line outside any batch")]
-    OutsideBatch,
-    #[error("an event for an instance never begun: {0:?}")]
-    NeverBegun(String),
-    #[error("unknown list number {0}")]
-    UnknownList(u64),
-    #[error("unknown outcome {0}")]
-    UnknownOutcome(u64),
-    #[error("unknown {kind} {name:?}")]
-    UnknownName { kind: &'static str, name: String },
-}
-
-/// All instances of this process, and the batch being read.
+/// All instances of this process, and the batch that is being read.
 #[derive(Default)]
 pub struct Adapter {
     instances: HashMap<String, Instance>,
-    endpoint_lists: BTreeMap<u64, Vec<Row>>,
-    /// The time of the batch being read.
-    now: Option<m::Time>,
-    batch: Batch,
+    endpoint_lists: BTreeMap<u64, Vec<EndpointEntry>>,
+    batch: Option<Batch>,
 }
 
 /// The events of a batch, by instance.
-#[derive(Default)]
 struct Batch {
+    now: Time,
+    /// The instances in the order in which they were first named.
     order: Vec<String>,
-    events: HashMap<String, Vec<m::Event>>,
+    events: HashMap<String, Vec<Event>>,
 }
 
 impl Batch {
-    fn push(&mut self, instance: &str, event: Option<m::Event>) {
+    fn new(now: Time) -> Batch {
+        Batch {
+            now,
+            order: Vec::new(),
+            events: HashMap::new(),
+        }
+    }
+
+    /// Names an instance in the batch and adds its event, if there is one.
+    fn push(&mut self, instance: &str, event: Option<Event>) {
         if !self.events.contains_key(instance) {
             self.order.push(instance.to_owned());
         }
@@ -54,6 +47,7 @@
             .extend(event);
     }
 
+    /// Forgets an instance that stops or restarts.
     fn forget(&mut self, instance: &str) {
         if self.events.remove(instance).is_some() {
             self.order.retain(|name| name != instance);
@@ -62,143 +56,138 @@
 }
 
 impl Adapter {
-    /// Whether a batch has begun and not ended.
+    /// Whether a batch has started and not ended.
     pub fn is_inside_batch(&self) -> bool {
-        self.now.is_some()
+        self.batch.is_some()
     }
 
-    /// Takes one line; a completed batch gives its reply.
+    /// Takes one line; the end of a batch returns the reply to it.
     pub fn take(&mut self, line: Line) -> Result<Option<String>, InputError> {
-        if let Line::Mark { time_ms } = line {
-            return match self.now.replace(m::Time::from_ms(time_ms)) {
-                Some(_) => Err(InputError::NestedBatch),
-                None => Ok(None),
-            };
-        }
-        let now = self.now.ok_or(InputError::OutsideBatch)?;
-        if let Line::End {} = line {
-            self.now = None;
-            return Ok(Some(self.reply(now)));
+        match (line, self.batch.take()) {
+            (Line::BatchStart { time_ms }, None) => {
+                self.batch = Some(Batch::new(Time::from_ms(time_ms)));
+            }
+            (Line::BatchStart { .. }, Some(_)) => return Err(InputError::NestedBatch),
+            (_, None) => return Err(InputError::OutsideBatch),
+            (Line::BatchEnd {}, Some(batch)) => return Ok(Some(self.handle_batch(&batch))),
+            (line, Some(mut batch)) => {
+                self.add_line(line, &mut batch)?;
+                self.batch = Some(batch);
+            }
         }
-        self.take_event(line)?;
         Ok(None)
     }
 
-    fn take_event(&mut self, line: Line) -> Result<(), InputError> {
+    /// Adds a line within a batch.
+    fn add_line(&mut self, line: Line, batch: &mut Batch) -> Result<(), InputError> {
         match line {
-            Line::Mark { .. } | Line::End {} => Ok(()),
-            Line::Begin {
+            Line::BatchStart { .. } | Line::BatchEnd {} => {}
+            Line::InstanceStarted {
                 instance,
-                random_seed,
-                boot_info,
+                seed,
+                settings,
             } => {
-                self.batch.forget(&instance);
-                self.batch.push(&instance, None);
-                self.instances
-                    .insert(instance, Instance::new(*boot_info, random_seed));
-                Ok(())
+                batch.forget(&instance);
+                batch.push(&instance, None);
+                let started = Instance::new(*settings, seed);
+                self.instances.insert(instance, started);
             }
-            Line::Halt { instance } => {
-                self.batch.forget(&instance);
-                let halted = self.instances.remove(&instance);
-                halted.map(|_| ()).ok_or(InputError::NeverBegun(instance))
+            Line::InstanceStopped { instance } => {
+                batch.forget(&instance);
+                if self.instances.remove(&instance).is_none() {
+                    return Err(InputError::UnknownInstance(instance));
+                }
             }
-            Line::Sheet { number, rows } => {
-                self.endpoint_lists.insert(number, rows);
-                Ok(())
+            Line::EndpointList { number, entries } => {
+                self.endpoint_lists.insert(number, entries);
             }
-            Line::Update {
+            Line::EndpointListUpdate {
                 instance,
                 number,
                 kind,
-            } => self.update(&instance, number, kind),
-            Line::Accept(accept) => self.push(&accept.instance, |instance| {
-                instance.accepted(&accept).map(Some)
-            }),
-            Line::ClosedAttempt(end) => self.push(&end.instance, |instance| {
-                instance.attempt_finished(&end).map(Some)
-            }),
-            Line::Gone { instance, message } => self.push(&instance, |instance| {
-                Ok(Some(m::Event::Cancelled(instance.message(&message))))
-            }),
-            Line::Due { instance, token } => {
-                self.push(&instance, |_| Ok(Some(m::Event::TimerFired(token))))
+            } => {
+                let event = self.list_update(&instance, number, kind)?;
+                batch.push(&instance, Some(event));
             }
-            Line::Checked {
-                instance,
-                outcome,
-                endpoint,
-                rate_limit,
-            } => self.push(&instance, |instance| {
-                let event = instance.health_checked(&endpoint, outcome, rate_limit.as_ref());
-                event.map(Some)
-            }),
-            Line::First { instance } | Line::NeighbourSays { instance } => {
-                self.push(&instance, |_| Ok(None))
+            Line::MessageAccepted(accepted) => {
+                let event = find(&mut self.instances, &accepted.instance)?.accepted(&accepted)?;
+                batch.push(&accepted.instance, Some(event));
+            }
+            Line::AttemptFinished(attempt) => {
+                let instance = find(&mut self.instances, &attempt.instance)?;
+                let event = instance.attempt_finished(&attempt)?;
+                batch.push(&attempt.instance, Some(event));
+            }
+            Line::MessageCancelled { instance, message } => {
+                let message = find(&mut self.instances, &instance)?.message(&message);
+                batch.push(&instance, Some(Event::Cancelled(message)));
+            }
+            Line::TimerFired { instance, token } => {
+                find(&mut self.instances, &instance)?;
+                batch.push(&instance, Some(Event::TimerFired(token)));
+            }
+            Line::HealthChecked(check) => {
+                let event = find(&mut self.instances, &check.instance)?.health_checked(&check)?;
+                batch.push(&check.instance, Some(event));
+            }
+            Line::LeaderElected { instance } | Line::PeerMessage { instance } => {
+                find(&mut self.instances, &instance)?;
+                batch.push(&instance, None);
             }
         }
-    }
-
-    /// A change of the endpoint list at an instance.
-    fn update(&mut self, name: &str, number: u64, kind: UpdateKind) -> Result<(), InputError> {
-        let instance = find(&mut self.instances, name)?;
-        let mut rows = || {
-            let rows = self
-                .endpoint_lists
-                .get(&number)
-                .ok_or(InputError::UnknownList(number))?;
-            rows.iter()
-                .map(|row| instance.endpoint_update(row))
-                .collect::<Result<Vec<_>, InputError>>()
-        };
-        let event = match kind {
-            UpdateKind::Error => m::Event::EndpointListFailed,
-            UpdateKind::Partial => m::Event::EndpointsUpdated(rows()?),
-            UpdateKind::Complete | UpdateKind::Persisted => m::Event::EndpointsReplaced(rows()?),
-        };
-        self.batch.push(name, Some(event));
         Ok(())
     }
 
-    /// Adds an event of an instance to the batch.
-    fn push(
+    /// The event of an instance that receives an endpoint list.
+    fn list_update(
         &mut self,
         name: &str,
-        event: impl FnOnce(&mut Instance) -> Result<Option<m::Event>, InputError>,
-    ) -> Result<(), InputError> {
-        let event = event(find(&mut self.instances, name)?)?;
-        self.batch.push(name, event);
-        Ok(())
+        number: u64,
+        kind: UpdateKind,
+    ) -> Result<Event, InputError> {
+        let instance = find(&mut self.instances, name)?;
+        let mut updates = || {
+            let entries = self.endpoint_lists.get(&number);
+            let entries = entries.ok_or(InputError::UnknownList(number))?;
+            entries
+                .iter()
+                .map(|entry| instance.endpoint_update(entry))
+                .collect::<Result<Vec<_>, InputError>>()
+        };
+        Ok(match kind {
+            UpdateKind::Error => Event::EndpointListFailed,
+            UpdateKind::Partial => Event::EndpointsUpdated(updates()?),
+            UpdateKind::Complete | UpdateKind::Persisted => Event::EndpointsReplaced(updates()?),
+        })
     }
 
-    /// Lets all instances of the batch take their events, and words their actions.
-    fn reply(&mut self, now: m::Time) -> String {
-        let mut text = String::new();
-        let batch = std::mem::take(&mut self.batch);
+    /// Lets all instances of a batch handle their events; returns the lines of the reply.
+    fn handle_batch(&mut self, batch: &Batch) -> String {
+        let mut lines = String::new();
         for name in &batch.order {
             let Some(instance) = self.instances.get_mut(name) else {
                 continue;
             };
             let handled = catch_unwind(AssertUnwindSafe(|| {
-                instance.handle(now, &batch.events[name])
+                instance.handle(batch.now, &batch.events[name])
             }));
             match handled {
                 Ok(actions) => {
                     for action in &actions {
-                        push_line(&mut text, &instance.reply(name, action));
+                        push_line(&mut lines, &instance.reply(name, action));
                     }
                 }
                 Err(panic) => {
-                    let broken = Reply::Broken {
+                    let panicked = Reply::Panicked {
                         instance: name,
-                        text: &panic_text(&*panic),
+                        text: panic_text(&*panic),
                     };
-                    push_line(&mut text, &broken);
+                    push_line(&mut lines, &panicked);
                 }
             }
         }
-        push_line(&mut text, &Reply::End);
-        text
+        push_line(&mut lines, &Reply::BatchEnd);
+        lines
     }
 }
 
@@ -208,17 +197,17 @@
 ) -> Result<&'a mut Instance, InputError> {
     instances
         .get_mut(name)
-        .ok_or_else(|| InputError::NeverBegun(name.to_owned()))
+        .ok_or_else(|| InputError::UnknownInstance(name.to_owned()))
 }
 
-fn push_line(text: &mut String, reply: &Reply<'_>) {
+fn push_line(lines: &mut String, reply: &Reply<'_>) {
     let line = serde_json::to_string(reply);
-    text.push_str(&line.expect("a reply holds only strings and finite numbers"));
-    text.push('\n');
+    lines.push_str(&line.expect("a reply holds only strings and finite numbers"));
+    lines.push('\n');
 }
 
-fn panic_text(panic: &(dyn std::any::Any + Send)) -> String {
+fn panic_text(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text.or(panic.downcast_ref::<&str>().copied());
-    text.unwrap_or("panic without a text").to_owned()
+    text.unwrap_or("panic without a text")
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,121 +1,133 @@
 //! One instance: its scheduler, and the translation between the wire's names and the scheduler's numbers.
 
-use crate::adapter::InputError;
+use crate::error::InputError;
 use crate::names::Names;
-use crate::wire;
-use marblefall_scheduler as m;
+use crate::wire::{self, OutcomeCode};
+use marblefall_scheduler::{
+    Action, AttemptNumber, ClassId, DestinationId, EndpointId, EndpointStatus, EndpointUpdate,
+    Event, KindId, MessageId, NewMessage, OrderingKey, Outcome, RateLimitReport, Scheduler, Span,
+    TenantId, Time, ZoneId,
+};
 use marblefall_settings::InstanceSettings;
 
 /// One instance, with the names that stand for its numbers.
 pub struct Instance {
-    scheduler: m::Scheduler,
+    scheduler: Scheduler,
     messages: Names,
     endpoints: Names,
     classes: Names,
     tenants: Names,
     kinds: Names,
     zones: Names,
-    /// Whether clients are told how long to wait.
+    /// Whether rejected clients receive a `Retry-After`.
     sends_retry_after: bool,
 }
 
 impl Instance {
-    /// An instance that was just started.
-    pub fn new(boot: InstanceSettings, seed: u64) -> Instance {
+    /// An instance that has just started.
+    pub fn new(settings: InstanceSettings, seed: u64) -> Instance {
+        let classes = settings.classes.iter().map(|class| class.name.clone());
+        let tenants = settings.tenants.iter().map(|tenant| tenant.name.clone());
         Instance {
-            classes: Names::of(boot.classes.iter().map(|class| class.name.clone())),
-            tenants: Names::of(boot.tenants.iter().map(|tenant| tenant.name.clone())),
-            kinds: Names::of(boot.kinds.iter().cloned()),
-            zones: Names::of(boot.zones.iter().cloned()),
+            classes: classes.collect(),
+            tenants: tenants.collect(),
+            kinds: settings.kinds.iter().cloned().collect(),
+            zones: settings.zones.iter().cloned().collect(),
             messages: Names::default(),
             endpoints: Names::default(),
-            sends_retry_after: boot.limits.sends_retry_after,
-            scheduler: m::Scheduler::new(boot.scheduler_settings(), seed),
+            sends_retry_after: settings.limits.sends_retry_after,
+            scheduler: Scheduler::new(settings.scheduler_settings(), seed),
         }
     }
 
-    /// Lets the scheduler take a batch of events.
-    pub fn handle(&mut self, now: m::Time, events: &[m::Event]) -> Vec<m::Action> {
+    /// Lets the scheduler handle a batch of events.
+    pub fn handle(&mut self, now: Time, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(now, events, &mut actions);
         actions
     }
 
-    pub fn message(&mut self, id: &str) -> m::MessageId {
-        m::MessageId(self.messages.number(id) as u64)
+    /// The number of a message; a new message gets the next one.
+    pub fn message(&mut self, name: &str) -> MessageId {
+        MessageId(self.messages.number(name) as u64)
     }
 
-    fn endpoint(&mut self, id: &str) -> m::EndpointId {
-        m::EndpointId(self.endpoints.number(id) as u32)
+    fn endpoint(&mut self, name: &str) -> EndpointId {
+        EndpointId(self.endpoints.number(name) as u32)
     }
 
-    /// A row of the endpoint list.
-    pub fn endpoint_update(&mut self, row: &wire::Row) -> Result<m::EndpointUpdate, InputError> {
-        Ok(m::EndpointUpdate {
-            endpoint: self.endpoint(&row.endpoint),
-            destination: m::DestinationId(row.destination as u64),
-            kind: m::KindId(self.kinds.known("destination kind", &row.kind)?),
-            zone: m::ZoneId(self.zones.number(&row.zone)),
-            status: match row.availability {
-                wire::Availability::On => m::EndpointStatus::Active,
-                wire::Availability::Fading => m::EndpointStatus::Draining,
-                wire::Availability::Off => m::EndpointStatus::Removed,
+    /// Translates an entry of the endpoint list.
+    pub fn endpoint_update(
+        &mut self,
+        entry: &wire::EndpointEntry,
+    ) -> Result<EndpointUpdate, InputError> {
+        Ok(EndpointUpdate {
+            endpoint: self.endpoint(&entry.endpoint),
+            destination: DestinationId(entry.destination as u64),
+            kind: KindId(self.kinds.known("destination kind", &entry.kind)?),
+            zone: ZoneId(self.zones.number(&entry.zone)),
+            status: match entry.status {
+                wire::EndpointStatus::Active => EndpointStatus::Active,
+                wire::EndpointStatus::Draining => EndpointStatus::Draining,
+                wire::EndpointStatus::Removed => EndpointStatus::Removed,
             },
-            advertised_rate: row.advertised_rate,
+            advertised_rate: entry.advertised_rate,
             weight: None,
         })
     }
 
-    /// A message that came in.
-    pub fn accepted(&mut self, accept: &wire::Accept) -> Result<m::Event, InputError> {
-        let tenant = match accept.tenant.as_ref().and_then(|tenant| tenant.as_str()) {
+    /// Translates an accepted message.
+    pub fn accepted(&mut self, accepted: &wire::AcceptedMessage) -> Result<Event, InputError> {
+        let tenant = accepted.tenant.as_ref().and_then(|tenant| tenant.as_str());
+        let tenant = match tenant {
             Some(name) if !self.tenants.is_empty() => {
-                Some(m::TenantId(self.tenants.known("tenant", name)?))
+                Some(TenantId(self.tenants.known("tenant", name)?))
             }
             _ => None,
         };
-        Ok(m::Event::Accepted(m::NewMessage {
-            message: self.message(&accept.message),
-            class: m::ClassId(self.classes.known("class", &accept.class)?),
+        Ok(Event::Accepted(NewMessage {
+            message: self.message(&accepted.message),
+            class: ClassId(self.classes.known("class", &accepted.class)?),
             tenant,
-            ordering_key: accept.ordering_key.map(m::OrderingKey),
-            deadline: m::Time::from_ms(accept.deadline_ms),
-            destination: m::DestinationId(accept.destination as u64),
+            ordering_key: accepted.ordering_key.map(OrderingKey),
+            deadline: Time::from_ms(accepted.deadline_ms),
+            destination: DestinationId(accepted.destination as u64),
         }))
     }
 
-    /// An attempt that ended.
-    pub fn attempt_finished(&mut self, end: &wire::AttemptEnd) -> Result<m::Event, InputError> {
-        Ok(m::Event::AttemptFinished {
-            message: self.message(&end.message),
-            attempt: m::AttemptNumber(end.attempt),
-            outcome: outcome(end.outcome, end.retry_after_ms)?,
-            duration: m::Span::from_ms(end.duration_ms),
-            is_final: end.is_final,
-            rate_limit: rate_limit(end.rate_limit.as_ref()),
+    /// Translates the end of an attempt.
+    pub fn attempt_finished(
+        &mut self,
+        finished: &wire::FinishedAttempt,
+    ) -> Result<Event, InputError> {
+        Ok(Event::AttemptFinished {
+            message: self.message(&finished.message),
+            attempt: AttemptNumber(finished.attempt),
+            outcome: outcome(finished.outcome, finished.retry_after_ms)?,
+            duration: Span::from_ms(finished.duration_ms),
+            is_final: finished.is_final,
+            rate_limit: rate_limit(finished.rate_limit),
         })
     }
 
-    /// A health check that ended.
+    /// Translates the end of a health check.
     pub fn health_checked(
         &mut self,
-        endpoint: &str,
-        outcome_number: u64,
-        report: Option<&wire::RateLimit>,
-    ) -> Result<m::Event, InputError> {
-        Ok(m::Event::HealthChecked {
-            endpoint: self.endpoint(endpoint),
-            outcome: outcome(outcome_number, 0.0)?,
-            rate_limit: rate_limit(report),
+        finished: &wire::FinishedHealthCheck,
+    ) -> Result<Event, InputError> {
+        Ok(Event::HealthChecked {
+            endpoint: self.endpoint(&finished.endpoint),
+            outcome: outcome(finished.outcome, 0.0)?,
+            rate_limit: rate_limit(finished.rate_limit),
         })
     }
 
-    /// An action as a line of the reply.
-    pub fn reply<'a>(&'a self, instance: &'a str, action: &'a m::Action) -> wire::Reply<'a> {
-        let message_name = |id: &m::MessageId| self.messages.name(id.0 as usize);
-        let endpoint_name = |id: &m::EndpointId| self.endpoints.name(id.0 as usize);
-        match action {
-            m::Action::Send {
+    /// Translates an action to a line of the reply.
+    pub fn reply<'a>(&'a self, instance: &'a str, action: &'a Action) -> wire::Reply<'a> {
+        let message_name = |id: MessageId| self.messages.name(id.0 as usize);
+        let endpoint_name = |id: EndpointId| self.endpoints.name(id.0 as usize);
+        match *action {
+            Action::Send {
                 message,
                 endpoint,
                 timeout_at,
@@ -125,69 +137,75 @@
                 endpoint: endpoint_name(endpoint),
                 timeout_at_ms: timeout_at.ms(),
             },
-            m::Action::Cancel { message, attempt } => wire::Reply::Cancel {
+            Action::Cancel { message, attempt } => wire::Reply::Cancel {
                 instance,
                 message: message_name(message),
                 attempt: attempt.0,
             },
-            m::Action::Reject {
+            Action::Reject {
                 message,
                 retry_after,
             } => wire::Reply::Reject {
                 instance,
                 message: message_name(message),
-                retry_after_ms: if self.sends_retry_after {
-                    retry_after.ms()
-                } else {
-                    0.0
-                },
+                retry_after_ms: self.retry_after_ms(retry_after),
             },
-            m::Action::Fail(message) => wire::Reply::Fail {
+            Action::Fail(message) => wire::Reply::Fail {
                 instance,
                 message: message_name(message),
             },
-            m::Action::SetTimer { at, token } => wire::Reply::SetTimer {
+            Action::SetTimer { at, token } => wire::Reply::SetTimer {
                 instance,
                 at_ms: at.ms(),
-                token: *token,
+                token,
             },
-            m::Action::HealthCheck(endpoint) => wire::Reply::HealthCheck {
+            Action::HealthCheck(endpoint) => wire::Reply::HealthCheck {
                 instance,
                 endpoint: endpoint_name(endpoint),
             },
-            m::Action::CloseIdleConnections(endpoint) => wire::Reply::Close {
+            Action::CloseIdleConnections(endpoint) => wire::Reply::CloseIdleConnections {
                 instance,
                 endpoint: endpoint_name(endpoint),
             },
-            m::Action::Subscribe => wire::Reply::Subscribe {
+            Action::Subscribe => wire::Reply::Subscribe {
                 instance,
-                want: true,
+                subscribe: true,
             },
-            m::Action::Log(text) => wire::Reply::Log { instance, text },
+            Action::Log(ref text) => wire::Reply::Log { instance, text },
+        }
+    }
+
+    /// The `Retry-After` of a rejected client, in ms; 0 for none.
+    fn retry_after_ms(&self, retry_after: Span) -> f64 {
+        if self.sends_retry_after {
+            retry_after.ms()
+        } else {
+            0.0
         }
     }
 }
 
-/// The wire's number of an outcome, with the wait of a rejection.
-fn outcome(number: u64, retry_after_ms: f64) -> Result<m::Outcome, InputError> {
-    Ok(match number {
-        0 => m::Outcome::Delivered,
-        1 => m::Outcome::Error,
-        2 => m::Outcome::Rejected {
-            retry_after: (retry_after_ms > 0.0).then(|| m::Span::from_ms(retry_after_ms)),
+/// Translates an outcome; a rejection has this `Retry-After`, 0 for none.
+fn outcome(code: OutcomeCode, retry_after_ms: f64) -> Result<Outcome, InputError> {
+    Ok(match code {
+        OutcomeCode::DELIVERED => Outcome::Delivered,
+        OutcomeCode::ERROR => Outcome::Error,
+        OutcomeCode::REJECTED => Outcome::Rejected {
+            retry_after: (retry_after_ms > 0.0).then(|| Span::from_ms(retry_after_ms)),
         },
-        3 => m::Outcome::TimedOut,
-        4 => m::Outcome::ConnectFailed,
-        5 => m::Outcome::Reset,
-        6 => m::Outcome::Cancelled,
-        7 => m::Outcome::NotSent,
-        other => return Err(InputError::UnknownOutcome(other)),
+        OutcomeCode::TIMED_OUT => Outcome::TimedOut,
+        OutcomeCode::CONNECT_FAILED => Outcome::ConnectFailed,
+        OutcomeCode::RESET => Outcome::Reset,
+        OutcomeCode::CANCELLED => Outcome::Cancelled,
+        OutcomeCode::NOT_SENT => Outcome::NotSent,
+        OutcomeCode(unknown) => return Err(InputError::UnknownOutcome(unknown)),
     })
 }
 
-fn rate_limit(report: Option<&wire::RateLimit>) -> m::RateLimitReport {
-    report.map_or_else(m::RateLimitReport::default, |report| m::RateLimitReport {
+fn rate_limit(report: Option<wire::RateLimit>) -> RateLimitReport {
+    let report = report.unwrap_or_default();
+    RateLimitReport {
         remaining: report.remaining,
         limit: report.limit,
-    })
+    }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,14 +1,16 @@
-//! Puts the scheduler on the simulator's wire: batches of events on standard input, one reply for each on standard
-//! output. Input that cannot be used ends the program with one line on standard error, which names the input's line.
+//! The scheduler on the simulator's wire: reads batches of events from standard input and writes a reply to each to
+//! standard output. An error ends the program with one line on standard error that names the line of the input.
 
 #![forbid(unsafe_code)]
 
 mod adapter;
+mod error;
 mod instance;
 mod names;
 mod wire;
 
-use adapter::{Adapter, InputError};
+use adapter::Adapter;
+use error::InputError;
 use error_reporter::Report;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -19,7 +21,7 @@
     /// Standard input cannot be read.
     #[error("line {line}")]
     Read { line: u64, source: io::Error },
-    /// A line is not of the wire's form.
+    /// A line does not have the wire's form.
     #[error("line {line}")]
     Syntax {
         line: u64,
@@ -37,7 +39,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic of the scheduler is reported as `broken`; its usual print would only repeat that.
+    // The reply reports a panic of a scheduler; the default hook would print it once more.
     std::panic::set_hook(Box::new(|_| {}));
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -48,6 +50,7 @@
     }
 }
 
+/// Answers each batch of the input; returns at its end.
 fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut text = Vec::new();
@@ -55,9 +58,10 @@
         text.clear();
         let read = input.read_until(b'\n', &mut text);
         if read.map_err(|source| AdapterError::Read { line, source })? == 0 {
-            return match adapter.is_inside_batch() {
-                true => Err(AdapterError::UnfinishedBatch { line }),
-                false => Ok(()),
+            return if adapter.is_inside_batch() {
+                Err(AdapterError::UnfinishedBatch { line })
+            } else {
+                Ok(())
             };
         }
         let event = serde_json::from_slice(&text)
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,31 +1,32 @@
-//! Small numbers for the wire's names.
+//! Numbers in place of the wire's names.
 
-use crate::adapter::InputError;
+use crate::error::InputError;
 use std::collections::HashMap;
 
-/// Names numbered in the order of their first appearance.
+/// Names, numbered in the order of their first appearance.
 #[derive(Default)]
 pub struct Names {
     numbers: HashMap<String, usize>,
     names: Vec<String>,
 }
 
-impl Names {
-    /// These names, in their order.
-    pub fn of(names: impl IntoIterator<Item = String>) -> Names {
-        let mut all = Names::default();
+impl FromIterator<String> for Names {
+    fn from_iter<I: IntoIterator<Item = String>>(names: I) -> Names {
+        let mut numbered = Names::default();
         for name in names {
-            all.number(&name);
+            numbered.number(&name);
         }
-        all
+        numbered
     }
+}
 
-    /// Whether there is none.
+impl Names {
+    /// Whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// The number of a name, a new one where it is unknown.
+    /// The number of a name; a new name gets the next number.
     pub fn number(&mut self, name: &str) -> usize {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -36,12 +37,12 @@
         number
     }
 
-    /// The name of a number that was given.
+    /// The name with a number. Panics if no name has it.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
 
-    /// The number of a name that must be known; `kind` says of what.
+    /// The number of a known name; `kind` is what the name stands for, for the error.
     pub fn known(&self, kind: &'static str, name: &str) -> Result<usize, InputError> {
         let number = self.numbers.get(name).copied();
         number.ok_or_else(|| InputError::UnknownName {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire as types: what comes in, line by line, and what goes out. Names on the wire are the simulator's;
-//! where a field has a better name here, `rename` gives the wire's.
+//! The simulator's wire as types: the lines of the input and of the output. The wire's own names stand in the `rename`
+//! attributes here and nowhere else.
 
 use marblefall_settings::InstanceSettings;
 use serde::{Deserialize, Serialize};
@@ -7,158 +7,227 @@
 
 /// One line of input.
 #[derive(Debug, Deserialize)]
-#[serde(tag = "msg", rename_all = "snake_case")]
+#[serde(tag = "msg")]
 pub enum Line {
-    /// A batch begins.
-    Mark { time_ms: f64 },
+    /// A batch starts.
+    #[serde(rename = "mark")]
+    BatchStart { time_ms: f64 },
     /// A batch ends.
-    End {},
+    #[serde(rename = "end")]
+    BatchEnd {},
     /// An instance starts.
-    Begin {
+    #[serde(rename = "begin")]
+    InstanceStarted {
         #[serde(rename = "courier_id")]
         instance: String,
-        random_seed: u64,
-        boot_info: Box<InstanceSettings>,
+        #[serde(rename = "random_seed")]
+        seed: u64,
+        #[serde(rename = "boot_info")]
+        settings: Box<InstanceSettings>,
     },
-    /// An instance ends.
-    Halt {
+    /// An instance stops.
+    #[serde(rename = "halt")]
+    InstanceStopped {
         #[serde(rename = "courier_id")]
         instance: String,
     },
-    /// Rows of an endpoint list, for the updates that name its number.
-    Sheet {
+    /// An endpoint list, for the updates with its number.
+    #[serde(rename = "sheet")]
+    EndpointList {
         #[serde(rename = "buffer")]
         number: u64,
         #[serde(rename = "rows_in")]
-        rows: Vec<Row>,
+        entries: Vec<EndpointEntry>,
     },
-    /// An instance learns of an endpoint list.
-    Update {
+    /// An instance receives an endpoint list.
+    #[serde(rename = "update")]
+    EndpointListUpdate {
         #[serde(rename = "courier_id")]
         instance: String,
-        /// The list's number; of no meaning, and absent, where `kind` is `Error`.
+        /// The list's number; absent and meaningless if `kind` is [`UpdateKind::Error`].
         #[serde(rename = "buffer", default)]
         number: u64,
         kind: UpdateKind,
     },
-    /// A message comes in.
-    Accept(Accept),
-    /// An instance is shown to be first of its group; of no use here.
-    First {
+    /// A message was accepted.
+    #[serde(rename = "accept")]
+    MessageAccepted(AcceptedMessage),
+    /// An instance is the leader of its group; not used.
+    #[serde(rename = "first")]
+    LeaderElected {
         #[serde(rename = "courier_id")]
         instance: String,
     },
     /// An attempt ended.
-    ClosedAttempt(AttemptEnd),
-    /// Nobody wants a message any more.
-    Gone {
+    #[serde(rename = "closed_attempt")]
+    AttemptFinished(FinishedAttempt),
+    /// The client withdrew a message.
+    #[serde(rename = "gone")]
+    MessageCancelled {
         #[serde(rename = "courier_id")]
         instance: String,
         #[serde(rename = "ref")]
         message: String,
     },
     /// A timer fired.
-    Due {
+    #[serde(rename = "due")]
+    TimerFired {
         #[serde(rename = "courier_id")]
         instance: String,
         token: u64,
     },
     /// A health check ended.
-    Checked {
-        #[serde(rename = "courier_id")]
-        instance: String,
-        outcome: u64,
-        endpoint: String,
-        #[serde(rename = "server_stats")]
-        rate_limit: Option<RateLimit>,
-    },
-    /// Another instance sent a note; of no use here.
-    NeighbourSays {
+    #[serde(rename = "checked")]
+    HealthChecked(FinishedHealthCheck),
+    /// A message from another instance; not used.
+    #[serde(rename = "neighbour_says")]
+    PeerMessage {
         #[serde(rename = "courier_id")]
         instance: String,
     },
 }
 
-/// What a list stands for.
+/// What an endpoint list contains.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub enum UpdateKind {
     /// Changes.
     Partial,
-    /// The whole list.
+    /// The complete list.
     Complete,
-    /// The whole list as it was stored last.
+    /// The complete list as it was last stored.
     Persisted,
-    /// The request for it failed.
+    /// Nothing: the request for the list failed.
     Error,
 }
 
-/// A row of an endpoint list.
+/// An entry of an endpoint list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Row {
+pub struct EndpointEntry {
+    /// The destination's kind.
     #[serde(rename = "sku")]
     pub kind: String,
+    /// The destination.
     pub destination: f64,
+    /// The endpoint's address.
     pub endpoint: String,
-    pub availability: Availability,
+    /// Whether the endpoint may be used.
+    #[serde(rename = "availability")]
+    pub status: EndpointStatus,
+    /// A rate in calls per second, as the settings define it.
     #[serde(rename = "share", default)]
     pub advertised_rate: f64,
+    /// The endpoint's zone.
     #[serde(rename = "area", default)]
     pub zone: String,
 }
 
-/// Whether an endpoint may be used.
+/// Status of an endpoint in a list.
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Availability {
-    /// It may.
-    On,
-    /// It is draining.
-    Fading,
+pub enum EndpointStatus {
+    /// It may be used.
+    #[serde(rename = "on")]
+    Active,
+    /// It receives nothing new.
+    #[serde(rename = "fading")]
+    Draining,
     /// It is removed.
-    Off,
+    #[serde(rename = "off")]
+    Removed,
 }
 
-/// A message that comes in.
+/// A message that was accepted.
 #[derive(Debug, Deserialize)]
-pub struct Accept {
+pub struct AcceptedMessage {
+    /// The instance that accepted it.
     #[serde(rename = "courier_id")]
     pub instance: String,
+    /// Identity of the message.
     #[serde(rename = "ref")]
     pub message: String,
+    /// Name of its class.
     #[serde(rename = "type")]
     pub class: String,
-    /// A name, or a number where there are no tenants.
+    /// Name of its tenant; a number where there are no tenants.
     #[serde(rename = "billing")]
     pub tenant: Option<Value>,
+    /// Its ordering key.
     #[serde(rename = "entity")]
     pub ordering_key: Option<u64>,
+    /// Its deadline, in ms.
     #[serde(rename = "expires_ms")]
     pub deadline_ms: f64,
+    /// Its destination.
     pub destination: f64,
 }
 
-/// The end of an attempt.
+/// An attempt that ended.
 #[derive(Debug, Deserialize)]
-pub struct AttemptEnd {
+pub struct FinishedAttempt {
+    /// The instance that sent it.
     #[serde(rename = "courier_id")]
     pub instance: String,
+    /// The message of the attempt.
     #[serde(rename = "ref")]
     pub message: String,
+    /// Number of the attempt.
     #[serde(rename = "copy")]
     pub attempt: u32,
-    pub outcome: u64,
+    /// How it ended.
+    pub outcome: OutcomeCode,
+    /// How long it was in flight, in ms.
     pub duration_ms: f64,
+    /// Whether the outcome is the message's final one.
     #[serde(rename = "last", default)]
     pub is_final: bool,
-    /// The wait that a rejection asked for; 0 where it asked for none.
+    /// The `Retry-After` of a rejection, in ms; 0 if it had none.
     #[serde(rename = "detail", default)]
     pub retry_after_ms: f64,
+    /// The rate limit that the response reports.
+    #[serde(rename = "server_stats")]
+    pub rate_limit: Option<RateLimit>,
+}
+
+/// A health check that ended.
+#[derive(Debug, Deserialize)]
+pub struct FinishedHealthCheck {
+    /// The instance that sent it.
+    #[serde(rename = "courier_id")]
+    pub instance: String,
+    /// How it ended.
+    pub outcome: OutcomeCode,
+    /// The endpoint that was checked.
+    pub endpoint: String,
+    /// The rate limit that the response reports.
     #[serde(rename = "server_stats")]
     pub rate_limit: Option<RateLimit>,
 }
 
-/// What a response told of the rate limit.
-#[derive(Debug, Default, Deserialize)]
+/// The wire's number of an outcome.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(transparent)]
+pub struct OutcomeCode(pub u64);
+
+impl OutcomeCode {
+    /// The message was delivered.
+    pub const DELIVERED: OutcomeCode = OutcomeCode(0);
+    /// The destination responded with an error.
+    pub const ERROR: OutcomeCode = OutcomeCode(1);
+    /// The destination rejected the message.
+    pub const REJECTED: OutcomeCode = OutcomeCode(2);
+    /// No response arrived before the time-out.
+    pub const TIMED_OUT: OutcomeCode = OutcomeCode(3);
+    /// No connection could be established.
+    pub const CONNECT_FAILED: OutcomeCode = OutcomeCode(4);
+    /// The connection broke.
+    pub const RESET: OutcomeCode = OutcomeCode(5);
+    /// The instance cancelled the attempt.
+    pub const CANCELLED: OutcomeCode = OutcomeCode(6);
+    /// The request was never written.
+    pub const NOT_SENT: OutcomeCode = OutcomeCode(7);
+}
+
+/// The state of a rate limit as a response reports it.
+#[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct RateLimit {
     /// Share of the quota that remains.
     #[serde(rename = "x0")]
@@ -170,7 +239,7 @@
 
 /// One line of output.
 #[derive(Debug, Serialize)]
-#[serde(tag = "msg", rename_all = "snake_case")]
+#[serde(tag = "msg")]
 pub enum Reply<'a> {
     /// Start an attempt.
     #[serde(rename = "pass_on")]
@@ -220,13 +289,15 @@
         token: u64,
     },
     /// Send a health check.
+    #[serde(rename = "health_check")]
     HealthCheck {
         #[serde(rename = "courier_id")]
         instance: &'a str,
         endpoint: &'a str,
     },
-    /// Close idle connections.
-    Close {
+    /// Close the idle connections to an endpoint.
+    #[serde(rename = "close")]
+    CloseIdleConnections {
         #[serde(rename = "courier_id")]
         instance: &'a str,
         endpoint: &'a str,
@@ -236,21 +307,24 @@
     Subscribe {
         #[serde(rename = "courier_id")]
         instance: &'a str,
-        want: bool,
+        #[serde(rename = "want")]
+        subscribe: bool,
     },
-    /// A log line.
+    /// Write a log line.
     #[serde(rename = "emit")]
     Log {
         #[serde(rename = "courier_id")]
         instance: &'a str,
         text: &'a str,
     },
-    /// The scheduler panicked.
-    Broken {
+    /// The instance's scheduler panicked.
+    #[serde(rename = "broken")]
+    Panicked {
         #[serde(rename = "courier_id")]
         instance: &'a str,
         text: &'a str,
     },
-    /// The batch is over.
-    End,
+    /// The batch ends.
+    #[serde(rename = "end")]
+    BatchEnd,
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,32 +1,61 @@
-//! Scripted exchanges with the built adapter, good and bad.
+//! Exchanges with the built adapter over its standard streams, with valid and invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const BOOT: &str = r#"{"classes":[{"name":"c","importance":1,"promise_ms":2000,"give_up_ms":16000,"effect":"pure","late_value":0.3,"window_ms":0,"stream":false,"news":1}],"host_types":["k"],"zones":["z"],"caps":{"max_attempts":6,"max_open":50,"retry_after":true,"max_retry_after_ms":3000},"domain":{"workers":3,"kind_apart":[false],"per_call":[1],"late":"line"},"unheard_of":{"a":[1]}}"#;
+const BATCH_START: &str = r#"{"msg":"mark","time_ms":100}"#;
+const BATCH_END: &str = r#"{"msg":"end"}"#;
+/// Kinds of lines of a reply.
+const SEND: &str = r#""msg":"pass_on""#;
+const REJECT: &str = r#""msg":"overload_reply""#;
+const FAIL: &str = r#""msg":"end_failed""#;
+const SET_TIMER: &str = r#""msg":"wake_at""#;
+/// Settings of an instance, with keys that are unknown to it.
+const SETTINGS: &str = r#"{"classes":[{"name":"c","importance":1,"promise_ms":2000,"give_up_ms":16000,"effect":"pure","late_value":0.3,"window_ms":0,"stream":false,"news":1}],"host_types":["k"],"zones":["z"],"caps":{"max_attempts":6,"max_open":50,"retry_after":true,"max_retry_after_ms":3000},"domain":{"workers":3,"kind_apart":[false],"per_call":[1],"late":"line"},"unheard_of":{"a":[1]}}"#;
+
+fn instance_started(instance: &str) -> String {
+    format!(r#"{{"msg":"begin","courier_id":"{instance}","random_seed":5,"boot_info":{SETTINGS}}}"#)
+}
+
+/// An instance that must subscribe to the endpoint list.
+fn subscribing_instance_started(instance: &str) -> String {
+    let discovery = r#""registry_mode":"subscribe","unheard_of""#;
+    instance_started(instance).replace(r#""unheard_of""#, discovery)
+}
 
-fn begin(courier: &str) -> String {
-    format!(r#"{{"msg":"begin","courier_id":"{courier}","random_seed":5,"boot_info":{BOOT}}}"#)
+fn instance_stopped(instance: &str) -> String {
+    format!(r#"{{"msg":"halt","courier_id":"{instance}"}}"#)
 }
 
-fn sheet(buffer: u64, endpoint: &str) -> String {
+fn endpoint_list(number: u64, endpoint: &str) -> String {
     format!(
-        r#"{{"msg":"sheet","buffer":{buffer},"rows_in":[{{"sku":"k","destination":57,"endpoint":"{endpoint}","availability":"on","share":1,"area":"z"}}]}}"#
+        r#"{{"msg":"sheet","buffer":{number},"rows_in":[{{"sku":"k","destination":57,"endpoint":"{endpoint}","availability":"on","share":1,"area":"z"}}]}}"#
     )
 }
 
-fn update(courier: &str, buffer: u64) -> String {
+fn list_update(instance: &str, number: u64) -> String {
     format!(
-        r#"{{"msg":"update","courier_id":"{courier}","buffer":{buffer},"kind":"Persisted","version":1}}"#
+        r#"{{"msg":"update","courier_id":"{instance}","buffer":{number},"kind":"Persisted","version":1}}"#
     )
 }
 
-fn accept(courier: &str, id: &str) -> String {
+fn message_accepted(instance: &str, message: &str) -> String {
     format!(
-        r#"{{"msg":"accept","courier_id":"{courier}","ref":"{id}","type":"c","billing":0,"expires_ms":16100,"destination":57}}"#
+        r#"{{"msg":"accept","courier_id":"{instance}","ref":"{message}","type":"c","billing":0,"expires_ms":16100,"destination":57}}"#
     )
 }
 
+fn message_delivered(instance: &str, message: &str) -> String {
+    format!(
+        r#"{{"msg":"closed_attempt","courier_id":"{instance}","ref":"{message}","copy":0,"endpoint":"10.0.0.1:1","outcome":0,"duration_ms":18.5,"last":true,"server_stats":{{"x0":0.4}}}}"#
+    )
+}
+
+fn list_request_failed(instance: &str) -> String {
+    format!(r#"{{"msg":"update","courier_id":"{instance}","kind":"Error","version":1}}"#)
+}
+
+/// Runs the adapter on these lines of input.
 fn run(lines: &[&str]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_marblefall-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -35,16 +64,15 @@
         .spawn()
         .expect("the adapter starts");
     let text: String = lines.iter().map(|line| format!("{line}\n")).collect();
-    // The adapter may leave before it has read all of a bad input.
-    let _ = child
-        .stdin
-        .take()
-        .expect("piped")
-        .write_all(text.as_bytes());
+    let mut input = child.stdin.take().expect("piped");
+    // The adapter may exit before it has read all of an invalid input.
+    let _ = input.write_all(text.as_bytes());
+    drop(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn good(lines: &[&str]) -> String {
+/// The reply to valid lines.
+fn reply_to(lines: &[&str]) -> String {
     let output = run(lines);
     assert!(
         output.status.success(),
@@ -55,7 +83,8 @@
     String::from_utf8(output.stdout).expect("UTF-8")
 }
 
-fn bad(lines: &[&str], line: usize, cause: &str) {
+/// Checks that invalid lines end the adapter with an error that names the line and the cause.
+fn assert_error(lines: &[&str], line: usize, cause: &str) {
     let output = run(lines);
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{error}");
@@ -64,156 +93,162 @@
         error.contains(&format!("line {line}:")) && error.contains(cause),
         "{error}"
     );
-    let out = String::from_utf8_lossy(&output.stdout).into_owned();
+    let reply = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
-        out.is_empty() || out.ends_with("{\"msg\":\"end\"}\n"),
-        "half a reply: {out}"
+        reply.is_empty() || reply.ends_with(&format!("{BATCH_END}\n")),
+        "incomplete reply: {reply}"
     );
 }
 
-const MARK: &str = r#"{"msg":"mark","time_ms":100}"#;
-const END: &str = r#"{"msg":"end"}"#;
+/// The lines of a reply that send a message.
+fn sends(reply: &str) -> Vec<&str> {
+    reply.lines().filter(|line| line.contains(SEND)).collect()
+}
 
 #[test]
 fn empty_batches_and_end_of_input_are_accepted() {
-    assert_eq!(good(&[]), "");
+    assert_eq!(reply_to(&[]), "");
     assert_eq!(
-        good(&[MARK, END, MARK, END]),
-        "{\"msg\":\"end\"}\n{\"msg\":\"end\"}\n"
+        reply_to(&[BATCH_START, BATCH_END, BATCH_START, BATCH_END]),
+        format!("{BATCH_END}\n{BATCH_END}\n")
     );
 }
 
 #[test]
 fn message_is_sent_and_its_outcome_accepted() {
-    let closed = r#"{"msg":"closed_attempt","courier_id":"courier_0","ref":"m","copy":0,"endpoint":"10.0.0.1:1","outcome":0,"duration_ms":18.5,"last":true,"server_stats":{"x0":0.4}}"#;
-    let out = good(&[
-        MARK,
-        &begin("courier_0"),
-        &sheet(0, "10.0.0.1:1"),
-        &update("courier_0", 0),
-        &accept("courier_0", "m"),
-        END,
+    let reply = reply_to(&[
+        BATCH_START,
+        &instance_started("courier_0"),
+        &endpoint_list(0, "10.0.0.1:1"),
+        &list_update("courier_0", 0),
+        &message_accepted("courier_0", "m"),
+        BATCH_END,
         r#"{"msg":"mark","time_ms":120}"#,
-        closed,
-        END,
+        &message_delivered("courier_0", "m"),
+        BATCH_END,
     ]);
     let sent = r#"{"msg":"pass_on","courier_id":"courier_0","ref":"m","endpoint":"10.0.0.1:1","cut_at_ms":"#;
-    assert!(out.starts_with(sent), "{out}");
-    assert_eq!(out.lines().filter(|line| *line == END).count(), 2);
-    assert!(!out.contains("overload_reply") && !out.contains("end_failed"));
+    assert!(reply.starts_with(sent), "{reply}");
+    assert_eq!(reply.lines().filter(|line| *line == BATCH_END).count(), 2);
+    assert!(!reply.contains(REJECT) && !reply.contains(FAIL));
 }
 
 #[test]
 fn list_numbers_are_resolved_in_event_order() {
-    let out = good(&[
-        MARK,
-        &begin("courier_0"),
-        &begin("courier_1"),
-        &sheet(3, "10.0.0.1:1"),
-        &update("courier_0", 3),
-        &sheet(3, "10.0.0.2:2"),
-        &update("courier_1", 3),
-        &accept("courier_0", "a"),
-        &accept("courier_1", "b"),
-        END,
+    let reply = reply_to(&[
+        BATCH_START,
+        &instance_started("courier_0"),
+        &instance_started("courier_1"),
+        &endpoint_list(3, "10.0.0.1:1"),
+        &list_update("courier_0", 3),
+        &endpoint_list(3, "10.0.0.2:2"),
+        &list_update("courier_1", 3),
+        &message_accepted("courier_0", "a"),
+        &message_accepted("courier_1", "b"),
+        BATCH_END,
     ]);
-    let sends: Vec<&str> = out
-        .lines()
-        .filter(|line| line.contains("pass_on"))
-        .collect();
+    let sends = sends(&reply);
     assert!(
         sends[0].contains("courier_0") && sends[0].contains("10.0.0.1:1"),
-        "{out}"
+        "{reply}"
     );
     assert!(
         sends[1].contains("courier_1") && sends[1].contains("10.0.0.2:2"),
-        "{out}"
+        "{reply}"
     );
 }
 
 #[test]
 fn restart_within_a_batch_forgets_everything() {
-    let halt = r#"{"msg":"halt","courier_id":"courier_0"}"#;
-    let out = good(&[
-        MARK,
-        &begin("courier_0"),
-        &sheet(0, "10.0.0.1:1"),
-        &update("courier_0", 0),
-        &accept("courier_0", "a"),
-        halt,
-        &begin("courier_0"),
-        &update("courier_0", 0),
-        &accept("courier_0", "b"),
-        END,
-        MARK,
-        halt,
-        END,
+    let stopped = instance_stopped("courier_0");
+    let reply = reply_to(&[
+        BATCH_START,
+        &instance_started("courier_0"),
+        &endpoint_list(0, "10.0.0.1:1"),
+        &list_update("courier_0", 0),
+        &message_accepted("courier_0", "a"),
+        &stopped,
+        &instance_started("courier_0"),
+        &list_update("courier_0", 0),
+        &message_accepted("courier_0", "b"),
+        BATCH_END,
+        BATCH_START,
+        &stopped,
+        BATCH_END,
     ]);
-    let sends: Vec<&str> = out
-        .lines()
-        .filter(|line| line.contains("pass_on"))
-        .collect();
-    assert_eq!(sends.len(), 1, "{out}");
-    assert!(sends[0].contains("\"b\""), "{out}");
+    let sends = sends(&reply);
+    assert_eq!(sends.len(), 1, "{reply}");
+    assert!(sends[0].contains("\"b\""), "{reply}");
 }
 
 #[test]
 fn subscription_is_requested_where_lists_need_one() {
-    let begin = begin("courier_0").replace(
-        "\"unheard_of\"",
-        "\"registry_mode\":\"subscribe\",\"unheard_of\"",
-    );
-    let out = good(&[MARK, &begin, END]);
+    let subscribing = subscribing_instance_started("courier_0");
+    let reply = reply_to(&[BATCH_START, &subscribing, BATCH_END]);
     assert!(
-        out.starts_with(r#"{"msg":"tail","courier_id":"courier_0","want":true}"#),
-        "{out}"
+        reply.starts_with(r#"{"msg":"tail","courier_id":"courier_0","want":true}"#),
+        "{reply}"
     );
 }
 
 #[test]
 fn failed_list_request_is_retried() {
-    let begin = begin("courier_0").replace(
-        "\"unheard_of\"",
-        "\"registry_mode\":\"subscribe\",\"unheard_of\"",
+    let subscribing = subscribing_instance_started("courier_0");
+    let failed = list_request_failed("courier_0");
+    let reply = reply_to(&[
+        BATCH_START,
+        &subscribing,
+        BATCH_END,
+        BATCH_START,
+        &failed,
+        BATCH_END,
+    ]);
+    assert!(
+        reply.lines().any(|line| line.contains(SET_TIMER)),
+        "{reply}"
     );
-    let failed = r#"{"msg":"update","courier_id":"courier_0","kind":"Error","version":1}"#;
-    let out = good(&[MARK, &begin, END, MARK, failed, END]);
-    assert!(out.lines().any(|line| line.contains("wake_at")), "{out}");
 }
 
 #[test]
-fn bad_input_ends_the_adapter_with_its_line() {
-    let begun = begin("courier_0");
-    bad(&[MARK, "nonsense"], 2, "expected");
-    bad(&[MARK, END, MARK, r#"{"msg":"surprise"}"#], 4, "surprise");
-    bad(&[MARK, r#"{"time_ms":5}"#], 2, "msg");
-    bad(&[r#"{"msg":"mark"}"#], 1, "time_ms");
-    bad(&[r#"{"msg":"mark","time_ms":"soon"}"#], 1, "soon");
-    bad(
-        &[MARK, r#"{"msg":"due","courier_id":"courier_9","token":1}"#],
+fn invalid_input_is_reported_with_its_line() {
+    let started = instance_started("courier_0");
+    assert_error(&[BATCH_START, "nonsense"], 2, "expected");
+    assert_error(
+        &[BATCH_START, BATCH_END, BATCH_START, r#"{"msg":"surprise"}"#],
+        4,
+        "surprise",
+    );
+    assert_error(&[BATCH_START, r#"{"time_ms":5}"#], 2, "msg");
+    assert_error(&[r#"{"msg":"mark"}"#], 1, "time_ms");
+    assert_error(&[r#"{"msg":"mark","time_ms":"soon"}"#], 1, "soon");
+    assert_error(
+        &[
+            BATCH_START,
+            r#"{"msg":"due","courier_id":"courier_9","token":1}"#,
+        ],
         2,
         "courier_9",
     );
-    bad(
-        &[MARK, &begun, &update("courier_0", 4)],
+    assert_error(
+        &[BATCH_START, &started, &list_update("courier_0", 4)],
         3,
         "unknown list number 4",
     );
-    bad(
+    assert_error(
         &[
-            MARK,
-            &begun,
-            &accept("courier_0", "m").replace("\"c\"", "\"odd\""),
+            BATCH_START,
+            &started,
+            &message_accepted("courier_0", "m").replace("\"c\"", "\"odd\""),
         ],
         3,
         "unknown class \"odd\"",
     );
-    let odd = sheet(0, "10.0.0.1:1").replace("\"k\"", "\"odd\"");
-    bad(
-        &[MARK, &begun, &odd, &update("courier_0", 0)],
+    let odd = endpoint_list(0, "10.0.0.1:1").replace("\"k\"", "\"odd\"");
+    assert_error(
+        &[BATCH_START, &started, &odd, &list_update("courier_0", 0)],
         4,
         "unknown destination kind \"odd\"",
     );
-    bad(&[MARK, &begun], 3, "ends inside a batch");
-    bad(&[r#"{"msg":"end"}"#], 1, "outside any batch");
+    assert_error(&[BATCH_START, &started], 3, "ends inside a batch");
+    assert_error(&[r#"{"msg":"end"}"#], 1, "outside any batch");
 }
