--- a/crates/delivery/src/core/engine/endpoints.rs
+++ b/crates/delivery/src/core/engine/endpoints.rs
@@ -120,9 +120,12 @@
         if self.active_destinations.touch(batch.now.monotonic, id) {
             self.update_endpoints(table.listed_endpoints(id), batch);
             if let Some(record) = self.active_destinations.take_record(id) {
-                batch
-                    .scheduler_events
-                    .push(m::Event::RouteRestored(id, None, record));
+                let route = m::KnownRoute {
+                    destination: id,
+                    endpoint: None,
+                    record,
+                };
+                batch.scheduler_events.push(m::Event::RouteRestored(route));
             }
         }
     }
@@ -137,13 +140,13 @@
             let Some(id) = self.active_destinations.next_idle(now.monotonic) else {
                 return;
             };
-            let Some((endpoints, record)) = self.scheduler.compact(now.monotonic, id) else {
+            let Some(compacted) = self.scheduler.compact_destination(now.monotonic, id) else {
                 self.active_destinations.postpone(now.monotonic, id);
                 continue;
             };
-            self.active_destinations.deactivate(id, record);
+            self.active_destinations.deactivate(id, compacted.record);
             self.endpoints.forget_destination(id);
-            for endpoint in endpoints {
+            for endpoint in compacted.endpoints {
                 self.endpoints.remove(endpoint, commands);
             }
         }
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -46,14 +46,14 @@
                 .endpoint
                 .as_ref()
                 .map(|name| self.endpoints.id_of(name));
-            let learned = route
-                .learned
-                .map_times(|at| now.monotonic_of(at.0.div_euclid(1000)));
-            self.backlog.push(m::Event::RouteRestored(
-                route.destination,
+            let restored = m::KnownRoute {
+                destination: route.destination,
                 endpoint,
-                learned,
-            ));
+                record: route
+                    .learned
+                    .map_times(|at| now.monotonic_of(at.0.div_euclid(1000))),
+            };
+            self.backlog.push(m::Event::RouteRestored(restored));
         }
         for ((destination, name), until_ms) in self.store.backoffs().clone() {
             let endpoint = self.endpoints.id_of(&name);
@@ -62,8 +62,11 @@
                 self.route(destination, endpoint),
                 until,
             ));
-            self.backlog
-                .push(m::Event::BackoffNotified(destination, endpoint, until));
+            self.backlog.push(m::Event::BackoffNotified {
+                destination,
+                endpoint,
+                until,
+            });
         }
         let all: Vec<MessageId> = self.store.messages().keys().copied().collect();
         let elsewhere: BTreeSet<MessageId> =
@@ -314,10 +317,12 @@
     /// What the scheduler knows of routes, with Unix times.
     pub(super) fn route_records(&self, now: Timestamp) -> Vec<RouteRecord> {
         let known = self.scheduler.route_records(now.monotonic).into_iter();
-        let records = known.map(|(destination, endpoint, learned)| RouteRecord {
-            destination,
-            endpoint: endpoint.and_then(|id| self.endpoints.name_of(id).cloned()),
-            learned: learned.map_times(|at| now.unix_micros_of(at)),
+        let records = known.map(|route| RouteRecord {
+            destination: route.destination,
+            endpoint: route
+                .endpoint
+                .and_then(|id| self.endpoints.name_of(id).cloned()),
+            learned: route.record.map_times(|at| now.unix_micros_of(at)),
         });
         records.collect()
     }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -1,4 +1,4 @@
-//! The scheduler's interface: events in, actions out, and the settings it is started with. Types only.
+//! The scheduler's interface: events in, actions out, and the settings that it starts with. Types only.
 
 mod action;
 mod attempt;
@@ -16,7 +16,7 @@
     AttemptNumber, ClassId, DestinationId, EndpointId, KindId, MessageId, OrderingKey, TenantId,
     ZoneId,
 };
-pub use route::{DestinationState, IdleRecord};
+pub use route::{CompactedDestination, DestinationState, IdleRecord, KnownRoute};
 pub use settings::{
     DeduplicationScope, DestinationKind, DiscoveryMode, Idempotency, Limits, MessageClass,
     RateHints, Rules, Settings, Tenant, ValueDecay,
--- a/crates/scheduler/src/interface/action.rs
+++ b/crates/scheduler/src/interface/action.rs
@@ -1,40 +1,40 @@
-//! What a scheduler wants done.
+//! Actions that the scheduler requests.
 
 use super::{AttemptNumber, EndpointId, MessageId, Span, Time};
 
-/// What the embedding program is to do, in this order.
+/// One action for the embedding program to execute. The actions of a batch are executed in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The message.
+        /// The message to send.
         message: MessageId,
-        /// Where to.
+        /// The endpoint that receives it.
         endpoint: EndpointId,
-        /// Abandon the attempt then.
+        /// When to abandon the attempt.
         timeout_at: Time,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// The message.
+        /// The message of the attempt.
         message: MessageId,
-        /// Which attempt of it.
+        /// The attempt to abandon.
         attempt: AttemptNumber,
     },
-    /// End the message undelivered; submitting it again is harmless, best after `retry_after`.
+    /// End the message undelivered. The client may safely submit it again, preferably after `retry_after`.
     Reject {
-        /// The message.
+        /// The message to end.
         message: MessageId,
         /// How long the client should wait.
         retry_after: Span,
     },
     /// End the message as failed.
     Fail(MessageId),
-    /// Report `token` with [`Event::TimerFired`](crate::Event::TimerFired) at that time.
+    /// Report `token` with [`Event::TimerFired`](crate::Event::TimerFired) at the given time.
     SetTimer {
-        /// When.
+        /// When the timer fires.
         at: Time,
-        /// What to report.
+        /// The token to report.
         token: u64,
     },
     /// Send a health check to an endpoint.
@@ -43,6 +43,6 @@
     CloseIdleConnections(EndpointId),
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// A log line.
+    /// Write a log line.
     Log(String),
 }
--- a/crates/scheduler/src/interface/attempt.rs
+++ b/crates/scheduler/src/interface/attempt.rs
@@ -1,36 +1,36 @@
-//! Messages as they come in, and how their attempts end.
+//! Submitted messages and the outcomes of their attempts.
 
 use super::{ClassId, DestinationId, EndpointId, MessageId, OrderingKey, Span, TenantId, Time};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Delivered,
-    /// The destination answered with an error; the message may have taken effect.
+    /// The destination responded with an error; the message may have been executed.
     Error,
-    /// Rejected before it was processed.
+    /// The destination rejected the message before processing it.
     Rejected {
-        /// The wait that the destination asked for, if it did.
+        /// The `Retry-After` of the response, if it had one.
         retry_after: Option<Span>,
     },
-    /// No answer in time.
+    /// No response arrived before the time-out.
     TimedOut,
-    /// No connection: proves that it was not executed.
+    /// No connection could be established: the message was not executed.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection broke; the message may have been executed.
     Reset,
-    /// A reused idle connection broke as soon as it was used: the message may have been executed, but the endpoint
-    /// may be healthy.
+    /// A reused idle connection broke at its first use: the message may have been executed, and the endpoint may be
+    /// healthy.
     StaleConnection,
-    /// Cancelled by this instance.
+    /// This instance cancelled the attempt.
     Cancelled,
-    /// Never sent.
+    /// The request was never written.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it proves that the message was not executed.
+    /// Whether the outcome proves that the message was not executed.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a response told of the route's rate limit; late and approximate.
+/// The state of a route's rate limit as a response reports it; late and approximate.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct RateLimitReport {
     /// Share of the quota that remains.
@@ -51,29 +51,29 @@
 /// A message submitted to this instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewMessage {
-    /// The message.
+    /// Identity of the message.
     pub message: MessageId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant, if it has one.
     pub tenant: Option<TenantId>,
-    /// What it is about, where order is kept.
+    /// Its ordering key; ignored unless the class is ordered.
     pub ordering_key: Option<OrderingKey>,
-    /// It may be delivered until then.
+    /// No delivery starts after this time.
     pub deadline: Time,
-    /// Where it is sent.
+    /// The destination that receives it.
     pub destination: DestinationId,
 }
 
-/// What an earlier incarnation of this instance did for a message that outlived it.
+/// Attempts that an earlier incarnation of this instance made for a message that outlived it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PriorAttempts {
-    /// Attempts made; the next one has this number.
+    /// Number of attempts made, which is the number of the next one.
     pub attempts: u32,
-    /// When and where the first attempt was sent that may have been executed. One in flight when the earlier
-    /// incarnation ended may have been.
+    /// Send time and endpoint of the first attempt that may have been executed. An attempt in flight when the earlier
+    /// incarnation ended counts as one.
     pub first_possible_execution: Option<(Time, EndpointId)>,
-    /// When and where the latest attempt was sent, if the incarnation that sent it still waits for the answer: its end
-    /// will be reported as if this incarnation had sent it.
+    /// Send time and endpoint of the latest attempt, if the incarnation that sent it still waits for the response.
+    /// Its outcome is then reported as if this incarnation had sent it.
     pub in_flight: Option<(Time, EndpointId)>,
 }
--- a/crates/scheduler/src/interface/endpoint.rs
+++ b/crates/scheduler/src/interface/endpoint.rs
@@ -1,35 +1,35 @@
-//! Rows of the endpoint list.
+//! Entries of the endpoint list.
 
 use super::{DestinationId, EndpointId, KindId, ZoneId};
 
-/// Status of an endpoint in the list; says nothing of its health.
+/// Status of an endpoint in the list, independent of its health.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// In use.
+    /// The endpoint may be used.
     #[default]
     Active,
-    /// Nothing new may be sent to it.
+    /// The endpoint receives nothing new.
     Draining,
-    /// No longer listed.
+    /// The endpoint has left the list.
     Removed,
 }
 
-/// One row of the endpoint list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// The endpoint.
+    /// Identity of the endpoint.
     pub endpoint: EndpointId,
-    /// The destination it belongs to.
+    /// The destination that it belongs to.
     pub destination: DestinationId,
     /// The destination's kind.
     pub kind: KindId,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneId,
-    /// Whether it may be used.
+    /// Whether the endpoint may be used.
     pub status: EndpointStatus,
-    /// A rate in calls per second, as [`Settings::rate_hints`](crate::Settings::rate_hints) says.
+    /// A rate in calls per second; [`Settings::rate_hints`](crate::Settings::rate_hints) defines its meaning.
     pub advertised_rate: f64,
-    /// Its share of the destination's calls relative to the other endpoints' weights, where the list gives weights;
-    /// above 0.
+    /// Share of the destination's calls relative to the weights of its other endpoints, above 0; `None` where the
+    /// list has no weights.
     pub weight: Option<f64>,
 }
--- a/crates/scheduler/src/interface/event.rs
+++ b/crates/scheduler/src/interface/event.rs
@@ -1,54 +1,61 @@
-//! What a scheduler is told.
+//! Events that the scheduler receives.
 
 use super::{
-    AttemptNumber, DestinationId, EndpointId, EndpointUpdate, IdleRecord, MessageId, NewMessage,
+    AttemptNumber, DestinationId, EndpointId, EndpointUpdate, KnownRoute, MessageId, NewMessage,
     Outcome, PriorAttempts, RateLimitReport, Span, Time,
 };
 
-/// Something that happened.
+/// One event; a batch holds them in the order in which they occurred.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message was accepted and is owed one final outcome.
+    /// A message was accepted and must get one final outcome.
     Accepted(NewMessage),
-    /// A message that an earlier incarnation accepted and that still has no final outcome.
+    /// A message that an earlier incarnation accepted still has no final outcome.
     Resumed(NewMessage, PriorAttempts),
-    /// An attempt ended; one for each send.
+    /// An attempt ended; reported once for each send.
     AttemptFinished {
-        /// The message.
+        /// The message of the attempt.
         message: MessageId,
-        /// Which attempt of it.
+        /// Number of the attempt.
         attempt: AttemptNumber,
         /// How it ended.
         outcome: Outcome,
         /// How long it was in flight.
         duration: Span,
-        /// Whether the message has its final outcome with it.
+        /// Whether the outcome is the message's final one.
         is_final: bool,
-        /// What the response told of the rate limit.
+        /// The rate limit that the response reports.
         rate_limit: RateLimitReport,
     },
-    /// Nobody wants this message any more.
+    /// The client withdrew the message.
     Cancelled(MessageId),
     /// The timer with this token fired.
     TimerFired(u64),
     /// A health check ended.
     HealthChecked {
-        /// Where it was sent.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the check ended.
         outcome: Outcome,
-        /// What the response told of the rate limit.
+        /// The rate limit that the response reports.
         rate_limit: RateLimitReport,
     },
-    /// The whole endpoint list: what is not in it is removed.
+    /// The complete endpoint list: endpoints that it lacks are removed.
     EndpointsReplaced(Vec<EndpointUpdate>),
     /// Changes to the endpoint list.
     EndpointsUpdated(Vec<EndpointUpdate>),
-    /// What was kept of a compacted destination, or what another incarnation knew of it, or of one endpoint where that
-    /// is a separate route; its endpoints are listed already.
-    RouteRestored(DestinationId, Option<EndpointId>, IdleRecord),
-    /// Another incarnation of this instance was asked by an endpoint to back off until then.
-    BackoffNotified(DestinationId, EndpointId, Time),
+    /// State of a route from before its destination was compacted, or from another incarnation. The endpoints of the
+    /// route are listed already.
+    RouteRestored(KnownRoute),
+    /// Another incarnation of this instance received a backoff from an endpoint.
+    BackoffNotified {
+        /// The destination of the endpoint.
+        destination: DestinationId,
+        /// The endpoint that requested the backoff.
+        endpoint: EndpointId,
+        /// When the backoff ends.
+        until: Time,
+    },
     /// The request for the endpoint list failed, or the subscription broke.
     EndpointListFailed,
 }
--- a/crates/scheduler/src/interface/ids.rs
+++ b/crates/scheduler/src/interface/ids.rs
@@ -1,14 +1,14 @@
-//! Identities: a type for each.
+//! A type for each identity.
 
-/// A message; an id is never reused by one instance.
+/// Identity of a message; an instance never reuses one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(pub u64);
 
-/// An endpoint of a destination.
+/// Identity of an endpoint of a destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// A destination: a remote system, reached through its endpoints.
+/// Identity of a destination: a remote system that is reached through its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DestinationId(pub u64);
 
@@ -28,10 +28,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// What an ordered message is about: messages with equal keys are sent one at a time.
+/// Ordering key of a message: messages with equal keys are sent one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderingKey(pub u64);
 
-/// Number of an attempt of one message: 0, 1, 2 ... in the order of the sends.
+/// Number of an attempt of one message: 0, 1, 2 and so on in the order of the sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u32);
--- a/crates/scheduler/src/interface/route.rs
+++ b/crates/scheduler/src/interface/route.rs
@@ -1,24 +1,24 @@
-//! What is known of routes and destinations.
+//! State of routes and destinations that leaves the scheduler.
 
-use super::Time;
+use super::{DestinationId, EndpointId, Time};
 
-/// What is kept of a route while its destination is idle.
+/// State of a route that is kept while its destination is idle, and handed to the next incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct IdleRecord {
-    /// The end of the backoff that it asked for.
+    /// End of the backoff that the route requested.
     pub backoff_until: Option<Time>,
-    /// It has been ejected since then.
+    /// Since when the route has been ejected.
     pub ejected_since: Option<Time>,
-    /// It has been recovering since then.
+    /// Since when the route has been recovering.
     pub recovering_since: Option<Time>,
-    /// Its mean latency, in milliseconds.
+    /// Mean latency, in milliseconds.
     pub mean_latency_ms: Option<f64>,
-    /// Calls per second that this instance used to deliver there.
+    /// Calls per second that this instance usually delivers on the route.
     pub baseline_rate: f64,
 }
 
 impl IdleRecord {
-    /// The same with its times on another clock.
+    /// Converts every time of the record to another clock.
     pub fn map_times(self, clock: impl Fn(Time) -> Time) -> IdleRecord {
         IdleRecord {
             backoff_until: self.backoff_until.map(&clock),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether it says more of a route than is assumed of any.
+    /// Whether the record differs from the defaults of a new route.
     pub fn is_significant(&self) -> bool {
         self.backoff_until.is_some()
             || self.ejected_since.is_some()
@@ -37,20 +37,40 @@
     }
 }
 
+/// The record of one route, with the route's identity.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct KnownRoute {
+    /// The destination of the route.
+    pub destination: DestinationId,
+    /// The endpoint, where it is a separate route.
+    pub endpoint: Option<EndpointId>,
+    /// State of the route.
+    pub record: IdleRecord,
+}
+
+/// A destination that the scheduler has compacted: its endpoints are no longer listed, its state is the record.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CompactedDestination {
+    /// The endpoints that the scheduler no longer lists.
+    pub endpoints: Vec<EndpointId>,
+    /// State of the destination's route.
+    pub record: IdleRecord,
+}
+
 /// State of a listed destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DestinationState {
-    /// It has been ejected since then.
+    /// Since when the destination has been ejected.
     pub ejected_since: Option<Time>,
-    /// It has been recovering since then.
+    /// Since when the destination has been recovering.
     pub recovering_since: Option<Time>,
-    /// The end of the backoff that it asked for.
+    /// End of the backoff that the destination requested.
     pub backoff_until: Option<Time>,
-    /// Its mean latency, in milliseconds.
+    /// Mean latency, in milliseconds.
     pub mean_latency_ms: Option<f64>,
     /// Calls per second that this instance usually delivers there.
     pub baseline_rate: f64,
-    /// Messages for it that have no final outcome yet.
+    /// Messages for the destination without a final outcome.
     pub pending: usize,
     /// Calls in flight.
     pub in_flight: usize,
--- a/crates/scheduler/src/interface/settings.rs
+++ b/crates/scheduler/src/interface/settings.rs
@@ -1,8 +1,8 @@
-//! What a scheduler is told at its start.
+//! Settings that a scheduler starts with.
 
 use super::Span;
 
-/// What a second delivery of the same message does.
+/// What a second execution of the same message does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Nothing: the message may be repeated freely.
@@ -11,7 +11,7 @@
     IdempotencyKey {
         /// Which endpoints recognise the key.
         scope: DeduplicationScope,
-        /// For how long they do, counted from the first attempt that may have been executed.
+        /// How long they recognise it, counted from the first attempt that may have been executed.
         window: Span,
     },
     /// It takes effect again: never repeated once an attempt may have been executed.
@@ -21,9 +21,9 @@
 /// Which endpoints of a destination drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints of the destination.
     All,
-    /// Those in one zone.
+    /// The endpoints in the same zone.
     Zone,
     /// Only the same endpoint.
     Endpoint,
@@ -49,10 +49,10 @@
     Subscribe,
 }
 
-/// What [`EndpointUpdate::advertised_rate`](crate::EndpointUpdate::advertised_rate) means.
+/// Meaning of [`EndpointUpdate::advertised_rate`](crate::EndpointUpdate::advertised_rate).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RateHints {
-    /// Nothing.
+    /// The rate has no meaning.
     #[default]
     Absent,
     /// The calls per second that the route accepts from all instances together.
@@ -68,13 +68,13 @@
     pub priority_weight: f64,
     /// Time within which a delivery earns the full value.
     pub latency_objective: Span,
-    /// How long a message may be delivered, from its first submission.
+    /// How long a message may be delivered, counted from its first submission.
     pub deadline: Span,
-    /// Share of the value that is left at the deadline.
+    /// Share of the value that remains at the deadline.
     pub late_value: f64,
     /// What a repeat does.
     pub idempotency: Idempotency,
-    /// Whether messages with the same key are delivered one at a time, in order.
+    /// Whether messages with the same ordering key are delivered one at a time, in order.
     pub ordered: bool,
 }
 
@@ -88,24 +88,24 @@
 /// A kind of destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DestinationKind {
-    /// Whether each endpoint is a route of its own, with its own limit, backoff and health.
+    /// Whether each endpoint is a separate route with its own limit, backoff and health.
     pub separate_routes: bool,
-    /// Messages in one call, at most.
+    /// Maximum number of messages in one call.
     pub max_batch: usize,
 }
 
 /// Limits of the deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Calls in flight at once.
+    /// Maximum number of calls in flight.
     pub max_in_flight: usize,
-    /// Open messages at once, sent or not.
+    /// Maximum number of messages without a final outcome, sent or not.
     pub max_open_messages: usize,
-    /// Attempts for one message.
+    /// Maximum number of attempts for one message.
     pub max_attempts: u32,
-    /// Calls that one connection carries at once.
+    /// Concurrent calls that one connection carries.
     pub streams_per_connection: usize,
-    /// Idle connections are closed after this time.
+    /// How long an unused connection stays open.
     pub idle_timeout: Span,
     /// The longest `Retry-After` that clients honour.
     pub max_retry_after: Span,
@@ -115,31 +115,32 @@
     pub health_checks_allowed: bool,
 }
 
-/// Figures of the delivery rules.
+/// Parameters of the delivery rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// Share of its capacity that a route has when it recovers.
+    /// Share of its capacity that a route has when it begins to recover.
     pub ramp_start: f64,
-    /// Time from recovery to full capacity.
+    /// Time from the begin of a recovery to full capacity.
     pub ramp_duration: Span,
-    /// A route that is sent more than this multiple of its present capacity ...
+    /// Load, as a multiple of a recovering route's present capacity, that makes it fail again.
     pub overload_factor: f64,
-    /// ... for this long fails again.
+    /// Time over which that load is measured.
     pub overload_window: Span,
-    /// How long an ordering key rests after an attempt that may still be running.
+    /// How long an ordering key is paused after an attempt that may still be running.
     pub ordering_pause: Span,
-    /// With [`DiscoveryMode::Subscribe`]: an instance that has not asked for this long counts as informed.
+    /// With [`DiscoveryMode::Subscribe`]: an instance that has not requested the list for this long counts as
+    /// informed.
     pub max_poll_interval: Span,
 }
 
-/// All that a scheduler is told at its start.
+/// All settings of a scheduler.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Classes of messages.
     pub classes: Vec<MessageClass>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a message beyond its tenant's quota, as a part of its class's.
+    /// Weight of a message beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
     /// Kinds of destinations.
     pub kinds: Vec<DestinationKind>,
@@ -149,13 +150,13 @@
     pub value_decay: ValueDecay,
     /// Limits of the deployment.
     pub limits: Limits,
-    /// Figures of the delivery rules.
+    /// Parameters of the delivery rules.
     pub rules: Rules,
     /// How the endpoint list arrives.
     pub discovery: DiscoveryMode,
-    /// What the list's rates mean.
+    /// Meaning of the rates in the endpoint list.
     pub rate_hints: RateHints,
-    /// Instances there are, this one counted.
+    /// Number of instances, this one included.
     pub instances: usize,
     /// The least time between two batches of events.
     pub min_batch_interval: Span,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,8 +1,11 @@
 //! Chooses, for one instance, which message is sent where and when.
 //!
-//! A [`Scheduler`] takes batches of [`Event`]s and answers each with [`Action`]s. It has no clock, no network
-//! and no threads: time enters as the `now` of a batch, randomness as the seed given at its start, so the
-//! same events always bring the same actions.
+//! A [`Scheduler`] receives batches of [`Event`]s and returns [`Action`]s for each. It has no clock, no network and
+//! no threads: time enters as the `now` of a batch and randomness as the seed given at its start, so the same events
+//! always cause the same actions.
+//!
+//! The decisions are in the modules under `policy`. The state machines beside it observe and limit: they are free of
+//! I/O, clocks and threads, and every call receives the current time.
 //!
 //! ```
 //! use marblefall_scheduler::*;
@@ -48,40 +51,49 @@
 //!
 //! # What the embedding program guarantees
 //!
-//! - `now` never falls, and the events of a batch stand in the order in which they came.
-//! - Each [`Action::Send`] brings exactly one [`Event::AttemptFinished`], also after the message is over; it is
-//!   abandoned at `timeout_at` at the latest. Attempts are numbered 0, 1, 2 ... in the order of the sends.
-//! - A delivery is passed to the client by the embedding program and reported with `is_final` set.
-//! - Each [`Action::SetTimer`] brings one [`Event::TimerFired`], in a later batch. [`Action::Cancel`] hurries an
-//!   outcome and does not replace it.
-//! - A [`MessageId`] is never used twice, and sends of one batch to one endpoint travel as one call where
-//!   its [`DestinationKind::max_batch`] is above 1.
+//! - `now` never decreases, and the events of a batch are in the order in which they occurred.
+//! - Each [`Action::Send`] is followed by exactly one [`Event::AttemptFinished`], even after the message has its
+//!   final outcome. The attempt is abandoned at `timeout_at` at the latest. Attempts are numbered 0, 1, 2 and so on
+//!   in the order of the sends.
+//! - A delivery is reported to the client by the embedding program, and to the scheduler with `is_final` set.
+//! - Each [`Action::SetTimer`] is followed by one [`Event::TimerFired`] in a later batch. [`Action::Cancel`] makes an
+//!   outcome arrive sooner and does not replace it.
+//! - A [`MessageId`] is never reused. The sends of one batch to one endpoint travel as one call where its
+//!   [`DestinationKind::max_batch`] is above 1.
 //!
-//! # What it may rely on
+//! # What the scheduler guarantees
 //!
-//! - Every accepted message is ended once: by a delivery, [`Action::Reject`] or [`Action::Fail`].
-//! - Late or repeated outcomes, stale timers, unknown messages and endpoints, and settings with zeros or
-//!   absent parts never make it panic. Contradictory settings have a safe reading: without attempts allowed nothing
-//!   is sent and each message is answered before its time; a message of a class that does not exist fails
-//!   at once; an unknown kind is one without routes apart or shared calls; an unknown zone has no fee.
+//! - Every accepted message ends once: by a delivery, [`Action::Reject`] or [`Action::Fail`].
+//! - Late or repeated outcomes, stale timers, unknown messages and endpoints, and settings with zeros or missing
+//!   parts never cause a panic. Contradictory settings have a safe reading. Without allowed attempts nothing is sent
+//!   and each message ends before its deadline. A message of an undefined class fails at once. An undefined kind has
+//!   neither separate routes nor batches, and an undefined zone has no fee.
 //! - Two schedulers share nothing.
 
 #![forbid(unsafe_code)]
 
+mod baseline_rate;
+mod connection_pressure;
+mod failure_detector;
 mod interface;
+mod list_subscription;
+mod loss_rate;
+mod mean_latency;
 mod pending_queue;
 mod policy;
 mod rate_limiter;
 mod rate_share;
 pub mod recovery_ramp;
+mod rejection_hold;
 mod scheduler;
 mod state;
+mod tenant_rate;
 
 pub use interface::{
-    Action, AttemptNumber, ClassId, DeduplicationScope, DestinationId, DestinationKind,
-    DestinationState, DiscoveryMode, EndpointId, EndpointStatus, EndpointUpdate, Event,
-    Idempotency, IdleRecord, KindId, Limits, MessageClass, MessageId, NewMessage, OrderingKey,
-    Outcome, PriorAttempts, RateHints, RateLimitReport, Rules, Settings, Span, Tenant, TenantId,
-    Time, ValueDecay, ZoneId,
+    Action, AttemptNumber, ClassId, CompactedDestination, DeduplicationScope, DestinationId,
+    DestinationKind, DestinationState, DiscoveryMode, EndpointId, EndpointStatus, EndpointUpdate,
+    Event, Idempotency, IdleRecord, KindId, KnownRoute, Limits, MessageClass, MessageId,
+    NewMessage, OrderingKey, Outcome, PriorAttempts, RateHints, RateLimitReport, Rules, Settings,
+    Span, Tenant, TenantId, Time, ValueDecay, ZoneId,
 };
 pub use scheduler::Scheduler;
--- a/crates/scheduler/src/pending_queue.rs
+++ b/crates/scheduler/src/pending_queue.rs
@@ -1,46 +1,46 @@
-//! The messages that wait to be sent, by destination. Those never tried stand in the order of their deadlines, so that
-//! a look at the first of them tells of all. Holds no decisions and knows no clock.
+//! The pending messages, by destination. Messages without an attempt are in the order of their deadlines, so that a
+//! check of the first covers all of them. The queue takes no decisions.
 
 use crate::interface::{DestinationId, MessageId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether a message has been tried before.
+/// Whether a message has had an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Tried {
     No,
     Yes,
 }
 
-/// What waits for one destination.
+/// The pending messages of one destination.
 #[derive(Debug, Default)]
 pub(crate) struct DestinationQueue {
-    /// Never tried, by deadline.
-    pub fresh: BTreeSet<(Time, MessageId)>,
-    /// Tried before: what may still be done with each differs.
+    /// Messages without an attempt, by deadline.
+    pub untried: BTreeSet<(Time, MessageId)>,
+    /// Messages with attempts, each of which may permit other ones.
     pub tried: BTreeSet<MessageId>,
 }
 
 impl DestinationQueue {
-    /// All of them, those never tried first.
+    /// All messages, those without an attempt first.
     pub fn all(&self) -> impl Iterator<Item = MessageId> + '_ {
-        self.fresh
+        self.untried
             .iter()
             .map(|(_, id)| *id)
             .chain(self.tried.iter().copied())
     }
 
-    /// How many there are.
+    /// Number of messages.
     pub fn len(&self) -> usize {
-        self.fresh.len() + self.tried.len()
+        self.untried.len() + self.tried.len()
     }
 }
 
-/// All messages that wait.
+/// The pending messages of all destinations.
 #[derive(Debug, Default)]
 pub(crate) struct PendingQueue(BTreeMap<DestinationId, DestinationQueue>);
 
 impl PendingQueue {
-    /// A message begins to wait, or waits again.
+    /// Adds a message.
     pub fn insert(
         &mut self,
         destination: DestinationId,
@@ -50,34 +50,34 @@
     ) {
         let queue = self.0.entry(destination).or_default();
         match tried {
-            Tried::No => drop(queue.fresh.insert((deadline, id))),
+            Tried::No => drop(queue.untried.insert((deadline, id))),
             Tried::Yes => drop(queue.tried.insert(id)),
         }
     }
 
-    /// A message waits no longer; nothing happens if it did not wait.
+    /// Removes a message, if it is in the queue.
     pub fn remove(&mut self, destination: DestinationId, deadline: Time, id: MessageId) {
         let Some(queue) = self.0.get_mut(&destination) else {
             return;
         };
         queue.tried.remove(&id);
-        queue.fresh.remove(&(deadline, id));
+        queue.untried.remove(&(deadline, id));
         if queue.len() == 0 {
             self.0.remove(&destination);
         }
     }
 
-    /// What waits for a destination, if anything does.
+    /// The pending messages of a destination, if there are any.
     pub fn of_destination(&self, destination: DestinationId) -> Option<&DestinationQueue> {
         self.0.get(&destination)
     }
 
-    /// Whether anything waits for a destination.
+    /// Whether a destination has pending messages.
     pub fn has(&self, destination: DestinationId) -> bool {
         self.0.contains_key(&destination)
     }
 
-    /// Everything, by destination.
+    /// The destinations with pending messages.
     pub fn by_destination(&self) -> impl Iterator<Item = (DestinationId, &DestinationQueue)> {
         self.0
             .iter()
--- /dev/null
+++ b/crates/scheduler/src/policy/latency.rs
@@ -0,0 +1,39 @@
+//! Latency: what successful calls add to the means, and what to expect of a route.
+
+use crate::interface::{DestinationId, EndpointId, Span};
+use crate::scheduler::Scheduler;
+use crate::state::Route;
+
+/// Latency that is assumed before the first response, in ms.
+const DEFAULT_LATENCY_MS: f64 = 400.0;
+
+impl Scheduler {
+    /// Adds the latency of a successful call to the means of its endpoint, its route and all routes.
+    pub(super) fn observe_latency(&mut self, id: EndpointId, latency: Span) {
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return;
+        };
+        endpoint.mean_latency.observe(latency);
+        let route = endpoint.route;
+        self.route_mut(route).mean_latency.observe(latency);
+        self.mean_latency.observe(latency);
+    }
+
+    /// Expected latency of a call on a route, in ms.
+    pub(crate) fn expected_latency_ms(&self, route: &Route) -> f64 {
+        route
+            .mean_latency
+            .ms()
+            .or(self.mean_latency.ms())
+            .unwrap_or(DEFAULT_LATENCY_MS)
+    }
+
+    /// Expected latency of a destination's fastest active route; zero if it has none.
+    pub(crate) fn fastest_latency(&self, id: DestinationId) -> Span {
+        let latencies = self
+            .active_routes(id)
+            .map(|route| self.expected_latency_ms(route));
+        let least = latencies.fold(f64::INFINITY, f64::min);
+        Span::from_ms(if least.is_finite() { least } else { 0.0 })
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/policy/rejection_hold.rs
@@ -0,0 +1,61 @@
+//! Rejection hold: how a destination is left alone after it rejected calls, or reported little remaining
+//! quota.
+
+use crate::interface::{Span, Time};
+use crate::rejection_hold::{RejectedCall, RejectionHold};
+use crate::scheduler::Scheduler;
+use crate::state::RouteId;
+
+/// Share of the quota below which the next call is likely to be rejected.
+const LOW_QUOTA: f64 = 0.3;
+/// Shift of the hold count that separates its random numbers from those of other purposes.
+const HOLD_DRAW_SHIFT: u32 = 20;
+/// Milliseconds in a second, as a float.
+const MS_PER_S: f64 = 1000.0;
+
+impl Scheduler {
+    /// Holds a destination back after one of its routes rejected a call.
+    pub(super) fn hold_after_rejection(
+        &mut self,
+        now: Time,
+        id: RouteId,
+        retry_after: Option<Span>,
+    ) {
+        let call = RejectedCall {
+            retry_after,
+            call_interval_ms: self.call_interval_ms(now, id),
+            share_is_known: self.rate_share(&self.routes[&id]).is_some(),
+            jitter: self.hold_jitter(),
+            unseen_load: self.unseen_load(),
+        };
+        self.hold_count += 1;
+        let hold = self.rejection_holds.entry(id.destination).or_default();
+        hold.rejected(now, &call);
+    }
+
+    /// Holds a destination back if a response reports that little of the quota remains.
+    pub(crate) fn hold_if_quota_is_low(&mut self, now: Time, id: RouteId, remaining: Option<f64>) {
+        if !remaining.is_some_and(|remaining| remaining < LOW_QUOTA) {
+            return;
+        }
+        let Some(rate) = self.rate_share(&self.routes[&id]) else {
+            return;
+        };
+        self.hold_count += 1;
+        let hold = RejectionHold::for_low_quota(now, rate, self.hold_jitter());
+        self.rejection_holds.insert(id.destination, hold);
+    }
+
+    /// Time between two calls of this instance at its share of all of the destination's routes, in ms.
+    fn call_interval_ms(&self, now: Time, id: RouteId) -> f64 {
+        let routes = id
+            .endpoint
+            .map_or(1, |_| self.destinations[&id.destination].len());
+        MS_PER_S / (self.own_rate(now, &self.routes[&id]) * routes as f64)
+    }
+
+    /// Random number for the next hold, in 0..1.
+    fn hold_jitter(&self) -> f64 {
+        self.seeded_fraction(self.hold_count << HOLD_DRAW_SHIFT)
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/policy/route_rate.rs
@@ -0,0 +1,102 @@
+//! Rates of a route: what it is listed or reported to accept, and what this instance may count on of that.
+
+use crate::baseline_rate::BASELINE_TIME_S;
+use crate::interface::{RateHints, Time};
+use crate::rate_limiter::LimitView;
+use crate::rate_share;
+use crate::scheduler::Scheduler;
+use crate::state::Route;
+
+/// Fraction of an approximate advertised rate that is counted on: it may be half too high.
+const APPROXIMATE_RATE_FACTOR: f64 = 0.67;
+/// Calls per second that a route accepts from all instances, if nothing else is known.
+const MIN_RATE: f64 = 1.0;
+/// The least even share that a rate is drawn towards, in calls per second.
+const MIN_EVEN_SHARE: f64 = 1e-6;
+
+impl Scheduler {
+    /// This instance's share of a reported or listed limit, in calls per second, where many instances share
+    /// it.
+    pub(crate) fn rate_share(&self, route: &Route) -> Option<f64> {
+        let limit = route.reported_limit.or(self.listed_rate(route))?;
+        rate_share::share_of(limit, self.settings.instances, self.unseen_load())
+    }
+
+    /// Calls per second that a route accepts from all instances together according to the endpoint list.
+    pub(super) fn listed_rate(&self, route: &Route) -> Option<f64> {
+        let has_hints = self.settings.rate_hints != RateHints::Absent;
+        Some(route.advertised_rate).filter(|rate| has_hints && *rate > MIN_RATE)
+    }
+
+    /// Calls per second that this instance may count on of a route's full rate: what it usually delivers
+    /// there, drawn towards an even share of the known rate, or of its own traffic over all destinations. The
+    /// shares of all instances add up to no more than the route accepts.
+    pub(crate) fn own_rate(&self, now: Time, route: &Route) -> f64 {
+        let (instances, unseen) = (self.instances(), self.unseen_load());
+        let has_hints = self.settings.rate_hints != RateHints::Absent;
+        let listed = Some(route.advertised_rate.max(MIN_RATE)).filter(|_| has_hints);
+        let usual = self.usual_rate(now, route);
+        let least = usual
+            .max(self.even_share(now, listed))
+            .max(MIN_RATE / instances);
+        let even = self
+            .even_share(now, route.reported_limit.or(listed))
+            .max(MIN_EVEN_SHARE);
+        let drawn = (1.0 + usual * BASELINE_TIME_S) / (1.0 / even + BASELINE_TIME_S);
+        let own = ((1.0 - unseen) * least).max(drawn);
+        // One of many instances counts on its even share of a reported limit, whatever it delivered before.
+        route
+            .reported_limit
+            .map_or(own, |limit| own + unseen * (limit / instances - own))
+    }
+
+    /// Calls per second that this instance usually delivers on a route.
+    fn usual_rate(&self, now: Time, route: &Route) -> f64 {
+        let ramp_duration = self.settings.rules.ramp_duration;
+        if route.ramp.is_settled(now, ramp_duration) {
+            route.baseline_rate.current_per_s(now)
+        } else {
+            route.baseline_rate.per_s()
+        }
+    }
+
+    /// This instance's even share of a known rate; where none is known, its traffic for each destination.
+    fn even_share(&self, now: Time, rate: Option<f64>) -> f64 {
+        let reliable_fraction = if self.settings.rate_hints == RateHints::Exact {
+            1.0
+        } else {
+            APPROXIMATE_RATE_FACTOR
+        };
+        rate.map_or_else(
+            || self.traffic_per_destination(now),
+            |rate| rate * reliable_fraction / self.instances(),
+        )
+    }
+
+    /// Messages per second that this instance has accepted for each destination on average.
+    fn traffic_per_destination(&self, now: Time) -> f64 {
+        let age_s = self
+            .started_at
+            .map_or(0.0, |at| (now - at).secs())
+            .max(BASELINE_TIME_S);
+        self.accepted_count.max(1.0) / age_s / self.destinations.len().max(1) as f64
+    }
+
+    /// What this instance knows of a route's limit, for its rate limiter. `None` where it can't tell a limit
+    /// from random rejections: it sees only a part of the load, or shares a route without a listed rate.
+    pub(super) fn limit_view(&self, route: &Route) -> Option<LimitView> {
+        if self.unseen_load() != 0.0 {
+            return None;
+        }
+        let instances = self.instances();
+        let headroom = match self.listed_rate(route) {
+            Some(rate) => rate / instances,
+            None if instances == 1.0 => f64::INFINITY,
+            None => return None,
+        };
+        Some(LimitView {
+            instances,
+            headroom,
+        })
+    }
+}
--- a/crates/scheduler/src/rate_limiter.rs
+++ b/crates/scheduler/src/rate_limiter.rs
@@ -1,64 +1,73 @@
-//! What rejections tell of a route's limit: the adaptive rate limiter of one instance towards one route.
+//! Adaptive rate limiter of one instance towards one route that rejects calls.
 //!
-//! A limiter begins with a rejection, at the rate of the last seconds. Rejections cut it, successes let it creep back, so
-//! that it hovers about the limit. Some destinations reject calls by chance, at any rate, and have room for all of them:
-//! then a cut helps nobody and the rate would only sink. The two are told apart by trial. Where rejections stay many, the
-//! rate is doubled for a few calls without a cut: under a limit the rejected share of them rises with the rate, and the
-//! trial is taken back; by chance it stays as it was, and the rate is doubled again until it holds nothing back. The
-//! rejected share is watched on from there, as a limit may come to bind later.
+//! The limiter starts with a rejection, at the recent send rate. Each rejection cuts the rate and each success raises
+//! it a little, so that it stays near the route's limit.
 //!
-//! Each trial that is taken back doubles the calls until the next, so a true limit is disturbed ever more rarely.
-//! Only an instance that sees much of the load can tell: among many, one rate moves the rejected share of nobody. Nor is
-//! anything tried near the rate that the route is listed with: there, rejections are most likely its limit.
+//! Some routes reject calls at random, at any rate. There a cut is useless and the rate would sink without end. To
+//! tell such rejections from a limit, the limiter tentatively doubles its rate for a few calls while many calls are
+//! rejected. Under a limit the share of rejected calls rises with the rate, and the increase is reverted. If the
+//! share stays the same, the rejections are random, and the rate is doubled again until it no longer restrains the
+//! traffic. From then on the rejected share is watched, as a limit may begin to bind later. Each reverted increase
+//! doubles the number of calls before the next one.
 //!
-//! Free of I/O, clocks and threads: every call is told what time it is.
+//! Only an instance that sees most of the load can tell: among many instances, the rate of one hardly changes the
+//! rejected share. No increase is tried near the listed rate of the route, where rejections most likely come from its
+//! limit.
 
 use crate::interface::{Span, Time};
 
-/// The rate is cut to this part by a rejected call that was sent after the last cut.
+/// Factor of the rate for a rejected call that was sent after the last cut.
 const CUT_FACTOR: f64 = 0.8;
-/// Each success lets the rate creep back by this part of its full rate ...
-const CREEP_FACTOR: f64 = 0.04;
-/// ... up to this multiple of it: the first rejection may have come in a lull ...
-const MAX_OVER_FULL: f64 = 1.5;
-/// ... or at the start, or from one endpoint that drains: with no rejection for so long, longer with each cut, successes
-/// let the full rate itself grow by this part a second, or a backlog would wait behind it until the limiter is dropped.
+/// Increase of the rate for each success, as a fraction of the full rate.
+const INCREASE_FRACTION: f64 = 0.04;
+/// The highest rate, as a multiple of the full rate, which may be too low if the first rejection came in a lull.
+const MAX_RATE_FACTOR: f64 = 1.5;
+/// Time without a rejection, for each cut, after which successes raise the full rate: it may be far too low.
 const QUIET_TIME: Span = Span(1_000_000);
-const QUIET_GROWTH: f64 = 0.3;
+/// Growth of the full rate in that time, as a fraction per second.
+const QUIET_GROWTH_PER_S: f64 = 0.3;
 /// The longest time between two successes that counts for that growth, in seconds.
 const MAX_GROWTH_GAP_S: f64 = 1.0;
-/// Part of its even share of a reported limit which an instance may count on.
+/// Fraction of its even share of a reported limit that an instance may rely on.
 const EVEN_SHARE_FACTOR: f64 = 0.8;
-/// Calls that a limiter lets go at once after a pause.
+/// Calls that the limiter permits at once after a pause.
 const BURST_CALLS: f64 = 1.5;
-/// A limiter is dropped when nothing was rejected for this long.
+/// Tolerance for rounding errors, in calls.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// Time without a rejection after which the limiter is dropped.
 const RETENTION: Span = Span(10_000_000);
-/// Calls by which the rejected share is judged at a rate that was found by cuts: by fewer it would often look otherwise.
-const BASELINE_CALLS: u32 = 16;
-/// Calls by which a trial is judged, for each instance there is: the more there are, the less one of them moves.
-const TRIAL_CALLS: u32 = 8;
-/// ... and so many times as many once a trial has shown that it is chance: by the next few calls it looks otherwise.
-const CONFIRMED_FACTOR: u32 = 3;
-/// A trial that is taken back doubles the calls for the next, up to this many times.
-const MAX_BACKOFFS: u32 = 7;
-/// Rejected share from which on a higher rate is tried ...
-const MIN_CHANCE: f64 = 0.15;
-/// ... while less than this part of the instance's headroom is used.
-const CHANCE_HEADROOM: f64 = 0.6;
-/// A limiter binds if so much of its rate is used.
-const BINDING_USE: f64 = 0.5;
+/// Calls that a measurement needs at a rate set by cuts.
+const REGULATED_CALLS: u32 = 16;
+/// Calls that a measurement needs at an increased rate, for each instance: one of many changes the share less.
+const INCREASED_CALLS: u32 = 8;
+/// Factor of that number once the rejections have been found random, so that chance does not revert the rate.
+const UNRESTRAINED_FACTOR: u32 = 3;
+/// How many reverted increases double the calls before the next one.
+const MAX_REVERSALS: u32 = 7;
+/// The least rejected share at which a higher rate is tried.
+const MIN_RANDOM_SHARE: f64 = 0.15;
+/// Fraction of the headroom up to which a higher rate is tried.
+const HEADROOM_FACTOR: f64 = 0.6;
+/// Factor of the rate in a tentative increase.
+const INCREASE_FACTOR: f64 = 2.0;
+/// Fraction of the rate that must be used for the limiter to restrain the traffic.
+const RESTRAINING_USE: f64 = 0.5;
+/// The shortest time over which a rate is measured, in seconds.
+const MIN_MEASUREMENT_S: f64 = 1e-3;
+/// Milliseconds in a second, as a float.
+const MS_PER_S: f64 = 1000.0;
 
-/// How far an instance can tell a limit from chance.
+/// What an instance that sees the whole load knows of a route's limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitView {
-    /// Instances there are, this one counted.
+    /// Number of instances, this one included.
     pub instances: f64,
-    /// Calls per second up to which rejections may be chance: its even share of what the route is listed with, infinite
-    /// if a lone instance knows nothing of it.
+    /// Calls per second of this instance up to which rejections may be random: its even share of the listed rate,
+    /// infinite if there is one instance and no listed rate.
     pub headroom: f64,
 }
 
-/// The rate limiter of one instance towards one route that has rejected calls. Rates are calls per second.
+/// The rate limiter of one instance towards one route. Rates are in calls per second.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimiter {
     rate: f64,
@@ -70,7 +79,7 @@
     measurement: Measurement,
 }
 
-/// What a limiter goes back to when a trial of a higher rate fails.
+/// State before a tentative increase, to which a limiter reverts.
 #[derive(Clone, Copy, Debug)]
 struct Baseline {
     rejected_share: f64,
@@ -78,50 +87,57 @@
     full_rate: f64,
 }
 
-/// The calls sent since a rate was set, and how many of them were rejected.
+/// How the present rate came about.
+#[derive(Clone, Copy, Debug)]
+enum Phase {
+    /// Rejections and successes set it.
+    Regulated,
+    /// It was tentatively increased.
+    Increased(Baseline),
+    /// Rejections were found random, and it does not restrain the traffic.
+    Unrestrained(Baseline),
+}
+
+/// The calls sent since the rate was set, and how many of them were rejected.
 #[derive(Clone, Debug)]
 struct Measurement {
+    phase: Phase,
     since: Time,
     calls: u32,
     rejected: u32,
-    /// In a trial: what was before it.
-    trial: Option<Baseline>,
-    /// Whether a trial before has shown that rejections come by chance.
-    confirmed: bool,
-    /// Trials taken back in a row.
-    backoffs: u32,
+    /// Consecutive increases that were reverted.
+    reversals: u32,
 }
 
 impl Measurement {
-    fn new(since: Time, trial: Option<Baseline>, backoffs: u32) -> Measurement {
+    fn new(since: Time, phase: Phase, reversals: u32) -> Measurement {
         Measurement {
+            phase,
             since,
             calls: 0,
             rejected: 0,
-            trial,
-            confirmed: false,
-            backoffs,
+            reversals,
         }
     }
 
-    /// Calls after which it is judged.
+    /// Number of calls that the measurement needs.
     fn needed_calls(&self, instances: f64) -> u32 {
-        match (&self.trial, self.confirmed) {
-            (None, _) => BASELINE_CALLS << self.backoffs,
-            (Some(_), false) => TRIAL_CALLS * instances as u32,
-            (Some(_), true) => TRIAL_CALLS * instances as u32 * CONFIRMED_FACTOR,
+        match self.phase {
+            Phase::Regulated => REGULATED_CALLS << self.reversals,
+            Phase::Increased(_) => INCREASED_CALLS * instances as u32,
+            Phase::Unrestrained(_) => INCREASED_CALLS * instances as u32 * UNRESTRAINED_FACTOR,
         }
     }
 }
 
 impl RateLimiter {
-    /// A limiter from the first rejection on: at the recent `rate`, or more where a route that is listed to bear much has
-    /// hardly been used, as at a start or in a lull.
-    pub fn new(now: Time, rate: f64, view: Option<LimitView>) -> RateLimiter {
+    /// A limiter after the first rejection, at the recent send rate, or higher where a route with a high listed rate
+    /// has hardly been used.
+    pub fn new(now: Time, recent_rate: f64, view: Option<LimitView>) -> RateLimiter {
         let headroom = view
             .map(|view| view.headroom)
             .filter(|headroom| headroom.is_finite());
-        let rate = rate.max(CHANCE_HEADROOM * headroom.unwrap_or(0.0));
+        let rate = recent_rate.max(HEADROOM_FACTOR * headroom.unwrap_or(0.0));
         RateLimiter {
             rate,
             full_rate: rate,
@@ -129,31 +145,23 @@
             refilled_at: now,
             last_rejection: now,
             cuts: 0,
-            measurement: Measurement::new(now, None, 0),
+            measurement: Measurement::new(now, Phase::Regulated, 0),
         }
     }
 
-    fn tokens(&self, now: Time) -> f64 {
-        (self.tokens + (now - self.refilled_at).secs() * self.rate).min(BURST_CALLS)
-    }
-
-    fn refill(&mut self, now: Time, taken: f64, max: f64) {
-        self.tokens = (self.tokens(now) - taken).min(max);
-        self.refilled_at = now;
-    }
-
-    /// From when on it lets the next call go.
+    /// Earliest time of the next call.
     pub fn next_call_at(&self, now: Time) -> Time {
-        now + Span::from_ms((1.0 - 1e-6 - self.tokens(now)).max(0.0) / self.rate * 1000.0)
+        let missing = 1.0 - ROUNDING_TOLERANCE - self.tokens(now);
+        now + Span::from_ms(missing.max(0.0) / self.rate * MS_PER_S)
     }
 
-    /// A call goes out.
+    /// Records a call that is sent.
     pub fn sent(&mut self, now: Time) {
         self.refill(now, 1.0, BURST_CALLS);
     }
 
-    /// What was learned gives way to a limit that a response reports: to all of it at most, as others may leave this
-    /// instance more than its `even_share`, and to most of that share at least. Limits change in a day.
+    /// Adjusts the rates to a limit that a response reports: to the whole limit at most, as others may leave this
+    /// instance more than its `even_share`, and to most of that share at least.
     pub fn limit_reported(&mut self, limit: f64, even_share: f64) {
         self.full_rate = self
             .full_rate
@@ -163,28 +171,30 @@
             .max(EVEN_SHARE_FACTOR * CUT_FACTOR * even_share * limit);
     }
 
-    /// A call sent at `sent` was accepted, `gap` seconds after the one before. Returns whether the limiter is still needed.
+    /// Records that a call sent at `sent` was accepted, `since_last_s` seconds after the one before. Returns whether
+    /// the limiter is still needed.
     pub fn accepted(
         &mut self,
         now: Time,
         sent: Time,
-        gap: f64,
+        since_last_s: f64,
         ejected: bool,
         view: Option<LimitView>,
     ) -> bool {
         self.refill(now, 0.0, BURST_CALLS);
         if !ejected && now - self.last_rejection > Span(QUIET_TIME.0 * (1 + self.cuts)) {
-            self.full_rate *= 1.0 + QUIET_GROWTH * gap.min(MAX_GROWTH_GAP_S);
+            self.full_rate *= 1.0 + QUIET_GROWTH_PER_S * since_last_s.min(MAX_GROWTH_GAP_S);
         }
-        self.rate = (self.rate + CREEP_FACTOR * self.full_rate).min(MAX_OVER_FULL * self.full_rate);
+        self.rate =
+            (self.rate + INCREASE_FRACTION * self.full_rate).min(MAX_RATE_FACTOR * self.full_rate);
         if let Some(view) = view {
             self.measure(now, sent, false, view);
         }
         now - self.last_rejection <= RETENTION
     }
 
-    /// A call sent at `sent` was rejected; `last_accepted` is when the last accepted one had been sent. The rate never
-    /// sinks below `min_rate`.
+    /// Records that a call sent at `sent` was rejected; `last_accepted` is the send time of the last accepted one.
+    /// The rate stays at or above `min_rate`.
     pub fn rejected(
         &mut self,
         now: Time,
@@ -194,9 +204,9 @@
         view: Option<LimitView>,
     ) {
         self.refill(now, 0.0, 0.0);
-        // While nothing is accepted, cuts would only leave the rate at its least for when the route opens.
+        // While no call is accepted, further cuts would only leave the rate at its minimum for when the route opens.
         if sent > self.last_rejection && last_accepted >= Some(self.last_rejection) {
-            if self.measurement.trial.is_none() {
+            if matches!(self.measurement.phase, Phase::Regulated) {
                 self.rate = (self.rate * CUT_FACTOR).max(min_rate);
                 self.cuts += 1;
             }
@@ -207,7 +217,16 @@
         }
     }
 
-    /// Counts a call at the rate it was sent at; after enough of them judges the measurement.
+    fn tokens(&self, now: Time) -> f64 {
+        (self.tokens + (now - self.refilled_at).secs() * self.rate).min(BURST_CALLS)
+    }
+
+    fn refill(&mut self, now: Time, used: f64, max: f64) {
+        self.tokens = (self.tokens(now) - used).min(max);
+        self.refilled_at = now;
+    }
+
+    /// Counts a call in the measurement of the rate that it was sent at, and evaluates a complete measurement.
     fn measure(&mut self, now: Time, sent: Time, rejected: bool, view: LimitView) {
         let measurement = &mut self.measurement;
         if sent < measurement.since {
@@ -216,61 +235,81 @@
         measurement.calls += 1;
         measurement.rejected += u32::from(rejected);
         if measurement.calls >= measurement.needed_calls(view.instances) {
-            self.judge(now, view);
+            self.evaluate(now, view);
         }
     }
 
-    /// Tries a higher rate, or keeps or takes back what was tried.
-    fn judge(&mut self, now: Time, view: LimitView) {
-        let measurement = &self.measurement;
-        let backoffs = measurement.backoffs;
-        let rejected_share = f64::from(measurement.rejected) / f64::from(measurement.calls);
-        let observed_rate =
-            f64::from(measurement.calls) / (now - measurement.since).secs().max(1e-3);
-        let binds = observed_rate >= BINDING_USE * self.rate;
-        // Under a limit, twice the calls of one instance among all would raise the share by twice this.
-        let rise = |before: f64| (1.0 - before) / (view.instances + 1.0) / 2.0;
-        match measurement.trial {
-            Some(before)
-                if rejected_share > before.rejected_share + rise(before.rejected_share) =>
-            {
-                self.rate = before.rate;
-                self.full_rate = before.full_rate;
-                self.measurement = Measurement::new(now, None, (backoffs + 1).min(MAX_BACKOFFS));
-            }
-            Some(before) if binds && observed_rate < view.headroom => {
-                self.try_higher(now, before.rejected_share, observed_rate, view);
-            }
-            None if binds
-                && observed_rate <= CHANCE_HEADROOM * view.headroom
-                && (MIN_CHANCE..1.0).contains(&rejected_share) =>
-            {
-                self.try_higher(now, rejected_share, observed_rate, view);
+    /// Increases the rate tentatively, keeps an increase, or reverts it.
+    fn evaluate(&mut self, now: Time, view: LimitView) {
+        let Measurement {
+            phase,
+            since,
+            calls,
+            rejected,
+            reversals,
+        } = self.measurement;
+        let rejected_share = f64::from(rejected) / f64::from(calls);
+        let observed_rate = f64::from(calls) / (now - since).secs().max(MIN_MEASUREMENT_S);
+        let restrains = observed_rate >= RESTRAINING_USE * self.rate;
+        match phase {
+            Phase::Regulated => {
+                let may_be_random = (MIN_RANDOM_SHARE..1.0).contains(&rejected_share);
+                let has_headroom = observed_rate <= HEADROOM_FACTOR * view.headroom;
+                if restrains && has_headroom && may_be_random {
+                    self.increase(now, rejected_share, observed_rate, view);
+                } else {
+                    self.measurement = Measurement::new(now, Phase::Regulated, reversals);
+                }
             }
-            // It holds nothing back any more. Should rejections rise yet, it begins again a little lower.
-            Some(before) => {
-                let baseline = Baseline {
-                    rejected_share: before.rejected_share,
-                    rate: self.rate * CUT_FACTOR,
-                    full_rate: self.full_rate * CUT_FACTOR,
-                };
-                self.measurement = Measurement {
-                    confirmed: true,
-                    ..Measurement::new(now, Some(baseline), 0)
-                };
+            Phase::Increased(before) | Phase::Unrestrained(before) => {
+                if rejected_share > before.rejected_share + limit_rise(before, view) {
+                    self.revert(now, before);
+                } else if restrains && observed_rate < view.headroom {
+                    self.increase(now, before.rejected_share, observed_rate, view);
+                } else {
+                    self.keep_increase(now, before);
+                }
             }
-            None => self.measurement = Measurement::new(now, None, backoffs),
         }
     }
 
-    fn try_higher(&mut self, now: Time, rejected_share: f64, observed_rate: f64, view: LimitView) {
+    /// Tentatively increases the rate, up to the headroom.
+    fn increase(&mut self, now: Time, rejected_share: f64, observed_rate: f64, view: LimitView) {
         let baseline = Baseline {
             rejected_share,
             rate: self.rate,
             full_rate: self.full_rate,
         };
-        self.measurement = Measurement::new(now, Some(baseline), self.measurement.backoffs);
-        self.rate = self.rate.max((2.0 * observed_rate).min(view.headroom));
+        let reversals = self.measurement.reversals;
+        self.measurement = Measurement::new(now, Phase::Increased(baseline), reversals);
+        self.rate = self
+            .rate
+            .max((INCREASE_FACTOR * observed_rate).min(view.headroom));
         self.full_rate = self.full_rate.max(self.rate);
     }
+
+    /// Reverts an increase: the rejections come from a limit.
+    fn revert(&mut self, now: Time, before: Baseline) {
+        self.rate = before.rate;
+        self.full_rate = before.full_rate;
+        let reversals = (self.measurement.reversals + 1).min(MAX_REVERSALS);
+        self.measurement = Measurement::new(now, Phase::Regulated, reversals);
+    }
+
+    /// Keeps an increase that no longer restrains the traffic. If the rejected share rises later, the limiter reverts
+    /// to a slightly lower rate.
+    fn keep_increase(&mut self, now: Time, before: Baseline) {
+        let baseline = Baseline {
+            rejected_share: before.rejected_share,
+            rate: self.rate * CUT_FACTOR,
+            full_rate: self.full_rate * CUT_FACTOR,
+        };
+        self.measurement = Measurement::new(now, Phase::Unrestrained(baseline), 0);
+    }
+}
+
+/// Rise of the rejected share above which an increase has met a limit: half of what doubling the calls of one
+/// instance causes under a limit that all instances share.
+fn limit_rise(before: Baseline, view: LimitView) -> f64 {
+    (1.0 - before.rejected_share) / (view.instances + 1.0) / 2.0
 }
--- a/crates/scheduler/src/rate_share.rs
+++ b/crates/scheduler/src/rate_share.rs
@@ -1,47 +1,48 @@
-//! What one instance of many may send to a destination whose limit is known: its even share of it, as a token bucket.
+//! Rate share: the even share of a known limit that one instance of many may use, as a token bucket.
 //!
-//! One instance of a hundred sees a call every few seconds at a destination, so rejections tell it of a limit too late:
-//! by the time that each has met one, a hundred rejected calls have used the limit up. What the list or a response tells
-//! of the limit holds for all at once; kept to by each, the shares add up to the limit whoever has how much to send.
-//!
-//! Free of I/O, clocks and threads: every call is told what time it is.
+//! An instance of a hundred sends a destination a call every few seconds. It learns of a limit from rejections too
+//! late: once each instance has seen one, the rejected calls have used the limit up. A listed or reported limit is
+//! known to all instances at once. If each keeps to its share, they keep the limit together.
 
 use crate::interface::{Span, Time};
 
-/// Calls that an instance may save up. Messages do not come evenly, and where hundreds share a limit, the time between
-/// two calls of one of them is longer than a message may wait: what comes after a lull must not wait for the next. All
-/// together exceed the limit by what they have saved up at most, once; recovery from an outage is ramped apart from this.
+/// Calls that an instance may save up. Where hundreds share a limit, the time between two calls of one instance is
+/// longer than a message may wait, so a message after a lull must not wait for the next token.
 const BUCKET_DEPTH: f64 = 6.0;
+/// Tolerance for rounding errors, in calls.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// Milliseconds in a second, as a float.
+const MS_PER_S: f64 = 1000.0;
 
-/// The calls sent lately, as far as the rate has not worked them off.
+/// The tokens that are in use.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RateShare {
     used: f64,
-    at: Time,
+    updated_at: Time,
 }
 
-/// An instance's share of a limit, in calls per second. `unseen_load` is the part of the load that it does not see (0 to
-/// 1): the fewer the instances are, the more of what others leave may be taken, as each sees for itself what is rejected;
-/// at 0 nothing holds an instance to a share.
+/// An instance's share of a limit, in calls per second; `None` where it is not held to one. `unseen_load` is the
+/// fraction of the load that the instance does not see, from 0 to 1. The fewer instances there are, the more of what
+/// others leave may be used, as each sees the rejections itself.
 pub(crate) fn share_of(limit: f64, instances: usize, unseen_load: f64) -> Option<f64> {
     (unseen_load > 0.0 && limit > 0.0).then(|| limit / instances.max(1) as f64 / unseen_load)
 }
 
 impl RateShare {
-    fn used(&self, now: Time, rate: f64) -> f64 {
-        (self.used - (now - self.at).secs() * rate).max(0.0)
-    }
-
-    /// Notes a call.
+    /// Records a call, with the share in calls per second.
     pub fn sent(&mut self, now: Time, rate: f64) {
         self.used = self.used(now, rate) + 1.0;
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// From when on it lets the next call go.
+    /// Earliest time of the next call, with the share in calls per second.
     pub fn next_call_at(&self, now: Time, rate: f64) -> Time {
-        let over = self.used(now, rate) + 1.0 - BUCKET_DEPTH;
-        now + Span::from_ms((over - 1e-6).max(0.0) / rate * 1000.0)
+        let missing = self.used(now, rate) + 1.0 - BUCKET_DEPTH;
+        now + Span::from_ms((missing - ROUNDING_TOLERANCE).max(0.0) / rate * MS_PER_S)
+    }
+
+    fn used(&self, now: Time, rate: f64) -> f64 {
+        (self.used - (now - self.updated_at).secs() * rate).max(0.0)
     }
 }
 
--- a/crates/scheduler/src/recovery_ramp.rs
+++ b/crates/scheduler/src/recovery_ramp.rs
@@ -1,99 +1,122 @@
-//! How a route that was ejected is eased back into service.
+//! Recovery ramp: how a route that was ejected returns to service.
 //!
-//! A route is [`RouteHealth::Healthy`] until it is [`RouteHealth::Ejected`]. Then messages of its own are its only trials,
-//! far apart. The first answer to a trial makes it [`RouteHealth::Recovering`]: over the ramp's duration the calls that
-//! are let go rise from the ramp's start to all of the route's capacity, and from there on further until nothing is
-//! pending for it any more. Only then it is healthy, or all that waited through the outage would go out at the end of
-//! the ramp at once.
+//! A route is [`RouteHealth::Healthy`] until it is [`RouteHealth::Ejected`]. Then it is sent rare half-open trial
+//! calls, as by a circuit breaker, which carry its own messages. The first one that is answered makes it
+//! [`RouteHealth::Recovering`]. Over the ramp's duration the permitted rate rises from the ramp's start to the
+//! route's full capacity, and continues to rise until nothing is pending for the route. Only then it is healthy;
+//! otherwise the whole backlog of the outage would be sent at the end of the ramp.
 //!
-//! Instances do not speak of it with each other: each takes its own share of the ramp and has a jitter of its own.
-//!
-//! Free of I/O, clocks and threads: every call is told what time it is.
+//! Instances don't coordinate: each has its own share of the ramp and its own jitter.
 
 use crate::interface::{Rules, Span, Time};
 use std::collections::VecDeque;
 
-/// Trials of an ejected route are at least this far apart, in ms ...
+/// The least time between two half-open trial calls of an instance, in ms.
 const MIN_TRIAL_INTERVAL_MS: f64 = 700.0;
-/// ... and at most this for each instance there is: all together try about once in it.
+/// The longest time between two half-open trial calls, in ms for each instance: all together send about one in it.
 const MAX_TRIAL_INTERVAL_MS: f64 = 1000.0;
-/// Instances that share the one call in the overload window which a recovering route is always left.
-const MIN_INSTANCES: f64 = 4.0;
-/// The calls per second that an ejected route is given to start from: none but trials.
-const EJECTED_BUDGET: f64 = 1e-6;
-/// Parts of the overload window over which a recovering route's calls are evened out.
+/// Calls that all instances together may send a recovering route in the overload window, at least.
+const MIN_RECOVERING_BUDGET: f64 = 4.0;
+/// Calls that all instances together may send an ejected route in the overload window, besides half-open trial calls.
+const MIN_EJECTED_BUDGET: f64 = 1e-6;
+/// Equal parts of the overload window over which a recovering route's calls are spread.
 const WINDOW_PARTS: usize = 4;
+/// The shortest ramp duration, in ms.
+const MIN_RAMP_DURATION_MS: f64 = 1.0;
+/// Mean of the jitter.
+const MEAN_JITTER: f64 = 0.5;
+/// A time before any other.
+const PAST: Time = Time(i64::MIN);
 
 /// Health of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum RouteHealth {
-    /// In service; nothing is held back on account of an outage.
+    /// In service, without any limit from an outage.
     #[default]
     Healthy,
-    /// Out of service since then, but for trials.
+    /// Out of service since that time, except for half-open trial calls.
     Ejected(Time),
-    /// It answered again, first at that time.
+    /// Answering again since that time.
     Recovering(Time),
 }
 
-/// What holds for all routes of an instance.
+/// A change of a route's health that matters outside the ramp.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HealthChange {
+    /// The route was ejected.
+    Ejected,
+    /// The ejected route began to recover.
+    Recovering,
+}
+
+/// Settings that all routes of an instance share.
 #[derive(Clone, Copy, Debug)]
 pub struct RampSettings<'a> {
-    /// The ramp's start and duration, and what would overload a recovering route.
+    /// Start and duration of the ramp, and the load that overloads a recovering route.
     pub rules: &'a Rules,
-    /// Instances there are, this one counted; 1 or more.
+    /// Number of instances, this one included; at least 1.
     pub instances: f64,
-    /// The part of the load that this instance does not see, from 0 to 1.
+    /// Fraction of the load that this instance does not see, from 0 to 1.
     pub unseen_load: f64,
 }
 
-/// What an instance may count on of one route.
+/// Capacity of a route for one instance.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteCapacity {
-    /// This instance's share of what the healthy route bears, in calls per second.
+    /// This instance's share of the healthy route's capacity, in calls per second.
     pub own_rate: f64,
-    /// More than this is not let go after the ramp either, in calls per second, as far as it is known.
+    /// Upper bound of the rate once the ramp is over, in calls per second, as far as it is known.
     pub max_rate: Option<f64>,
-    /// This instance's jitter for the route, in 0..1.
+    /// This instance's random number for the route, in 0..1.
     pub jitter: f64,
-    /// Until when the route asked to back off.
+    /// End of the backoff that the route requested.
     pub backoff_until: Option<Time>,
 }
 
-/// The end of a call or health check, as the ramp sees it.
+/// The end of a call or health check.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
     /// When it was sent.
     pub sent: Time,
     /// Whether it was answered.
     pub answered: bool,
-    /// Whether the route is failing by now.
+    /// Whether the route fails by now.
     pub failing: bool,
 }
 
+/// The calls and health checks sent within a window.
+#[derive(Clone, Copy, Debug)]
+pub struct RecentSends {
+    /// How many there are.
+    pub count: usize,
+    /// Age of the first of them; the length of the window if there are none.
+    pub age_of_first: Span,
+}
+
 /// The recovery ramp of one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RecoveryRamp {
     health: RouteHealth,
-    /// Calls and health checks sent within the retention that was asked for last.
+    /// Send times of the calls and health checks within the latest retention.
     sends: VecDeque<Time>,
 }
 
 impl Rules {
-    /// The share of its capacity that a route has that has been recovering for so long, from the ramp's start to 1.
+    /// Fraction of its capacity that a route has after recovering for this long, from the ramp's start to 1.
     pub(crate) fn capacity_share(&self, recovering_for: Span) -> f64 {
         self.ramp(recovering_for).min(1.0)
     }
 
-    /// The same, rising on beyond 1.
+    /// The same without the upper bound of 1.
     fn ramp(&self, recovering_for: Span) -> f64 {
         self.ramp_start
-            + (1.0 - self.ramp_start) * recovering_for.ms() / self.ramp_duration.ms().max(1.0)
+            + (1.0 - self.ramp_start) * recovering_for.ms()
+                / self.ramp_duration.ms().max(MIN_RAMP_DURATION_MS)
     }
 }
 
 impl RecoveryRamp {
-    /// A ramp of a route with this health; what it was sent is not known.
+    /// The ramp of a route in this state of health, without sends.
     pub fn with_health(health: RouteHealth) -> RecoveryRamp {
         RecoveryRamp {
             health,
@@ -111,7 +134,7 @@
         matches!(self.health, RouteHealth::Ejected(_))
     }
 
-    /// Whether what the route delivers tells what it can do: it is healthy, or its ramp is over.
+    /// Whether the route's deliveries show its full capacity: it is healthy, or its ramp is over.
     pub fn is_settled(&self, now: Time, ramp_duration: Span) -> bool {
         match self.health {
             RouteHealth::Healthy => true,
@@ -120,7 +143,7 @@
         }
     }
 
-    /// Notes a call or health check; those sent `retention` or longer ago are forgotten.
+    /// Records a call or health check. Sends older than `retention` are forgotten.
     pub fn sent(&mut self, now: Time, retention: Span) {
         while self
             .sends
@@ -132,53 +155,56 @@
         self.sends.push_back(now);
     }
 
-    /// How many calls were sent within the window, and how long ago the first of them: the window itself if none were.
-    pub fn recent(&self, now: Time, window: Span) -> (usize, Span) {
+    /// The calls and health checks sent within a window that ends now.
+    pub fn recent_sends(&self, now: Time, window: Span) -> RecentSends {
         let recent = self.sends.iter().filter(|sent| now - **sent < window);
-        let age_of_first = recent.clone().next().map_or(window, |first| now - *first);
-        (recent.count(), age_of_first)
+        let first = recent.clone().next();
+        RecentSends {
+            count: recent.count(),
+            age_of_first: first.map_or(window, |first| now - *first),
+        }
     }
 
-    /// Takes the end of a call; whether messages are pending for the route is looked up only where it matters. Returns
-    /// whether the route was ejected or began to recover.
+    /// Records the end of a call or health check. `has_pending` reports whether messages are pending for the route;
+    /// it is called only where that matters.
     pub fn observe(
         &mut self,
         now: Time,
         observation: Observation,
         has_pending: impl FnOnce() -> bool,
         ramp_duration: Span,
-    ) -> bool {
-        let was_ejected = self.is_ejected();
+    ) -> Option<HealthChange> {
         let Observation {
             sent,
             answered,
             failing,
         } = observation;
-        self.health = match self.health {
-            // What was sent before it was ejected tells nothing of a recovery.
+        let (health, change) = match self.health {
+            // A call that was sent before the ejection does not show a recovery.
             RouteHealth::Ejected(since) if answered && sent >= since => {
-                RouteHealth::Recovering(now)
+                (RouteHealth::Recovering(now), Some(HealthChange::Recovering))
             }
             RouteHealth::Healthy | RouteHealth::Recovering(_) if failing => {
-                RouteHealth::Ejected(now)
+                (RouteHealth::Ejected(now), Some(HealthChange::Ejected))
             }
             RouteHealth::Recovering(since) if now - since >= ramp_duration && !has_pending() => {
-                RouteHealth::Healthy
+                (RouteHealth::Healthy, None)
             }
-            health => health,
+            health => (health, None),
         };
-        was_ejected != self.is_ejected()
+        self.health = health;
+        change
     }
 
-    /// The route answers after a silence in which too few calls failed to eject it, as where they hang for long: what
-    /// is pending for it must not go out at once all the same.
+    /// Records that a healthy route answers after a silence in which it may have been out of service: its backlog is
+    /// sent along the ramp.
     pub fn answered_after_silence(&mut self, now: Time) {
         if self.health == RouteHealth::Healthy {
             self.health = RouteHealth::Recovering(now);
         }
     }
 
-    /// From when on the route may be sent another call; the past if nothing holds it back.
+    /// Earliest time at which the ramp permits the next call; a time in the past if it sets no limit.
     pub fn next_call_at(
         &self,
         now: Time,
@@ -187,9 +213,9 @@
     ) -> Time {
         let rules = settings.rules;
         let (recovering_for, min_budget) = match self.health {
-            RouteHealth::Healthy => return Time(i64::MIN),
-            RouteHealth::Ejected(_) => (Span::ZERO, EJECTED_BUDGET),
-            RouteHealth::Recovering(since) => (now - since, MIN_INSTANCES),
+            RouteHealth::Healthy => return PAST,
+            RouteHealth::Ejected(_) => (Span::ZERO, MIN_EJECTED_BUDGET),
+            RouteHealth::Recovering(since) => (now - since, MIN_RECOVERING_BUDGET),
         };
         let rate = rules.overload_factor * rules.ramp(recovering_for) * capacity.own_rate;
         let max_rate = capacity
@@ -204,47 +230,42 @@
         self.next_trial_at(budget, settings, capacity)
     }
 
-    /// From when on a budget of calls in the overload window leaves another one; part by part of the window too, or all
-    /// of it would go out at its start.
+    /// Earliest time at which a budget of calls in the overload window permits the next one. The same holds for each
+    /// part of the window, as otherwise the whole budget would be spent at its start.
     fn next_within_budget(&self, budget: usize, window: Span) -> Time {
-        let even = budget.div_ceil(WINDOW_PARTS);
-        let windows = [
-            (budget, window),
-            (even, Span(window.0 / WINDOW_PARTS as i64)),
-        ];
-        let after = |(calls, window): (usize, Span)| {
-            let index = self.sends.len().checked_sub(calls);
-            index.map_or(Time(i64::MIN), |index| self.sends[index] + window)
-        };
-        windows
-            .map(after)
-            .into_iter()
-            .max()
-            .unwrap_or(Time(i64::MIN))
+        let part_budget = budget.div_ceil(WINDOW_PARTS);
+        let part = Span(window.0 / WINDOW_PARTS as i64);
+        let whole_window = self.next_in_window(budget, window);
+        whole_window.max(self.next_in_window(part_budget, part))
+    }
+
+    /// Earliest time at which a window of this length holds fewer sends than `max_calls`.
+    fn next_in_window(&self, max_calls: usize, window: Span) -> Time {
+        let index = self.sends.len().checked_sub(max_calls);
+        index.map_or(PAST, |index| self.sends[index] + window)
     }
 
-    /// A budget under one call stretches the window: a least of one, times hundreds of instances, would overload what
-    /// recovers. Each has a jitter of its own, or what they saw at once they would try at once.
+    /// Earliest time of the next half-open trial call, or of the next call to a recovering route with a budget below
+    /// one call: a budget of at least one, times hundreds of instances, would overload the route. The jitter keeps
+    /// instances that learn of an outage or its end together from sending together.
     fn next_trial_at(
         &self,
         budget: f64,
         settings: &RampSettings,
         capacity: &RouteCapacity,
     ) -> Time {
-        let (rules, past) = (settings.rules, Time(i64::MIN));
-        let longest = MAX_TRIAL_INTERVAL_MS * settings.instances.max(1.0);
-        let interval = (rules.overload_window.ms() / budget).clamp(MIN_TRIAL_INTERVAL_MS, longest);
+        let rules = settings.rules;
+        let max_interval = MAX_TRIAL_INTERVAL_MS * settings.instances.max(1.0);
+        let interval =
+            (rules.overload_window.ms() / budget).clamp(MIN_TRIAL_INTERVAL_MS, max_interval);
         let after_backoff = Span::from_ms(interval * capacity.jitter * settings.unseen_load);
-        let backoff_over = capacity.backoff_until.map_or(past, |at| at + after_backoff);
-        let spread =
-            Span::from_ms(interval * (1.0 + settings.unseen_load * (capacity.jitter - 0.5)));
-        let at = self
-            .sends
-            .back()
-            .map_or(past, |last| *last + spread)
-            .max(backoff_over);
-        // A trial is far off early in the ramp, but not farther than the end of it.
+        let backoff_over = capacity.backoff_until.map_or(PAST, |at| at + after_backoff);
+        let jitter = settings.unseen_load * (capacity.jitter - MEAN_JITTER);
+        let since_last = Span::from_ms(interval * (1.0 + jitter));
+        let after_last = self.sends.back().map_or(PAST, |last| *last + since_last);
+        let at = after_last.max(backoff_over);
         match self.health {
+            // Early in the ramp the interval is long, but the end of the ramp ends the wait.
             RouteHealth::Recovering(since) => at.min(since + rules.ramp_duration),
             RouteHealth::Healthy | RouteHealth::Ejected(_) => at,
         }
--- a/crates/scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/scheduler/src/scheduler/endpoint_list.rs
@@ -1,18 +1,16 @@
-//! The endpoint list: its rows, removed endpoints, and the subscription to its changes.
+//! The endpoint list: its entries, removed endpoints, and failed requests for it.
 
 use super::Scheduler;
-use crate::interface::{EndpointStatus, EndpointUpdate, Span, Time};
+use crate::interface::{EndpointStatus, EndpointUpdate, Time};
 use crate::state::{Endpoint, Route, RouteId};
 
-/// A failed subscription is retried after about this, doubled with each failure in a row ...
-const RESUBSCRIBE_MS: f64 = 1000.0;
-/// ... up to this many times, and within half the time that the rules allow.
-const MAX_RESUBSCRIBE_DOUBLINGS: i32 = 3;
-/// The draw that a retry's jitter comes from, apart from all others.
-const RESUBSCRIBE_DRAW: u64 = u64::MAX >> 8;
+/// Purpose of the random numbers of subscription retries, apart from all others.
+const RESUBSCRIBE_PURPOSE: u64 = u64::MAX >> 8;
+/// Shift of an endpoint's number that separates its route's random number from the endpoint's own.
+const ROUTE_JITTER_SHIFT: u32 = 32;
 
 impl Scheduler {
-    /// Takes the whole list: what is not in it is removed.
+    /// Applies the complete list: endpoints that it lacks are removed.
     pub(super) fn replace_endpoints(&mut self, updates: &[EndpointUpdate]) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.status = EndpointStatus::Removed;
@@ -21,9 +19,9 @@
         self.update_endpoints(updates);
     }
 
-    /// Takes changes of the list.
+    /// Applies changes of the list.
     pub(super) fn update_endpoints(&mut self, updates: &[EndpointUpdate]) {
-        self.list_failures = 0;
+        self.subscription.updated();
         for update in updates {
             self.update_endpoint(update);
         }
@@ -32,13 +30,13 @@
     fn update_endpoint(&mut self, update: &EndpointUpdate) {
         self.has_removed_endpoints |= update.status == EndpointStatus::Removed;
         let kind = self.settings.kinds.get(update.kind.0);
-        let separate = kind.is_some_and(|kind| kind.separate_routes);
+        let is_separate = kind.is_some_and(|kind| kind.separate_routes);
         let route = RouteId {
             destination: update.destination,
-            endpoint: Some(update.endpoint).filter(|_| separate),
+            endpoint: Some(update.endpoint).filter(|_| is_separate),
         };
-        let jitter = self.seeded_fraction(u64::from(update.endpoint.0) << 32);
-        // Instances that learn of it together do not all begin with it.
+        let jitter = self.seeded_fraction(u64::from(update.endpoint.0) << ROUTE_JITTER_SHIFT);
+        // The head start differs by instance, so that not all begin with the same endpoint.
         let head_start = update.weight.map_or(0.0, |weight| jitter / weight);
         let virtual_finish_time = self.latest_finish_time(update.destination) - head_start;
         let endpoint = self.endpoints.entry(update.endpoint).or_insert(Endpoint {
@@ -55,21 +53,24 @@
             endpoints.push(update.endpoint);
         }
         let route = self.routes.entry(route).or_insert_with(|| Route {
+            destination: update.destination,
             jitter,
             ..Route::default()
         });
         route.advertised_rate = update.advertised_rate;
-        route.destination = Some(update.destination);
     }
 
-    /// What is removed and carries no call is forgotten, with its route where that is its own.
+    /// Forgets the removed endpoints without a call in flight, with their routes where these are separate.
     pub(super) fn forget_removed_endpoints(&mut self) {
         if !std::mem::take(&mut self.has_removed_endpoints) {
             return;
         }
         for (id, endpoint) in &self.endpoints {
-            if endpoint.status != EndpointStatus::Removed || endpoint.in_flight > 0 {
-                self.has_removed_endpoints |= endpoint.status == EndpointStatus::Removed;
+            if endpoint.status != EndpointStatus::Removed {
+                continue;
+            }
+            if endpoint.in_flight > 0 {
+                self.has_removed_endpoints = true;
                 continue;
             }
             if let Some(endpoints) = self.destinations.get_mut(&endpoint.route.destination) {
@@ -85,15 +86,11 @@
         });
     }
 
-    /// The request for the list failed, or the subscription broke: it is retried after a while.
-    pub(super) fn retry_subscription(&mut self, now: Time) {
-        let jitter = 0.5 + self.seeded_fraction(RESUBSCRIBE_DRAW ^ self.list_failures as u64);
-        let doublings = self.list_failures.min(MAX_RESUBSCRIBE_DOUBLINGS);
-        let wait = RESUBSCRIBE_MS * 2f64.powi(doublings) * jitter;
-        let longest =
-            Some(self.settings.rules.max_poll_interval.ms() / 2.0).filter(|longest| *longest > 0.0);
-        self.list_failures += 1;
-        self.resubscribe_at =
-            Some(now + Span::from_ms(longest.map_or(wait, |longest| wait.min(longest))));
+    /// Schedules a retry after the request for the list failed or the subscription broke.
+    pub(super) fn list_request_failed(&mut self, now: Time) {
+        let failures = self.subscription.consecutive_failures() as u64;
+        let jitter = self.seeded_fraction(RESUBSCRIBE_PURPOSE ^ failures);
+        let max_poll_interval = self.settings.rules.max_poll_interval;
+        self.subscription.failed(now, jitter, max_poll_interval);
     }
 }
--- a/crates/scheduler/src/scheduler/idle.rs
+++ b/crates/scheduler/src/scheduler/idle.rs
@@ -1,23 +1,28 @@
-//! Idle destinations: all that was learned of one is compacted into a small record, and restored when the next message for
-//! it comes.
+//! Idle destinations: the state of one is compacted into a small record, and restored with the next message for it.
 
 use super::Scheduler;
-use crate::interface::{DestinationId, DestinationState, EndpointId, IdleRecord, Time};
+use crate::baseline_rate::BaselineRate;
+use crate::interface::{
+    CompactedDestination, DestinationId, DestinationState, EndpointId, IdleRecord, KnownRoute, Time,
+};
+use crate::mean_latency::MeanLatency;
 use crate::recovery_ramp::{RecoveryRamp, RouteHealth};
 use crate::state::{Route, RouteId};
 
 impl Scheduler {
-    /// Forgets a destination with nothing pending and nothing in flight, but for what is returned; with it its endpoints.
-    /// `None` if it is in use, unknown, or has endpoints that are separate routes. The embedding program lists its
-    /// endpoints again, then gives [`Event::RouteRestored`](crate::Event::RouteRestored), before the next message for it.
-    pub fn compact(
+    /// Forgets a destination without pending messages and calls in flight, and its endpoints; returns its state.
+    /// `None` if the destination is in use, unknown, or has endpoints that are separate routes.
+    ///
+    /// Before the next message for the destination, the embedding program lists its endpoints again and reports the
+    /// record with [`Event::RouteRestored`](crate::Event::RouteRestored).
+    pub fn compact_destination(
         &mut self,
         now: Time,
         id: DestinationId,
-    ) -> Option<(Vec<EndpointId>, IdleRecord)> {
+    ) -> Option<CompactedDestination> {
         let endpoints = self.destinations.get(&id)?;
         let route = RouteId::shared(id);
-        let is_idle = |id: &EndpointId| {
+        let is_unused = |id: &EndpointId| {
             let endpoint = &self.endpoints[id];
             endpoint.route == route && endpoint.in_flight == 0
         };
@@ -25,7 +30,7 @@
             .messages
             .values()
             .any(|message| message.destination == id);
-        if !endpoints.iter().all(is_idle) || in_use {
+        if !endpoints.iter().all(is_unused) || in_use {
             return None;
         }
         let endpoints = self.destinations.remove(&id)?;
@@ -34,11 +39,12 @@
         }
         self.rejection_holds.remove(&id);
         self.ejected_routes.remove(&route);
-        let learned = self.routes.remove(&route)?;
-        Some((endpoints, self.idle_record(now, &learned, false)))
+        let route = self.routes.remove(&route)?;
+        let record = self.idle_record(now, &route, false);
+        Some(CompactedDestination { endpoints, record })
     }
 
-    /// What is worth keeping of a route.
+    /// The state of a route that outlasts it.
     pub(super) fn idle_record(&self, now: Time, route: &Route, has_pending: bool) -> IdleRecord {
         let (ejected_since, recovering_since) = match route.ramp.health() {
             RouteHealth::Ejected(since) => (Some(since), None),
@@ -52,32 +58,37 @@
             backoff_until: route.backoff_until.filter(|until| *until > now),
             ejected_since,
             recovering_since,
-            mean_latency_ms: route.mean_latency_ms,
-            baseline_rate: route.baseline_rate(now),
+            mean_latency_ms: route.mean_latency.ms(),
+            baseline_rate: route.baseline_rate.current_per_s(now),
         }
     }
 
-    /// Restores what was known of a route; its endpoints are listed already. A backoff that was asked for meanwhile stays.
-    pub(super) fn restore_route(&mut self, now: Time, id: RouteId, record: &IdleRecord) {
+    /// Restores the state of a listed route. A backoff that the route requested meanwhile stays.
+    pub(super) fn restore_route(&mut self, now: Time, known: &KnownRoute) {
+        let id = RouteId {
+            destination: known.destination,
+            endpoint: known.endpoint,
+        };
         let Some(route) = self.routes.get_mut(&id) else {
             return;
         };
+        let record = &known.record;
         route.backoff_until = route.backoff_until.max(record.backoff_until);
-        route.mean_latency_ms = record.mean_latency_ms;
-        route.baseline_rate = record.baseline_rate;
-        route.baseline_at = Some(now);
-        route.ramp =
-            RecoveryRamp::with_health(match (record.ejected_since, record.recovering_since) {
-                (Some(since), _) => RouteHealth::Ejected(since),
-                (None, Some(since)) => RouteHealth::Recovering(since),
-                (None, None) => RouteHealth::Healthy,
-            });
+        route.mean_latency = MeanLatency::restored(record.mean_latency_ms);
+        route.baseline_rate = BaselineRate::restored(now, record.baseline_rate);
+        let health = match (record.ejected_since, record.recovering_since) {
+            (Some(since), _) => RouteHealth::Ejected(since),
+            (None, Some(since)) => RouteHealth::Recovering(since),
+            (None, None) => RouteHealth::Healthy,
+        };
+        route.ramp = RecoveryRamp::with_health(health);
         if record.ejected_since.is_some() {
             self.ejected_routes.insert(id);
         }
     }
 
-    /// The state of a listed destination, for operators and for a snapshot that outlasts the process.
+    /// The state of a listed destination, for operators and for a snapshot that outlasts the process. `None` if the
+    /// destination is not listed or has separate routes only.
     pub fn destination_state(&self, now: Time, id: DestinationId) -> Option<DestinationState> {
         let route = self.routes.get(&RouteId::shared(id))?;
         let pending = self
--- a/crates/scheduler/src/scheduler/messages.rs
+++ b/crates/scheduler/src/scheduler/messages.rs
@@ -1,13 +1,12 @@
-//! Bookkeeping of messages: how they come in, and how they are forgotten.
+//! Accepted messages: how they are added and forgotten.
 
 use super::Scheduler;
-use crate::interface::{Action, AttemptNumber, MessageId, NewMessage, PriorAttempts, Time};
+use crate::interface::{Action, MessageId, NewMessage, OrderingKey, PriorAttempts, TenantId, Time};
 use crate::pending_queue::Tried;
-use crate::policy::health::SILENT_FOR;
-use crate::state::Message;
+use crate::state::{Message, MessageState};
 
 impl Scheduler {
-    /// Takes a message, with what an earlier incarnation did for it.
+    /// Adds a message, with the attempts that an earlier incarnation made for it.
     pub(super) fn accept(
         &mut self,
         now: Time,
@@ -18,28 +17,21 @@
         let Some(class) = self.settings.classes.get(new.class.0) else {
             return actions.push(Action::Fail(new.message));
         };
-        // A deadline of its own may lie farther off than the class's; nothing is younger than new.
+        // A message may have a later deadline than its class gives, but it is never younger than new.
         let submitted_at = (new.deadline - class.deadline).min(now);
-        let (weight, ordered) = (class.priority_weight, class.ordered);
-        let over_quota = new
-            .tenant
-            .is_some_and(|tenant| self.is_over_quota(now, tenant));
-        let ordering_key = new.ordering_key.filter(|_| ordered);
-        if let Some(key) = ordering_key {
-            self.ordering_queues
-                .entry(key)
-                .or_default()
-                .messages
-                .push_back(new.message);
-        }
+        let ordering_key = new.ordering_key.filter(|_| class.ordered);
+        let class_weight = class.priority_weight;
+        let priority_weight = self.weight_by_quota(now, new.tenant, class_weight);
+        self.join_ordering_queue(ordering_key, new.message);
         self.accepted_count += 1.0;
-        // The window, the count of attempts and what a repeat may do hold across incarnations.
+        // The idempotency window and the number of attempts hold across incarnations.
         let attempts = prior.map_or(0, |prior| prior.attempts);
         let first_possible_execution = prior.and_then(|prior| prior.first_possible_execution);
         if attempts > 0 {
-            self.note_vain_attempts(now, new);
+            self.assume_silence(now, new.destination);
         }
-        let in_flight = prior.and_then(|prior| self.still_in_flight(prior.in_flight?));
+        let in_flight = prior.and_then(|prior| self.adopt_attempt(prior.in_flight?));
+        let state = in_flight.map_or(MessageState::Pending, MessageState::InFlight);
         if let Some(known) = self.messages.get(&new.message) {
             self.pending
                 .remove(known.destination, known.deadline, new.message);
@@ -57,63 +49,42 @@
             class: new.class,
             destination: new.destination,
             ordering_key,
-            priority_weight: if over_quota {
-                weight * self.settings.over_quota_weight
-            } else {
-                weight
-            },
+            priority_weight,
             submitted_at,
             accepted_at: Some(now).filter(|_| prior.is_none()),
             deadline: new.deadline,
             attempts,
-            in_flight,
+            state,
             first_possible_execution,
-            finished: false,
         };
         self.messages.insert(new.message, message);
     }
 
-    /// An earlier incarnation tried in vain: to this one the route is one that has not answered lately.
-    fn note_vain_attempts(&mut self, now: Time, new: &NewMessage) {
-        for id in self
-            .destinations
-            .get(&new.destination)
-            .into_iter()
-            .flatten()
-        {
-            let route = self.endpoints[id].route;
-            let route = self
-                .routes
-                .get_mut(&route)
-                .expect("an endpoint has a route");
-            route.baseline_at.get_or_insert(now - SILENT_FOR);
+    /// Counts a message against its tenant's quota; returns its weight, which is lower beyond the quota.
+    fn weight_by_quota(&mut self, now: Time, tenant: Option<TenantId>, class_weight: f64) -> f64 {
+        if tenant.is_some_and(|tenant| self.is_over_quota(now, tenant)) {
+            class_weight * self.settings.over_quota_weight
+        } else {
+            class_weight
         }
     }
 
-    /// Nobody wants a message any more.
-    pub(super) fn cancel(&mut self, id: MessageId, actions: &mut Vec<Action>) {
-        let Some(message) = self.messages.get(&id) else {
-            return;
-        };
-        if message.in_flight.is_some() && self.settings.limits.cancellation_allowed {
-            let attempt = AttemptNumber(message.attempts - 1);
-            actions.push(Action::Cancel {
-                message: id,
-                attempt,
-            });
+    fn join_ordering_queue(&mut self, key: Option<OrderingKey>, id: MessageId) {
+        if let Some(key) = key {
+            let queue = self.ordering_queues.entry(key).or_default();
+            queue.messages.push_back(id);
         }
-        self.finish(id);
     }
 
-    /// Forgets a message that has its final outcome, or as much of it as its attempt does not still need.
+    /// Forgets a message that has its final outcome, once no attempt of it is in flight.
     pub(crate) fn finish(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
         self.pending
             .remove(message.destination, message.deadline, id);
-        message.finished = true;
-        if message.in_flight.is_some() {
+        if let Some(attempt) = message.state.attempt() {
+            message.state = MessageState::Finished(attempt);
             return;
         }
         let queue = message
@@ -124,4 +95,10 @@
         }
         self.messages.remove(&id);
     }
+
+    /// Forgets the ordering queues that neither hold messages nor are paused.
+    pub(super) fn forget_ordering_queues(&mut self, now: Time) {
+        self.ordering_queues
+            .retain(|_, queue| !queue.messages.is_empty() || queue.paused_until > now);
+    }
 }
--- a/crates/scheduler/src/state/message.rs
+++ b/crates/scheduler/src/state/message.rs
@@ -1,5 +1,6 @@
-//! A message and its attempt in flight.
+//! State of one message and its attempt in flight.
 
+use super::CallId;
 use crate::interface::{ClassId, DestinationId, EndpointId, MessageId, OrderingKey, Time};
 use std::collections::VecDeque;
 
@@ -10,26 +11,46 @@
     pub ordering_key: Option<OrderingKey>,
     pub priority_weight: f64,
     pub submitted_at: Time,
-    /// When this incarnation accepted it; none if an earlier one did.
+    /// When this incarnation accepted the message; `None` if an earlier one did.
     pub accepted_at: Option<Time>,
     pub deadline: Time,
+    /// Number of attempts made.
     pub attempts: u32,
-    pub in_flight: Option<Attempt>,
-    /// The first attempt that may have been executed.
+    pub state: MessageState,
+    /// Send time and endpoint of the first attempt that may have been executed.
     pub first_possible_execution: Option<(Time, EndpointId)>,
-    /// Whether it has its final outcome.
-    pub finished: bool,
+}
+
+/// Where a message stands.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum MessageState {
+    /// It waits for its first or next attempt.
+    Pending,
+    /// Its attempt is in flight.
+    InFlight(Attempt),
+    /// It has its final outcome, but its last attempt is still in flight.
+    Finished(Attempt),
+}
+
+impl MessageState {
+    /// The attempt in flight.
+    pub fn attempt(self) -> Option<Attempt> {
+        match self {
+            MessageState::Pending => None,
+            MessageState::InFlight(attempt) | MessageState::Finished(attempt) => Some(attempt),
+        }
+    }
 }
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    pub call: u64,
+    pub call: CallId,
     pub endpoint: EndpointId,
     pub sent: Time,
-    /// Sent over a connection that had been idle.
+    /// Whether it was sent on a connection that had been idle.
     pub reused_idle: bool,
-    /// Timed out at its message's deadline, before the route's time-out was over.
+    /// Whether the message's deadline ends it before the route's time-out.
     pub cut_by_deadline: bool,
 }
 
@@ -37,6 +58,6 @@
 #[derive(Default)]
 pub(crate) struct OrderingQueue {
     pub messages: VecDeque<MessageId>,
-    /// Nothing is sent before, as an earlier attempt may still be running.
+    /// No message of the queue is sent before this time, as an earlier attempt may still be running.
     pub paused_until: Time,
 }
--- /dev/null
+++ b/crates/scheduler/tests/policy_files.rs
@@ -0,0 +1,153 @@
+//! The policy is read after outages: every file of it holds one concern, is short, and is named in the deploy file.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// The longest policy file, in lines that are not blank.
+const MAX_LINES: usize = 120;
+/// The longest function of a policy file, from its first line to its closing brace.
+const MAX_FUNCTION_LINES: usize = 40;
+/// The widest line, in characters.
+const MAX_WIDTH: usize = 110;
+
+/// One file of the policy.
+struct PolicyFile {
+    /// Path from the root of the repository.
+    path: String,
+    text: String,
+}
+
+fn package_root() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+}
+
+/// `policy.rs` and every file below `policy`, at any depth.
+fn policy_files() -> Vec<PolicyFile> {
+    let source = package_root().join("src");
+    let mut paths = vec![source.join("policy.rs")];
+    let mut folders = vec![source.join("policy")];
+    while let Some(folder) = folders.pop() {
+        for entry in fs::read_dir(folder).expect("the folder is readable") {
+            let path = entry.expect("the folder is readable").path();
+            if path.is_dir() {
+                folders.push(path);
+            } else {
+                paths.push(path);
+            }
+        }
+    }
+    let read = |path: &PathBuf| PolicyFile {
+        path: format!("crates/scheduler/{}", relative(path)),
+        text: fs::read_to_string(path).expect("the file is text"),
+    };
+    paths.iter().map(read).collect()
+}
+
+fn relative(path: &Path) -> String {
+    let path = path.strip_prefix(package_root());
+    let path = path.expect("policy files are in the package");
+    path.display().to_string()
+}
+
+/// The module that a file holds.
+fn module_name(file: &PolicyFile) -> &str {
+    let stem = Path::new(&file.path).file_stem();
+    let name = stem.and_then(|stem| stem.to_str());
+    name.expect("a file has a name")
+}
+
+/// The policy files that the deploy file names.
+fn deployed_files() -> Vec<String> {
+    let path = package_root().join("../../deploy/balancer.toml");
+    let deploy = fs::read_to_string(path).expect("the deploy file is text");
+    let mut lines = deploy
+        .lines()
+        .filter_map(|line| line.strip_prefix("policy = ["));
+    let list = lines
+        .next()
+        .expect("the deploy file has a list of policy files");
+    let (list, _) = list.split_once(']').expect("the list is on one line");
+    let names = list.split(',').map(|name| name.trim().trim_matches('"'));
+    names.map(str::to_owned).collect()
+}
+
+#[test]
+fn each_policy_file_is_short() {
+    for PolicyFile { path, text } in policy_files() {
+        let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
+        assert!(
+            lines <= MAX_LINES,
+            "{path} has {lines} lines that are not blank"
+        );
+        let wide = text
+            .lines()
+            .position(|line| line.chars().count() > MAX_WIDTH);
+        assert_eq!(wide, None, "{path} has a line over {MAX_WIDTH} characters");
+    }
+}
+
+#[test]
+fn each_policy_function_is_short() {
+    for PolicyFile { path, text } in policy_files() {
+        let mut start = None;
+        for (number, line) in text.lines().enumerate() {
+            let is_method = line.starts_with("    fn ") || line.starts_with("    pub");
+            if is_method && line.contains("fn ") {
+                start = Some(number);
+            } else if line == "    }" {
+                let length = start.take().map_or(0, |start| number - start + 1);
+                assert!(
+                    length <= MAX_FUNCTION_LINES,
+                    "{path}:{number}: {length} lines"
+                );
+            }
+        }
+    }
+}
+
+/// Each module states its concern in its first line, adds its decisions to the scheduler in one block, and is listed
+/// with its concern in `policy.rs`.
+#[test]
+fn each_policy_file_holds_one_concern() {
+    let files = policy_files();
+    let (index, modules) = files.split_first().unwrap();
+    let mut concerns = BTreeSet::new();
+    for file in modules {
+        let PolicyFile { path, text } = file;
+        let concern = text
+            .lines()
+            .next()
+            .and_then(|line| line.strip_prefix("//! "));
+        let concern = concern.unwrap_or_else(|| panic!("{path} does not state its concern"));
+        assert!(
+            concerns.insert(concern),
+            "{path}: {concern} is stated twice"
+        );
+        let blocks = text.matches("\nimpl Scheduler {").count();
+        assert_eq!(blocks, 1, "{path}: decisions in {blocks} blocks");
+        let name = module_name(file);
+        let listed = format!("//! - [`{name}`]: ");
+        let entries = index.text.lines().filter(|line| line.starts_with(&listed));
+        assert_eq!(entries.count(), 1, "policy.rs lists {name} once");
+        let declared = format!("pub(crate) mod {name};");
+        assert!(
+            index.text.contains(&declared),
+            "{path} is not part of the program"
+        );
+    }
+    let head: String = index.text.lines().take(4).collect();
+    assert!(
+        head.contains("interface.rs"),
+        "the head names the interface file"
+    );
+}
+
+#[test]
+fn deploy_file_names_every_policy_file_once() {
+    let mut existing: Vec<String> = policy_files().into_iter().map(|file| file.path).collect();
+    let mut deployed = deployed_files();
+    existing.sort();
+    deployed.sort();
+    assert_eq!(deployed, existing);
+}
--- a/crates/scheduler/tests/recovery_model.rs
+++ b/crates/scheduler/tests/recovery_model.rs
@@ -171,12 +171,12 @@
                     {
                         state.broken = Some("warm before its time, or while messages wait");
                     }
-                    (_, RouteHealth::Ejected(_)) if changed => {
+                    (_, RouteHealth::Ejected(_)) if changed.is_some() => {
                         (state.sends, state.back) = (vec![], None)
                     }
                     _ => {}
                 }
-                if changed
+                if changed.is_some()
                     != (state.controller.is_ejected() != matches!(was, RouteHealth::Ejected(_)))
                 {
                     state.broken = Some("a change that is not told");
--- a/crates/simulation/src/cored.rs
+++ b/crates/simulation/src/cored.rs
@@ -183,7 +183,7 @@
             | Event::Cancelled(_)
             | Event::HealthChecked { .. }
             | Event::RouteRestored(..)
-            | Event::BackoffNotified(..)
+            | Event::BackoffNotified { .. }
             | Event::EndpointListFailed => return None,
         })
     }
