--- a/crates/endpoint-lists/benches/evaluate.rs
+++ b/crates/endpoint-lists/benches/evaluate.rs
@@ -1,7 +1,7 @@
-//! What a large list costs: read and checked, compared, and put in force. `cargo bench -p marblefall-list`.
+//! The cost of a large list: parsing, checking, comparing and activating it.
+//! `cargo bench -p marblefall-endpoint-lists`.
 
-// The macros write items without docs.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "the macros generate undocumented items")]
 
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
 use marblefall_endpoint_lists::{
@@ -10,11 +10,14 @@
 use std::hint::black_box;
 use std::net::SocketAddr;
 
-/// Destinations with two endpoints each.
+const DESTINATIONS: usize = 10_000;
+const MAX_BYTES: usize = 8 << 20;
+
+/// A list of destinations with two endpoints each.
 fn list(destinations: usize, revision: u64, weight: f64) -> EndpointList {
-    let endpoint = |number: usize, at: u16| Endpoint {
-        name: format!("clinic-{number}-{at}"),
-        address: SocketAddr::from(([10, (number >> 8) as u8, number as u8, 1], at)),
+    let endpoint = |number: usize, port: u16| Endpoint {
+        name: format!("clinic-{number}-{port}"),
+        address: SocketAddr::from(([10, (number >> 8) as u8, number as u8, 1], port)),
         weight,
         zone: "north".to_owned(),
         draining: false,
@@ -30,8 +33,8 @@
     }
 }
 
-fn take_up(criterion: &mut Criterion) {
-    let (old, new) = (list(10_000, 1, 1.0), list(10_000, 2, 2.0));
+fn evaluate(criterion: &mut Criterion) {
+    let (old, new) = (list(DESTINATIONS, 1, 1.0), list(DESTINATIONS, 2, 2.0));
     let (first, second) = (old.to_toml(), new.to_toml());
     let destinations = old
         .destinations
@@ -47,15 +50,15 @@
     group
         .sample_size(20)
         .throughput(Throughput::Bytes(second.len() as u64));
-    group.bench_function("read", |bench| {
-        bench.iter(|| EndpointList::parse(black_box(second.as_bytes()), 8 << 20))
+    group.bench_function("parse", |bench| {
+        bench.iter(|| EndpointList::parse(black_box(second.as_bytes()), MAX_BYTES))
     });
     group.bench_function("diff", |bench| bench.iter(|| diff(black_box(&old), &new)));
-    group.bench_function("weigh: read, check and diff", |bench| {
+    group.bench_function("evaluate", |bench| {
         bench.iter(|| active.evaluate("a", black_box(second.as_bytes())))
     });
     let candidate = active.evaluate("a", second.as_bytes()).expect("sound");
-    group.bench_function("take", |bench| {
+    group.bench_function("activate", |bench| {
         bench.iter_batched(
             || (active.clone(), candidate.clone()),
             |(mut active, candidate)| active.activate(candidate),
@@ -65,5 +68,5 @@
     group.finish();
 }
 
-criterion_group!(benches, take_up);
+criterion_group!(benches, evaluate);
 criterion_main!(benches);
--- a/crates/endpoint-lists/src/active_lists.rs
+++ b/crates/endpoint-lists/src/active_lists.rs
@@ -1,47 +1,48 @@
-//! The lists in force, one for each file, and the only way to change them: a file is evaluated first, which changes
-//! nothing; what was found good can then be stored on disk and put in force, in this order.
+//! The active lists, one for each file, and the only way to change them. A file is evaluated first, which changes nothing.
+//! The resulting candidate can then be stored on disk and activated, in this order.
 
-use crate::check::{self, EndpointSource, ListRules, Surroundings};
-use crate::diagnostic::{Diagnostic, Report};
+use crate::check::{self, CheckContext, EndpointSource, ListRules};
+use crate::diagnostic::Diagnostic;
 use crate::diff::{diff, EndpointChange};
 use crate::list::{Endpoint, EndpointList};
+use crate::report::Report;
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The lists in force.
+/// The active lists.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ActiveLists {
     rules: ListRules,
     lists: BTreeMap<String, EndpointList>,
-    /// Files that are missing now; what they said is in force until another file says it.
+    /// Files with an active list that are missing now. Their destinations stay active until another file lists them.
     missing: BTreeSet<String>,
 }
 
-/// A list that was found good in the place that it would take.
+/// A valid list that can be activated.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     file: String,
     list: EndpointList,
-    /// What is odd about it, if anything.
+    /// The warnings about it, if any.
     pub report: Report,
-    /// What it changes; nothing if it is in force already.
+    /// The changes that it makes; none if it is active already.
     pub changes: Vec<EndpointChange>,
 }
 
 impl Candidate {
-    /// Its revision.
+    /// The list's revision.
     pub fn revision(&self) -> u64 {
         self.list.revision
     }
 
-    /// Whether it is in force already, to the letter of what it says.
+    /// Whether an equal list is active for the same file.
     pub fn is_in_force(&self, active: &ActiveLists) -> bool {
         active.lists.get(&self.file) == Some(&self.list)
     }
 }
 
 impl ActiveLists {
-    /// No lists yet.
+    /// No active lists yet.
     pub fn new(rules: ListRules) -> ActiveLists {
         ActiveLists {
             rules,
@@ -49,19 +50,19 @@
         }
     }
 
-    /// What its lists must keep to.
+    /// The rules that lists must keep.
     pub fn rules(&self) -> &ListRules {
         &self.rules
     }
 
-    /// Changes what lists must keep to from now on. What is in force stays, but the endpoints of a destination that is
-    /// no longer in the manifest count for nothing until it is again.
+    /// Replaces the rules for later evaluations. Active lists stay, but the endpoints of a destination that is not in the
+    /// manifest are ignored.
     pub fn set_rules(&mut self, rules: ListRules) {
         self.rules = rules;
     }
 
-    /// Says which files there are. What a missing one said stays in force, but a file that was renamed or split may name
-    /// its destinations.
+    /// Sets which files exist. The list of a missing one stays active, but other files may take over its destinations, as
+    /// after a file was renamed or split.
     pub fn set_present_files(&mut self, present: &BTreeSet<String>) {
         let files = self.lists.keys();
         self.missing = files
@@ -70,30 +71,30 @@
             .collect();
     }
 
-    /// Files that are missing, with a list of theirs in force.
+    /// The missing files that have an active list.
     pub fn missing_files(&self) -> impl Iterator<Item = &str> {
         self.missing.iter().map(String::as_str)
     }
 
-    /// Evaluates what a file holds, in the place that it would take.
+    /// Checks the content of a file against the rules and the active lists.
     ///
     /// # Errors
-    /// The report of what is wrong with it.
+    /// The report on a list that is rejected.
     pub fn evaluate(&self, file: &str, bytes: &[u8]) -> Result<Candidate, Report> {
         let report = |diagnostics| Report::new(file, bytes, diagnostics);
         let parsed = EndpointList::parse(bytes, self.rules.max_bytes).map_err(report)?;
-        let before = self.before(file, &parsed.list);
-        let is_known = self.lists.contains_key(file) || !before.destinations.is_empty();
-        let surroundings = Surroundings {
+        let previous = self.previous_list(file, &parsed.list);
+        let has_previous = self.lists.contains_key(file) || !previous.destinations.is_empty();
+        let context = CheckContext {
             rules: &self.rules,
-            before: Some(&*before).filter(|_| is_known),
-            others: self.other_lists(file),
+            previous: Some(&*previous).filter(|_| has_previous),
+            other_lists: self.other_lists(file),
         };
-        let report = report(check::check(&parsed, &surroundings));
+        let report = report(check::check(&parsed, &context));
         if report.is_rejection() {
             return Err(report);
         }
-        let changes = diff(&before, &parsed.list);
+        let changes = diff(&previous, &parsed.list);
         Ok(Candidate {
             file: file.to_owned(),
             list: parsed.list,
@@ -102,9 +103,10 @@
         })
     }
 
-    /// The list that a file's new one is held against: its own, and of missing files what the new one takes over.
-    fn before(&self, file: &str, new: &EndpointList) -> Cow<'_, EndpointList> {
-        let mut before = match self.lists.get(file) {
+    /// The list that a file's new one replaces: the active one of the file, with the destinations that the new list takes
+    /// over from missing files.
+    fn previous_list(&self, file: &str, new: &EndpointList) -> Cow<'_, EndpointList> {
+        let mut previous = match self.lists.get(file) {
             Some(own) => Cow::Borrowed(own),
             None => Cow::Owned(EndpointList::default()),
         };
@@ -112,28 +114,31 @@
             let Some(list) = self.lists.get(missing) else {
                 continue;
             };
-            let taken_over = list.destinations.iter();
-            let taken_over = taken_over.filter(|(name, _)| new.destinations.contains_key(*name));
-            let mut taken_over = taken_over
+            let mut taken_over = list
+                .destinations
+                .iter()
+                .filter(|(name, _)| new.destinations.contains_key(*name))
                 .map(|(name, destination)| (name.clone(), destination.clone()))
                 .peekable();
-            // A list may have thousands: copied only where it must be.
+            // A list may have thousands of destinations, so it is copied only if it changes.
             if taken_over.peek().is_some() {
-                before.to_mut().destinations.extend(taken_over);
+                previous.to_mut().destinations.extend(taken_over);
             }
         }
-        before
+        previous
     }
 
     /// The lists of other files that are present.
-    fn other_lists(&self, file: &str) -> BTreeMap<String, &EndpointList> {
-        let others = self.lists.iter();
-        let others = others.filter(|(other, _)| *other != file && !self.missing.contains(*other));
-        others.map(|(other, list)| (other.clone(), list)).collect()
+    fn other_lists(&self, file: &str) -> BTreeMap<&str, &EndpointList> {
+        self.lists
+            .iter()
+            .filter(|(other, _)| *other != file && !self.missing.contains(*other))
+            .map(|(other, list)| (other.as_str(), list))
+            .collect()
     }
 
-    /// What missing files say once a list has taken over their destinations, empty lists included. Stored copies must
-    /// follow before the list itself is stored.
+    /// The lists of missing files whose destinations a candidate takes over, as they are without these; a list may become
+    /// empty. Their stored copies must be replaced before the candidate is stored.
     pub fn superseded(&self, candidate: &Candidate) -> Vec<(String, EndpointList)> {
         let mut remaining = Vec::new();
         for file in self
@@ -144,17 +149,17 @@
             let Some(mut list) = self.lists.get(file).cloned() else {
                 continue;
             };
-            let before = list.destinations.len();
+            let len_before = list.destinations.len();
             list.destinations
                 .retain(|name, _| !candidate.list.destinations.contains_key(name));
-            if list.destinations.len() < before {
+            if list.destinations.len() < len_before {
                 remaining.push((file.clone(), list));
             }
         }
         remaining
     }
 
-    /// Puts a list in force.
+    /// Activates a list.
     pub fn activate(&mut self, candidate: Candidate) {
         for (file, remaining) in self.superseded(&candidate) {
             if remaining.destinations.is_empty() {
@@ -168,11 +173,11 @@
         self.lists.insert(candidate.file, candidate.list);
     }
 
-    /// Puts a list back in force that was found good by an earlier incarnation. Only its format is checked: what was
-    /// reached by allowed steps then needs no allowance now.
+    /// Activates a list again that an earlier incarnation had activated. Only its format is checked, since its changes were
+    /// allowed then.
     ///
     /// # Errors
-    /// The report of what is wrong with its format.
+    /// The report on a list with an invalid format.
     pub fn restore(&mut self, file: &str, bytes: &[u8]) -> Result<(), Report> {
         let report = |diagnostics: Vec<Diagnostic>| Report::new(file, bytes, diagnostics);
         let parsed = EndpointList::parse(bytes, self.rules.max_bytes).map_err(report)?;
@@ -180,22 +185,22 @@
         Ok(())
     }
 
-    /// The lists in force by file.
+    /// The active lists by file.
     pub fn lists(&self) -> &BTreeMap<String, EndpointList> {
         &self.lists
     }
 
-    /// Whether lists decide where a destination is reached.
+    /// Whether the endpoints of a destination are listed in endpoint lists.
     pub fn is_from_lists(&self, destination: &str) -> bool {
         let destinations = self.rules.destinations.as_ref();
         destinations.is_none_or(|all| all.get(destination) == Some(&EndpointSource::Lists))
     }
 
-    /// All endpoints in force, each with its destination.
+    /// All active endpoints, each with its destination.
     pub fn endpoints(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
         let destinations = self.lists.values().flat_map(|list| &list.destinations);
-        let in_force = destinations.filter(|(name, _)| self.is_from_lists(name));
-        in_force.flat_map(|(name, destination)| {
+        let active = destinations.filter(|(name, _)| self.is_from_lists(name));
+        active.flat_map(|(name, destination)| {
             destination
                 .endpoints
                 .iter()
@@ -203,7 +208,7 @@
         })
     }
 
-    /// Destinations that lists decide on and for which no list is in force.
+    /// The destinations whose endpoints are to be listed in endpoint lists, but are in no active one.
     pub fn destinations_without_list(&self) -> Vec<&str> {
         let destinations = self.rules.destinations.iter().flatten();
         let from_lists = destinations.filter(|(_, source)| **source == EndpointSource::Lists);
--- a/crates/endpoint-lists/src/diff.rs
+++ b/crates/endpoint-lists/src/diff.rs
@@ -1,88 +1,84 @@
-//! What one list changes against another, endpoint by endpoint. The names of its JSON form are the operators'.
+//! The differences between two lists, endpoint by endpoint. The keys of the JSON form are the operators'.
 
 use crate::list::{Destination, Endpoint, EndpointList};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How an endpoint changes.
+/// How an endpoint changes. The order is that in which changes are listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
     /// It is no longer listed.
     Removed,
-    /// It gets nothing new any more.
+    /// It receives no new attempts.
     #[serde(rename = "stopped")]
     Drained,
     /// It is newly listed.
     Added,
-    /// It changes otherwise.
+    /// It changes in another way.
     Changed,
 }
 
-/// One change.
+/// The change of one endpoint. `Display` shows it on one line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EndpointChange {
-    /// How.
+    /// The kind of the change.
     #[serde(rename = "step")]
     pub kind: ChangeKind,
     /// The destination.
     pub destination: String,
-    /// The endpoint as it is from now on, or was where it is removed.
+    /// The endpoint after the change; before it, if it is removed.
     pub endpoint: Endpoint,
-    /// The endpoint as it was, where it changes.
+    /// The endpoint before the change, if it is neither added nor removed.
     #[serde(rename = "was", skip_serializing_if = "Option::is_none")]
     pub previous: Option<Endpoint>,
 }
 
 impl fmt::Display for EndpointChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let EndpointChange {
-            kind,
-            destination,
-            endpoint,
-            previous,
-        } = self;
-        let sign = match kind {
+        let sign = match self.kind {
             ChangeKind::Removed => '-',
             ChangeKind::Added => '+',
             ChangeKind::Drained | ChangeKind::Changed => '~',
         };
-        write!(f, "{sign} {destination}/{}", endpoint.name)?;
-        let Some(previous) = previous else {
-            write!(f, " {} weight {}", endpoint.address, endpoint.weight)?;
-            let zone = if endpoint.zone.is_empty() {
-                String::new()
-            } else {
-                format!(" zone {}", endpoint.zone)
-            };
-            return write!(
-                f,
-                "{zone}{}",
-                if endpoint.draining { " draining" } else { "" }
-            );
-        };
-        if previous.address != endpoint.address {
-            write!(f, " address {} -> {}", previous.address, endpoint.address)?;
-        }
-        if previous.weight != endpoint.weight {
-            write!(f, " weight {} -> {}", previous.weight, endpoint.weight)?;
+        write!(f, "{sign} {}/{}", self.destination, self.endpoint.name)?;
+        match &self.previous {
+            None => write_endpoint(f, &self.endpoint),
+            Some(previous) => write_differences(f, previous, &self.endpoint),
         }
-        if previous.zone != endpoint.zone {
-            write!(f, " zone {:?} -> {:?}", previous.zone, endpoint.zone)?;
-        }
-        if previous.draining != endpoint.draining {
-            write!(
-                f,
-                " draining {} -> {}",
-                previous.draining, endpoint.draining
-            )?;
-        }
-        Ok(())
     }
 }
 
-/// The changes that lead from one list to another. Those that take an endpoint out of use come first: they are urgent.
+fn write_endpoint(f: &mut fmt::Formatter<'_>, endpoint: &Endpoint) -> fmt::Result {
+    write!(f, " {} weight {}", endpoint.address, endpoint.weight)?;
+    if !endpoint.zone.is_empty() {
+        write!(f, " zone {}", endpoint.zone)?;
+    }
+    if endpoint.draining {
+        f.write_str(" draining")?;
+    }
+    Ok(())
+}
+
+fn write_differences(f: &mut fmt::Formatter<'_>, old: &Endpoint, new: &Endpoint) -> fmt::Result {
+    if old.address != new.address {
+        write!(f, " address {} -> {}", old.address, new.address)?;
+    }
+    if old.weight != new.weight {
+        write!(f, " weight {} -> {}", old.weight, new.weight)?;
+    }
+    if old.zone != new.zone {
+        write!(f, " zone {:?} -> {:?}", old.zone, new.zone)?;
+    }
+    if old.draining != new.draining {
+        write!(f, " draining {} -> {}", old.draining, new.draining)?;
+    }
+    Ok(())
+}
+
+/// The changes that lead from one list to another, in the order of their kinds: those that take an endpoint out of use
+/// come first.
 pub fn diff(old: &EndpointList, new: &EndpointList) -> Vec<EndpointChange> {
     let mut changes = Vec::new();
     let names: BTreeSet<&String> = old
@@ -90,17 +86,12 @@
         .keys()
         .chain(new.destinations.keys())
         .collect();
-    let none = Destination::default();
+    let unlisted = Destination::default();
     for name in names {
-        let before = old.destinations.get(name);
-        let after = new.destinations.get(name);
-        if before != after {
-            diff_destination(
-                name,
-                before.unwrap_or(&none),
-                after.unwrap_or(&none),
-                &mut changes,
-            );
+        let old = old.destinations.get(name).unwrap_or(&unlisted);
+        let new = new.destinations.get(name).unwrap_or(&unlisted);
+        if old != new {
+            diff_destination(name, old, new, &mut changes);
         }
     }
     changes.sort_by_key(|change| change.kind);
@@ -113,15 +104,8 @@
     new: &Destination,
     changes: &mut Vec<EndpointChange>,
 ) {
-    let by_name = |destination: &Destination| -> BTreeMap<String, Endpoint> {
-        destination
-            .endpoints
-            .iter()
-            .map(|endpoint| (endpoint.name.clone(), endpoint.clone()))
-            .collect()
-    };
-    let mut removed = by_name(old);
-    for endpoint in by_name(new).into_values() {
+    let mut removed = endpoints_by_name(old);
+    for endpoint in endpoints_by_name(new).into_values() {
         let previous = removed.remove(&endpoint.name);
         let kind = match &previous {
             None => ChangeKind::Added,
@@ -145,3 +129,11 @@
         });
     }
 }
+
+fn endpoints_by_name(destination: &Destination) -> BTreeMap<String, Endpoint> {
+    destination
+        .endpoints
+        .iter()
+        .map(|endpoint| (endpoint.name.clone(), endpoint.clone()))
+        .collect()
+}
--- a/crates/endpoint-lists/src/last_good_store.rs
+++ b/crates/endpoint-lists/src/last_good_store.rs
@@ -1,18 +1,18 @@
-//! The last good lists on disk, byte for byte as they were found good: they survive the process, also where the file itself
-//! is bad or missing by then.
+//! Copies of the last good lists on disk, byte for byte. They survive the process, even if the operators' file is invalid
+//! or missing when it starts again.
 
 use marblefall_atomic_file::{replace, Disk, Durability, LocalDisk};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A list that cannot be stored or read back.
+/// A list could not be stored, removed or read back.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {cause}")]
 pub struct StoreError {
-    /// The file.
+    /// The file or folder.
     pub path: PathBuf,
-    /// The cause.
+    /// The system's error.
     #[source]
     pub cause: io::Error,
 }
@@ -25,25 +25,25 @@
 const EXTENSION: &str = "good";
 
 impl LastGoodStore {
-    /// The lists in a folder, which is created with the first list.
+    /// The store in a folder, which is created with the first list.
     pub fn at(folder: &Path) -> LastGoodStore {
         LastGoodStore(folder.to_owned())
     }
 
-    /// Replaces a list: at every moment of a crash the old or the new one is there whole. Which one a loss of power leaves is
-    /// sure after [`LastGoodStore::sync`]: a disk may take its time for that, and traffic must not wait.
+    /// Replaces the list of a file atomically. Only after [`LastGoodStore::sync`] is the new one sure to survive a loss of
+    /// power; callers need not delay traffic for that.
     ///
     /// # Errors
-    /// The disk does not take it.
+    /// The list cannot be written.
     pub fn write(&self, file: &str, bytes: &[u8]) -> Result<(), StoreError> {
-        let path = self.0.join(format!("{file}.{EXTENSION}"));
+        let path = self.path_of(file);
         let written = LocalDisk
             .create_folder(&self.0)
             .and_then(|()| replace(&LocalDisk, &path, bytes, Durability::Atomic));
         written.map_err(|cause| StoreError { path, cause })
     }
 
-    /// Returns once what was replaced or removed stays so through a loss of power.
+    /// Returns once replaced and removed lists survive a loss of power.
     ///
     /// # Errors
     /// The folder cannot be synced.
@@ -59,7 +59,7 @@
     /// # Errors
     /// The stored list cannot be removed.
     pub fn remove(&self, file: &str) -> Result<(), StoreError> {
-        let path = self.0.join(format!("{file}.{EXTENSION}"));
+        let path = self.path_of(file);
         match fs::remove_file(&path) {
             Err(cause) if cause.kind() != io::ErrorKind::NotFound => {
                 Err(StoreError { path, cause })
@@ -68,7 +68,7 @@
         }
     }
 
-    /// All stored lists, by file name. What was still being written when a process died is ignored.
+    /// All stored lists, by file name. Incomplete files of a process that crashed are ignored.
     ///
     /// # Errors
     /// The folder or a list cannot be read.
@@ -84,18 +84,22 @@
         let mut stored = Vec::new();
         for entry in entries {
             let path = entry.map_err(store_error(&self.0))?.path();
-            let name = path
-                .file_name()
-                .and_then(|name| name.to_str())
-                .unwrap_or_default();
-            if let Some(file) = name.strip_suffix(&format!(".{EXTENSION}")) {
-                stored.push((
-                    file.to_owned(),
-                    fs::read(&path).map_err(store_error(&path))?,
-                ));
+            if let Some(file) = stored_file(&path) {
+                let bytes = fs::read(&path).map_err(store_error(&path))?;
+                stored.push((file.to_owned(), bytes));
             }
         }
         stored.sort();
         Ok(stored)
     }
+
+    fn path_of(&self, file: &str) -> PathBuf {
+        self.0.join(format!("{file}.{EXTENSION}"))
+    }
+}
+
+/// The name of the operators' file whose list is stored at a path; `None` for other paths.
+fn stored_file(path: &Path) -> Option<&str> {
+    let name = path.file_name()?.to_str()?;
+    name.strip_suffix(EXTENSION)?.strip_suffix('.')
 }
--- a/crates/endpoint-lists/src/list.rs
+++ b/crates/endpoint-lists/src/list.rs
@@ -1,8 +1,8 @@
-//! An endpoint list and its file format: TOML that begins with its revision and ends with it again.
+//! An endpoint list and its file format: TOML that states its revision both at the start and at the end.
 //!
-//! A cut copy of a file is often valid TOML. Here the last line must be the `revision` of the `[end]` table with its line
-//! break, so that no proper head of a list is one. A file that is written in place shows for a moment the new file's head
-//! with the old file's tail: the two revisions differ.
+//! A truncated file is often valid TOML. Here the last line must be the `revision` of the `[end]` table with its line break,
+//! so that no truncated list is valid. While a file is written in place it may consist of the start of the new content and
+//! the end of the old one; their revisions differ.
 
 mod endpoint;
 mod parse;
@@ -20,49 +20,50 @@
 /// One endpoint of a destination.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// A name that stays the same when its address changes; its destination has no other of that name.
+    /// The name, unique within the destination. It identifies the endpoint if its address changes.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Its share of the destination's calls relative to the other endpoints' weights; 0 gets nothing new.
+    /// The endpoint's share of the destination's calls, relative to the weights of the others. With 0 it receives no new
+    /// attempts.
     pub weight: f64,
-    /// Its zone; empty if none is given.
+    /// The zone; empty if none is given.
     pub zone: String,
-    /// It finishes what it has and gets nothing new.
+    /// Whether the endpoint completes its attempts and receives no new ones.
     pub draining: bool,
 }
 
 impl Endpoint {
-    /// Whether it is to get anything new.
+    /// Whether the endpoint receives new attempts.
     pub fn is_active(&self) -> bool {
         !self.draining && self.weight > 0.0
     }
 }
 
-/// All endpoints of one destination, in the order of the file.
+/// The endpoints of one destination.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Destination {
-    /// Its endpoints.
+    /// The endpoints in the order of the file.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// What a list allows the change that it makes to take away.
+/// Losses that a list allows for the change that it makes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LossAllowance {
-    /// Most of these destinations' weights.
+    /// Destinations that may lose most of their weight.
     pub destinations: BTreeSet<String>,
-    /// Most of all endpoints.
+    /// Whether most endpoints of the file may be lost.
     pub endpoints: bool,
 }
 
-/// A whole list.
+/// An endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct EndpointList {
-    /// Grows with each change.
+    /// The revision, which grows with each change.
     pub revision: u64,
-    /// Its destinations by name.
+    /// The destinations by name.
     pub destinations: BTreeMap<String, Destination>,
-    /// What it may take away at once.
+    /// Losses that are allowed for this revision.
     #[serde(rename = "allow_loss")]
     pub loss_allowance: Option<LossAllowance>,
 }
--- a/crates/endpoint-lists/src/list/endpoint.rs
+++ b/crates/endpoint-lists/src/list/endpoint.rs
@@ -1,4 +1,4 @@
-//! Reads the endpoints of one destination.
+//! Parses the endpoints of one destination.
 
 use super::{Endpoint, MAX_WEIGHT};
 use crate::diagnostic::Diagnostic;
@@ -10,6 +10,7 @@
 
 /// The longest name of an endpoint, in bytes.
 const MAX_NAME_BYTES: usize = 128;
+const DEFAULT_WEIGHT: f64 = 1.0;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -30,13 +31,13 @@
     draining: bool,
 }
 
-/// Why a text names no address that a connection could come up at.
-struct BadAddress {
+/// Why a text is not the address of an endpoint.
+struct AddressError {
     message: String,
     help: &'static str,
 }
 
-/// Reads the endpoints of a destination whose table stands at `span`.
+/// Parses the endpoints of a destination whose table is at `span`.
 pub(super) fn parse_endpoints(
     destination: &str,
     span: &Range<usize>,
@@ -54,32 +55,12 @@
         .into_iter()
         .filter_map(|endpoint| parser.parse(endpoint))
         .collect();
-    if endpoints.is_empty() && errors.is_empty() {
-        let message = format!("{destination} has no endpoint");
-        let help = "list one at least, or take the destination out";
-        errors.push(Diagnostic::error(
-            "no-endpoint",
-            Some(span.clone()),
-            message,
-            help,
-        ));
-    }
-    if !endpoints.is_empty() && endpoints.iter().all(|endpoint| endpoint.weight == 0.0) {
-        let message =
-            format!("every endpoint of {destination} has weight 0: nothing could be sent there");
-        let help =
-            "give one a weight above 0; to stop a partner, drain its endpoints and allow the loss";
-        errors.push(Diagnostic::error(
-            "all-zero",
-            Some(span.clone()),
-            message,
-            help,
-        ));
-    }
+    parser.check_not_empty(&endpoints, span);
+    parser.check_total_weight(&endpoints, span);
     endpoints
 }
 
-/// Reads the endpoints of one destination, one after the other.
+/// Parses the endpoints of one destination.
 struct EndpointParser<'a> {
     destination: &'a str,
     names: BTreeSet<String>,
@@ -99,7 +80,27 @@
             .push(Diagnostic::error(code, Some(span), message, help));
     }
 
-    /// Reads one endpoint; `None` where it has no address.
+    /// Adds an error if a destination has no endpoint. Endpoints may be missing because of earlier errors.
+    fn check_not_empty(&mut self, endpoints: &[Endpoint], span: &Range<usize>) {
+        if endpoints.is_empty() && self.errors.is_empty() {
+            let message = format!("{} has no endpoint", self.destination);
+            let help = "list at least one, or remove the destination";
+            self.error("no-endpoint", span.clone(), message, help);
+        }
+    }
+
+    fn check_total_weight(&mut self, endpoints: &[Endpoint], span: &Range<usize>) {
+        if !endpoints.is_empty() && endpoints.iter().all(|endpoint| endpoint.weight == 0.0) {
+            let message = format!(
+                "every endpoint of {} has weight 0: nothing could be sent there",
+                self.destination
+            );
+            let help = "give one a weight above 0; to stop a destination, drain its endpoints and allow the loss";
+            self.error("all-zero", span.clone(), message, help);
+        }
+    }
+
+    /// Parses one endpoint; `None` if it has no valid address.
     fn parse(&mut self, raw: RawEndpoint) -> Option<Endpoint> {
         self.check_name(&raw.name);
         let weight = self.weight(&raw);
@@ -115,13 +116,13 @@
 
     fn check_name(&mut self, name: &Spanned<String>) {
         let (span, name) = (name.span(), name.get_ref());
-        let is_readable = name
+        let is_printable = name
             .bytes()
             .all(|byte| byte.is_ascii_graphic() && byte != b'/');
-        if name.is_empty() || name.len() > MAX_NAME_BYTES || !is_readable {
-            let message = format!("{name:?} is no name for an endpoint");
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || !is_printable {
+            let message = format!("{name:?} is not a valid name of an endpoint");
             let help = format!(
-                "use 1 to {MAX_NAME_BYTES} letters, digits and signs, without spaces and /"
+                "use 1 to {MAX_NAME_BYTES} printable ASCII characters, without spaces and /"
             );
             self.error("bad-name", span.clone(), message, help);
         }
@@ -137,9 +138,12 @@
             .weight
             .as_ref()
             .map_or(raw.address.span(), Spanned::span);
-        let weight = raw.weight.as_ref().map_or(1.0, |weight| *weight.get_ref());
+        let weight = raw
+            .weight
+            .as_ref()
+            .map_or(DEFAULT_WEIGHT, |weight| *weight.get_ref());
         if !(0.0..=MAX_WEIGHT).contains(&weight) {
-            let message = format!("{weight} is no weight");
+            let message = format!("{weight} is not a valid weight");
             self.error(
                 "bad-weight",
                 span,
@@ -147,7 +151,7 @@
                 format!("write a number from 0 to {MAX_WEIGHT}"),
             );
         }
-        // Zero is zero, whatever its sign.
+        // Adding zero turns -0 into 0.
         weight + 0.0
     }
 
@@ -155,36 +159,36 @@
         let span = text.span();
         let address = match parse_address(text.get_ref()) {
             Ok(address) => address,
-            Err(BadAddress { message, help }) => {
+            Err(AddressError { message, help }) => {
                 self.error("bad-address", span, message, help);
                 return None;
             }
         };
         if !self.addresses.insert(address) {
             let message = format!("{} has two endpoints at {address}", self.destination);
-            let help = "take one of them out, or give it its own address";
+            let help = "remove one of them, or give it its own address";
             self.error("same-address", span, message, help);
         }
         Some(address)
     }
 }
 
-/// The address that a text names, if a connection could ever come up there.
-fn parse_address(text: &str) -> Result<SocketAddr, BadAddress> {
-    let address: SocketAddr = text.parse().map_err(|_| BadAddress {
-        message: format!("{text:?} is no address"),
-        help: "write IP:PORT, such as 10.0.0.7:8080; names are not looked up",
+/// Parses the address of an endpoint, to which a connection must be possible.
+fn parse_address(text: &str) -> Result<SocketAddr, AddressError> {
+    let address: SocketAddr = text.parse().map_err(|_| AddressError {
+        message: format!("{text:?} is not an address"),
+        help: "write IP:PORT, such as 10.0.0.7:8080; names are not resolved",
     })?;
     if address.port() == 0 {
-        return Err(BadAddress {
-            message: format!("{text} has port 0, which cannot be dialled"),
-            help: "write the port that it listens at",
+        return Err(AddressError {
+            message: format!("{text} has port 0, to which no connection is possible"),
+            help: "write the port on which it listens",
         });
     }
     let is_broadcast = matches!(address.ip(), IpAddr::V4(ip) if ip.is_broadcast());
     if address.ip().is_unspecified() || address.ip().is_multicast() || is_broadcast {
-        return Err(BadAddress {
-            message: format!("{text} is no single host's address"),
+        return Err(AddressError {
+            message: format!("{text} is not the address of a single host"),
             help: "write the address of the host itself",
         });
     }
--- a/crates/endpoint-lists/src/list/parse.rs
+++ b/crates/endpoint-lists/src/list/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a list's file. All that is wrong by the format alone is found here.
+//! Parses the file of a list, and checks its format.
 
 use super::endpoint::{parse_endpoints, RawDestination};
 use super::{Destination, EndpointList, LossAllowance};
@@ -8,7 +8,7 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// Where the parts of a list stand in its file, for what is found out about them later.
+/// The bytes of the parts of a list in its file, for later diagnostics.
 #[derive(Clone, Debug, Default)]
 pub struct Spans {
     /// The revision.
@@ -17,14 +17,14 @@
     pub destinations: BTreeMap<String, Range<usize>>,
 }
 
-/// A list that was read, with where its parts stand and what is odd about it.
+/// A list that was parsed from a file.
 #[derive(Clone, Debug)]
 pub struct ParsedList {
     /// The list.
     pub list: EndpointList,
-    /// Where its parts stand.
+    /// The bytes of its parts.
     pub spans: Spans,
-    /// Warnings.
+    /// Warnings of its format.
     pub warnings: Vec<Diagnostic>,
 }
 
@@ -56,16 +56,16 @@
 }
 
 impl EndpointList {
-    /// Reads a file of at most `max_bytes`.
+    /// Parses a file of at most `max_bytes`.
     ///
     /// # Errors
-    /// All that is wrong by the format alone.
+    /// The diagnostics of its format.
     pub fn parse(bytes: &[u8], max_bytes: usize) -> Result<ParsedList, Vec<Diagnostic>> {
         let text = decode(bytes, max_bytes).map_err(|error| vec![error])?;
         let raw: RawFile =
             toml::from_str(text).map_err(|error| vec![syntax_error(&error, text.len())])?;
         let mut errors = Vec::new();
-        let revision = check_is_whole(text, &raw, &mut errors);
+        let revision = check_completeness(text, &raw, &mut errors);
         let mut parsed = ParsedList {
             list: EndpointList {
                 revision,
@@ -98,7 +98,7 @@
 }
 
 impl ParsedList {
-    /// Takes what the change may take away, if it was meant for this revision.
+    /// Sets the allowance, unless it was meant for another revision.
     fn set_loss_allowance(&mut self, allowance: Spanned<RawLossAllowance>) {
         let span = allowance.span();
         let allowance = allowance.into_inner();
@@ -110,10 +110,10 @@
             return;
         }
         let message = format!(
-            "allow_loss was meant for revision {} and counts for nothing",
+            "allow_loss was meant for revision {} and has no effect",
             allowance.revision
         );
-        let help = "take it out, or give it this file's revision if the loss is meant";
+        let help = "remove it, or give it this file's revision if the loss is intended";
         self.warnings.push(Diagnostic::warning(
             "old-allowance",
             Some(span),
@@ -126,7 +126,7 @@
 fn decode(bytes: &[u8], max_bytes: usize) -> Result<&str, Diagnostic> {
     if bytes.len() > max_bytes {
         let message = format!("the file is larger than {max_bytes} bytes");
-        let help = "split it into a file for each partner, or raise max_kb of [roster] in the operators' file";
+        let help = "split it into a file for each destination, or raise max_kb of [roster] in the operators' file";
         return Err(Diagnostic::error("too-large", None, message, help));
     }
     std::str::from_utf8(bytes).map_err(|error| {
@@ -136,68 +136,84 @@
     })
 }
 
-/// What the TOML reader says, with what to do.
+/// The diagnostic for an error of the TOML parser.
 fn syntax_error(error: &toml::de::Error, len: usize) -> Diagnostic {
     let message = error.message().trim().to_owned();
     let span = Some(error.span().unwrap_or(len..len));
     if message.starts_with("unknown field") {
-        let help = "mend its spelling or take it out";
+        let help = "correct its spelling or remove it";
         Diagnostic::error("unknown-field", span, message, help)
     } else {
-        let help = "mend the line; `marblefall roster check FILE` says when the file is good";
+        let help = "correct the line; `marblefall roster check FILE` says when the file is good";
         Diagnostic::error("not-readable", span, message, help)
     }
 }
 
-/// Checks that the file is whole; returns its revision.
-fn check_is_whole(text: &str, raw: &RawFile, errors: &mut Vec<Diagnostic>) -> u64 {
+/// Checks that the file is complete; returns its revision, or 0 without one.
+fn check_completeness(text: &str, raw: &RawFile, errors: &mut Vec<Diagnostic>) -> u64 {
     let Some(revision) = &raw.revision else {
         let help = "begin the file with a line such as `revision = 8`";
         let message = "the file names no revision";
         errors.push(Diagnostic::error("no-revision", Some(0..0), message, help));
         return 0;
     };
-    let number = *revision.get_ref();
-    let end = text.len()..text.len();
-    let help = format!(
-        "end the file with the lines `[end]` and `revision = {number}`, and nothing after them"
-    );
-    let Some(closing) = &raw.end else {
-        let message = "the file has no [end] table: it is not whole";
-        errors.push(Diagnostic::error("cut-off", Some(end), message, help));
-        return number;
-    };
-    let closing = &closing.revision;
-    if *closing.get_ref() != number {
-        let message = format!(
-            "the file begins as revision {number} and ends as revision {}: it is not whole",
-            closing.get_ref()
-        );
-        let help = "give both places the same revision; if somebody is writing the file, wait";
-        errors.push(Diagnostic::error(
-            "torn",
-            Some(closing.span()),
-            message,
-            help,
-        ));
+    let revision = *revision.get_ref();
+    match &raw.end {
+        None => {
+            let message = "the file has no [end] table: it is not complete";
+            let span = Some(text.len()..text.len());
+            let help = end_help(revision);
+            errors.push(Diagnostic::error("cut-off", span, message, help));
+        }
+        Some(end) => {
+            errors.extend(check_end_revision(revision, &end.revision));
+            errors.extend(check_last_line(text, revision, &end.revision));
+        }
     }
-    // Also a lost line break is a cut. What follows might be the tail of a longer file that this one was written over.
-    match &text[closing.span().end..] {
-        "\n" | "\r\n" => {}
+    revision
+}
+
+fn end_help(revision: u64) -> String {
+    format!(
+        "end the file with the lines `[end]` and `revision = {revision}`, and nothing after them"
+    )
+}
+
+/// Checks that the file starts and ends with the same revision.
+fn check_end_revision(revision: u64, end_revision: &Spanned<u64>) -> Option<Diagnostic> {
+    if *end_revision.get_ref() == revision {
+        return None;
+    }
+    let message = format!(
+        "the file begins as revision {revision} and ends as revision {}: it is not complete",
+        end_revision.get_ref()
+    );
+    let help = "give both places the same revision; if somebody is writing the file, wait";
+    let span = Some(end_revision.span());
+    Some(Diagnostic::error("torn", span, message, help))
+}
+
+/// Checks that the end revision is followed by its line break alone. A missing line break is a truncation; further text may
+/// be the end of a longer file that this one was written over.
+fn check_last_line(text: &str, revision: u64, end_revision: &Spanned<u64>) -> Option<Diagnostic> {
+    let end = end_revision.span().end;
+    match &text[end..] {
+        "\n" | "\r\n" => None,
         "" | "\r" => {
-            let message = "the last line has no line break: the file is not whole";
-            errors.push(Diagnostic::error(
-                "cut-off",
-                Some(end),
-                message,
-                "end the last line",
-            ));
+            let message = "the last line has no line break: the file is not complete";
+            let span = Some(text.len()..text.len());
+            let help = "end the last line";
+            Some(Diagnostic::error("cut-off", span, message, help))
         }
         _ => {
-            let rest = closing.span().end..text.len();
-            let message = "something follows the end's revision";
-            errors.push(Diagnostic::error("not-last", Some(rest), message, help));
+            let message = "the file continues after the revision at its end";
+            let span = Some(end..text.len());
+            Some(Diagnostic::error(
+                "not-last",
+                span,
+                message,
+                end_help(revision),
+            ))
         }
     }
-    number
 }
--- a/crates/endpoint-lists/src/list/print.rs
+++ b/crates/endpoint-lists/src/list/print.rs
@@ -1,10 +1,10 @@
-//! Writes a list in its file format.
+//! Encodes a list in its file format.
 
 use super::{Endpoint, EndpointList};
 use std::fmt::Write;
 
 impl EndpointList {
-    /// The list in the format that [`EndpointList::parse`] reads; both ways lead to the same.
+    /// Encodes the list in its file format; [`EndpointList::parse`] returns an equal list.
     pub fn to_toml(&self) -> String {
         let mut text = format!("revision = {}\n", self.revision);
         // Writing to a string cannot fail.
@@ -46,7 +46,7 @@
     text.push_str(" },\n");
 }
 
-/// A text as a TOML string on one line: what the library prints may span several, which keys must not.
+/// A TOML string on one line. The library may print a string over several lines, which is invalid for keys.
 fn quoted(text: &str) -> String {
     let mut quoted = String::from("\"");
     for character in text.chars() {
--- /dev/null
+++ b/crates/endpoint-lists/tests/checks.rs
@@ -0,0 +1,174 @@
+//! The checks of lists, and what their diagnostics say.
+
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
+
+mod common;
+
+use common::{active_lists, codes, reject, FILE, VALID_LIST};
+
+/// A change of [`VALID_LIST`] for which it is rejected.
+type InvalidChange = (&'static str, &'static str, &'static str, &'static str);
+
+/// The code, the text that is replaced, its replacement, and a text on the line of the diagnostic if that is certain.
+const INVALID_CHANGES: &[InvalidChange] = &[
+    ("unknown-field", "weight = 3", "wieght = 3", "wieght"),
+    (
+        "unknown-partner",
+        "[destination.kazanchis]",
+        "[destination.kazanchi]",
+        "[destination.kazanchi]",
+    ),
+    (
+        "fixed-partner",
+        "[destination.kazanchis]",
+        "[destination.own]",
+        "[destination.own]",
+    ),
+    ("same-name", "\"bole-2\"", "\"bole-1\"", "127.0.0.1:9102"),
+    ("same-address", "127.0.0.1:9102", "127.0.0.1:9101", "bole-2"),
+    ("bad-name", "\"bole-2\"", "\"bole/2\"", "bole/2"),
+    ("bad-weight", "weight = 3", "weight = -1", "weight"),
+    ("bad-weight", "weight = 3", "weight = nan", "weight"),
+    ("bad-weight", "weight = 3", "weight = 1000.5", "weight"),
+    ("bad-address", "127.0.0.1:9102", "127.0.0.1:0", "bole-2"),
+    ("bad-address", "127.0.0.1:9102", "0.0.0.0:80", "bole-2"),
+    ("bad-address", "127.0.0.1:9102", "bole:80", "bole-2"),
+    ("bad-address", "127.0.0.1:9102", "224.0.0.1:80", "bole-2"),
+    (
+        "torn",
+        "[end]\nrevision = 8",
+        "[end]\nrevision = 7",
+        "revision = 7",
+    ),
+    ("cut-off", "[end]\nrevision = 8\n", "", ""),
+    (
+        "not-last",
+        "[end]\nrevision = 8\n",
+        "[end]\nrevision = 8\n\n",
+        "",
+    ),
+    ("no-revision", "revision = 8\n\n", "\n\n", ""),
+    ("not-readable", "weight = 3", "weight = ", "weight"),
+];
+
+/// The number of the line that contains a text, counted from 1.
+fn line_of(text: &str, part: &str) -> usize {
+    text[..text.find(part).unwrap()].matches('\n').count() + 1
+}
+
+#[test]
+fn diagnostic_names_its_line_and_help() {
+    for (code, from, to, place) in INVALID_CHANGES {
+        let text = VALID_LIST.replacen(from, to, 1);
+        assert_ne!(text, VALID_LIST, "{from}");
+        let report = reject(&active_lists(), text.as_bytes());
+        let diagnostic = report
+            .diagnostics
+            .iter()
+            .find(|diagnostic| diagnostic.code == *code)
+            .unwrap_or_else(|| panic!("{code}: {report}"));
+        assert!(
+            !diagnostic.help.is_empty() && report.to_string().contains(&diagnostic.help),
+            "{report}"
+        );
+        if !place.is_empty() {
+            assert_eq!(diagnostic.line, line_of(&text, place), "{report}");
+            assert!(report.to_string().contains(FILE), "{report}");
+        }
+    }
+}
+
+#[test]
+fn invalid_list_is_rejected_with_its_code() {
+    let other_field = VALID_LIST.replace("endpoints = [{", "was = [{");
+    let no_endpoint = "revision = 9\n[destination.bole]\nendpoints = []\n[end]\nrevision = 9\n";
+    let no_weight = VALID_LIST
+        .replace("weight = 3", "weight = 0")
+        .replace("9102\"", "9102\", weight = 0");
+    let too_large = [VALID_LIST.as_bytes(), &vec![b'#'; 70_000]].concat();
+    for (bytes, code) in [
+        (other_field.as_bytes(), "unknown-field"),
+        (no_endpoint.as_bytes(), "no-endpoint"),
+        (no_weight.as_bytes(), "all-zero"),
+        (b"revision = 9 # \xff\xfe", "not-utf8"),
+        (&too_large, "too-large"),
+    ] {
+        assert_eq!(codes(&reject(&active_lists(), bytes))[0], code);
+    }
+}
+
+#[test]
+fn revision_must_grow_unless_nothing_changes() {
+    let active = active_lists();
+    assert!(active
+        .evaluate(FILE, VALID_LIST.as_bytes())
+        .unwrap()
+        .changes
+        .is_empty());
+    let same = VALID_LIST.replace("weight = 3", "weight = 4");
+    assert_eq!(codes(&reject(&active, same.as_bytes()))[0], "old-revision");
+    let lower = same.replace("revision = 8", "revision = 7");
+    assert_eq!(codes(&reject(&active, lower.as_bytes()))[0], "old-revision");
+    let higher = same.replace("revision = 8", "revision = 9");
+    assert_eq!(
+        active
+            .evaluate(FILE, higher.as_bytes())
+            .unwrap()
+            .changes
+            .len(),
+        1
+    );
+}
+
+#[test]
+fn large_loss_needs_an_allowance() {
+    let active = active_lists();
+    let without = |first: &str| {
+        let rest = &VALID_LIST[VALID_LIST.find("[destination.kaz").unwrap()..];
+        let head = "[destination.bole]\nendpoints = [{ name = \"bole-2\", address = \"127.0.0.1:9102\" }]\n";
+        format!("{first}\n{head}{rest}").replace("revision = 8", "revision = 9")
+    };
+    // The endpoint that is removed has three quarters of the destination's weight.
+    let report = reject(&active, without("revision = 8").as_bytes());
+    assert_eq!(codes(&report)[0], "large-loss");
+    assert!(report.to_string().contains("75%"), "{report}");
+    let allowed = "revision = 8\nallow_loss = { revision = 9, destinations = [\"bole\"] }";
+    assert!(active.evaluate(FILE, without(allowed).as_bytes()).is_ok());
+    // An allowance for an earlier revision has no effect.
+    let stale = allowed.replace("{ revision = 9", "{ revision = 7");
+    let report = reject(&active, without(&stale).as_bytes());
+    assert_eq!(codes(&report), ["large-loss", "old-allowance"], "{report}");
+}
+
+#[test]
+fn draining_and_zero_weight_count_as_loss() {
+    let active = active_lists();
+    for (from, to, is_accepted) in [
+        ("weight = 3", "weight = 3, draining = true", false),
+        ("weight = 3", "weight = 0", false),
+        ("weight = 3", "weight = 0.01", false),
+        ("\"127.0.0.1:9102\"", "\"127.0.0.1:9102\", weight = 0", true),
+        ("weight = 3", "weight = 900", true),
+        (
+            "weight = 3, zone = \"north\" },",
+            "weight = 30 }, { name = \"x\", address = \"127.0.0.1:1\", weight = 900 },",
+            true,
+        ),
+    ] {
+        let text = VALID_LIST
+            .replace(from, to)
+            .replace("revision = 8", "revision = 9");
+        assert_eq!(
+            active.evaluate(FILE, text.as_bytes()).is_ok(),
+            is_accepted,
+            "{to}"
+        );
+    }
+}
+
+#[test]
+fn removed_destination_loses_its_weight_and_most_endpoints() {
+    let one_destination = "revision = 9\n[destination.kazanchis]\nendpoints = [{ name = \"k-2\", address = \"[::1]:9104\" }]\n[end]\nrevision = 9\n";
+    let report = reject(&active_lists(), one_destination.as_bytes());
+    assert_eq!(codes(&report), ["large-loss", "large-loss"]);
+}
--- /dev/null
+++ b/crates/endpoint-lists/tests/diff.rs
@@ -0,0 +1,46 @@
+//! The differences between random lists from a fixed seed.
+
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
+
+mod common;
+
+use common::{check_property, ValidList};
+use marblefall_endpoint_lists::{diff, ChangeKind, Endpoint, EndpointList};
+use std::collections::BTreeMap;
+
+#[test]
+fn diff_leads_from_one_list_to_the_other() {
+    check_property(
+        5,
+        300,
+        |(ValidList(old), ValidList(new)): (ValidList, ValidList)| {
+            // Random names rarely coincide, so some destinations are copied from the old list.
+            let mut new = new;
+            for (name, destination) in old.destinations.iter().take(2) {
+                let mut copied = destination.clone();
+                copied.endpoints.truncate(2);
+                copied.endpoints[0].weight = 7.0;
+                new.destinations.insert(name.clone(), copied);
+            }
+            let by_name = |list: &EndpointList| -> BTreeMap<(String, String), Endpoint> {
+                let all = list.destinations.iter();
+                all.flat_map(|(name, to)| {
+                    to.endpoints
+                        .iter()
+                        .map(|e| ((name.clone(), e.name.clone()), e.clone()))
+                })
+                .collect()
+            };
+            let changes = diff(&old, &new);
+            let mut result = by_name(&old);
+            for change in &changes {
+                let key = (change.destination.clone(), change.endpoint.name.clone());
+                match change.kind {
+                    ChangeKind::Removed => drop(result.remove(&key)),
+                    _ => drop(result.insert(key, change.endpoint.clone())),
+                }
+            }
+            result == by_name(&new) && changes.is_sorted_by_key(|change| change.kind)
+        },
+    );
+}
