--- a/crates/control-plane/src/list_watcher/scanner.rs
+++ b/crates/control-plane/src/list_watcher/scanner.rs
@@ -228,7 +228,7 @@
                 return Observation::Rejected;
             }
         };
-        if self.lists.read(|lists| offer.is_in_force(lists)) {
+        if self.lists.read(|lists| offer.is_active(lists)) {
             self.states.record(file, FileState::InForce);
             return Observation::Settled;
         }
--- a/crates/endpoint-lists/src/active_lists.rs
+++ b/crates/endpoint-lists/src/active_lists.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether an equal list is active for the same file.
-    pub fn is_in_force(&self, active: &ActiveLists) -> bool {
+    pub fn is_active(&self, active: &ActiveLists) -> bool {
         active.lists.get(&self.file) == Some(&self.list)
     }
 }
