--- a/crates/atomic-file/src/faulty_disk.rs
+++ b/crates/atomic-file/src/faulty_disk.rs
@@ -1,8 +1,8 @@
-//! A disk in memory with injected faults, for the tests of whatever stores state.
+//! A disk in memory with injected faults, for tests of code that stores state.
 //!
-//! It distinguishes what the process sees from what is on the medium. Bytes reach the medium when they are synced, names when
-//! their folder is; until then a loss of power may keep or lose them, each by itself, and bytes in part: that is what
-//! POSIX allows, and file systems do.
+//! It distinguishes what processes see from what is durable. A file's bytes become durable when the file is synced, names
+//! when their folder is synced. A loss of power may keep or lose anything else independently, and bytes in part, as POSIX
+//! allows.
 
 use crate::Disk;
 use std::cell::RefCell;
@@ -10,23 +10,29 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What happens at one operation.
+/// A fault of one operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails, as where the disk is full; a write has written so many bytes by then. Later operations work.
-    Fail(usize),
-    /// The process crashes in it: it and all later ones fail. A write has written so many bytes by then.
-    Crash(usize),
+    /// The operation fails because the disk is full. Later operations succeed.
+    NoSpace {
+        /// How many bytes a write has written before it fails.
+        bytes_written: usize,
+    },
+    /// The process crashes during the operation: this and all later ones fail.
+    Crash {
+        /// How many bytes a write has written before the crash.
+        bytes_written: usize,
+    },
 }
 
-/// What a loss of power leaves of what was not synced.
+/// What a restart leaves of names and bytes that were not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsynced {
-    /// All of it, as if only the process had died.
+    /// Everything, as after a crash of the process alone.
     Survives,
-    /// None of it.
+    /// Nothing, as after a loss of power.
     Lost,
-    /// The names, but only the first half of the bytes.
+    /// The names, and the first half of the bytes, as after a loss of power.
     NamesSurvive,
 }
 
@@ -36,22 +42,50 @@
     synced: Vec<u8>,
 }
 
+/// The index of a file's content.
+type FileIndex = usize;
+
+#[derive(Clone, Copy, Debug)]
+struct InjectedFault {
+    /// The number of the change that fails.
+    change: usize,
+    fault: Fault,
+}
+
 #[derive(Clone, Debug, Default)]
 struct State {
     files: Vec<FileContent>,
-    names: BTreeMap<PathBuf, usize>,
-    synced_names: BTreeMap<PathBuf, usize>,
+    names: BTreeMap<PathBuf, FileIndex>,
+    synced_names: BTreeMap<PathBuf, FileIndex>,
+    /// The number of changes that were requested.
     changes: usize,
-    fault: Option<(usize, Fault)>,
-    crashed: bool,
+    fault: Option<InjectedFault>,
+    has_crashed: bool,
 }
 
-/// A change that failed, and how many bytes of it were written.
+/// A change that failed.
 struct FailedChange {
-    written: usize,
+    /// How many bytes of a write were written.
+    bytes_written: usize,
     error: io::Error,
 }
 
+impl FailedChange {
+    fn no_space(bytes_written: usize) -> FailedChange {
+        FailedChange {
+            bytes_written,
+            error: io::Error::new(io::ErrorKind::StorageFull, "no space left"),
+        }
+    }
+
+    fn crash(bytes_written: usize) -> FailedChange {
+        FailedChange {
+            bytes_written,
+            error: io::Error::other("the process has crashed"),
+        }
+    }
+}
+
 /// A disk in memory with injected faults.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(RefCell<State>);
@@ -62,18 +96,19 @@
         FaultyDisk::default()
     }
 
-    /// Injects a fault so many changes from now: 0 is the next. Reads are not counted.
+    /// Injects a fault into a later change: 0 is the next one. Reads are not counted.
     pub fn inject_fault(&self, after: usize, fault: Fault) {
         let mut state = self.0.borrow_mut();
-        state.fault = Some((state.changes + after, fault));
+        let change = state.changes + after;
+        state.fault = Some(InjectedFault { change, fault });
     }
 
-    /// Changes requested so far.
+    /// The number of changes that were requested, failed ones included.
     pub fn change_count(&self) -> usize {
         self.0.borrow().changes
     }
 
-    /// The disk as the next process finds it, without faults.
+    /// The disk after a restart of the process, without faults.
     pub fn after_restart(&self, unsynced: Unsynced) -> FaultyDisk {
         let state = self.0.borrow();
         let names = match unsynced {
@@ -103,28 +138,22 @@
         }))
     }
 
-    /// Counts a change, which may fail.
+    /// Counts a change, and fails if a fault is injected into it or the process has crashed.
     fn change(&self) -> Result<(), FailedChange> {
         let mut state = self.0.borrow_mut();
-        let index = state.changes;
+        let change = state.changes;
         state.changes += 1;
-        let crash = |written| FailedChange {
-            written,
-            error: io::Error::other("the process crashed here"),
-        };
-        if state.crashed {
-            return Err(crash(0));
+        if state.has_crashed {
+            return Err(FailedChange::crash(0));
         }
-        match state.fault {
-            Some((at, Fault::Fail(written))) if at == index => Err(FailedChange {
-                written,
-                error: io::Error::new(io::ErrorKind::StorageFull, "no space left"),
-            }),
-            Some((at, Fault::Crash(written))) if at == index => {
-                state.crashed = true;
-                Err(crash(written))
+        let injected = state.fault.filter(|fault| fault.change == change);
+        match injected.map(|injected| injected.fault) {
+            None => Ok(()),
+            Some(Fault::NoSpace { bytes_written }) => Err(FailedChange::no_space(bytes_written)),
+            Some(Fault::Crash { bytes_written }) => {
+                state.has_crashed = true;
+                Err(FailedChange::crash(bytes_written))
             }
-            _ => Ok(()),
         }
     }
 
@@ -159,14 +188,15 @@
     }
 
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        let Err(FailedChange { written, error }) = self.change() else {
+        let Err(failed) = self.change() else {
             self.store(path, bytes);
             return Ok(());
         };
-        if written > 0 || !self.0.borrow().crashed {
-            self.store(path, &bytes[..written.min(bytes.len())]);
+        // A process that crashes before its first byte leaves the file as it was.
+        if failed.bytes_written > 0 || !self.0.borrow().has_crashed {
+            self.store(path, &bytes[..failed.bytes_written.min(bytes.len())]);
         }
-        Err(error)
+        Err(failed.error)
     }
 
     fn sync(&self, path: &Path) -> io::Result<()> {
--- a/crates/atomic-file/src/lib.rs
+++ b/crates/atomic-file/src/lib.rs
@@ -1,5 +1,7 @@
-//! Files replaced atomically. Every file of state that is not a journal is written by [`replace`]; tests use a
-//! [`faulty_disk::FaultyDisk`] in place of the disk, which fails, tears writes and loses power where they say.
+//! Atomic replacement of files. Every file of state that is not a journal is written by [`replace`].
+//!
+//! Tests use a [`faulty_disk::FaultyDisk`] in place of the [`LocalDisk`], with injected errors, short writes, crashes and
+//! losses of power.
 
 #![forbid(unsafe_code)]
 
@@ -9,46 +11,46 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The operations that a disk must offer.
+/// The operations of a disk.
 pub trait Disk {
-    /// The bytes of a file.
+    /// Reads a file.
     ///
     /// # Errors
-    /// As of [`std::fs::read`]; of kind `NotFound` where there is none.
+    /// Those of [`std::fs::read`]; the kind is `NotFound` if the file does not exist.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// Creates a folder and its parents, if need be.
+    /// Creates a folder and its parents if they do not exist.
     ///
     /// # Errors
-    /// As of [`std::fs::create_dir_all`].
+    /// Those of [`std::fs::create_dir_all`].
     fn create_folder(&self, folder: &Path) -> io::Result<()>;
 
-    /// Creates a file with these bytes, or replaces what it holds.
+    /// Creates a file with these bytes, or replaces its content.
     ///
     /// # Errors
-    /// As of [`std::fs::write`]; a part may have been written.
+    /// Those of [`std::fs::write`]; a part may have been written.
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
 
-    /// Returns once a file's bytes would survive a loss of power.
+    /// Returns once the bytes of a file survive a loss of power.
     ///
     /// # Errors
-    /// As of [`std::fs::File::sync_all`].
+    /// Those of [`std::fs::File::sync_all`].
     fn sync(&self, path: &Path) -> io::Result<()>;
 
-    /// Renames a file, replacing the one that had the name.
+    /// Renames a file, and replaces the one that has the new name.
     ///
     /// # Errors
-    /// As of [`std::fs::rename`].
+    /// Those of [`std::fs::rename`].
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Returns once the names in a folder would survive a loss of power.
+    /// Returns once the names in a folder survive a loss of power.
     ///
     /// # Errors
-    /// As of [`std::fs::File::sync_all`].
+    /// Those of [`std::fs::File::sync_all`].
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 }
 
-/// The machine's own file systems.
+/// The file systems of this machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalDisk;
 
@@ -78,24 +80,24 @@
     }
 }
 
-/// What the file survives with either its old or its new content, whole.
+/// What a replaced file survives. In each case it has either its old or its new content completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// The death of the process at any moment. After a loss of power the file may be torn: for what its reader checks
-    /// and can do without.
+    /// A crash of the process at any moment. After a loss of power the content may be incomplete, so this is for files
+    /// that readers check and can do without.
     ProcessDeath,
-    /// A loss of power too, but which of the two contents is left then is only sure once the folder is synced
-    /// ([`Disk::sync_folder`]): for what must not wait for that. Costs one sync.
+    /// A loss of power as well, but either content may be left until the folder is synced ([`Disk::sync_folder`]). For
+    /// callers that must not wait for that. Takes one sync.
     Atomic,
-    /// A loss of power too; once the call returns the new content is left. Costs two syncs.
+    /// A loss of power as well; the new content is left once the call has returned. Takes two syncs.
     PowerLoss,
 }
 
-/// Replaces a file: writes a new one beside it and renames that over it.
+/// Replaces the content of a file: writes a temporary file in the same folder and renames it.
 ///
 /// # Errors
-/// The first error of the disk. The file is then as it was, except if the folder could not be synced at the end: then it
-/// is the new one, and what a loss of power would leave is not known.
+/// The first error of the disk. The file is then unchanged, unless syncing its folder has failed: it has the new content
+/// then, but either content may be left by a loss of power.
 pub fn replace(
     disk: &impl Disk,
     path: &Path,
@@ -114,7 +116,7 @@
     }
 }
 
-/// Where a file is written before it takes its name: `applied.json.new` for `applied.json`.
+/// The path of the temporary file: `applied.json.new` for `applied.json`.
 fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.file_name().unwrap_or_default().to_owned();
     name.push(".new");
--- a/crates/atomic-file/tests/replace.rs
+++ b/crates/atomic-file/tests/replace.rs
@@ -1,25 +1,47 @@
-//! A file that is replaced, with a fault at each change of the disk and every loss of power after it.
+//! The replacement of a file, with a fault at each change of the disk and a restart after it.
 
 use marblefall_atomic_file::faulty_disk::{Fault, FaultyDisk, Unsynced};
 use marblefall_atomic_file::{replace, Disk, Durability};
 use std::path::Path;
 
-const OLD: &[u8] = b"what stood there before, and is longer";
-const NEW: &[u8] = b"what comes instead";
+const PATH: &str = "/home/state";
+const OLD: &[u8] = b"the old content, which is a bit longer";
+const NEW: &[u8] = b"the newest content";
 
-/// The old content in its place for good, and a fault at one of the changes that bring the new.
-fn replace_with_fault(durability: Durability, after: usize, fault: Fault) -> (FaultyDisk, bool) {
-    let (disk, path) = (FaultyDisk::new(), Path::new("/home/state"));
-    replace(&disk, path, OLD, Durability::PowerLoss).expect("no fault yet");
+/// The changes that a replacement makes at most.
+const CHANGES: usize = 4;
+
+/// A disk after a replacement with an injected fault.
+struct FaultyReplacement {
+    disk: FaultyDisk,
+    /// Whether the replacement succeeded.
+    is_done: bool,
+}
+
+/// Stores the old content durably, then replaces it by the new one with a fault at one of the changes.
+fn replace_with_fault(durability: Durability, after: usize, fault: Fault) -> FaultyReplacement {
+    let disk = FaultyDisk::new();
+    replace(&disk, Path::new(PATH), OLD, Durability::PowerLoss).expect("no fault yet");
     disk.inject_fault(after, fault);
-    let done = replace(&disk, path, NEW, durability).is_ok();
-    (disk, done)
+    let is_done = replace(&disk, Path::new(PATH), NEW, durability).is_ok();
+    FaultyReplacement { disk, is_done }
+}
+
+/// The content of the file after a restart.
+fn content_after_restart(disk: &FaultyDisk, unsynced: Unsynced) -> Vec<u8> {
+    let restarted = disk.after_restart(unsynced);
+    restarted.read(Path::new(PATH)).expect("the file exists")
 }
 
-/// A fault at each of the four changes, with each cut that a write can have.
+/// A fault at each of the changes, with each number of bytes that a write can have written.
 fn faults() -> impl Iterator<Item = (usize, Fault)> {
-    let cuts = (0..=NEW.len()).flat_map(|cut| [Fault::Fail(cut), Fault::Crash(cut)]);
-    cuts.flat_map(|fault| (0..4).map(move |after| (after, fault)))
+    let faults = (0..=NEW.len()).flat_map(|bytes_written| {
+        [
+            Fault::NoSpace { bytes_written },
+            Fault::Crash { bytes_written },
+        ]
+    });
+    faults.flat_map(|fault| (0..CHANGES).map(move |after| (after, fault)))
 }
 
 #[test]
@@ -30,15 +52,15 @@
         Durability::PowerLoss,
     ] {
         for (after, fault) in faults() {
-            let (disk, done) = replace_with_fault(durability, after, fault);
-            let left = disk
-                .after_restart(Unsynced::Survives)
-                .read(Path::new("/home/state"))
-                .expect("it is there");
-            assert!(left == OLD || left == NEW, "{fault:?} at {after}: {left:?}");
+            let FaultyReplacement { disk, is_done } = replace_with_fault(durability, after, fault);
+            let content = content_after_restart(&disk, Unsynced::Survives);
             assert!(
-                !done || left == NEW,
-                "{fault:?} at {after}: said to be done"
+                content == OLD || content == NEW,
+                "{fault:?} at {after}: {content:?}"
+            );
+            assert!(
+                !is_done || content == NEW,
+                "{fault:?} at {after}: reported as done"
             );
         }
     }
@@ -49,19 +71,17 @@
     for (after, fault) in faults() {
         for unsynced in [Unsynced::Survives, Unsynced::Lost, Unsynced::NamesSurvive] {
             for durability in [Durability::Atomic, Durability::PowerLoss] {
-                let (disk, done) = replace_with_fault(durability, after, fault);
-                let left = disk
-                    .after_restart(unsynced)
-                    .read(Path::new("/home/state"))
-                    .expect("it is there");
+                let FaultyReplacement { disk, is_done } =
+                    replace_with_fault(durability, after, fault);
+                let content = content_after_restart(&disk, unsynced);
                 assert!(
-                    left == OLD || left == NEW,
-                    "{fault:?} at {after}, {unsynced:?}: {left:?}"
+                    content == OLD || content == NEW,
+                    "{fault:?} at {after}, {unsynced:?}: {content:?}"
                 );
-                let sure = durability == Durability::PowerLoss && done;
+                let must_be_new = durability == Durability::PowerLoss && is_done;
                 assert!(
-                    !sure || left == NEW,
-                    "{fault:?} at {after}, {unsynced:?}: said to be done"
+                    !must_be_new || content == NEW,
+                    "{fault:?} at {after}, {unsynced:?}: reported as done"
                 );
             }
         }
@@ -70,35 +90,25 @@
 
 #[test]
 fn replacement_succeeds_after_the_disk_was_full() {
-    for (after, fault) in faults().filter(|(_, fault)| matches!(fault, Fault::Fail(_))) {
-        let (disk, _) = replace_with_fault(Durability::PowerLoss, after, fault);
-        replace(&disk, Path::new("/home/state"), NEW, Durability::PowerLoss)
-            .expect("there is room again");
-        assert_eq!(
-            disk.after_restart(Unsynced::Lost)
-                .read(Path::new("/home/state"))
-                .expect("it is there"),
-            NEW
-        );
+    let disk_full = faults().filter(|(_, fault)| matches!(fault, Fault::NoSpace { .. }));
+    for (after, fault) in disk_full {
+        let FaultyReplacement { disk, .. } =
+            replace_with_fault(Durability::PowerLoss, after, fault);
+        replace(&disk, Path::new(PATH), NEW, Durability::PowerLoss)
+            .expect("the disk has space again");
+        assert_eq!(content_after_restart(&disk, Unsynced::Lost), NEW);
     }
 }
 
-/// The disk itself: what is not synced is lost with the power.
+/// Checks the disk itself.
 #[test]
-fn unsynced_content_may_be_torn_or_lost() {
-    let (disk, path) = (FaultyDisk::new(), Path::new("/home/state"));
+fn unsynced_content_may_be_truncated_or_lost() {
+    let (disk, path) = (FaultyDisk::new(), Path::new(PATH));
     replace(&disk, path, NEW, Durability::ProcessDeath).expect("no fault");
     assert!(disk.after_restart(Unsynced::Lost).read(path).is_err());
     assert_eq!(
-        disk.after_restart(Unsynced::NamesSurvive)
-            .read(path)
-            .expect("the name is there"),
+        content_after_restart(&disk, Unsynced::NamesSurvive),
         &NEW[..NEW.len() / 2]
     );
-    assert_eq!(
-        disk.after_restart(Unsynced::Survives)
-            .read(path)
-            .expect("all is there"),
-        NEW
-    );
+    assert_eq!(content_after_restart(&disk, Unsynced::Survives), NEW);
 }
--- a/crates/delivery/tests/snapshot_store.rs
+++ b/crates/delivery/tests/snapshot_store.rs
@@ -22,7 +22,12 @@
 fn fault_at_any_write_leaves_a_whole_snapshot_or_none() {
     let folder = Path::new(FOLDER);
     let length = encode(&records(2)).len();
-    let faults = (0..=length).flat_map(|cut| [Fault::Fail(cut), Fault::Crash(cut)]);
+    let faults = (0..=length).flat_map(|bytes_written| {
+        [
+            Fault::NoSpace { bytes_written },
+            Fault::Crash { bytes_written },
+        ]
+    });
     for fault in faults {
         // One of them strikes the first snapshot, so that there is none before it.
         for after in 0..4 {
@@ -51,7 +56,7 @@
                 assert_eq!(read(reopened.disk(), folder).unwrap(), records(3));
             }
             // A disk that was full for a moment takes the same records when they come again.
-            if matches!(fault, Fault::Fail(_)) {
+            if matches!(fault, Fault::NoSpace { .. }) {
                 store.write(&new);
                 assert_eq!(read(store.disk(), folder).unwrap(), new);
             }
