--- a/crates/delivery/tests/idle_destinations.rs
+++ b/crates/delivery/tests/idle_destinations.rs
@@ -1,25 +1,33 @@
-//! Many idle destinations: only those in use are known to the scheduler, and what must not be forgotten of the others is
-//! kept.
+//! Many idle destinations: the scheduler is given only those in use, and the state of the others is stored compactly.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
 
-use common::{class, START_MS};
-use marblefall_delivery::core::destination_table::{
-    DestinationEntry, DestinationTable, EndpointEntry,
-};
-use marblefall_delivery::core::engine::{
-    AttemptResult, Engine, EngineCommand, EngineEvent, EngineSettings,
+use common::destinations::{event_submission, table_replaced, TableSpec};
+use common::{
+    attempt_finished_after, engine_settings, folder as temporary_folder, started_attempts,
+    timestamp, START_MS,
 };
+use marblefall_delivery::core::engine::{Engine, EngineCommand, EngineEvent, EngineSettings};
 use marblefall_delivery::core::message_store::MessageStore;
-use marblefall_delivery::core::{
-    Disposition, Message, Origin, RequestId, SubmitResponse, Timestamp,
+use marblefall_delivery::core::{MessageId, SubmitResponse, Timestamp};
+use marblefall_scheduler::{
+    DestinationId, Idempotency, Limits, Outcome, RateHints, Rules, Span, Time,
 };
-use marblefall_scheduler::*;
-use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::sync::Arc;
+
+/// The maximum size of the journal, in bytes.
+const MAX_BYTES: u64 = 64_000_000;
+
+/// This many destinations, all at one port.
+fn table(count: u64, port: u16) -> TableSpec {
+    TableSpec {
+        count,
+        port,
+        rate: 50.0,
+    }
+}
 
 fn settings() -> EngineSettings {
     let limits = Limits {
@@ -38,120 +46,56 @@
         overload_window: Span::from_ms(2000.0),
         ..Rules::default()
     };
-    let settings = Settings {
-        classes: vec![class(Idempotency::Idempotent)],
-        kinds: vec![DestinationKind {
-            separate_routes: false,
-            max_batch: 1,
-        }],
-        value_decay: ValueDecay::Linear,
-        limits,
-        rules,
-        rate_hints: RateHints::Approximate,
-        instances: 1,
-        ..Settings::default()
-    };
-    EngineSettings {
-        scheduler: settings,
-        seed: 1,
-        retention_ms: vec![60_000],
-        max_remembered: 100,
-    }
-}
-
-/// So many destinations with an endpoint each, all at one port.
-fn destination_table(count: u64, port: u16) -> Arc<DestinationTable> {
-    let mut destination_table = DestinationTable::default();
-    for number in 0..count {
-        let (name, endpoint_name) = (format!("clinic-{number}"), format!("clinic-{number}-1"));
-        let address = SocketAddr::from(([127, 0, 0, 1], port));
-        let entry = DestinationEntry {
-            name: &name,
-            id: DestinationId(number),
-            encoding: 0,
-            rate: 50.0,
-            from_list: false,
-        };
-        let endpoint = EndpointEntry {
-            name: &endpoint_name,
-            address,
-            weight: None,
-            active: true,
-        };
-        destination_table
-            .add(entry, std::iter::once(endpoint))
-            .unwrap();
-    }
-    Arc::new(destination_table.build())
+    let mut settings = engine_settings(&[Idempotency::Idempotent], limits);
+    settings.scheduler.rules = rules;
+    settings.scheduler.rate_hints = RateHints::Approximate;
+    settings.retention_ms = vec![60_000];
+    settings.max_remembered = 100;
+    settings
 }
 
+/// An engine beside many destinations. Times are in milliseconds after its start.
 struct Fixture {
     engine: Engine,
-    dir: PathBuf,
-    next: u64,
+    folder: PathBuf,
+    /// The number of the last submission.
+    last_number: u64,
 }
 
 impl Drop for Fixture {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.dir);
+        let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 impl Fixture {
-    fn new(name: &str, count: u64) -> Fixture {
-        let dir =
-            std::env::temp_dir().join(format!("marblefall-idle-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&dir);
-        let store = MessageStore::open(&dir, 64_000_000, vec!["free".to_owned()]).unwrap();
-        let now = Timestamp {
-            monotonic: Time(0),
-            unix_ms: START_MS,
-        };
+    /// Starts an engine that is given a table of destinations.
+    fn start(name: &str, count: u64) -> Fixture {
+        let folder = temporary_folder(&format!("idle-{name}"));
+        let store = MessageStore::open(&folder, MAX_BYTES, vec!["free".to_owned()]).unwrap();
         let mut fixture = Fixture {
-            engine: Engine::new(settings(), store, now, &mut Vec::new()),
-            dir,
-            next: 0,
+            engine: Engine::new(settings(), store, timestamp(0), &mut Vec::new()),
+            folder,
+            last_number: 0,
         };
-        assert!(
-            fixture
-                .step(
-                    0,
-                    vec![EngineEvent::DestinationTableReplaced(destination_table(
-                        count, 1
-                    ))]
-                )
-                .is_empty(),
-            "nothing is in use yet"
-        );
+        let commands = fixture.step(0, vec![table_replaced(table(count, 1))]);
+        assert!(commands.is_empty(), "no destination is in use yet");
         fixture
     }
 
     fn step(&mut self, ms: i64, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
         let mut commands = Vec::new();
-        let now = Timestamp {
-            monotonic: Time(ms * 1000),
-            unix_ms: START_MS + ms,
-        };
-        self.engine.step(now, events, &mut commands);
+        self.engine.step(timestamp(ms), events, &mut commands);
         commands
     }
 
-    fn submit(&mut self, ms: i64, destination: u64) -> EngineEvent {
-        self.next += 1;
-        let message = Message {
-            origin: Origin::CloudEvents,
-            identity: self.next.to_string().into_bytes(),
-            idempotency_key: None,
-            class: ClassId(0),
-            destination: DestinationId(destination),
-            expires_ms: START_MS + ms + 20_000,
-            attributes: Vec::new(),
-            body: Vec::new(),
-        };
-        EngineEvent::Submitted(RequestId(self.next), message)
+    /// The next submission of an event for a destination.
+    fn submission(&mut self, ms: i64, destination: u64) -> EngineEvent {
+        self.last_number += 1;
+        event_submission(ms, self.last_number, DestinationId(destination))
     }
 
-    /// Lets seconds pass without events, so that idle destinations are found.
+    /// Steps the engine every second without events, so that idle destinations are compacted.
     fn pass_time(&mut self, from_ms: i64, to_ms: i64) -> Vec<EngineCommand> {
         (from_ms / 1000..=to_ms / 1000)
             .flat_map(|second| self.step(second * 1000, Vec::new()))
@@ -159,71 +103,99 @@
     }
 }
 
-fn started_attempts(commands: &[EngineCommand]) -> Vec<(MessageId, u32)> {
-    let started = |command: &EngineCommand| match command {
-        EngineCommand::StartAttempt(request) => Some((request.message_id, request.attempt)),
-        _ => None,
-    };
-    commands.iter().filter_map(started).collect()
+/// How commands change the listed endpoints.
+#[derive(Debug, Default, PartialEq)]
+struct EndpointChanges {
+    /// The names of those that were listed, or listed differently.
+    listed: Vec<String>,
+    /// How many were removed.
+    removed: usize,
 }
 
-/// The names of the endpoints that were listed, and how many were removed.
-fn endpoints(commands: &[EngineCommand]) -> (Vec<&str>, usize) {
-    let listed = commands.iter().filter_map(|command| match command {
-        EngineCommand::EndpointListed(_, endpoint) => Some(endpoint.name.as_str()),
-        _ => None,
-    });
-    (
-        listed.collect(),
-        commands
-            .iter()
-            .filter(|command| matches!(command, EngineCommand::EndpointRemoved(_)))
-            .count(),
-    )
+impl EndpointChanges {
+    fn of(commands: &[EngineCommand]) -> EndpointChanges {
+        let mut changes = EndpointChanges::default();
+        for command in commands {
+            match command {
+                EngineCommand::EndpointListed(_, endpoint) => {
+                    changes.listed.push(endpoint.name.clone());
+                }
+                EngineCommand::EndpointRemoved(_) => changes.removed += 1,
+                _ => {}
+            }
+        }
+        changes
+    }
+
+    fn none() -> EndpointChanges {
+        EndpointChanges::default()
+    }
+
+    fn listed(name: &str) -> EndpointChanges {
+        EndpointChanges {
+            listed: vec![name.to_owned()],
+            removed: 0,
+        }
+    }
+
+    fn removed(count: usize) -> EndpointChanges {
+        EndpointChanges {
+            listed: Vec::new(),
+            removed: count,
+        }
+    }
 }
 
+/// The result of an attempt that was in flight for 10 ms.
 fn attempt_finished((id, attempt): (MessageId, u32), outcome: Outcome) -> EngineEvent {
-    let (duration, disposition, report) = (
-        Span::from_ms(10.0),
-        Disposition::Undecided,
-        RateLimitReport::default(),
-    );
-    EngineEvent::AttemptFinished(AttemptResult {
-        message_id: id,
-        attempt,
-        outcome,
-        duration,
-        disposition,
-        rate_limit: report,
-    })
+    attempt_finished_after(Span::from_ms(10.0), id, attempt, outcome)
 }
 
 #[test]
 fn destination_is_active_only_while_in_use() {
-    let mut fixture = Fixture::new("use", 1000);
-    let submission = fixture.submit(100, 5);
+    let mut fixture = Fixture::start("use", 1000);
+    let submission = fixture.submission(100, 5);
     let commands = fixture.step(100, vec![submission]);
-    assert_eq!(endpoints(&commands), (vec!["clinic-5-1"], 0));
+    assert_eq!(
+        EndpointChanges::of(&commands),
+        EndpointChanges::listed("clinic-5-1")
+    );
     let started = started_attempts(&commands)[0];
     fixture.step(110, vec![attempt_finished(started, Outcome::Delivered)]);
-    // Used again in time, it stays; then it is compacted, and comes back with the next message.
-    let submission = fixture.submit(20_000, 5);
+    // It stays active when it is used again, is compacted when idle, and becomes active with the next message.
+    let submission = fixture.submission(20_000, 5);
     let commands = fixture.step(20_000, vec![submission]);
-    assert_eq!(endpoints(&commands), (vec![], 0));
+    assert_eq!(EndpointChanges::of(&commands), EndpointChanges::none());
     let started = started_attempts(&commands)[0];
     fixture.step(20_010, vec![attempt_finished(started, Outcome::Delivered)]);
-    assert_eq!(endpoints(&fixture.pass_time(20_000, 49_000)), (vec![], 0));
-    assert_eq!(endpoints(&fixture.pass_time(50_000, 52_000)), (vec![], 1));
-    assert_eq!(fixture.engine.next_wake(), None, "nothing is left to check");
-    let submission = fixture.submit(90_000, 5);
+    assert_eq!(
+        EndpointChanges::of(&fixture.pass_time(20_000, 49_000)),
+        EndpointChanges::none()
+    );
+    assert_eq!(
+        EndpointChanges::of(&fixture.pass_time(50_000, 52_000)),
+        EndpointChanges::removed(1)
+    );
+    assert_eq!(
+        fixture.engine.next_wake(),
+        None,
+        "there is no destination left to check"
+    );
+    let submission = fixture.submission(90_000, 5);
     let commands = fixture.step(90_000, vec![submission]);
     assert_eq!(
-        (endpoints(&commands).0, started_attempts(&commands).len()),
-        (vec!["clinic-5-1"], 1)
+        (
+            EndpointChanges::of(&commands).listed,
+            started_attempts(&commands).len()
+        ),
+        (vec!["clinic-5-1".to_owned()], 1)
+    );
+    // A destination with a message in flight stays active.
+    assert_eq!(
+        EndpointChanges::of(&fixture.pass_time(91_000, 135_000)),
+        EndpointChanges::none()
     );
-    // One that waits for its attempt is in use however long that takes.
-    assert_eq!(endpoints(&fixture.pass_time(91_000, 135_000)), (vec![], 0));
-    let unknown = fixture.submit(136_000, 1000);
+    let unknown = fixture.submission(136_000, 1000);
     let commands = fixture.step(136_000, vec![unknown]);
     assert!(
         matches!(
@@ -236,8 +208,8 @@
 
 #[test]
 fn backoff_survives_an_idle_period() {
-    let mut fixture = Fixture::new("wait", 10);
-    let submission = fixture.submit(0, 3);
+    let mut fixture = Fixture::start("backoff", 10);
+    let submission = fixture.submission(0, 3);
     let started = started_attempts(&fixture.step(0, vec![submission]))[0];
     fixture.step(
         10,
@@ -249,122 +221,122 @@
         )],
     );
     assert_eq!(
-        endpoints(&fixture.pass_time(1000, 40_000)).1,
+        EndpointChanges::of(&fixture.pass_time(1000, 40_000)).removed,
         1,
         "it is compacted"
     );
-    let submission = fixture.submit(41_000, 3);
+    let submission = fixture.submission(41_000, 3);
     assert!(started_attempts(&fixture.step(41_000, vec![submission])).is_empty());
     assert!(
         started_attempts(&fixture.pass_time(42_000, 60_000)).is_empty(),
-        "not before the backoff ends"
+        "no attempt starts before the backoff ends"
     );
-    let submission = fixture.submit(60_009, 3);
+    let submission = fixture.submission(60_009, 3);
     assert!(started_attempts(&fixture.step(60_009, vec![submission])).is_empty());
     let commands = fixture.pass_time(61_000, 66_000);
     assert_eq!(
         started_attempts(&commands).len(),
         1,
-        "one trial once the backoff is over"
+        "one trial call after the backoff"
     );
 }
 
 #[test]
-fn outage_is_remembered_while_its_destination_is_idle() {
-    let mut fixture = Fixture::new("outage", 10);
-    let mut now = 0;
-    let mut out = Vec::new();
-    let submission = fixture.submit(0, 3);
-    out.extend(started_attempts(&fixture.step(0, vec![submission])));
-    // Nobody responds there: every attempt fails until its message expires.
-    while now < 30_000 {
-        now += 10;
-        let failed = out
+fn ejection_survives_an_idle_period() {
+    let mut fixture = Fixture::start("ejection", 10);
+    let mut now_ms = 0;
+    let mut started = Vec::new();
+    let submission = fixture.submission(0, 3);
+    started.extend(started_attempts(&fixture.step(0, vec![submission])));
+    // No connection is established, so every attempt fails until the message expires.
+    while now_ms < 30_000 {
+        now_ms += 10;
+        let failed = started
             .drain(..)
-            .map(|started| attempt_finished(started, Outcome::ConnectFailed))
+            .map(|attempt| attempt_finished(attempt, Outcome::ConnectFailed))
             .collect();
-        let commands = fixture.step(now, failed);
-        out.extend(started_attempts(&commands));
+        let commands = fixture.step(now_ms, failed);
+        started.extend(started_attempts(&commands));
     }
-    assert!(out.is_empty());
+    assert!(started.is_empty());
     assert_eq!(
-        endpoints(&fixture.pass_time(31_000, 62_000)).1,
+        EndpointChanges::of(&fixture.pass_time(31_000, 62_000)).removed,
         1,
         "it is compacted"
     );
-    let burst: Vec<EngineEvent> = (0..10).map(|_| fixture.submit(70_000, 3)).collect();
+    let burst: Vec<EngineEvent> = (0..10).map(|_| fixture.submission(70_000, 3)).collect();
     let commands = fixture.step(70_000, burst);
     assert_eq!(
         started_attempts(&commands).len(),
         1,
-        "a trial, where one that is not known to be down gets two"
+        "an ejected destination receives one trial call, others two"
     );
-    let submission: Vec<EngineEvent> = (0..10).map(|_| fixture.submit(70_001, 4)).collect();
+    let submission: Vec<EngineEvent> = (0..10).map(|_| fixture.submission(70_001, 4)).collect();
     assert_eq!(started_attempts(&fixture.step(70_001, submission)).len(), 2);
 }
 
 #[test]
 fn ten_thousand_destinations_are_served_and_compacted() {
-    const ALL: u64 = 10_000;
-    let mut fixture = Fixture::new("each", ALL);
-    let (mut out, mut delivered, mut listed, mut now) = (Vec::new(), 0, 0, 0);
-    while delivered < ALL {
-        now += 1;
-        assert!(now < 20_000, "{delivered} delivered");
-        let mut events: Vec<EngineEvent> = std::mem::take(&mut out)
+    const COUNT: u64 = 10_000;
+    let mut fixture = Fixture::start("many", COUNT);
+    let (mut started, mut delivered, mut listed, mut now_ms) = (Vec::new(), 0, 0, 0);
+    while delivered < COUNT {
+        now_ms += 1;
+        assert!(now_ms < 20_000, "{delivered} delivered");
+        let mut events: Vec<EngineEvent> = std::mem::take(&mut started)
             .into_iter()
-            .map(|started| attempt_finished(started, Outcome::Delivered))
+            .map(|attempt| attempt_finished(attempt, Outcome::Delivered))
             .collect();
         delivered += events.len() as u64;
-        let first = (now as u64 - 1) * ALL / 1000;
-        let last = (now as u64 * ALL / 1000).min(ALL);
-        events.extend((first..last).map(|to| fixture.submit(now, to)));
-        let commands = fixture.step(now, events);
-        listed += endpoints(&commands).0.len() as u64;
-        out = started_attempts(&commands);
+        let first = (now_ms as u64 - 1) * COUNT / 1000;
+        let last = (now_ms as u64 * COUNT / 1000).min(COUNT);
+        events.extend((first..last).map(|id| fixture.submission(now_ms, id)));
+        let commands = fixture.step(now_ms, events);
+        listed += EndpointChanges::of(&commands).listed.len() as u64;
+        started = started_attempts(&commands);
     }
-    assert_eq!(listed, ALL);
-    // They are removed a few at a time.
-    let (mut removed, mut at) = (0, now);
-    while removed < ALL as usize {
-        at += 20;
-        assert!(at < now + 60_000, "{removed} removed");
-        let some = endpoints(&fixture.step(at, Vec::new())).1;
-        assert!(some <= 16, "{some} at once");
-        removed += some;
+    assert_eq!(listed, COUNT);
+    // They are compacted a few at a time.
+    let (mut removed, mut ms) = (0, now_ms);
+    while removed < COUNT as usize {
+        ms += 20;
+        assert!(ms < now_ms + 60_000, "{removed} removed");
+        let removed_now = EndpointChanges::of(&fixture.step(ms, Vec::new())).removed;
+        assert!(removed_now <= 16, "{removed_now} at once");
+        removed += removed_now;
     }
 }
 
 #[test]
 fn new_destination_table_updates_active_destinations_only() {
-    let mut fixture = Fixture::new("table", 100);
-    let submissions = vec![fixture.submit(0, 1), fixture.submit(0, 99)];
-    let out = started_attempts(&fixture.step(0, submissions));
-    let commands = fixture.step(
-        5,
-        vec![EngineEvent::DestinationTableReplaced(destination_table(
-            99, 2,
-        ))],
+    let mut fixture = Fixture::start("table", 100);
+    let submissions = vec![fixture.submission(0, 1), fixture.submission(0, 99)];
+    let started = started_attempts(&fixture.step(0, submissions));
+    let commands = fixture.step(5, vec![table_replaced(table(99, 2))]);
+    let changes = EndpointChanges::of(&commands);
+    assert_eq!(
+        (changes.listed.len(), changes.removed),
+        (2, 1),
+        "{commands:?}"
     );
-    let (listed, removed) = endpoints(&commands);
-    assert_eq!((listed.len(), removed), (2, 1), "{commands:?}");
     let moved = commands.iter().any(
         |command| matches!(command, EngineCommand::EndpointListed(_, endpoint) if endpoint.address == "127.0.0.1:2"),
     );
     assert!(moved, "{commands:?}");
-    // What is in flight to a removed one may still succeed; nothing new is sent there.
+    // Of the two attempts that fail, only the one to the endpoint that is still listed is retried.
     let commands = fixture.step(
         10,
-        out.into_iter()
-            .map(|started| attempt_finished(started, Outcome::Reset))
+        started
+            .into_iter()
+            .map(|attempt| attempt_finished(attempt, Outcome::Reset))
             .collect(),
     );
     assert_eq!(
         started_attempts(&commands).len(),
         1,
-        "the one that is still listed is retried"
+        "one message is retried"
     );
-    let submission = fixture.submit(20, 99);
+    let submission = fixture.submission(20, 99);
     assert!(matches!(
         fixture.step(20, vec![submission])[0],
         EngineCommand::Respond(_, SubmitResponse::Rejected { .. })
@@ -372,15 +344,15 @@
 }
 
 #[test]
-fn outage_outlasts_the_process_and_backoff_does_not() {
-    let mut fixture = Fixture::new("records", 10);
+fn ejection_survives_a_restart_but_backoff_does_not() {
+    let mut fixture = Fixture::start("records", 10);
     let submissions = vec![
-        fixture.submit(0, 3),
-        fixture.submit(0, 4),
-        fixture.submit(0, 5),
+        fixture.submission(0, 3),
+        fixture.submission(0, 4),
+        fixture.submission(0, 5),
     ];
-    let out = started_attempts(&fixture.step(0, submissions));
-    let ends = [
+    let started = started_attempts(&fixture.step(0, submissions));
+    let outcomes = [
         Outcome::Delivered,
         Outcome::Rejected {
             retry_after: Some(Span::from_ms(60_000.0)),
@@ -389,16 +361,13 @@
     ];
     fixture.step(
         10,
-        out.iter()
-            .zip(ends)
-            .map(|(started, outcome)| attempt_finished(*started, outcome))
+        started
+            .iter()
+            .zip(outcomes)
+            .map(|(attempt, outcome)| attempt_finished(*attempt, outcome))
             .collect(),
     );
-    let at = |ms: i64| Timestamp {
-        monotonic: Time(ms * 1000),
-        unix_ms: START_MS + ms,
-    };
-    let records = fixture.engine.destination_records(at(20));
+    let records = fixture.engine.destination_records(timestamp(20));
     assert_eq!(
         records
             .iter()
@@ -411,25 +380,25 @@
         (records[1].ejected_since_ms, records[0].ejected_since_ms),
         (Some(START_MS + 10), None)
     );
-    // The next incarnation's clock was set back an hour.
-    for (name, shift) in [("later", 0), ("set-back", -3_600_000)] {
-        let mut next = Fixture::new(name, 10);
+    // The clock of one of the next incarnations was set back by an hour.
+    for (name, shift_ms) in [("later", 0), ("set-back", -3_600_000)] {
+        let mut next = Fixture::start(name, 10);
         let now = Timestamp {
             monotonic: Time(0),
-            unix_ms: START_MS + shift,
+            unix_ms: START_MS + shift_ms,
         };
         next.engine.restore_destinations(now, &records);
-        let submissions: Vec<EngineEvent> = (0..6).map(|_| next.submit(100, 4)).collect();
+        let submissions: Vec<EngineEvent> = (0..6).map(|_| next.submission(100, 4)).collect();
         assert_eq!(
             started_attempts(&next.step(100, submissions)).len(),
             1,
-            "{name}: the backoff is over, the outage is not"
+            "{name}: the backoff has ended, the ejection has not"
         );
-        let submissions: Vec<EngineEvent> = (0..6).map(|_| next.submit(101, 3)).collect();
+        let submissions: Vec<EngineEvent> = (0..6).map(|_| next.submission(101, 3)).collect();
         assert_eq!(
             started_attempts(&next.step(101, submissions)).len(),
             6,
-            "{name}: a healthy one needs no trial"
+            "{name}: a healthy destination needs no trial call"
         );
     }
 }
--- a/crates/delivery/tests/journal_replay.rs
+++ b/crates/delivery/tests/journal_replay.rs
@@ -1,10 +1,10 @@
-//! What a restart reads back is what the process knew, however often the journal was compacted on the way.
+//! A restart restores the messages that the process had, however often the journal was compacted.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
 
-use common::folder;
+use common::folder as temporary_folder;
 use marblefall_delivery::core::message_record::AttemptRecord;
 use marblefall_delivery::core::message_store::MessageStore;
 use marblefall_delivery::core::{FinalOutcome, Message, MessageId, Origin};
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Small, so that the journal is compacted every few thousand records, and messages live through that.
+/// The maximum size of the journal, in bytes. It is compacted every few thousand records, while messages are open.
 const DISK: u64 = 800_000;
 const STEPS: usize = 60_000;
 const STEPS_BETWEEN_CHECKS: usize = 1500;
@@ -38,8 +38,8 @@
     }
 }
 
-/// What a process would read that started now.
-fn read_back(folder: &Path) -> MessageStore {
+/// The store of a process that is started now.
+fn restart(folder: &Path) -> MessageStore {
     let copy = folder.with_extension("copy");
     let _ = std::fs::remove_dir_all(&copy);
     std::fs::create_dir_all(&copy).unwrap();
@@ -50,11 +50,11 @@
     MessageStore::open(&copy, DISK, vec!["status".to_owned()]).unwrap()
 }
 
-/// A compaction within the note of an attempt copied the attempt, and the note behind it was read as a second one: the
-/// first counted as one that may have been executed, and its message was never repeated.
+/// A compaction while an attempt is journalled must not count the attempt twice: the first would be recorded as possibly
+/// executed, and its message would never be retried.
 #[test]
-fn replayed_messages_are_what_the_process_knew() {
-    let folder = folder("replay");
+fn replay_restores_the_messages_in_memory() {
+    let folder = temporary_folder("replay");
     let mut store = MessageStore::open(&folder, DISK, vec!["status".to_owned()]).unwrap();
     let mut random = fastrand::Rng::with_seed(11);
     let mut open: Vec<MessageId> = Vec::new();
@@ -65,21 +65,21 @@
             store.accept(id, message(number), None).unwrap();
             open.push(id);
         }
-        let at = random.usize(..open.len());
-        let id = open[at];
+        let index = random.usize(..open.len());
+        let id = open[index];
         store.attempt_started(id, attempt(step as i64)).unwrap();
         match random.u16(..2000) {
             0 => {
                 store.finish(id, FinalOutcome::Delivered, false, 0).unwrap();
                 store.forget(id).unwrap();
-                open.swap_remove(at);
+                open.swap_remove(index);
             }
             1..=10 => store.attempt_finished(id, true).unwrap(),
             _ => store.attempt_finished(id, false).unwrap(),
         }
         if step % STEPS_BETWEEN_CHECKS == 0 {
-            let again = read_back(&folder);
-            assert_eq!(again.messages(), store.messages(), "after step {step}");
+            let restarted = restart(&folder);
+            assert_eq!(restarted.messages(), store.messages(), "after step {step}");
         }
     }
 }
--- /dev/null
+++ b/crates/delivery/tests/restart_histories.rs
@@ -0,0 +1,421 @@
+//! Random histories of an instance whose incarnations start, hand over and are killed, from fixed seeds.
+
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
+
+mod common;
+
+use common::incarnation::{
+    is_accepted, message, TestIncarnation, KEYED_CLASS, NON_IDEMPOTENT_CLASS,
+};
+use common::{attempt_finished, folder as temporary_folder};
+use marblefall_delivery::core::engine::{AttemptRequest, EngineCommand, EngineEvent};
+use marblefall_delivery::core::journal::latest;
+use marblefall_delivery::core::{FinalOutcome, MessageId, RequestId};
+use marblefall_scheduler::{Outcome, Span};
+use std::collections::BTreeMap;
+use std::fs;
+use std::path::PathBuf;
+
+/// The length of one step of a history.
+const STEP_MS: i64 = 10;
+/// When the last message is submitted.
+const LAST_SUBMISSION_MS: i64 = 8000;
+/// When the last incarnation starts, hands over or is killed.
+const LAST_RESTART_MS: i64 = 9000;
+/// When a history ends.
+const END_MS: i64 = 40_000;
+/// Attempts are shorter than this.
+const MAX_ATTEMPT_MS: i64 = 400;
+/// The deduplication window of [`common::KEYED`].
+const DEDUPLICATION_WINDOW_MS: i64 = 6000;
+
+/// An attempt in flight.
+struct InFlightAttempt {
+    id: MessageId,
+    attempt: u32,
+    message: String,
+    by: Role,
+    ends_ms: i64,
+}
+
+/// One of the two incarnations that run at a time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Role {
+    Predecessor,
+    Successor,
+}
+
+/// A history of one instance and its destination, in which incarnations start, hand over and are killed at random. The
+/// instance is checked against what its destination and its clients have recorded.
+struct RestartHistory {
+    folder: PathBuf,
+    rng: fastrand::Rng,
+    /// The active incarnation, or the one that has handed over to the successor.
+    predecessor: Option<TestIncarnation>,
+    /// The standby, or the incarnation that has taken over from the predecessor.
+    successor: Option<TestIncarnation>,
+    successor_is_active: bool,
+    ms: i64,
+    in_flight: Vec<InFlightAttempt>,
+    /// When each message was executed at the destination.
+    executions: BTreeMap<String, Vec<i64>>,
+    /// The classes of the messages that were accepted.
+    accepted_messages: BTreeMap<String, usize>,
+    /// The final outcomes of which notices were sent.
+    notices: BTreeMap<String, FinalOutcome>,
+    backoff_until_ms: i64,
+    next_number: usize,
+    trace: Vec<String>,
+}
+
+impl RestartHistory {
+    fn new(seed: u64) -> RestartHistory {
+        let folder = temporary_folder(&format!("history-{seed}"));
+        let (predecessor, _) = TestIncarnation::start_alone(&folder, 0);
+        RestartHistory {
+            folder,
+            rng: fastrand::Rng::with_seed(seed),
+            predecessor: Some(predecessor),
+            successor: None,
+            successor_is_active: false,
+            ms: 0,
+            in_flight: Vec::new(),
+            executions: BTreeMap::new(),
+            accepted_messages: BTreeMap::new(),
+            notices: BTreeMap::new(),
+            backoff_until_ms: 0,
+            next_number: 0,
+            trace: Vec::new(),
+        }
+    }
+
+    fn record(&mut self, what: impl Into<String>) {
+        self.trace.push(format!("{:5} {}", self.ms, what.into()));
+    }
+
+    /// Executes the commands of an incarnation. Violations of invariants are panics, after which the trace is printed.
+    fn execute(&mut self, commands: Vec<EngineCommand>, by: Role) {
+        for command in commands {
+            match command {
+                EngineCommand::StartAttempt(AttemptRequest {
+                    message_id: id,
+                    attempt,
+                    message,
+                    ..
+                }) => {
+                    let name = String::from_utf8(message.identity.clone()).unwrap();
+                    self.record(format!("attempt {attempt} of {name} by {by:?}"));
+                    assert!(
+                        !self.in_flight.iter().any(|attempt| attempt.message == name),
+                        "two attempts of {name} in flight"
+                    );
+                    assert!(
+                        self.ms >= self.backoff_until_ms,
+                        "an attempt is sent during a backoff"
+                    );
+                    let duration = self.rng.i64(5..MAX_ATTEMPT_MS);
+                    self.in_flight.push(InFlightAttempt {
+                        id,
+                        attempt,
+                        message: name,
+                        by,
+                        ends_ms: self.ms + duration,
+                    });
+                }
+                EngineCommand::SendNotice {
+                    message, outcome, ..
+                } => {
+                    let name = String::from_utf8(message.identity.clone()).unwrap();
+                    self.record(format!("notice of {name}: {outcome:?}"));
+                    self.notices.insert(name, outcome);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn step(&mut self, by: Role, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
+        let incarnation = match by {
+            Role::Predecessor => self.predecessor.as_mut(),
+            Role::Successor => self.successor.as_mut(),
+        };
+        incarnation.map_or_else(Vec::new, |incarnation| incarnation.step(self.ms, events))
+    }
+
+    fn run(&mut self, by: Role, events: Vec<EngineEvent>) {
+        let commands = self.step(by, events);
+        self.execute(commands, by);
+    }
+
+    /// The successor takes the predecessor's place once that has exited.
+    fn promote_successor(&mut self) {
+        if self.predecessor.is_none() && self.successor.is_some() && self.successor_is_active {
+            self.predecessor = self.successor.take();
+            self.successor_is_active = false;
+            self.in_flight
+                .iter_mut()
+                .for_each(|attempt| attempt.by = Role::Predecessor);
+        }
+    }
+
+    fn kill_predecessor(&mut self) {
+        let Some(predecessor) = self.predecessor.take() else {
+            return;
+        };
+        self.record("the predecessor is killed");
+        self.lose_attempts(Role::Predecessor);
+        let generation = predecessor.generation;
+        drop(predecessor);
+        match (self.successor.is_some(), self.successor_is_active) {
+            (true, true) => self.run(
+                Role::Successor,
+                vec![EngineEvent::PredecessorExited(generation)],
+            ),
+            (true, false) => {
+                self.successor_is_active = true;
+                self.run(
+                    Role::Successor,
+                    vec![EngineEvent::TakeOver {
+                        running: vec![],
+                        first_concurrent: Some(generation),
+                    }],
+                );
+            }
+            (false, _) => {
+                let (incarnation, commands) = TestIncarnation::start_alone(&self.folder, self.ms);
+                self.record("another one starts alone");
+                // A restart ends a backoff.
+                self.backoff_until_ms = 0;
+                self.predecessor = Some(incarnation);
+                self.execute(commands, Role::Predecessor);
+            }
+        }
+        self.promote_successor();
+    }
+
+    /// Ends the attempts of a killed incarnation: each is executed at the destination or not, and has no result.
+    fn lose_attempts(&mut self, by: Role) {
+        let (lost, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(|attempt| attempt.by == by);
+        self.in_flight = remaining;
+        for attempt in lost {
+            if self.rng.bool() {
+                let executions = self.executions.entry(attempt.message).or_default();
+                executions.push(self.ms);
+            }
+        }
+    }
+
+    fn kill_successor(&mut self) {
+        if self.successor.is_none() {
+            return;
+        }
+        self.record("the successor is killed");
+        self.lose_attempts(Role::Successor);
+        let was_active = std::mem::take(&mut self.successor_is_active);
+        self.successor = None;
+        if was_active {
+            // The predecessor has handed over and exits. A third incarnation recovers the messages of both.
+            self.lose_attempts(Role::Predecessor);
+            self.predecessor = None;
+            let (incarnation, commands) = TestIncarnation::start_alone(&self.folder, self.ms);
+            self.record("a third one starts alone");
+            self.backoff_until_ms = 0;
+            self.predecessor = Some(incarnation);
+            self.execute(commands, Role::Predecessor);
+        } else {
+            let claimed = latest(&self.folder).unwrap().next();
+            self.run(Role::Predecessor, vec![EngineEvent::StandbyExited(claimed)]);
+            self.predecessor
+                .iter_mut()
+                .for_each(|predecessor| predecessor.generation = claimed);
+        }
+    }
+
+    fn finish_attempts(&mut self) {
+        let ms = self.ms;
+        while let Some(at) = self
+            .in_flight
+            .iter()
+            .position(|attempt| attempt.ends_ms <= ms)
+        {
+            let InFlightAttempt {
+                id,
+                attempt,
+                message: name,
+                by,
+                ..
+            } = self.in_flight.remove(at);
+            let outcome = match self.rng.u8(0..10) {
+                0 => Outcome::Error,
+                1 => Outcome::Reset,
+                2 => Outcome::Rejected {
+                    retry_after: Some(Span::from_ms(self.rng.i64(100..900) as f64)),
+                },
+                3 => Outcome::ConnectFailed,
+                _ => Outcome::Delivered,
+            };
+            let is_executed = match outcome {
+                Outcome::Delivered => true,
+                Outcome::Error | Outcome::Reset => self.rng.bool(),
+                _ => false,
+            };
+            if is_executed {
+                self.executions.entry(name.clone()).or_default().push(ms);
+            }
+            if let Outcome::Rejected {
+                retry_after: Some(retry_after),
+            } = outcome
+            {
+                self.backoff_until_ms = self.backoff_until_ms.max(ms + retry_after.0 / 1000);
+            }
+            self.record(format!(
+                "attempt of {name} ends: {outcome:?}, executed: {is_executed}"
+            ));
+            self.run(by, vec![attempt_finished(id, attempt, outcome)]);
+            if by == Role::Predecessor && self.successor_is_active {
+                // The successor polls the journal before anything else happens.
+                self.run(Role::Successor, vec![EngineEvent::FollowPredecessors]);
+            }
+        }
+    }
+
+    fn submit_message(&mut self) {
+        let (name, class) = (format!("m{}", self.next_number), self.next_number % 3);
+        self.next_number += 1;
+        let to_predecessor =
+            self.successor.is_none() || self.predecessor.is_some() && self.rng.bool();
+        let to = if to_predecessor {
+            Role::Predecessor
+        } else {
+            Role::Successor
+        };
+        let event = EngineEvent::Submitted(
+            RequestId(self.next_number as u64),
+            message(&name, class, self.ms, 50),
+        );
+        let commands = self.step(to, vec![event]);
+        if is_accepted(&commands) {
+            self.accepted_messages.insert(name.clone(), class);
+            self.record(format!("{name} accepted by {to:?}"));
+        }
+        self.execute(commands, to);
+        if to == Role::Predecessor && self.successor_is_active {
+            self.run(Role::Successor, vec![EngineEvent::FollowPredecessors]);
+        }
+    }
+
+    /// Advances the time by one step: attempts end, messages are submitted, and incarnations come and go.
+    fn advance(&mut self) {
+        self.ms += STEP_MS;
+        self.finish_attempts();
+        if self.ms < LAST_SUBMISSION_MS && self.rng.u8(0..3) == 0 {
+            self.submit_message();
+        }
+        if self.ms < LAST_RESTART_MS {
+            self.restart_at_random();
+        }
+        if self.successor_is_active
+            && !self.has_attempts_in_flight(Role::Predecessor)
+            && self.rng.u8(0..20) == 0
+        {
+            self.exit_predecessor();
+        }
+        self.run(Role::Predecessor, vec![]);
+        self.run(
+            Role::Successor,
+            if self.successor_is_active {
+                vec![EngineEvent::FollowPredecessors]
+            } else {
+                vec![]
+            },
+        );
+    }
+
+    fn has_attempts_in_flight(&self, by: Role) -> bool {
+        self.in_flight.iter().any(|attempt| attempt.by == by)
+    }
+
+    /// Starts a standby, hands over to it, or kills an incarnation, each with its probability.
+    fn restart_at_random(&mut self) {
+        match self.rng.u16(0..600) {
+            0..=5 if self.successor.is_none() => {
+                self.record("a standby starts");
+                self.successor = Some(TestIncarnation::standby(&self.folder, self.ms));
+            }
+            6..=25 if self.successor.is_some() && !self.successor_is_active => self.hand_over(),
+            26..=28 => self.kill_predecessor(),
+            29..=31 => self.kill_successor(),
+            _ => {}
+        }
+    }
+
+    fn hand_over(&mut self) {
+        self.record("the predecessor hands over");
+        let commands = self.predecessor.as_mut().unwrap().hand_over(self.ms);
+        self.execute(commands, Role::Predecessor);
+        let generation = self.predecessor.as_ref().unwrap().generation;
+        self.successor_is_active = true;
+        let successor = self.successor.as_mut().unwrap();
+        let commands = successor.take_over(self.ms, &[generation], generation);
+        self.execute(commands, Role::Successor);
+    }
+
+    fn exit_predecessor(&mut self) {
+        self.record("the predecessor exits");
+        let generation = self.predecessor.take().unwrap().generation;
+        self.run(
+            Role::Successor,
+            vec![EngineEvent::PredecessorExited(generation)],
+        );
+        self.promote_successor();
+    }
+
+    fn check(&self) {
+        for (name, class) in &self.accepted_messages {
+            let none = Vec::new();
+            let executions = self.executions.get(name).unwrap_or(&none);
+            let notice = self.notices.get(name);
+            assert!(!executions.is_empty() || notice.is_some(), "{name} is lost");
+            match *class {
+                NON_IDEMPOTENT_CLASS => assert!(
+                    executions.len() <= 1,
+                    "{name} was executed {} times",
+                    executions.len()
+                ),
+                KEYED_CLASS => {
+                    let spread = executions.last().unwrap_or(&0) - executions.first().unwrap_or(&0);
+                    assert!(
+                        spread < DEDUPLICATION_WINDOW_MS + MAX_ATTEMPT_MS,
+                        "{name} was executed again after its window"
+                    );
+                }
+                _ => {}
+            }
+        }
+    }
+}
+
+/// Whatever happens to the incarnations, every message has a final outcome, none has two attempts in flight, none is
+/// executed more often than its class permits, and nothing is sent during a backoff.
+#[test]
+fn random_restart_histories_break_no_invariant() {
+    for seed in 0..150 {
+        let mut history = RestartHistory::new(seed);
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+            while history.ms < END_MS {
+                history.advance();
+            }
+            history.check();
+        }));
+        if result.is_err() {
+            panic!("seed {seed}:\n{}", history.trace.join("\n"));
+        }
+        assert!(
+            history.accepted_messages.len() > 100,
+            "too few messages were accepted"
+        );
+        let _ = fs::remove_dir_all(&history.folder);
+    }
+}
--- a/crates/delivery/tests/snapshot_store.rs
+++ b/crates/delivery/tests/snapshot_store.rs
@@ -1,4 +1,4 @@
-//! The snapshot of destinations on a disk that fails at each of its changes.
+//! The snapshot of destinations on a disk that fails at each of its operations.
 
 use marblefall_atomic_file::faulty_disk::{Fault, FaultyDisk, Unsynced};
 use marblefall_atomic_file::Disk;
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn fault_at_any_write_leaves_a_whole_snapshot_or_none() {
+fn fault_at_any_write_leaves_a_complete_snapshot_or_none() {
     let folder = Path::new(FOLDER);
     let length = encode(&records(2)).len();
     let faults = (0..=length).flat_map(|cut| [Fault::Fail(cut), Fault::Crash(cut)]);
     for fault in faults {
-        // One of them strikes the first snapshot, so that there is none before it.
+        // The first operations are those of the first snapshot, before which there is none.
         for after in 0..4 {
             let disk = FaultyDisk::new();
             disk.inject_fault(after, fault);
@@ -43,14 +43,14 @@
                 if unsynced == Unsynced::Survives && after >= 2 {
                     assert!(
                         restored == old || restored == new,
-                        "what outlasts the process: {restored:?}"
+                        "a process that exits leaves a snapshot: {restored:?}"
                     );
                 }
-                // The next incarnation writes its own over whatever is there.
+                // The next incarnation replaces whatever is there.
                 reopened.write(&records(3));
                 assert_eq!(read(reopened.disk(), folder).unwrap(), records(3));
             }
-            // A disk that was full for a moment takes the same records when they come again.
+            // After a transient failure, the same records are written again.
             if matches!(fault, Fault::Fail(_)) {
                 store.write(&new);
                 assert_eq!(read(store.disk(), folder).unwrap(), new);
--- a/crates/delivery/tests/stored_data.rs
+++ b/crates/delivery/tests/stored_data.rs
@@ -1,8 +1,7 @@
-//! Data that an earlier version of the program stored, in `tests/fixtures`, is read by this one: a journal of two
-//! generations, the marks of two incarnations, and a snapshot of destinations. The fixtures were written by the version
-//! before the packages moved to `crates/`, and are never written anew.
+//! This version of the program reads the data that an earlier one stored: a journal of two generations, the marks of two
+//! incarnations, and a snapshot of destinations. They are in `tests/fixtures`, and are never written again.
 
-#![allow(clippy::too_many_lines, reason = "a test tells one course of events")]
+#![allow(clippy::too_many_lines, reason = "a test is one sequence of events")]
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use marblefall_atomic_file::LocalDisk;
@@ -20,6 +19,7 @@
 
 /// When the fixtures' messages were accepted, as Unix time in milliseconds.
 const STORED_AT_MS: i64 = 1_800_000_000_000;
+/// The maximum size of the journal, in bytes.
 const DISK: u64 = 3_000_000;
 
 /// A copy of a fixture that may be written to.
@@ -44,7 +44,7 @@
 fn message<'a>(store: &'a MessageStore, identity: &str) -> &'a MessageRecord {
     let id = store
         .by_identity(identity.as_bytes())
-        .unwrap_or_else(|| panic!("{identity} is known"));
+        .unwrap_or_else(|| panic!("{identity} is stored"));
     store.get(id).unwrap()
 }
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn journal_of_two_generations_keeps_every_message_state() {
+fn journal_of_two_generations_restores_every_message_state() {
     let folder = copy_of("journal", "states");
     let store = MessageStore::open(&folder, DISK, classes()).unwrap();
 
@@ -76,7 +76,7 @@
     assert_eq!(accepted.message.attributes, b"attributes of accepted");
     assert_eq!(accepted.message.body, b"body of accepted");
 
-    // Its process ended with the attempt in flight: it may have been executed.
+    // The process ended with the attempt in flight, which may have been executed.
     let in_flight = message(&store, "in-flight");
     assert_eq!(
         (in_flight.attempts, &in_flight.state),
@@ -97,15 +97,18 @@
         (Origin::CloudEvents, &None)
     );
 
-    let owed = message(&store, "notice-owed");
-    let completion = owed.completion().unwrap();
+    let unacknowledged = message(&store, "notice-owed");
+    let completion = unacknowledged.completion().unwrap();
     assert_eq!(
         (completion.outcome, completion.notice_owed),
         (FinalOutcome::Failed, true)
     );
     assert_eq!(completion.keep_until_ms, STORED_AT_MS + 60_000);
-    assert_eq!(owed.first_possible_execution, attempt(300, "bole-1"));
-    assert!(owed.message.body.is_empty() && owed.message.attributes.is_empty());
+    assert_eq!(
+        unacknowledged.first_possible_execution,
+        attempt(300, "bole-1")
+    );
+    assert!(unacknowledged.message.body.is_empty() && unacknowledged.message.attributes.is_empty());
 
     let aliased = message(&store, "aliased");
     let completion = aliased.completion().unwrap();
@@ -128,7 +131,7 @@
 
     assert_eq!(store.by_identity(b"forgotten"), None);
 
-    // Reported after the handover: one was rejected, the other delivered.
+    // The results of two attempts were reported after the handover: a rejection and a delivery.
     let handed_over = message(&store, "handed-over");
     assert_eq!(
         (handed_over.attempts, &handed_over.state),
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn journal_gives_backoffs_and_routes_of_concurrent_incarnations() {
+fn journal_restores_backoffs_and_routes_of_concurrent_incarnations() {
     let folder = copy_of("journal", "concurrent");
     let mut store = MessageStore::begin(&folder, DISK, classes(), Generation(3)).unwrap();
     let recovered = store.take_over(&[], Some(Generation(1))).unwrap();
@@ -188,15 +191,15 @@
     );
     assert!(
         recovered.in_flight_elsewhere.is_empty(),
-        "both incarnations have ended"
+        "both incarnations have exited"
     );
     fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn marks_of_earlier_incarnations_are_understood() {
+fn marks_of_earlier_incarnations_are_read() {
     let folder = copy_of("marks", "marks");
-    // The first still runs: it has handed over. The second has ended.
+    // The first incarnation is running and has handed over. The second has exited.
     let running = fs::OpenOptions::new()
         .read(true)
         .append(true)
@@ -219,7 +222,7 @@
 }
 
 #[test]
-fn snapshot_keeps_every_field_of_destinations() {
+fn snapshot_restores_every_destination_field() {
     let folder = copy_of("snapshot", "snapshot");
     let records = snapshot_store::read(&LocalDisk, &folder).unwrap();
     let expected = [1, 2, 3].map(|number: u64| DestinationRecord {
