--- a/crates/delivery/src/net/connection.rs
+++ b/crates/delivery/src/net/connection.rs
@@ -5,7 +5,7 @@
 
 use super::http::{self, ChunkedDecoder, DecodeStep, Framing, ParseError};
 use crate::log_line;
-use crate::system_error::is_of_this_machine;
+use crate::system_error::is_local_resource_error;
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::io;
@@ -134,7 +134,7 @@
                 Err(error) => error,
                 connected => return connected,
             };
-            if !is_of_this_machine(&error) {
+            if !is_local_resource_error(&error) {
                 return Err(error);
             }
             log_line!(code = "connect-deferred", "{to}: {error}");
--- a/crates/delivery/src/net/pool/attempt.rs
+++ b/crates/delivery/src/net/pool/attempt.rs
@@ -141,8 +141,8 @@
     /// A request's last byte is written: looks whether it might be, as the process may have been held up on the way.
     fn check_sent(&self, attempt: &Attempt<'_>, address: SocketAddr) {
         let conditions = self.conditions(attempt, address);
-        let rule = match conditions.may_go_on(Instant::now()) {
-            Err(Withheld::Backoff) => Rule::BackoffKept,
+        let rule = match conditions.may_continue(Instant::now()) {
+            Err(Withheld::Backoff) => Rule::RespectBackoff,
             // A window ends so much later than it is taken to.
             Err(Withheld::Late) if attempt.write_by.elapsed() > HOLD_UP => Rule::RepeatWithinWindow,
             _ => return,
@@ -169,7 +169,7 @@
         };
         let is_withheld = || {
             let conditions = self.conditions(attempt, address);
-            conditions.may_go_on(Instant::now()) == Err(Withheld::Backoff)
+            conditions.may_continue(Instant::now()) == Err(Withheld::Backoff)
         };
         let mut writing = std::pin::pin!(unless(is_withheld, write_all));
         // What the first bytes do not take with them goes on without the permit.
--- a/crates/delivery/src/rules.rs
+++ b/crates/delivery/src/rules.rs
@@ -1,8 +1,8 @@
-//! The one place that says whether an attempt may be started, whether its bytes may be sent, and whether a connection may
-//! be closed, and that names the rule which forbids it.
+//! The invariants of delivery: whether an attempt may be started, whether its bytes may be sent, and whether a connection
+//! may be closed.
 //!
-//! Whoever acts asks here at the moment of acting. The scheduler and the pool choose by the same rules, so that a start
-//! which is refused here is a fault of this program: it is counted as a violation and logged, and nothing is sent.
+//! They are checked immediately before each action. The scheduler and the pool decide by the same rules, so an attempt
+//! that is refused here is a fault of this program: it is counted as a violation and logged, and nothing is sent.
 
 use crate::core::message_record::MessageRecord;
 use crate::core::Timestamp;
@@ -10,20 +10,20 @@
 use std::fmt;
 use std::time::Instant;
 
-/// A rule that an action of this program would break, or has broken.
+/// An invariant that an action would break, or has broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A message has one attempt in flight at most.
+    /// A message has at most one attempt in flight.
     OneAttemptInFlight,
-    /// Nothing is sent for a message that has its final outcome.
-    NothingAfterTheEnd,
-    /// What may have been executed and must not be executed twice is not sent again.
+    /// No attempt is sent for a message that has its final outcome.
+    NothingAfterFinalOutcome,
+    /// A message that is not idempotent is not sent again after an attempt that may have been executed.
     NoRepeat,
-    /// A repeat is sent within its receivers' window only.
+    /// A repeat is sent only within its receiver's deduplication window.
     RepeatWithinWindow,
-    /// Nothing is sent on a route that asked to back off.
-    BackoffKept,
-    /// A request that was read is answered before its connection ends.
+    /// Nothing is sent on a route in backoff.
+    RespectBackoff,
+    /// A request that was read has its response before its connection is closed.
     RequestAnswered,
 }
 
@@ -32,10 +32,10 @@
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAttemptInFlight => "one-attempt-in-flight",
-            Rule::NothingAfterTheEnd => "nothing-after-the-end",
+            Rule::NothingAfterFinalOutcome => "nothing-after-final-outcome",
             Rule::NoRepeat => "no-repeat",
             Rule::RepeatWithinWindow => "repeat-within-window",
-            Rule::BackoffKept => "backoff-kept",
+            Rule::RespectBackoff => "respect-backoff",
             Rule::RequestAnswered => "request-answered",
         }
     }
@@ -47,17 +47,17 @@
     }
 }
 
-/// Whether an attempt of a message may be started.
+/// Checks that an attempt of a message may be started.
 ///
 /// # Errors
-/// The rule that forbids it.
+/// The rule that the attempt would break.
 pub fn may_start(
     record: &MessageRecord,
     class: Option<&MessageClass>,
     now: Timestamp,
 ) -> Result<(), Rule> {
     if !record.is_open() {
-        return Err(Rule::NothingAfterTheEnd);
+        return Err(Rule::NothingAfterFinalOutcome);
     }
     if record.in_flight().is_some() {
         return Err(Rule::OneAttemptInFlight);
@@ -79,45 +79,45 @@
     }
 }
 
-/// Why the bytes of an attempt are withheld.
+/// Why the bytes of an attempt are withheld. The names of the variants are written to log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
-    /// Its endpoint drains, is removed, or has moved.
+    /// Its endpoint is draining, was removed, or has another address.
     EndpointGone,
     /// Its route is in backoff.
     Backoff,
-    /// Its last byte could not be written in time any more.
+    /// Its last byte can no longer be written in time.
     Late,
 }
 
-/// What decides whether the bytes of an attempt may be sent.
+/// The conditions for sending the bytes of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct SendConditions {
-    /// Whether its endpoint takes attempts where its connection leads.
+    /// Whether its endpoint accepts attempts at the address of its connection.
     pub endpoint_accepts: bool,
-    /// Until when its route is in backoff.
+    /// The end of its route's backoff.
     pub backoff_until: Option<Instant>,
-    /// Its last byte is written before then or not at all: a window for repeats, or its time-out.
+    /// When its last byte must have been written: the end of the deduplication window for a repeat, or its time-out.
     pub write_by: Instant,
 }
 
 impl SendConditions {
-    /// Whether the first byte may be sent now.
+    /// Checks that the first byte may be sent now.
     ///
     /// # Errors
-    /// Why not.
+    /// Why the attempt is withheld.
     pub fn may_begin(&self, now: Instant) -> Result<(), Withheld> {
         if !self.endpoint_accepts {
             return Err(Withheld::EndpointGone);
         }
-        self.may_go_on(now)
+        self.may_continue(now)
     }
 
-    /// Whether more may be sent of a request that has begun: what drains meanwhile gets the rest.
+    /// Checks that more of a request may be sent that has begun. An endpoint that is draining still receives the rest.
     ///
     /// # Errors
-    /// Why not.
-    pub fn may_go_on(&self, now: Instant) -> Result<(), Withheld> {
+    /// Why the rest is withheld.
+    pub fn may_continue(&self, now: Instant) -> Result<(), Withheld> {
         if self.backoff_until.is_some_and(|until| now < until) {
             return Err(Withheld::Backoff);
         }
@@ -128,17 +128,17 @@
     }
 }
 
-/// What decides whether a client's connection may be closed.
+/// The conditions for closing a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseConditions {
-    /// Whether a request may begin or go on there.
+    /// Whether the client may begin or continue a request on it.
     pub may_send_request: bool,
-    /// Whether bytes have come that nobody has read.
+    /// Whether received bytes have not been read yet.
     pub has_unread: bool,
 }
 
 impl CloseConditions {
-    /// Whether it may be closed: not over bytes that may be a request, or its last part.
+    /// Whether it may be closed: not while unread bytes may be a request or a part of one.
     pub fn may_close(self) -> bool {
         !(self.may_send_request && self.has_unread)
     }
--- a/crates/delivery/src/rules/tests.rs
+++ b/crates/delivery/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! What the rules forbid, case by case.
+//! Which actions the rules permit.
 
 use super::*;
 use crate::core::message_record::{AttemptRecord, MessageState};
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn start_is_refused_by_the_rule_that_it_would_break() {
+fn refused_start_names_the_broken_rule() {
     let non_idempotent = class(Idempotency::NonIdempotent);
     let idempotent = class(Idempotency::Idempotent);
     let started = |record: &MessageRecord, class: &MessageClass, ms| {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn bytes_are_withheld_for_the_first_reason_that_holds() {
+fn attempt_is_withheld_for_the_first_reason() {
     let now = Instant::now();
     let soon = now + Duration::from_millis(50);
     let conditions = SendConditions {
@@ -99,17 +99,17 @@
         ..conditions
     };
     assert_eq!(draining.may_begin(now), Err(Withheld::EndpointGone));
-    assert_eq!(draining.may_go_on(now), Ok(()), "it has begun");
+    assert_eq!(draining.may_continue(now), Ok(()), "the request has begun");
     let backing_off = SendConditions {
         backoff_until: Some(soon),
         ..conditions
     };
     assert_eq!(backing_off.may_begin(now), Err(Withheld::Backoff));
-    assert_eq!(backing_off.may_go_on(now), Err(Withheld::Backoff));
+    assert_eq!(backing_off.may_continue(now), Err(Withheld::Backoff));
 }
 
 #[test]
-fn connection_is_closed_unless_bytes_of_a_request_are_unread() {
+fn connection_with_unread_request_bytes_is_not_closed() {
     for (may_send_request, has_unread, expected) in [
         (true, true, false),
         (true, false, true),
--- a/crates/delivery/src/system_error.rs
+++ b/crates/delivery/src/system_error.rs
@@ -1,10 +1,10 @@
-//! What errors of system calls say: which pass without anybody's doing, and which are this machine's own.
+//! Classes of errors of system calls: transient ones, and those caused by a shortage on this machine.
 
 use nix::libc;
 use std::io;
 
-/// Of a disk, and of a system short of something for a moment.
-const TRANSIENT: &[i32] = &[
+/// Errors of a disk, and of a system that lacks a resource for the moment.
+const TRANSIENT_ERRORS: &[i32] = &[
     libc::ENOSPC,
     libc::EDQUOT,
     libc::EIO,
@@ -17,8 +17,8 @@
     libc::ENOLCK,
 ];
 
-/// Of a machine that has no descriptor, address, memory or route for a connection.
-const NO_CONNECTION_FROM_HERE: &[i32] = &[
+/// Errors of a machine that has no descriptor, address, memory or route for a connection.
+const LOCAL_RESOURCE_ERRORS: &[i32] = &[
     libc::EADDRNOTAVAIL,
     libc::EAGAIN,
     libc::EINTR,
@@ -29,14 +29,14 @@
     libc::ENOMEM,
 ];
 
-/// Whether an error passes without anybody's doing: what failed is tried again.
+/// Whether an error may pass by itself, so that the call is to be retried.
 pub fn is_transient(error: &io::Error) -> bool {
-    is_one_of(error, TRANSIENT)
+    is_one_of(error, TRANSIENT_ERRORS)
 }
 
-/// Whether a connection failed for want of something on this machine: its peer is not to blame.
-pub fn is_of_this_machine(error: &io::Error) -> bool {
-    is_one_of(error, NO_CONNECTION_FROM_HERE)
+/// Whether a connection failed because this machine lacks a resource, and not because of its peer.
+pub fn is_local_resource_error(error: &io::Error) -> bool {
+    is_one_of(error, LOCAL_RESOURCE_ERRORS)
 }
 
 fn is_one_of(error: &io::Error, numbers: &[i32]) -> bool {
