--- a/crates/control-plane/src/instance_config.rs
+++ b/crates/control-plane/src/instance_config.rs
@@ -197,7 +197,7 @@
             scheduler: self.scheduler_settings(),
             seed: since_epoch.map_or(0, |since_epoch| since_epoch.as_nanos() as u64),
             retention_ms: self.classes.classes().map(retention_ms).collect(),
-            max_remembered: self.manifest.limits.max_remembered,
+            max_retained: self.manifest.limits.max_remembered,
         }
     }
 
--- a/crates/delivery/src/core.rs
+++ b/crates/delivery/src/core.rs
@@ -1,8 +1,8 @@
 //! Accepts, journals and delivers messages, without knowing any wire.
 //!
-//! A frontend hands in [`Message`]s and gets [`SubmitResponse`]s; how either travels is not known here. Time enters as
-//! a [`Timestamp`], so that tests can feed the clock by hand. [`engine`] owns the scheduler and the
-//! [`message_store`], which keeps each message's state in memory and in the [`journal`] that outlives the process.
+//! A frontend submits [`Message`]s and receives [`SubmitResponse`]s. The time of each step is passed in as a
+//! [`Timestamp`], so that tests set the clock. [`engine`] owns the scheduler and the [`message_store`], which has each
+//! message's state in memory and in the [`journal`] that outlasts the process.
 
 pub mod active_destinations;
 pub mod destination_table;
@@ -17,10 +17,12 @@
 
 pub use marblefall_scheduler::MessageId;
 
-use marblefall_scheduler::{ClassId, DestinationId, EndpointId, Time};
+use marblefall_scheduler::{ClassId, DestinationId, EndpointId, Span, Time};
 
-/// One moment on both clocks: the monotonic one for what happens in this incarnation of the process, the Unix one for
-/// what must be understood by the next.
+const MICROS_PER_MS: i64 = 1000;
+
+/// A moment on both clocks: the monotonic one of this incarnation of the process, and the Unix one, by which times are
+/// stored for later incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timestamp {
     /// Time since the process started.
@@ -30,19 +32,41 @@
 }
 
 impl Timestamp {
-    /// The monotonic moment of a Unix time in milliseconds; it may lie before the start of the process.
+    /// The monotonic time of a Unix time in milliseconds. It may lie before the start of the process.
     pub fn monotonic_of(self, unix_ms: i64) -> Time {
-        let micros_from_now = unix_ms.saturating_sub(self.unix_ms).saturating_mul(1000);
+        let micros_from_now = unix_ms
+            .saturating_sub(self.unix_ms)
+            .saturating_mul(MICROS_PER_MS);
         Time(self.monotonic.0.saturating_add(micros_from_now))
     }
 
-    /// A monotonic moment in Unix microseconds.
+    /// The monotonic time of a Unix time in microseconds, rounded down to a millisecond.
+    pub fn monotonic_of_unix_micros(self, at: Time) -> Time {
+        self.monotonic_of(at.0.div_euclid(MICROS_PER_MS))
+    }
+
+    /// A monotonic time as Unix time in microseconds.
     pub fn unix_micros_of(self, at: Time) -> Time {
-        Time(self.unix_ms * 1000 + (at - self.monotonic).0)
+        Time(self.unix_ms * MICROS_PER_MS + (at - self.monotonic).0)
+    }
+
+    /// A monotonic time as Unix time in milliseconds, rounded down.
+    pub fn unix_ms_of(self, at: Time) -> i64 {
+        self.unix_ms + (at - self.monotonic).0.div_euclid(MICROS_PER_MS)
+    }
+
+    /// The first whole millisecond of Unix time after a span from now.
+    pub fn unix_ms_after(self, span: Span) -> i64 {
+        self.unix_ms + span.0.div_euclid(MICROS_PER_MS) + 1
+    }
+
+    /// The time since a Unix time in milliseconds, or zero for one in the future.
+    pub fn elapsed_since_unix_ms(self, unix_ms: i64) -> Span {
+        Span((self.unix_ms - unix_ms).max(0) * MICROS_PER_MS)
     }
 }
 
-/// What a backoff applies to: a destination, or one endpoint of it where its endpoints are separate routes.
+/// The route that a backoff applies to: a destination, or one endpoint of it where its endpoints are separate routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Route {
     /// The destination.
@@ -51,27 +75,27 @@
     pub endpoint: Option<EndpointId>,
 }
 
-/// Identifies one submission, for its response.
+/// Identifies a submission and its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The frontend that a message came in by, which also encodes its attempts.
+/// The frontend by which a message was submitted, and which encodes its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// The platform's protocol: the final outcome is owed as a notice.
+    /// The platform's protocol: any final outcome but a delivery is sent as a notice.
     Platform,
-    /// CloudEvents: the final outcome answers whoever waits, and is remembered.
+    /// CloudEvents: the final outcome is the response to waiting clients, and is retained for repeats.
     CloudEvents,
 }
 
 /// A message as it was submitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The frontend it came in by.
+    /// The frontend by which it was submitted.
     pub origin: Origin,
-    /// What makes it the same message when it is submitted again.
+    /// Its identity: a submission with the same one is a repeat.
     pub identity: Vec<u8>,
-    /// The key by which its receiver drops repeats.
+    /// The key by which its receiver discards repeats.
     pub idempotency_key: Option<Vec<u8>>,
     /// Its class.
     pub class: ClassId,
@@ -79,7 +103,7 @@
     pub destination: DestinationId,
     /// Unix time in milliseconds until which it may be delivered.
     pub expires_ms: i64,
-    /// What else the frontend needs to encode an attempt; opaque here.
+    /// What else the frontend needs to encode an attempt. Its form is the frontend's.
     pub attributes: Vec<u8>,
     /// The content, unchanged.
     pub body: Vec<u8>,
@@ -88,14 +112,14 @@
 /// The one final outcome of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// An attempt was answered as delivered.
+    /// An attempt's response reports the delivery.
     Delivered,
-    /// Given up; submitting it again is harmless.
+    /// Not delivered; it may be submitted again.
     Returned {
-        /// Best after so many milliseconds.
+        /// When to submit it again at the earliest, in milliseconds from now.
         retry_after_ms: u64,
     },
-    /// Given up for good.
+    /// Failed for good.
     Failed,
     /// Its deadline passed.
     Expired,
@@ -104,22 +128,22 @@
 /// What the response to an attempt means for its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// The outcome of the attempt decides.
+    /// Only the outcome of the attempt counts.
     Undecided,
-    /// Nothing more is owed for it.
+    /// The message is complete, and no final outcome is reported.
     Complete,
-    /// It has failed for good: no other attempt could be answered differently.
+    /// The message has failed for good: any other attempt would have the same response.
     Failed,
 }
 
 /// The response to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitResponse {
-    /// Journalled: from now on a final outcome is owed.
+    /// Accepted and journalled: the message will have a final outcome.
     Accepted,
     /// Not accepted.
     Rejected {
-        /// The client may try again after so many milliseconds.
+        /// When to submit it again at the earliest, in milliseconds from now.
         retry_after_ms: u64,
     },
     /// Accepted by an earlier submission with another idempotency key.
--- a/crates/delivery/src/core/active_destinations.rs
+++ b/crates/delivery/src/core/active_destinations.rs
@@ -1,20 +1,21 @@
-//! Which destinations are in use, and what is kept of those that were.
+//! Which destinations are in use, and the records of those that were.
 //!
-//! A destination is active from its first message until it has been idle for [`IDLE_AFTER`]; of an idle one remains at
-//! most a small record, and that only if it is significant. Ageing costs a little with each step and never all at once.
+//! A destination is active from its first message until it has not been used for [`IDLE_AFTER`]. Of an idle destination
+//! only a small record is stored, if it is significant. Destinations are checked one by one as they are due, so that no
+//! step checks all of them.
 
 use marblefall_scheduler::{DestinationId, IdleRecord, Span, Time};
 use std::collections::{HashMap, VecDeque};
 
-/// A destination is idle when it has not been used for so long: longer than a recovery ramp, a rate limiter's memory or
-/// an idle connection of the usual settings, so that little is left to forget.
+/// A destination that has not been used for this long is idle. With the usual settings its recovery ramp, its rate limit
+/// and its idle connections have ended by then, so that little state is lost.
 pub const IDLE_AFTER: Span = Span(30_000_000);
 
 /// The destinations in use, and the records of idle ones.
 #[derive(Debug, Default)]
 pub struct ActiveDestinations {
     last_used: HashMap<DestinationId, Time>,
-    /// Each active destination once, by when it is looked at again.
+    /// Each active destination once, by the time of its next check.
     checks: VecDeque<(Time, DestinationId)>,
     idle_records: HashMap<DestinationId, IdleRecord>,
 }
@@ -39,13 +40,13 @@
         self.last_used.contains_key(&id)
     }
 
-    /// When one is to be looked at again.
+    /// When the next destination is to be checked.
     pub fn next_check(&self) -> Option<Time> {
         self.checks.front().map(|(at, _)| *at)
     }
 
-    /// A destination that is due for a look and has been idle all the while. One that was used since is put off, which
-    /// costs as much as one use in [`IDLE_AFTER`].
+    /// The next destination that is due for its check and has become idle. The checks of those that were used meanwhile
+    /// are postponed.
     pub fn next_idle(&mut self, now: Time) -> Option<DestinationId> {
         while let Some((_, id)) = self.checks.pop_front_if(|(at, _)| *at <= now) {
             match self.last_used.get(&id) {
@@ -59,25 +60,25 @@
         None
     }
 
-    /// Puts off the next look at a destination that is still in use.
+    /// Postpones the check of a destination that is still in use.
     pub fn postpone(&mut self, now: Time, id: DestinationId) {
         self.checks.push_back((now + IDLE_AFTER, id));
     }
 
-    /// The destination is idle from now on; its record is kept if it is significant.
+    /// Makes a destination idle; its record is stored if it is significant.
     pub fn deactivate(&mut self, id: DestinationId, record: IdleRecord) {
         self.last_used.remove(&id);
-        self.keep(id, record);
+        self.insert_idle(id, record);
     }
 
-    /// Keeps the record of an idle destination if it is significant.
-    pub fn keep(&mut self, id: DestinationId, record: IdleRecord) {
+    /// Stores the record of an idle destination if it is significant.
+    pub fn insert_idle(&mut self, id: DestinationId, record: IdleRecord) {
         if record.is_significant() {
             self.idle_records.insert(id, record);
         }
     }
 
-    /// Takes the record of a destination that gets active.
+    /// Removes the record of a destination that becomes active.
     pub fn take_record(&mut self, id: DestinationId) -> Option<IdleRecord> {
         self.idle_records.remove(&id)
     }
--- a/crates/delivery/src/core/active_destinations/tests.rs
+++ b/crates/delivery/src/core/active_destinations/tests.rs
@@ -1,9 +1,9 @@
-//! Activity and ageing of destinations, with a clock fed by hand.
+//! Active and idle destinations, with a clock set by the tests.
 
 use super::*;
 
 #[test]
-fn destination_is_idle_once_its_last_use_is_long_past() {
+fn destination_becomes_idle_after_its_last_use() {
     let mut destinations = ActiveDestinations::default();
     let (a, b) = (DestinationId(1), DestinationId(2));
     assert!(destinations.touch(Time(0), a) && destinations.touch(Time(1), b));
@@ -14,7 +14,7 @@
     assert_eq!(
         (destinations.take_record(b), destinations.is_active(b)),
         (None, false),
-        "nothing to be kept"
+        "its record is not significant"
     );
     assert_eq!(destinations.next_idle(Time(31_000_000)), None);
     assert_eq!(destinations.next_check(), Some(Time(50_000_000)));
--- a/crates/delivery/src/core/destination_table.rs
+++ b/crates/delivery/src/core/destination_table.rs
@@ -1,29 +1,28 @@
-//! All destinations and their endpoints, packed: most are silent for hours, and thousands must cost little memory.
+//! All destinations and their endpoints in a compact form, as there may be thousands, most of them idle.
 //!
-//! A table is built once and read only; all instances of a process share it, and another one takes its place when
-//! something changes. What an instance learns of a destination is not here.
+//! A table is immutable once it is built. All instances of a process share it, and a change replaces it. The state of a
+//! destination in an instance is not part of it.
 
 use super::endpoint::ListedEndpoint;
 use marblefall_scheduler::{DestinationId, EndpointStatus, KindId, ZoneId};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Destinations that [`DestinationTable::with_large_capacity`] has room for. Unused room is given back by
-/// [`DestinationTable::build`] and costs nothing until then; grown little by little, the lists would leave as much
-/// behind in the allocator as they hold.
+/// How many destinations [`DestinationTable::with_large_capacity`] allocates space for. Unused space is freed by
+/// [`DestinationTable::build`]. Growing the lists step by step instead would fragment the allocator's memory.
 const LARGE_CAPACITY: usize = 1 << 18;
-/// Bytes of names for each of them.
+/// Space for the names of each of them, in bytes.
 const NAME_BYTES: usize = 32;
 
 /// An endpoint of a destination in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEntry<'a> {
-    /// A name that stays the same when its address changes.
+    /// Its name, which does not change with its address.
     pub name: &'a str,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Its share of the destination's calls relative to the other endpoints' weights, where weights are given.
     pub weight: Option<f32>,
-    /// Whether it gets anything new; otherwise it is draining.
+    /// Whether new attempts may be sent to it; otherwise it is draining.
     pub active: bool,
 }
 
@@ -34,21 +33,21 @@
     pub name: &'a str,
     /// Its id in the core.
     pub id: DestinationId,
-    /// How its frontend encodes an attempt; a number of the frontend's own.
+    /// How its frontend encodes an attempt, as a number that the frontend defines.
     pub encoding: u16,
     /// Calls per second that it accepts from all instances together.
     pub rate: f32,
-    /// Whether its endpoints come from an endpoint list. Their names are then the destination's and their own, joined.
+    /// Whether its endpoints are from an endpoint list. Their names are then prefixed with the destination's name.
     pub from_list: bool,
 }
 
 /// Why a destination cannot be added.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum TableError {
-    /// A name is longer than 65,535 bytes, or all together than 4 GB.
-    #[error("names take too much room")]
+    /// A name is longer than 65,535 bytes, or all names together are longer than 4 GB.
+    #[error("names take too much space")]
     Names,
-    /// More than 65,535 ways to encode an attempt.
+    /// There are more than 65,535 ways to encode an attempt.
     #[error("too many encodings of attempts")]
     Encodings,
     /// A destination has more than 65,535 endpoints.
@@ -59,16 +58,16 @@
 /// All destinations.
 #[derive(Clone, Debug, Default)]
 pub struct DestinationTable {
-    /// All names, one behind the other.
+    /// All names, concatenated.
     names: String,
     /// Sorted by id once the table is built.
     destinations: Vec<PackedDestination>,
-    /// Those of one destination side by side.
+    /// All endpoints; those of one destination are adjacent.
     endpoints: Vec<PackedEndpoint>,
     ipv6_addresses: Vec<IpAddr>,
 }
 
-/// Where a name stands among all names.
+/// The position of a name among all names.
 #[derive(Clone, Copy, Debug)]
 struct NameRange {
     start: u32,
@@ -92,14 +91,14 @@
     port: u16,
     /// An IPv4 address, or the index of an IPv6 one.
     ip: u32,
-    /// NaN where there is none.
+    /// NaN where no weight is given.
     weight: f32,
     is_ipv6: bool,
     active: bool,
 }
 
 impl DestinationTable {
-    /// An empty table with room for many destinations.
+    /// An empty table with space for many destinations.
     pub fn with_large_capacity() -> DestinationTable {
         DestinationTable {
             names: String::with_capacity(NAME_BYTES * LARGE_CAPACITY),
@@ -109,10 +108,10 @@
         }
     }
 
-    /// Adds a destination; all of them before [`DestinationTable::build`].
+    /// Adds a destination, before [`DestinationTable::build`].
     ///
     /// # Errors
-    /// A number of the packed form does not suffice.
+    /// The destination exceeds a limit of the compact form.
     pub fn add<'a>(
         &mut self,
         entry: DestinationEntry<'_>,
@@ -164,7 +163,7 @@
         Ok(NameRange { start, len })
     }
 
-    /// Makes the table ready to be read, and gives back the room that it does not need.
+    /// Makes the table ready to be read, and frees unused space.
     pub fn build(mut self) -> DestinationTable {
         self.destinations
             .sort_unstable_by_key(|destination| destination.id);
@@ -179,12 +178,12 @@
         self.destinations.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no destinations.
     pub fn is_empty(&self) -> bool {
         self.destinations.is_empty()
     }
 
-    /// Bytes that it holds.
+    /// The size of the table in memory, in bytes.
     pub fn bytes(&self) -> usize {
         self.destinations.capacity() * size_of::<PackedDestination>()
             + self.endpoints.capacity() * size_of::<PackedEndpoint>()
@@ -215,7 +214,7 @@
             .map(|packed| self.unpack_endpoint(packed))
     }
 
-    /// The endpoints of a destination in the core's form; none where it is unknown.
+    /// The listings of a destination's endpoints; none where it is unknown.
     pub fn listed_endpoints(&self, id: DestinationId) -> Vec<ListedEndpoint> {
         let Some(destination) = self.entry(id) else {
             return Vec::new();
--- a/crates/delivery/src/core/destination_table/tests.rs
+++ b/crates/delivery/src/core/destination_table/tests.rs
@@ -1,4 +1,4 @@
-//! The packed table gives back what was put in.
+//! The compact form of the table.
 
 use super::*;
 
--- a/crates/delivery/src/core/endpoint.rs
+++ b/crates/delivery/src/core/endpoint.rs
@@ -1,21 +1,21 @@
-//! An endpoint as the core knows it.
+//! An endpoint in the list.
 
 use marblefall_scheduler::{DestinationId, EndpointStatus, KindId, ZoneId};
 
 /// An endpoint as discovery or the destination table lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// The name that stays the same when the address changes.
+    /// Its name, which does not change with its address.
     pub name: String,
-    /// Where it is reached.
+    /// Its address.
     pub address: String,
-    /// The destination it belongs to.
+    /// Its destination.
     pub destination: DestinationId,
     /// The destination's kind.
     pub kind: KindId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Whether it may be used.
+    /// Whether attempts may be sent to it.
     pub status: EndpointStatus,
     /// The rate that the list advertises, in calls per second.
     pub advertised_rate: f64,
--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -1,27 +1,38 @@
-//! Owns the scheduler and the message store: events go in, commands come out.
+//! The engine owns the scheduler and the message store: events go in, commands come out.
 //!
-//! All that comes in at once is one [`step`](Engine::step): the scheduler decides on it, what it accepts is journalled,
-//! and only then responses and attempts are ordered. So everything the scheduler is told is in the journal, and
-//! everything it decides is carried out once.
+//! All events that are received together are handled in one [`step`](Engine::step): the scheduler decides on them, the
+//! submissions that it accepts are journalled, and only then responses and attempts are ordered. The journal therefore
+//! has everything that the scheduler knows, and each decision is executed once.
 //!
-//! An engine has a `Role`: it stands by beside an active incarnation, is active itself, or has handed over. Where a
+//! An engine has a `Role`: it is a standby beside an active incarnation, is active itself, or has handed over. Where a
 //! group decides on the policy, it also has a [`LeaseState`]: without the lease it starts nothing.
 
 mod acceptance;
+mod actions;
 mod attempts;
 mod command;
+mod destination_records;
 mod endpoint_registry;
 mod endpoints;
 mod event;
+mod final_outcome;
 mod hot_restart;
+mod lease;
+mod lookup;
+mod passive;
 mod policy_change;
 mod postponed;
+mod predecessors;
+mod recovery;
+mod role;
+mod scheduler_input;
 mod settings;
+mod shutdown;
 mod unjournalled;
 
-pub use command::{AttemptRequest, EngineCommand, RejectReason};
+pub use command::{AttemptRequest, EngineCommand, RejectReason, Rejection};
 pub use event::{AttemptResult, EngineEvent};
-pub use policy_change::LeaseState;
+pub use lease::LeaseState;
 pub use settings::{EngineSettings, PolicyChange, PolicyMismatch, ProposedPolicy};
 
 use super::active_destinations::ActiveDestinations;
@@ -31,24 +42,20 @@
 use super::{MessageId, RequestId, SubmitResponse, Timestamp};
 use acceptance::Submission;
 use endpoint_registry::EndpointRegistry;
-use hot_restart::Role;
+use lease::DeferredEvent;
 use marblefall_scheduler as m;
 use postponed::Postponed;
+use predecessors::PredecessorAttempts;
+use role::Role;
 use settings::Policy;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use unjournalled::UnjournalledAttempt;
 
-/// How long a rejected client should stay away where nothing better is known, in milliseconds.
-const DEFAULT_RETRY_AFTER_MS: u64 = 1000;
-/// So long before the end of the process the last attempt is started ...
-const LAST_ATTEMPT_BEFORE_END: m::Span = m::Span(1_200_000);
-/// ... and so long before it the last message is accepted.
-const LAST_ACCEPTED_BEFORE_END: m::Span = m::Span(2_200_000);
 /// The token of timers that only cause a step.
 const STEP_TIMER: u64 = u64::MAX;
 
-/// The one owner of the scheduler.
+/// Owns the scheduler and the message store of one instance.
 pub struct Engine {
     scheduler: m::Scheduler,
     store: MessageStore,
@@ -57,42 +64,48 @@
     /// All destinations, where most of them are idle.
     destination_table: Option<Arc<DestinationTable>>,
     active_destinations: ActiveDestinations,
-    /// Identities of the platform's messages that are over.
+    /// Identities of the platform's messages that finished recently.
     recent_completions: RecentCompletions,
-    /// Who waits for a message's response.
+    /// The submissions that are answered when their message has a response.
     waiting_clients: BTreeMap<MessageId, Vec<RequestId>>,
     timers: BTreeSet<(m::Time, u64)>,
-    /// Events that the next batch starts with: what became clear only while commands were given.
+    /// Scheduler events that arose while commands were collected; the next batch starts with them.
     backlog: Vec<m::Event>,
     shutdown_at: Option<m::Time>,
-    /// Whether the end is too near to start anything.
-    starts_nothing_more: bool,
+    /// Whether the end of the process is too near to start an attempt.
+    attempts_stopped: bool,
     role: Role,
-    /// What the journal could not be read or written for yet.
+    /// Events of a hot restart whose step failed by a transient error.
     postponed: Postponed,
-    /// Messages whose attempt is in flight at another incarnation, which the scheduler knows ...
-    in_flight_elsewhere: BTreeSet<MessageId>,
-    /// ... and those which it is not told of before, as their endpoint is not listed any more.
-    parked: BTreeSet<MessageId>,
-    /// Submissions rejected since that was last asked for.
-    rejections: Vec<(RequestId, RejectReason)>,
+    predecessor_attempts: PredecessorAttempts,
+    /// Submissions rejected since [`Engine::drain_rejections`] was last called.
+    rejections: Vec<Rejection>,
     /// Attempts that wait for the journal.
     unjournalled: Vec<UnjournalledAttempt>,
-    /// The journal is not asked again for those, and for what else it did not take, before then.
+    /// The earliest time at which the journal is tried again with what it did not accept.
     journal_retry_at: m::Time,
-    /// Attempts in flight.
+    /// How many attempts are in flight.
     in_flight: usize,
     lease: LeaseState,
-    /// What came in without the lease, and when.
-    deferred: Vec<(m::Time, EngineEvent)>,
+    /// Events received without the lease.
+    deferred: Vec<DeferredEvent>,
+}
+
+/// The work that an engine has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EngineLoad {
+    /// Messages without a final outcome.
+    pub open_messages: usize,
+    /// Attempts in flight.
+    pub in_flight: usize,
 }
 
 /// What one step collects.
 struct Batch<'a> {
     now: Timestamp,
-    /// What the scheduler is told.
+    /// Events for the scheduler.
     scheduler_events: Vec<m::Event>,
-    /// Messages that it may accept.
+    /// Messages that the scheduler may accept.
     submissions: Vec<Submission>,
     commands: &'a mut Vec<EngineCommand>,
 }
@@ -114,8 +127,7 @@
 }
 
 impl Engine {
-    /// An engine that is active at once, with what the store holds from earlier incarnations; owed notices are ordered
-    /// at once.
+    /// An engine that is active at once, with the messages in the store. Pending notices are ordered at once.
     pub fn new(
         settings: EngineSettings,
         store: MessageStore,
@@ -127,8 +139,8 @@
         engine
     }
 
-    /// An engine that stands by beside another incarnation: it accepts messages, and decides nothing until it is told
-    /// to take over.
+    /// An engine that is a standby beside another incarnation: it accepts messages, and decides nothing until
+    /// [`EngineEvent::TakeOver`].
     pub fn standby(settings: EngineSettings, store: MessageStore) -> Engine {
         let (policy, scheduler) = Policy::split(settings);
         Engine {
@@ -143,11 +155,10 @@
             timers: BTreeSet::new(),
             backlog: Vec::new(),
             shutdown_at: None,
-            starts_nothing_more: false,
+            attempts_stopped: false,
             role: Role::Standby,
             postponed: Postponed::default(),
-            in_flight_elsewhere: BTreeSet::new(),
-            parked: BTreeSet::new(),
+            predecessor_attempts: PredecessorAttempts::default(),
             rejections: Vec::new(),
             unjournalled: Vec::new(),
             journal_retry_at: m::Time(i64::MIN),
@@ -157,9 +168,9 @@
         }
     }
 
-    /// When the engine wants to be stepped even if nothing comes in.
+    /// When the engine is to be stepped at the latest, even without an event.
     pub fn next_wake(&self) -> Option<m::Time> {
-        let postponed = self.postponed.next_try();
+        let postponed = self.postponed.next_retry();
         if self.role != Role::Active {
             return postponed;
         }
@@ -171,17 +182,20 @@
             .min()
     }
 
-    /// Messages without a final outcome, and attempts in flight.
-    pub fn load(&self) -> (usize, usize) {
-        (self.store.open_count(), self.in_flight)
+    /// The work that the engine has at present.
+    pub fn load(&self) -> EngineLoad {
+        EngineLoad {
+            open_messages: self.store.open_count(),
+            in_flight: self.in_flight,
+        }
     }
 
-    /// Whether there are events that the scheduler has not been told of yet.
+    /// Whether another step is due at once, as there are events that the scheduler has not handled yet.
     pub fn has_backlog(&self) -> bool {
         self.lease == LeaseState::Held && !self.backlog.is_empty()
     }
 
-    /// Takes what came in since the last step, lets the scheduler decide, and says what is to be done.
+    /// Handles the events since the last step, lets the scheduler decide, and adds the commands that follow.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -203,7 +217,7 @@
         self.step_active(now, events, commands);
     }
 
-    /// A step of the incarnation that decides.
+    /// A step of the active incarnation.
     fn step_active(
         &mut self,
         now: Timestamp,
@@ -219,8 +233,8 @@
             self.handle(event, &mut batch);
         }
         self.fire_timers(&mut batch);
-        self.stop_before_shutdown(&mut batch);
-        let swept = self.store.sweep(now.unix_ms, self.policy.max_remembered);
+        self.stop_attempts_before_shutdown(&mut batch);
+        let swept = self.store.sweep(now.unix_ms, self.policy.max_retained);
         log_journal_error(swept, batch.commands);
         let Batch {
             scheduler_events,
@@ -238,7 +252,8 @@
         self.compact_idle_destinations(now, commands);
     }
 
-    /// Takes one event. Those that change endpoints are taken before, those of a hot restart in a step of their own.
+    /// Handles one event. Changes of endpoints have been handled before, and events of a hot restart have steps of their
+    /// own.
     fn handle(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
         match event {
             EngineEvent::Submitted(request, message) => self.submit(request, message, batch),
@@ -247,7 +262,7 @@
             EngineEvent::NoticeAcknowledged(id) => self.forget(batch.now, id, batch.commands),
             EngineEvent::Shutdown { deadline, .. } => self.prepare_shutdown(deadline),
             EngineEvent::CheckPolicy(proposed, answer) => {
-                // Whoever asked may have gone.
+                // The receiver may have been dropped.
                 let _ = answer.try_send(self.check_policy(&proposed));
             }
             EngineEvent::LeaseChanged | EngineEvent::PolicyChanged(_) => {}
@@ -269,35 +284,9 @@
             batch.scheduler_events.push(m::Event::TimerFired(token));
         }
     }
-
-    fn prepare_shutdown(&mut self, deadline: m::Time) {
-        self.shutdown_at = Some(deadline);
-        self.wake_for_last_attempt(deadline);
-    }
-
-    fn wake_for_last_attempt(&mut self, shutdown_at: m::Time) {
-        self.timers
-            .insert((shutdown_at - LAST_ATTEMPT_BEFORE_END, STEP_TIMER));
-    }
-
-    /// A list without endpoints keeps the scheduler from starting what could not finish in this incarnation.
-    fn stop_before_shutdown(&mut self, batch: &mut Batch<'_>) {
-        self.starts_nothing_more |= self.ends_within(batch.now, LAST_ATTEMPT_BEFORE_END);
-        if self.starts_nothing_more {
-            batch
-                .scheduler_events
-                .push(m::Event::EndpointsReplaced(Vec::new()));
-        }
-    }
-
-    /// Whether the process ends within a time.
-    fn ends_within(&self, now: Timestamp, time: m::Span) -> bool {
-        self.shutdown_at
-            .is_some_and(|end| end - now.monotonic <= time)
-    }
 }
 
-/// Logs that the journal did not take a note; the message goes on as far as memory carries it.
+/// Logs that the journal did not accept a record. The message continues in memory.
 fn log_journal_error(noted: std::io::Result<()>, commands: &mut Vec<EngineCommand>) {
     if let Err(error) = noted {
         commands.push(EngineCommand::Log(format!(
--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -1,43 +1,42 @@
-//! Submissions: whether a message is new, whether it is accepted, and who waits for its response.
+//! Submissions: which are accepted, and which clients wait for their responses.
 
-use super::hot_restart::Role;
-use super::{
-    log_journal_error, Batch, Engine, EngineCommand, RejectReason, DEFAULT_RETRY_AFTER_MS,
-    LAST_ACCEPTED_BEFORE_END,
-};
+use super::final_outcome::outcome_of_failure;
+use super::lookup::Lookup;
+use super::role::Role;
+use super::scheduler_input::scheduler_message;
+use super::shutdown::LAST_ACCEPTED_BEFORE_END;
+use super::{log_journal_error, Batch, Engine, EngineCommand, RejectReason, Rejection};
 use crate::core::message_record::AttemptRecord;
 use crate::core::{FinalOutcome, Message, MessageId, Origin, RequestId, SubmitResponse, Timestamp};
 use marblefall_scheduler as m;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
+/// A rejected client retries after this time where nothing better is known, in milliseconds.
+const DEFAULT_RETRY_AFTER_MS: u64 = 1000;
+
+/// The response to a submission that is rejected for no reason of its destination.
+pub(super) const REJECTED: SubmitResponse = SubmitResponse::Rejected {
+    retry_after_ms: DEFAULT_RETRY_AFTER_MS,
+};
+
 /// A message submitted within the batch at hand.
 pub(super) struct Submission {
-    id: MessageId,
-    message: Rc<Message>,
-    /// What an earlier submission of it may have done.
+    pub(super) id: MessageId,
+    pub(super) message: Rc<Message>,
+    /// The first attempt of an earlier submission of it that may have been executed.
     first_possible_execution: Option<AttemptRecord>,
     /// Other identities under which it was submitted in the same batch.
     aliases: Vec<Vec<u8>>,
 }
 
-/// What is known of a message that is submitted.
-pub(super) enum Lookup {
-    /// It is new, or a new try of one that was returned and may have been executed.
-    New(Option<AttemptRecord>),
-    /// It is open already.
-    Open(MessageId),
-    /// It has its final outcome.
-    Finished(MessageId, FinalOutcome),
-    /// It was submitted with another idempotency key, or is over.
-    Conflict,
-}
-
 impl Engine {
-    /// Takes a submission: it is answered, joins an earlier one, or is offered to the scheduler.
+    /// Handles a submission: it is answered, joins an earlier one, or is offered to the scheduler.
     pub(super) fn submit(&mut self, request: RequestId, message: Message, batch: &mut Batch<'_>) {
         let first_possible_execution = match self.look_up(&message, &batch.submissions) {
-            Lookup::New(first_possible_execution) => first_possible_execution,
+            Lookup::New {
+                first_possible_execution,
+            } => first_possible_execution,
             Lookup::Open(id) => return self.join(id, request, message, batch),
             Lookup::Finished(id, outcome) => {
                 log_journal_error(self.store.add_alias(id, &message.identity), batch.commands);
@@ -45,30 +44,14 @@
             }
             Lookup::Conflict => return batch.respond(request, SubmitResponse::Conflict),
         };
-        if let Some(reason) = self.objection(&message, batch) {
-            self.rejections.push((request, reason));
-            let rejected = SubmitResponse::Rejected {
-                retry_after_ms: DEFAULT_RETRY_AFTER_MS,
-            };
-            return batch.respond(request, rejected);
+        if let Some(reason) = self.reject_reason(&message, batch) {
+            self.rejections.push(Rejection { request, reason });
+            return batch.respond(request, REJECTED);
         }
         self.use_destination(message.destination, batch);
         let id = self.store.allocate_id();
-        let new_message = scheduler_message(id, &message, batch.now);
-        batch
-            .scheduler_events
-            .push(match &first_possible_execution {
-                None => m::Event::Accepted(new_message),
-                Some(attempt) => {
-                    let first_possible_execution = Some(self.sent_attempt(batch.now, attempt));
-                    let prior = m::PriorAttempts {
-                        attempts: 0,
-                        first_possible_execution,
-                        in_flight: None,
-                    };
-                    m::Event::Resumed(new_message, prior)
-                }
-            });
+        let event = self.submission_event(id, &message, first_possible_execution.as_ref(), batch);
+        batch.scheduler_events.push(event);
         self.waiting_clients.insert(id, vec![request]);
         batch.submissions.push(Submission {
             id,
@@ -78,27 +61,49 @@
         });
     }
 
-    /// Why one more message may not be accepted, if so. The list may be late, so a message for a destination that it has not
-    /// named is rejected rather than failed. What is accepted while another incarnation is active is delivered by that
-    /// one.
-    fn objection(&self, message: &Message, batch: &Batch<'_>) -> Option<RejectReason> {
-        let full = self.role != Role::HandedOver
+    /// The event that offers a message to the scheduler.
+    fn submission_event(
+        &mut self,
+        id: MessageId,
+        message: &Message,
+        first_possible_execution: Option<&AttemptRecord>,
+        batch: &Batch<'_>,
+    ) -> m::Event {
+        let new_message = scheduler_message(id, message, batch.now);
+        match first_possible_execution {
+            None => m::Event::Accepted(new_message),
+            Some(attempt) => {
+                let prior = m::PriorAttempts {
+                    attempts: 0,
+                    first_possible_execution: Some(self.sent_attempt(batch.now, attempt)),
+                    in_flight: None,
+                };
+                m::Event::Resumed(new_message, prior)
+            }
+        }
+    }
+
+    /// Why one more message may not be accepted, if so. The endpoint list may be late, so that a message for a
+    /// destination without endpoints is rejected rather than failed. What is accepted while another incarnation is
+    /// active is delivered by that one.
+    fn reject_reason(&self, message: &Message, batch: &Batch<'_>) -> Option<RejectReason> {
+        let is_full = self.role != Role::HandedOver
             && self.store.open_count() + batch.submissions.len() >= self.policy.max_open;
-        let ending =
+        let is_ending =
             self.role == Role::Active && self.ends_within(batch.now, LAST_ACCEPTED_BEFORE_END);
         if !self.is_known_destination(message.destination) {
             Some(RejectReason::UnknownDestination)
-        } else if ending {
+        } else if is_ending {
             Some(RejectReason::Ending)
-        } else if full || !self.store.has_room(message) {
+        } else if is_full || !self.store.has_capacity_for(message) {
             Some(RejectReason::Full)
         } else {
             None
         }
     }
 
-    /// A submission joins an open message. The platform's clients give each submission an id of its own: who brings a
-    /// known one is not the client that waits for it, and must not cancel it by going away.
+    /// Joins a submission to an open message. Each submission of the platform's clients has an id of its own, so a
+    /// client with a known id is not the one that waits for the message, and must not cancel it by disconnecting.
     fn join(&mut self, id: MessageId, request: RequestId, message: Message, batch: &mut Batch<'_>) {
         if message.origin == Origin::Platform {
             let response = match self.store.get(id) {
@@ -121,51 +126,8 @@
         }
     }
 
-    /// Whether a submission repeats an earlier one.
-    pub(super) fn look_up(&self, message: &Message, submissions: &[Submission]) -> Lookup {
-        let from_events = message.origin == Origin::CloudEvents;
-        let key = message.idempotency_key.as_ref().filter(|_| from_events);
-        let repeats = |earlier: &Message| {
-            let same_key = key.is_some() && earlier.idempotency_key.as_ref() == key;
-            earlier.identity == message.identity
-                || earlier.destination == message.destination && same_key
-        };
-        if let Some(submission) = submissions
-            .iter()
-            .find(|submission| repeats(&submission.message))
-        {
-            return if submission.message.idempotency_key == message.idempotency_key {
-                Lookup::Open(submission.id)
-            } else {
-                Lookup::Conflict
-            };
-        }
-        let by_key = || self.store.by_idempotency_key(message.destination, key?);
-        let id = self.store.by_identity(&message.identity).or_else(by_key);
-        let Some((id, record)) = id.and_then(|id| Some((id, self.store.get(id)?))) else {
-            // Sent again, what was delivered would be executed twice.
-            let over = !from_events && self.recent_completions.contains(&message.identity);
-            return if over {
-                Lookup::Conflict
-            } else {
-                Lookup::New(None)
-            };
-        };
-        if record.message.idempotency_key != message.idempotency_key {
-            return Lookup::Conflict;
-        }
-        match record.completion().map(|completion| completion.outcome) {
-            None => Lookup::Open(id),
-            // It was told to come again: a new try, bound by what the earlier one may have done.
-            Some(FinalOutcome::Returned { .. }) => {
-                Lookup::New(record.first_possible_execution.clone())
-            }
-            Some(outcome) => Lookup::Finished(id, outcome),
-        }
-    }
-
-    /// A client has gone without its response. What others wait for as well goes on, and so does an event nobody waits
-    /// for, as its identity is known.
+    /// Handles a client that has gone without its response. Its message is cancelled if it came by the platform's
+    /// protocol and no other client waits for it. An event is not cancelled, as its client can submit it again.
     pub(super) fn client_gone(&mut self, request: RequestId, batch: &mut Batch<'_>) {
         let waiting = self
             .waiting_clients
@@ -184,7 +146,7 @@
             .iter()
             .position(|submission| submission.id == id && is_platform(&submission.message));
         if let Some(index) = in_batch {
-            // Nobody has heard of it, nor will: it is not accepted at all.
+            // It has not been accepted yet, and is not accepted at all.
             batch.submissions.remove(index);
             self.waiting_clients.remove(&id);
             batch.scheduler_events.push(m::Event::Cancelled(id));
@@ -200,7 +162,8 @@
         }
     }
 
-    /// Journals the submissions that the scheduler did not end at once; returns those that the journal did not take.
+    /// Journals the submissions that the scheduler did not end in this step; returns those that the journal did not
+    /// accept.
     pub(super) fn journal_submissions(
         &mut self,
         now: Timestamp,
@@ -213,88 +176,98 @@
             let id = submission.id;
             let given_up = actions
                 .iter()
-                .find_map(|action| self.given_up(now, &submission, action));
+                .find_map(|action| self.response_of_action(now, &submission, action));
             if let Some(response) = given_up {
-                // Given up before it was accepted: the response itself says so, and nothing is owed.
+                // It was not accepted, so the response alone reports its outcome.
                 self.note_rejected(id, RejectReason::Scheduler);
                 self.respond_all(id, response, commands);
                 continue;
             }
-            let Submission {
-                message,
-                first_possible_execution,
-                aliases,
-                ..
-            } = submission;
-            if let Err(error) = self.store.accept(id, message, first_possible_execution) {
+            if let Err(error) = self.journal_submission(submission, commands) {
                 commands.push(EngineCommand::Log(format!(
                     "the journal does not take a message: {error}"
                 )));
-                self.note_rejected(id, RejectReason::NotJournalled);
                 not_journalled.insert(id);
-                self.backlog.push(m::Event::Cancelled(id));
-                let rejected = SubmitResponse::Rejected {
-                    retry_after_ms: DEFAULT_RETRY_AFTER_MS,
-                };
-                self.respond_all(id, rejected, commands);
-                continue;
-            }
-            for alias in aliases {
-                log_journal_error(self.store.add_alias(id, &alias), commands);
+                self.reject_unjournalled(id, commands);
             }
-            let requests = self.waiting_clients.get(&id).into_iter().flatten();
-            commands.extend(
-                requests.map(|request| EngineCommand::Respond(*request, SubmitResponse::Accepted)),
-            );
         }
         not_journalled
     }
 
+    /// Accepts a submission: journals it, and responds to its clients.
+    fn journal_submission(
+        &mut self,
+        submission: Submission,
+        commands: &mut Vec<EngineCommand>,
+    ) -> std::io::Result<()> {
+        let Submission {
+            id,
+            message,
+            first_possible_execution,
+            aliases,
+        } = submission;
+        self.store.accept(id, message, first_possible_execution)?;
+        for alias in aliases {
+            log_journal_error(self.store.add_alias(id, &alias), commands);
+        }
+        let requests = self.waiting_clients.get(&id).into_iter().flatten();
+        commands.extend(
+            requests.map(|request| EngineCommand::Respond(*request, SubmitResponse::Accepted)),
+        );
+        Ok(())
+    }
+
+    /// Rejects a submission that the journal did not accept.
+    fn reject_unjournalled(&mut self, id: MessageId, commands: &mut Vec<EngineCommand>) {
+        self.note_rejected(id, RejectReason::NotJournalled);
+        self.backlog.push(m::Event::Cancelled(id));
+        self.respond_all(id, REJECTED, commands);
+    }
+
     fn note_rejected(&mut self, id: MessageId, reason: RejectReason) {
         let requests = self.waiting_clients.get(&id).into_iter().flatten();
-        self.rejections
-            .extend(requests.map(|request| (*request, reason)));
+        self.rejections.extend(requests.map(|request| Rejection {
+            request: *request,
+            reason,
+        }));
     }
 
-    /// The submissions that were rejected since the last call, and why.
-    pub fn take_rejections(&mut self) -> Vec<(RequestId, RejectReason)> {
+    /// The submissions that were rejected since the last call.
+    pub fn drain_rejections(&mut self) -> Vec<Rejection> {
         std::mem::take(&mut self.rejections)
     }
 
-    /// The response to a submission that an action gives up in the step it came in.
-    fn given_up(
+    /// The response to a submission that an action of the same step gives up.
+    fn response_of_action(
         &self,
         now: Timestamp,
         submission: &Submission,
         action: &m::Action,
     ) -> Option<SubmitResponse> {
+        let message = &submission.message;
         match action {
             m::Action::Reject {
-                message,
+                message: id,
                 retry_after,
-            } if *message == submission.id => {
-                let first_possible_execution = submission.first_possible_execution.as_ref();
-                let outcome = self.returned(
-                    now,
-                    &submission.message,
-                    first_possible_execution,
-                    *retry_after,
-                );
-                Some(match outcome {
-                    FinalOutcome::Returned { retry_after_ms } => {
-                        SubmitResponse::Rejected { retry_after_ms }
-                    }
-                    outcome => SubmitResponse::Finished(outcome),
-                })
+            } if *id == submission.id => {
+                let first = submission.first_possible_execution.as_ref();
+                Some(
+                    match self.outcome_of_rejection(now, message, first, *retry_after) {
+                        FinalOutcome::Returned { retry_after_ms } => {
+                            SubmitResponse::Rejected { retry_after_ms }
+                        }
+                        outcome => SubmitResponse::Finished(outcome),
+                    },
+                )
             }
-            m::Action::Fail(message) if *message == submission.id => {
-                Some(SubmitResponse::Finished(failed(now, &submission.message)))
+            m::Action::Fail(id) if *id == submission.id => {
+                Some(SubmitResponse::Finished(outcome_of_failure(now, message)))
             }
             _ => None,
         }
     }
 
-    /// Gives all who wait for a message its last response.
+    /// Gives all clients that wait for a message its last response.
     pub(super) fn respond_all(
         &mut self,
         id: MessageId,
@@ -309,24 +282,3 @@
         );
     }
 }
-
-/// How a message ends that the scheduler fails.
-pub(super) fn failed(now: Timestamp, message: &Message) -> FinalOutcome {
-    if now.unix_ms >= message.expires_ms {
-        FinalOutcome::Expired
-    } else {
-        FinalOutcome::Failed
-    }
-}
-
-/// A message as the scheduler takes it.
-pub(super) fn scheduler_message(id: MessageId, message: &Message, now: Timestamp) -> m::NewMessage {
-    m::NewMessage {
-        message: id,
-        class: message.class,
-        tenant: None,
-        ordering_key: None,
-        deadline: now.monotonic_of(message.expires_ms),
-        destination: message.destination,
-    }
-}
--- a/crates/delivery/src/core/engine/attempts.rs
+++ b/crates/delivery/src/core/engine/attempts.rs
@@ -1,182 +1,118 @@
-//! Attempts: how they are started, what their ends mean, and how messages get their final outcome.
+//! Attempts: how they are started, and what their results mean.
 
-use super::acceptance::failed;
+use super::recovery::RecordedAttempt;
 use super::settings::DEDUPLICATION_MARGIN;
 use super::unjournalled::UnjournalledAttempt;
 use super::{log_journal_error, AttemptRequest, AttemptResult, Batch, Engine, EngineCommand};
-use crate::core::message_record::AttemptRecord;
-use crate::core::{
-    Disposition, FinalOutcome, Message, MessageId, Origin, Route, SubmitResponse, Timestamp,
-};
+use crate::core::message_record::{AttemptRecord, Execution, MessageRecord};
+use crate::core::{Disposition, FinalOutcome, MessageId, Route, Timestamp};
 use crate::rules;
 use marblefall_scheduler as m;
-use std::collections::BTreeSet;
 
 impl Engine {
-    /// Takes the end of an attempt: it is noted, the scheduler hears of it, and the message may have its final outcome.
+    /// Handles the result of an attempt: journals it, reports it to the scheduler, and gives the message its final
+    /// outcome if the result decides it.
     pub(super) fn attempt_finished(&mut self, result: AttemptResult, batch: &mut Batch<'_>) {
-        let AttemptResult {
-            message_id: id,
-            attempt,
-            outcome,
-            duration,
-            disposition,
-            rate_limit,
-        } = result;
+        let id = result.message_id;
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.note_backoff(batch.now, id, outcome, batch.commands);
+        self.note_backoff(batch.now, id, result.outcome, batch.commands);
         if let Some(destination) = self.store.get(id).map(|record| record.message.destination) {
             self.use_destination(destination, batch);
         }
         log_journal_error(
             self.store
-                .attempt_finished(id, !outcome.proves_not_executed()),
+                .attempt_finished(id, Execution::after(result.outcome)),
             batch.commands,
         );
-        let delivered = outcome == m::Outcome::Delivered;
-        batch.scheduler_events.push(m::Event::AttemptFinished {
-            message: id,
-            attempt: m::AttemptNumber(attempt),
-            // An endpoint that will not have a message has answered: nothing is wrong with the endpoint.
-            outcome: if disposition == Disposition::Failed {
-                m::Outcome::Delivered
-            } else {
-                outcome
-            },
-            duration,
-            is_final: delivered || disposition != Disposition::Undecided,
-            rate_limit,
-        });
-        match disposition {
-            _ if delivered => self.finish(batch.now, id, FinalOutcome::Delivered, batch.commands),
-            Disposition::Failed => self.finish(batch.now, id, FinalOutcome::Failed, batch.commands),
-            Disposition::Complete => self.forget(batch.now, id, batch.commands),
-            Disposition::Undecided if self.parked.contains(&id) => {
-                self.resume(batch.now, id, false, batch.commands);
-            }
-            Disposition::Undecided => {}
-        }
-        self.parked.remove(&id);
+        batch.scheduler_events.push(scheduler_result(&result));
+        self.conclude_attempt(id, &result, batch);
     }
 
-    /// Carries out what the scheduler decided.
-    pub(super) fn execute(
-        &mut self,
-        now: Timestamp,
-        action: m::Action,
-        not_journalled: &BTreeSet<MessageId>,
-        commands: &mut Vec<EngineCommand>,
-    ) {
-        match action {
-            m::Action::Send {
-                message,
-                endpoint,
-                timeout_at,
-            } => {
-                if not_journalled.contains(&message) {
-                    // It was rejected in this very step.
-                    return self.report_not_sent(now, message);
-                }
-                let attempt = UnjournalledAttempt {
-                    message,
-                    endpoint,
-                    timeout_at,
-                };
-                self.start_attempt(now, attempt, commands);
-            }
-            m::Action::Cancel { message, .. } => {
-                if !self.drop_unjournalled(now, message) {
-                    commands.push(EngineCommand::CancelAttempt(message));
-                }
-            }
-            m::Action::Reject {
-                message,
-                retry_after,
-            } => {
-                let Some(record) = self.store.get(message) else {
-                    return;
-                };
-                let first_possible_execution = record.first_possible_execution.as_ref();
-                let outcome =
-                    self.returned(now, &record.message, first_possible_execution, retry_after);
-                self.finish(now, message, outcome, commands);
+    /// Ends a message, or resumes it, as the result of its attempt requires.
+    fn conclude_attempt(&mut self, id: MessageId, result: &AttemptResult, batch: &mut Batch<'_>) {
+        let was_unlisted = self.predecessor_attempts.remove_unlisted(id);
+        match result.disposition {
+            _ if result.outcome == m::Outcome::Delivered => {
+                self.finish(batch.now, id, FinalOutcome::Delivered, batch.commands);
             }
-            m::Action::Fail(message) => {
-                let Some(record) = self.store.get(message) else {
-                    return;
-                };
-                let outcome = failed(now, &record.message);
-                self.finish(now, message, outcome, commands);
-            }
-            m::Action::SetTimer { at, token } => drop(self.timers.insert((at, token))),
-            m::Action::CloseIdleConnections(endpoint) => {
-                commands.push(EngineCommand::CloseIdleConnections(endpoint));
+            Disposition::Failed => self.finish(batch.now, id, FinalOutcome::Failed, batch.commands),
+            Disposition::Complete => self.forget(batch.now, id, batch.commands),
+            Disposition::Undecided if was_unlisted => {
+                self.resume(batch.now, id, RecordedAttempt::Ended, batch.commands);
             }
-            m::Action::Log(text) => commands.push(EngineCommand::Log(text)),
-            // No deployment here lets instances send health checks, and lists are pushed.
-            m::Action::HealthCheck(_) | m::Action::Subscribe => {}
+            Disposition::Undecided => {}
         }
     }
 
-    /// Notes an attempt in the journal and orders it. What the journal does not know of must not go out: it waits until
-    /// the journal takes it.
+    /// Journals an attempt and orders it. An attempt that the journal does not accept is not sent: it waits until the
+    /// journal accepts it.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
         chosen: UnjournalledAttempt,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let UnjournalledAttempt {
-            message: id,
-            endpoint,
-            timeout_at,
-        } = chosen;
+        let id = chosen.message;
+        let attempt = self.store.get(id).map_or(0, |record| record.attempts);
+        if let Err(rule) = self.check_start(now, id) {
+            commands.push(EngineCommand::RuleViolated(rule, id));
+            return self.report_not_sent(now, id);
+        }
+        let endpoint_name = self.endpoints.name_of(chosen.endpoint).cloned();
         let record = AttemptRecord {
             started_ms: now.unix_ms,
-            endpoint: self
-                .endpoints
-                .name_of(endpoint)
-                .cloned()
-                .unwrap_or_default(),
+            endpoint: endpoint_name.unwrap_or_default(),
         };
-        let attempt = self.store.get(id).map_or(0, |record| record.attempts);
-        if let Some(known) = self.store.get(id).filter(|record| record.is_open()) {
-            let class = self.policy.classes.get(known.message.class.0);
-            if let Err(rule) = rules::may_start(known, class, now) {
-                commands.push(EngineCommand::RuleViolated(rule, id));
-                return self.report_not_sent(now, id);
-            }
+        let journalled = self.store.attempt_started(id, record);
+        if journalled.is_err() {
+            log_journal_error(journalled, commands);
+            return self.defer_unjournalled(now, chosen);
         }
-        let noted = self.store.attempt_started(id, record);
-        if noted.is_err() {
-            log_journal_error(noted, commands);
-            return self.keep_unjournalled(now, chosen);
-        }
-        let open = self.store.get(id).filter(|record| record.is_open());
-        let Some(record) = open else {
+        let Some(record) = self.store.get(id).filter(|record| record.is_open()) else {
             return self.report_not_sent(now, id);
         };
         let message = record.message.clone();
-        let window = self.policy.deduplication_window(message.class);
-        let window_end = match (window, &record.first_possible_execution) {
-            (Some(window), Some(first)) => {
-                now.monotonic_of(first.started_ms) + window - DEDUPLICATION_MARGIN
-            }
-            _ => timeout_at,
-        };
+        let write_by = self.write_deadline(now, record, chosen.timeout_at);
         self.in_flight += 1;
         commands.push(EngineCommand::StartAttempt(AttemptRequest {
             message_id: id,
             attempt,
-            endpoint,
-            route: self.route(message.destination, endpoint),
+            endpoint: chosen.endpoint,
+            route: self.route(message.destination, chosen.endpoint),
             message,
-            timeout_at,
-            write_by: window_end.min(timeout_at),
+            timeout_at: chosen.timeout_at,
+            write_by,
         }));
     }
 
-    /// What a backoff that an endpoint asks for applies to.
+    /// Checks the rules for an attempt of an open message.
+    fn check_start(&self, now: Timestamp, id: MessageId) -> Result<(), rules::Rule> {
+        let Some(record) = self.store.get(id).filter(|record| record.is_open()) else {
+            return Ok(());
+        };
+        let class = self.policy.classes.get(record.message.class.0);
+        rules::may_start(record, class, now)
+    }
+
+    /// When an attempt's first byte must have been written: within the deduplication window for a repeat, and before the
+    /// time-out.
+    fn write_deadline(
+        &self,
+        now: Timestamp,
+        record: &MessageRecord,
+        timeout_at: m::Time,
+    ) -> m::Time {
+        let window = self.policy.deduplication_window(record.message.class);
+        let window_end = match (window, &record.first_possible_execution) {
+            (Some(window), Some(first)) => {
+                now.monotonic_of(first.started_ms) + window - DEDUPLICATION_MARGIN
+            }
+            _ => timeout_at,
+        };
+        window_end.min(timeout_at)
+    }
+
+    /// The route that a backoff of an endpoint applies to.
     pub(super) fn route(&self, destination: m::DestinationId, endpoint: m::EndpointId) -> Route {
         let kind = self.endpoints.listed(endpoint).map(|listed| listed.kind);
         let separate = kind.is_some_and(|kind| self.policy.has_separate_routes(kind));
@@ -186,19 +122,7 @@
         }
     }
 
-    /// An attempt's time and endpoint as the scheduler takes them.
-    pub(super) fn sent_attempt(
-        &mut self,
-        now: Timestamp,
-        attempt: &AttemptRecord,
-    ) -> (m::Time, m::EndpointId) {
-        (
-            now.monotonic_of(attempt.started_ms),
-            self.endpoints.id_of(&attempt.endpoint),
-        )
-    }
-
-    /// A backoff that an endpoint asked for is noted before anything else is done with its response.
+    /// Journals the backoff that a response requests. Called before anything else is done with the response.
     pub(super) fn note_backoff(
         &mut self,
         now: Timestamp,
@@ -207,7 +131,7 @@
         commands: &mut Vec<EngineCommand>,
     ) {
         let m::Outcome::Rejected {
-            retry_after: Some(wait),
+            retry_after: Some(retry_after),
         } = outcome
         else {
             return;
@@ -220,88 +144,32 @@
         };
         let destination = record.message.destination;
         let name = attempt.endpoint.clone();
-        let until_ms = now.unix_ms + wait.0.div_euclid(1000) + 1;
+        let until_ms = now.unix_ms_after(retry_after);
         log_journal_error(
             self.store.note_backoff(destination, name.clone(), until_ms),
             commands,
         );
-        // An attempt of this incarnation's own has told the network; one of another incarnation has not.
+        // The network has set the backoff already if the attempt was this incarnation's, but not otherwise.
         let endpoint = self.endpoints.id_of(&name);
         let route = self.route(destination, endpoint);
         commands.push(EngineCommand::SetBackoff(route, now.monotonic_of(until_ms)));
     }
+}
 
-    /// How a message ends that the scheduler has given up for now. An event that may have been executed and whose
-    /// deduplication window will have closed when it comes again would then only be given up once more: it has failed.
-    /// The platform's clients know the window themselves.
-    pub(super) fn returned(
-        &self,
-        now: Timestamp,
-        message: &Message,
-        first_possible_execution: Option<&AttemptRecord>,
-        retry_after: m::Span,
-    ) -> FinalOutcome {
-        let window = self.policy.deduplication_window(message.class);
-        let first = first_possible_execution.filter(|_| message.origin == Origin::CloudEvents);
-        if let (Some(window), Some(first)) = (window, first) {
-            let window_end = now.monotonic_of(first.started_ms) + window - DEDUPLICATION_MARGIN;
-            if now.monotonic + retry_after >= window_end {
-                return FinalOutcome::Failed;
-            }
-        }
-        FinalOutcome::Returned {
-            retry_after_ms: (retry_after.ms() as u64).max(1),
-        }
-    }
-
-    /// Gives a message its final outcome: once in the store, then towards whoever waits or is owed a notice.
-    pub(super) fn finish(
-        &mut self,
-        now: Timestamp,
-        id: MessageId,
-        outcome: FinalOutcome,
-        commands: &mut Vec<EngineCommand>,
-    ) {
-        let Some(record) = self.store.get(id) else {
-            return;
-        };
-        let message = record.message.clone();
-        let from_platform = message.origin == Origin::Platform;
-        let notice_owed = from_platform && outcome != FinalOutcome::Delivered;
-        let keep_until_ms = now.unix_ms + self.policy.retention_ms(message.class);
-        match self.store.finish(id, outcome, notice_owed, keep_until_ms) {
-            Ok(false) => return,
-            finished => log_journal_error(finished.map(|_| ()), commands),
-        }
-        commands.push(EngineCommand::MessageFinished(outcome));
-        self.respond_all(id, SubmitResponse::Finished(outcome), commands);
-        if notice_owed {
-            commands.push(EngineCommand::SendNotice {
-                message_id: id,
-                message,
-                outcome,
-            });
-        } else if from_platform {
-            self.forget(now, id, commands);
-        }
-    }
-
-    /// Forgets a message for which nothing is owed.
-    pub(super) fn forget(
-        &mut self,
-        now: Timestamp,
-        id: MessageId,
-        commands: &mut Vec<EngineCommand>,
-    ) {
-        self.waiting_clients.remove(&id);
-        let record = self
-            .store
-            .get(id)
-            .filter(|record| record.message.origin == Origin::Platform);
-        if let Some(record) = record {
-            self.recent_completions
-                .insert(now.monotonic, &record.message.identity);
-        }
-        log_journal_error(self.store.forget(id), commands);
+/// The result of an attempt in the scheduler's form.
+fn scheduler_result(result: &AttemptResult) -> m::Event {
+    let is_delivered = result.outcome == m::Outcome::Delivered;
+    m::Event::AttemptFinished {
+        message: result.message_id,
+        attempt: m::AttemptNumber(result.attempt),
+        // An endpoint that rejects a message for good has responded: it is healthy.
+        outcome: if result.disposition == Disposition::Failed {
+            m::Outcome::Delivered
+        } else {
+            result.outcome
+        },
+        duration: result.duration,
+        is_final: is_delivered || result.disposition != Disposition::Undecided,
+        rate_limit: result.rate_limit,
     }
 }
--- a/crates/delivery/src/core/engine/command.rs
+++ b/crates/delivery/src/core/engine/command.rs
@@ -1,4 +1,4 @@
-//! What the engine wants done.
+//! The engine's commands.
 
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::{FinalOutcome, Message, MessageId, RequestId, Route, SubmitResponse};
@@ -11,35 +11,44 @@
 pub struct AttemptRequest {
     /// The message's id.
     pub message_id: MessageId,
-    /// Which attempt of it.
+    /// The attempt's number, from 0 for the message's first.
     pub attempt: u32,
-    /// Where to send it.
+    /// The endpoint it is sent to.
     pub endpoint: m::EndpointId,
-    /// It is not sent while this route is in backoff.
+    /// The route whose backoff withholds it.
     pub route: Route,
-    /// What to send.
+    /// The message.
     pub message: Rc<Message>,
-    /// When to abandon it.
+    /// When it is abandoned.
     pub timeout_at: m::Time,
-    /// Its first byte is written before then or not at all.
+    /// Its first byte is written before this time or not at all.
     pub write_by: m::Time,
 }
 
 /// Why a submission is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// As many messages are open as may be, or the journal is full.
+    /// The limit of open messages is reached, or the journal is full.
     Full,
-    /// The process ends.
+    /// The process is about to end.
     Ending,
-    /// No endpoint list has named its destination.
+    /// Its destination has had no endpoint.
     UnknownDestination,
     /// The journal could not be written.
     NotJournalled,
-    /// The scheduler gave it up in the step in which it came.
+    /// The scheduler rejected it in the step in which it was submitted.
     Scheduler,
 }
 
+/// A submission that was rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Rejection {
+    /// The submission.
+    pub request: RequestId,
+    /// Why it was rejected.
+    pub reason: RejectReason,
+}
+
 /// Something to be done outside the engine.
 #[derive(Debug)]
 pub enum EngineCommand {
@@ -47,7 +56,7 @@
     Respond(RequestId, SubmitResponse),
     /// Start an attempt.
     StartAttempt(AttemptRequest),
-    /// An endpoint of this route asked another incarnation to back off until then.
+    /// Send nothing on a route until this time, as a backoff was requested of another incarnation.
     SetBackoff(Route, m::Time),
     /// Stop waiting for the attempt of a message.
     CancelAttempt(MessageId),
@@ -55,26 +64,26 @@
     CloseIdleConnections(m::EndpointId),
     /// Count a final outcome.
     MessageFinished(FinalOutcome),
-    /// Tell the platform of a final outcome, until it is acknowledged.
+    /// Send the platform a notice of a final outcome until it is acknowledged.
     SendNotice {
         /// The message's id.
         message_id: MessageId,
         /// The message.
         message: Rc<Message>,
-        /// How it ended.
+        /// Its final outcome.
         outcome: FinalOutcome,
     },
-    /// What is known of an endpoint.
+    /// An endpoint is listed, or its listing has changed.
     EndpointListed(m::EndpointId, ListedEndpoint),
-    /// An endpoint is no longer listed.
+    /// An endpoint was removed from the list.
     EndpointRemoved(m::EndpointId),
-    /// This incarnation is active from now on, with so many messages of earlier ones.
+    /// This incarnation is active from now on, with this many open messages of earlier ones.
     TookOver(usize),
-    /// This incarnation is not active any more: another one may take over.
+    /// This incarnation has handed over: another one may become active.
     HandedOver,
     /// The policy with this revision is in force.
     PolicyInForce(u64),
-    /// An action was refused that would have broken a rule.
+    /// An attempt of a message was refused because it would have broken a rule.
     RuleViolated(Rule, MessageId),
     /// Write a log line.
     Log(String),
--- a/crates/delivery/src/core/engine/endpoint_registry.rs
+++ b/crates/delivery/src/core/engine/endpoint_registry.rs
@@ -1,20 +1,20 @@
-//! The endpoints that the engine knows: their ids, their rows in the list, and which ones operators disabled.
+//! The endpoints that the engine knows: their ids, their listings, and which ones operators have disabled.
 
 use super::EngineCommand;
 use crate::core::endpoint::ListedEndpoint;
 use marblefall_scheduler as m;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What a list of endpoints stands for.
+/// What a list of endpoints covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListScope {
-    /// All there are: what is not in it is removed.
-    Whole,
-    /// Those that changed.
+    /// All endpoints: those that are not in it are removed.
+    Complete,
+    /// Only the endpoints that changed.
     Changes,
 }
 
-/// All endpoints that are listed or that a pending message was sent to.
+/// All endpoints that are listed or that an open message was sent to.
 #[derive(Debug, Default)]
 pub(super) struct EndpointRegistry {
     ids: HashMap<String, m::EndpointId>,
@@ -22,7 +22,7 @@
     next_id: u32,
     /// Destinations that have had an endpoint.
     destinations: BTreeSet<m::DestinationId>,
-    /// Endpoints as the list has them last, so that one disabled or enabled can be told anew.
+    /// The last listing of each endpoint, from which one that is disabled or enabled is applied again.
     listed: BTreeMap<m::EndpointId, ListedEndpoint>,
     /// Names of the endpoints that operators disabled.
     disabled: BTreeSet<String>,
@@ -46,12 +46,12 @@
         self.names.get(&id)
     }
 
-    /// The list's row of an endpoint.
+    /// The listing of an endpoint.
     pub fn listed(&self, id: m::EndpointId) -> Option<&ListedEndpoint> {
         self.listed.get(&id)
     }
 
-    /// All rows of the list.
+    /// All listings.
     pub fn all_listed(&self) -> Vec<ListedEndpoint> {
         self.listed.values().cloned().collect()
     }
@@ -66,7 +66,7 @@
         self.destinations.remove(&id);
     }
 
-    /// Replaces the names of disabled endpoints; returns the listed endpoints that this changes.
+    /// Replaces the names of disabled endpoints; returns the listings of those that are newly disabled or enabled.
     pub fn set_disabled(&mut self, names: BTreeSet<String>) -> Vec<ListedEndpoint> {
         let changed: Vec<String> = names
             .symmetric_difference(&self.disabled)
@@ -77,7 +77,7 @@
         ids.filter_map(|id| self.listed.get(id).cloned()).collect()
     }
 
-    /// Applies a list; returns what the scheduler is to be told.
+    /// Applies a list; returns the updates for the scheduler.
     pub fn apply(
         &mut self,
         endpoints: Vec<ListedEndpoint>,
@@ -88,10 +88,18 @@
             .into_iter()
             .map(|endpoint| self.apply_one(endpoint, commands))
             .collect();
+        for id in self.removed_ids(&updates, scope) {
+            self.remove(id, commands);
+        }
+        updates
+    }
+
+    /// The known endpoints that a list removes.
+    fn removed_ids(&self, updates: &[m::EndpointUpdate], scope: ListScope) -> Vec<m::EndpointId> {
         let is_listed = |update: &&m::EndpointUpdate| update.status != m::EndpointStatus::Removed;
-        let removed: Vec<m::EndpointId> = match scope {
-            ListScope::Whole => {
-                let kept: BTreeSet<_> = updates
+        match scope {
+            ListScope::Complete => {
+                let listed: BTreeSet<_> = updates
                     .iter()
                     .filter(is_listed)
                     .map(|update| update.endpoint)
@@ -99,18 +107,14 @@
                 self.names
                     .keys()
                     .copied()
-                    .filter(|id| !kept.contains(id))
+                    .filter(|id| !listed.contains(id))
                     .collect()
             }
             ListScope::Changes => {
-                let gone = updates.iter().filter(|update| !is_listed(update));
-                gone.map(|update| update.endpoint).collect()
+                let removed = updates.iter().filter(|update| !is_listed(update));
+                removed.map(|update| update.endpoint).collect()
             }
-        };
-        for id in removed {
-            self.remove(id, commands);
         }
-        updates
     }
 
     fn apply_one(
@@ -142,8 +146,8 @@
         update
     }
 
-    /// Forgets an endpoint. Endpoints come under new names for as long as the process runs: what is removed must leave
-    /// nothing behind.
+    /// Removes an endpoint with its id. New endpoint names appear for as long as the process runs, so a removed one must
+    /// not use memory.
     pub fn remove(&mut self, id: m::EndpointId, commands: &mut Vec<EngineCommand>) {
         if let Some(name) = self.names.remove(&id) {
             self.ids.remove(&name);
--- a/crates/delivery/src/core/engine/event.rs
+++ b/crates/delivery/src/core/engine/event.rs
@@ -1,4 +1,4 @@
-//! What the engine is told.
+//! The engine's events.
 
 use super::{PolicyChange, PolicyMismatch, ProposedPolicy};
 use crate::core::destination_table::DestinationTable;
@@ -14,15 +14,15 @@
 pub struct AttemptResult {
     /// The message.
     pub message_id: MessageId,
-    /// Which attempt of it.
+    /// The attempt's number, from 0 for the message's first.
     pub attempt: u32,
     /// How it ended.
     pub outcome: m::Outcome,
     /// How long it was in flight.
     pub duration: m::Span,
-    /// What it means for the message.
+    /// What the response means for the message.
     pub disposition: Disposition,
-    /// What the response told of the rate limit.
+    /// The rate limit that the response reports.
     pub rate_limit: m::RateLimitReport,
 }
 
@@ -39,29 +39,29 @@
     EndpointsReplaced(Vec<ListedEndpoint>),
     /// Changes to the endpoint list.
     EndpointsUpdated(Vec<ListedEndpoint>),
-    /// All destinations there are, from now on. Only those in use are made known to the scheduler.
+    /// All destinations from now on. The scheduler is given only those in use.
     DestinationTableReplaced(Arc<DestinationTable>),
-    /// Operators keep these endpoints disabled, by name, whatever the list says of them, from now on.
+    /// The names of all endpoints that operators have disabled, whatever their status in the list.
     EndpointsDisabled(BTreeSet<String>),
-    /// The platform has taken the notice of a message's final outcome.
+    /// The platform has acknowledged the notice of a message's final outcome.
     NoticeAcknowledged(MessageId),
-    /// This incarnation is active from now on: it takes over what earlier ones left.
+    /// This incarnation is active from now on, and recovers the messages of earlier ones.
     TakeOver {
-        /// Those that still run and have handed over.
+        /// The earlier incarnations that have handed over and are still running.
         running: Vec<Generation>,
-        /// The first of those that ran when this one began.
+        /// The first of the incarnations that were running when this one started.
         first_concurrent: Option<Generation>,
     },
-    /// Incarnations that have handed over may have written more.
+    /// Predecessors that have handed over may have journalled more.
     FollowPredecessors,
-    /// An incarnation that was followed has exited.
+    /// A predecessor that was followed has exited.
     PredecessorExited(Generation),
-    /// An incarnation that stood by beside this one exited before it took over: this one goes on under a later
-    /// generation, with what that one had accepted.
+    /// A standby exited before it took over. This incarnation continues under a later generation, with the messages that
+    /// the standby had accepted.
     StandbyExited(Generation),
     /// Another policy, from now on.
     PolicyChanged(Box<PolicyChange>),
-    /// Asks whether a proposed policy has room for what is pending.
+    /// Check whether a proposed policy covers the open messages.
     CheckPolicy(
         ProposedPolicy,
         async_channel::Sender<Result<(), PolicyMismatch>>,
@@ -70,15 +70,15 @@
     LeaseChanged,
     /// This incarnation ends.
     Shutdown {
-        /// At this time at the latest.
+        /// When it ends at the latest.
         deadline: m::Time,
-        /// Another one takes over, beside this one or after it.
+        /// Whether another incarnation takes over, beside this one or after it.
         hand_over: bool,
     },
 }
 
 impl EngineEvent {
-    /// Whether it changes which endpoints there are or may be used; such events go before all others of a step.
+    /// Whether it changes the endpoints or their use. Such events are handled before all others of a step.
     pub(super) fn changes_endpoints(&self) -> bool {
         matches!(
             self,
--- /dev/null
+++ b/crates/delivery/src/core/engine/final_outcome.rs
@@ -0,0 +1,128 @@
+//! How messages get their final outcome, and how they are forgotten.
+
+use super::settings::DEDUPLICATION_MARGIN;
+use super::{log_journal_error, Engine, EngineCommand};
+use crate::core::message_record::{AttemptRecord, NoticeState};
+use crate::core::{FinalOutcome, Message, MessageId, Origin, SubmitResponse, Timestamp};
+use marblefall_scheduler as m;
+
+/// The final outcome of a message that the scheduler fails.
+pub(super) fn outcome_of_failure(now: Timestamp, message: &Message) -> FinalOutcome {
+    if now.unix_ms >= message.expires_ms {
+        FinalOutcome::Expired
+    } else {
+        FinalOutcome::Failed
+    }
+}
+
+impl Engine {
+    /// The final outcome of a message that the scheduler rejects with a time to retry after.
+    ///
+    /// An event that may have been executed and whose deduplication window will have closed by then fails instead, as a
+    /// retry could only be rejected again. The platform's clients check the window themselves.
+    pub(super) fn outcome_of_rejection(
+        &self,
+        now: Timestamp,
+        message: &Message,
+        first_possible_execution: Option<&AttemptRecord>,
+        retry_after: m::Span,
+    ) -> FinalOutcome {
+        let window = self.policy.deduplication_window(message.class);
+        let first = first_possible_execution.filter(|_| message.origin == Origin::CloudEvents);
+        if let (Some(window), Some(first)) = (window, first) {
+            let window_end = now.monotonic_of(first.started_ms) + window - DEDUPLICATION_MARGIN;
+            if now.monotonic + retry_after >= window_end {
+                return FinalOutcome::Failed;
+            }
+        }
+        FinalOutcome::Returned {
+            retry_after_ms: (retry_after.ms() as u64).max(1),
+        }
+    }
+
+    /// Rejects a pending message, which the scheduler has given up for now.
+    pub(super) fn return_message(
+        &mut self,
+        now: Timestamp,
+        id: MessageId,
+        retry_after: m::Span,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let Some(record) = self.store.get(id) else {
+            return;
+        };
+        let first = record.first_possible_execution.as_ref();
+        let outcome = self.outcome_of_rejection(now, &record.message, first, retry_after);
+        self.finish(now, id, outcome, commands);
+    }
+
+    /// Fails a pending message, which the scheduler has given up for good.
+    pub(super) fn fail_message(
+        &mut self,
+        now: Timestamp,
+        id: MessageId,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let Some(record) = self.store.get(id) else {
+            return;
+        };
+        let outcome = outcome_of_failure(now, &record.message);
+        self.finish(now, id, outcome, commands);
+    }
+
+    /// Gives a message its final outcome in the store, responds to its waiting clients, and sends the platform a notice
+    /// of anything but a delivery.
+    pub(super) fn finish(
+        &mut self,
+        now: Timestamp,
+        id: MessageId,
+        outcome: FinalOutcome,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let Some(record) = self.store.get(id) else {
+            return;
+        };
+        let message = record.message.clone();
+        let from_platform = message.origin == Origin::Platform;
+        let notice = if from_platform && outcome != FinalOutcome::Delivered {
+            NoticeState::Pending
+        } else {
+            NoticeState::NotRequired
+        };
+        let retain_until_ms = now.unix_ms + self.policy.retention_ms(message.class);
+        match self.store.finish(id, outcome, notice, retain_until_ms) {
+            Ok(false) => return,
+            finished => log_journal_error(finished.map(|_| ()), commands),
+        }
+        commands.push(EngineCommand::MessageFinished(outcome));
+        self.respond_all(id, SubmitResponse::Finished(outcome), commands);
+        if notice == NoticeState::Pending {
+            commands.push(EngineCommand::SendNotice {
+                message_id: id,
+                message,
+                outcome,
+            });
+        } else if from_platform {
+            self.forget(now, id, commands);
+        }
+    }
+
+    /// Removes a message for which no notice is pending.
+    pub(super) fn forget(
+        &mut self,
+        now: Timestamp,
+        id: MessageId,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        self.waiting_clients.remove(&id);
+        let record = self
+            .store
+            .get(id)
+            .filter(|record| record.message.origin == Origin::Platform);
+        if let Some(record) = record {
+            self.recent_completions
+                .insert(now.monotonic, &record.message.identity);
+        }
+        log_journal_error(self.store.forget(id), commands);
+    }
+}
--- /dev/null
+++ b/crates/delivery/src/core/engine/lease.rs
@@ -0,0 +1,140 @@
+//! The engine without its lease: nothing is accepted and no attempt is started, but results of attempts are journalled
+//! and deadlines are met.
+
+use super::acceptance::REJECTED;
+use super::lookup::Lookup;
+use super::{Batch, Engine, EngineCommand, EngineEvent};
+use crate::core::{FinalOutcome, MessageId, Timestamp};
+use marblefall_scheduler as m;
+
+/// A submission is deferred no longer than its class's latency objective, and no longer than this.
+const MAX_DEFERRAL: m::Span = m::Span(3_000_000);
+/// How often deferred submissions are checked.
+const DEFERRED_CHECK_INTERVAL: m::Span = m::Span(20_000);
+
+/// Whether the engine holds the lease to act under its policy.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LeaseState {
+    /// It holds the lease.
+    #[default]
+    Held,
+    /// The policy is being changed: submissions are deferred.
+    Suspended,
+    /// It does not hold the lease for an unknown time: submissions are rejected.
+    Lost,
+}
+
+/// An event that was received without the lease and is handled under the next one.
+pub(super) struct DeferredEvent {
+    received_at: m::Time,
+    event: EngineEvent,
+}
+
+impl Engine {
+    /// Sets the state of the lease from the next step on.
+    pub fn set_lease(&mut self, lease: LeaseState) {
+        self.lease = lease;
+    }
+
+    /// A step without decisions: results of attempts and final outcomes are journalled, submissions are deferred or
+    /// rejected, and messages past their deadline expire.
+    pub(super) fn step_without_lease(
+        &mut self,
+        now: Timestamp,
+        events: Vec<EngineEvent>,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let mut batch = Batch::new(now, commands);
+        batch.scheduler_events = std::mem::take(&mut self.backlog);
+        for event in events {
+            self.handle_or_defer(event, &mut batch);
+        }
+        self.backlog = batch.scheduler_events;
+        self.reject_overdue_submissions(now, commands);
+        self.expire_messages(now, commands);
+    }
+
+    fn handle_or_defer(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
+        match event {
+            // A known message needs no decision, and its client must not submit it elsewhere while it is pending here.
+            EngineEvent::Submitted(_, ref message)
+                if !matches!(self.look_up(message, &[]), Lookup::New { .. }) =>
+            {
+                self.handle(event, batch);
+            }
+            EngineEvent::Submitted(..) => self.defer(event, batch),
+            event if event.changes_endpoints() => self.defer(event, batch),
+            EngineEvent::ClientGone(request) => {
+                self.deferred.retain(|deferred| {
+                    !matches!(deferred.event, EngineEvent::Submitted(other, _) if other == request)
+                });
+                self.handle(event, batch);
+            }
+            event => self.handle(event, batch),
+        }
+    }
+
+    fn defer(&mut self, event: EngineEvent, batch: &Batch<'_>) {
+        self.deferred.push(DeferredEvent {
+            received_at: batch.now.monotonic,
+            event,
+        });
+    }
+
+    /// Rejects the submissions that have been deferred too long, and those beyond the capacity for open messages.
+    fn reject_overdue_submissions(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
+        let mut capacity = self.policy.max_open.saturating_sub(self.store.open_count());
+        let is_suspended = self.lease == LeaseState::Suspended;
+        let classes = &self.policy.classes;
+        self.deferred.retain(|deferred| {
+            let EngineEvent::Submitted(request, message) = &deferred.event else {
+                return true;
+            };
+            let class = classes.get(message.class.0);
+            let objective = class.map_or(MAX_DEFERRAL, |class| class.latency_objective);
+            let is_overdue = now.monotonic - deferred.received_at >= objective.min(MAX_DEFERRAL);
+            let stays_deferred = is_suspended && !is_overdue && capacity > 0;
+            if stays_deferred {
+                capacity -= 1;
+            } else {
+                commands.push(EngineCommand::Respond(*request, REJECTED));
+            }
+            stays_deferred
+        });
+    }
+
+    /// Expires pending messages whose deadline has passed.
+    fn expire_messages(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
+        let pending = self
+            .store
+            .open_messages()
+            .filter(|(_, record)| record.in_flight().is_none());
+        let expired = pending.filter(|(_, record)| record.message.expires_ms <= now.unix_ms);
+        let expired: Vec<MessageId> = expired.map(|(id, _)| id).collect();
+        for id in expired {
+            self.finish(now, id, FinalOutcome::Expired, commands);
+            self.backlog.push(m::Event::Cancelled(id));
+        }
+    }
+
+    /// Takes the deferred events, in their order.
+    pub(super) fn take_deferred(&mut self) -> Vec<EngineEvent> {
+        self.deferred
+            .drain(..)
+            .map(|deferred| deferred.event)
+            .collect()
+    }
+
+    /// When the engine is to be stepped at the latest while it does not hold the lease.
+    pub fn next_wake_without_lease(&self, now: Timestamp) -> Option<m::Time> {
+        let pending = self
+            .store
+            .open_messages()
+            .filter(|(_, record)| record.in_flight().is_none());
+        let expiry = pending
+            .map(|(_, record)| now.monotonic_of(record.message.expires_ms + 1))
+            .min();
+        let check = (!self.deferred.is_empty()).then(|| now.monotonic + DEFERRED_CHECK_INTERVAL);
+        expiry.into_iter().chain(check).min()
+    }
+}
--- /dev/null
+++ b/crates/delivery/src/core/engine/passive.rs
@@ -0,0 +1,81 @@
+//! Steps of an incarnation that does not decide: a standby, or one that has handed over.
+//!
+//! It journals what it accepts and the results of its attempts. The active incarnation has all messages and the
+//! scheduler, and reads both from the journal.
+
+use super::role::Role;
+use super::{log_journal_error, AttemptResult, Batch, Engine, EngineCommand, EngineEvent};
+use crate::core::journal_record::AttemptReport;
+use crate::core::{FinalOutcome, RequestId, SubmitResponse, Timestamp};
+use marblefall_scheduler as m;
+
+impl Engine {
+    /// A step without decisions: endpoint changes are applied, submissions journalled, and results of attempts reported.
+    pub(super) fn step_passive(
+        &mut self,
+        now: Timestamp,
+        events: Vec<EngineEvent>,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let mut batch = Batch::new(now, commands);
+        let events = self.handle_endpoint_changes(events, &mut batch);
+        let endpoint_changes = std::mem::take(&mut batch.scheduler_events);
+        if self.role == Role::Standby && !endpoint_changes.is_empty() {
+            self.update_scheduler(now, &endpoint_changes, batch.commands);
+        }
+        for event in events {
+            self.handle_passive(event, &mut batch);
+        }
+        // The scheduler does not know of the submissions, so only the journal can reject them.
+        self.journal_submissions(now, batch.submissions, &[], batch.commands);
+        self.backlog.clear();
+    }
+
+    fn handle_passive(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
+        match event {
+            EngineEvent::Submitted(request, message) => self.submit(request, message, batch),
+            EngineEvent::AttemptFinished(result) => {
+                self.in_flight = self.in_flight.saturating_sub(1);
+                self.note_backoff(batch.now, result.message_id, result.outcome, batch.commands);
+                self.report_attempt(batch.now, &result, batch.commands);
+            }
+            EngineEvent::ClientGone(request) => self.remove_waiting_client(request),
+            EngineEvent::Shutdown { deadline, .. } => self.shutdown_at = Some(deadline),
+            _ => {}
+        }
+    }
+
+    /// Removes a client that has gone without a response. Its message is the active incarnation's, and is not cancelled.
+    fn remove_waiting_client(&mut self, request: RequestId) {
+        for requests in self.waiting_clients.values_mut() {
+            requests.retain(|other| *other != request);
+        }
+    }
+
+    /// Reports the result of an attempt to the active incarnation through the journal, and a delivery to the clients
+    /// that wait here.
+    fn report_attempt(
+        &mut self,
+        now: Timestamp,
+        result: &AttemptResult,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let id = result.message_id;
+        let class = self.store.get(id).map(|record| record.message.class);
+        let retention_ms = class.map_or(0, |class| self.policy.retention_ms(class));
+        let report = AttemptReport {
+            attempt: result.attempt,
+            outcome: result.outcome,
+            duration: result.duration,
+            disposition: result.disposition,
+            rate_limit: result.rate_limit,
+            retain_until_ms: now.unix_ms + retention_ms,
+        };
+        log_journal_error(self.store.report_attempt(id, report), commands);
+        if result.outcome == m::Outcome::Delivered {
+            let delivered = FinalOutcome::Delivered;
+            commands.push(EngineCommand::MessageFinished(delivered));
+            self.respond_all(id, SubmitResponse::Finished(delivered), commands);
+        }
+    }
+}
--- a/crates/delivery/src/core/engine/postponed.rs
+++ b/crates/delivery/src/core/engine/postponed.rs
@@ -1,13 +1,13 @@
-//! Steps of a hot restart that a transient error kept from being taken: the system had no descriptor for a file of the
-//! journal, say. They are taken again, in their order, until they succeed; what comes after them waits behind them.
+//! Events of a hot restart whose step failed by a transient error, such as a lack of file descriptors for the journal.
+//! They are handled again in their order until they succeed, and events that depend on them wait.
 
 use super::EngineEvent;
 use marblefall_scheduler::{Span, Time};
 
-/// How often a step is tried again.
+/// Delay before postponed events are handled again.
 const RETRY_INTERVAL: Span = Span(20_000);
 
-/// Events whose step is to be taken again.
+/// Events that are to be handled again.
 #[derive(Debug)]
 pub(super) struct Postponed {
     events: Vec<EngineEvent>,
@@ -24,8 +24,8 @@
 }
 
 impl Postponed {
-    /// Whether an event has to wait behind those that are postponed.
-    pub(super) fn holds_back(&self, event: &EngineEvent) -> bool {
+    /// Whether an event must wait until the postponed ones have succeeded.
+    pub(super) fn must_wait(&self, event: &EngineEvent) -> bool {
         let depends_on_order = matches!(
             event,
             EngineEvent::TakeOver { .. }
@@ -43,17 +43,17 @@
         self.events.push(event);
     }
 
-    /// Drops all of them: another incarnation decides from now on, and reads the journal itself.
+    /// Drops all events: another incarnation decides from now on, and reads the journal itself.
     pub(super) fn clear(&mut self) {
         self.events.clear();
     }
 
-    /// When the next try is due, if there is anything to be tried.
-    pub(super) fn next_try(&self) -> Option<Time> {
+    /// When the events are to be handled again, if there are any.
+    pub(super) fn next_retry(&self) -> Option<Time> {
         (!self.events.is_empty()).then_some(self.retry_at)
     }
 
-    /// The events of a step: those that are due to be tried again go first.
+    /// The events of a step, with those that are due again in front.
     pub(super) fn take_due(&mut self, now: Time, events: Vec<EngineEvent>) -> Vec<EngineEvent> {
         if self.events.is_empty() || now < self.retry_at {
             return events;
--- /dev/null
+++ b/crates/delivery/src/core/engine/recovery.rs
@@ -0,0 +1,121 @@
+//! Gives the scheduler what earlier incarnations, or a scheduler with another policy, knew: routes, backoffs, and all
+//! messages without a final outcome.
+
+use super::role::Role;
+use super::scheduler_input::scheduler_message;
+use super::{Engine, EngineCommand};
+use crate::core::journal_record::RouteRecord;
+use crate::core::message_record::MessageState;
+use crate::core::message_store::Recovered;
+use crate::core::{MessageId, Timestamp};
+use marblefall_scheduler as m;
+use std::collections::BTreeSet;
+
+/// What became of the attempt that a message's record has in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RecordedAttempt {
+    /// It has ended, or there was none.
+    Ended,
+    /// It is in flight at an incarnation that is running.
+    InFlight,
+}
+
+impl Engine {
+    /// Becomes active: the scheduler is given all messages, including those that this incarnation accepted as a standby.
+    pub(super) fn activate(
+        &mut self,
+        now: Timestamp,
+        recovered: &Recovered,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        self.role = Role::Active;
+        self.restore_routes(now, &recovered.routes);
+        self.restore_backoffs(now, commands);
+        let all: Vec<MessageId> = self.store.messages().keys().copied().collect();
+        let in_flight: BTreeSet<MessageId> = recovered.in_flight.iter().copied().collect();
+        for id in all {
+            let attempt = if in_flight.contains(&id) {
+                RecordedAttempt::InFlight
+            } else {
+                RecordedAttempt::Ended
+            };
+            self.resume(now, id, attempt, commands);
+        }
+        commands.push(EngineCommand::TookOver(self.store.open_count()));
+    }
+
+    fn restore_routes(&mut self, now: Timestamp, routes: &[RouteRecord]) {
+        for route in routes {
+            let endpoint = route
+                .endpoint
+                .as_ref()
+                .map(|name| self.endpoints.id_of(name));
+            let state = route.state.map_times(|at| now.monotonic_of_unix_micros(at));
+            self.backlog
+                .push(m::Event::RouteRestored(route.destination, endpoint, state));
+        }
+    }
+
+    fn restore_backoffs(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
+        for ((destination, name), until_ms) in self.store.backoffs().clone() {
+            let endpoint = self.endpoints.id_of(&name);
+            let until = now.monotonic_of(until_ms);
+            let route = self.route(destination, endpoint);
+            commands.push(EngineCommand::SetBackoff(route, until));
+            self.backlog
+                .push(m::Event::BackoffNotified(destination, endpoint, until));
+        }
+    }
+
+    /// Gives the scheduler a message of an earlier incarnation, or sends the notice that is pending.
+    pub(super) fn resume(
+        &mut self,
+        now: Timestamp,
+        id: MessageId,
+        recorded_attempt: RecordedAttempt,
+        commands: &mut Vec<EngineCommand>,
+    ) {
+        let record = self.store.messages()[&id].clone();
+        if let MessageState::Finished(completion) = &record.state {
+            if record.has_pending_notice() {
+                commands.push(EngineCommand::SendNotice {
+                    message_id: id,
+                    message: record.message,
+                    outcome: completion.outcome,
+                });
+            }
+            return;
+        }
+        let attempt = record
+            .in_flight()
+            .filter(|_| recorded_attempt == RecordedAttempt::InFlight);
+        let in_flight = attempt.map(|attempt| self.sent_attempt(now, attempt));
+        if let Some((_, endpoint)) = in_flight {
+            self.in_flight += 1;
+            if self.endpoints.listed(endpoint).is_none() {
+                self.predecessor_attempts.insert_unlisted(id);
+                return;
+            }
+            self.predecessor_attempts.insert_scheduled(id);
+        }
+        let first = record.first_possible_execution.as_ref();
+        let prior = m::PriorAttempts {
+            attempts: record.attempts,
+            first_possible_execution: first.map(|attempt| self.sent_attempt(now, attempt)),
+            in_flight,
+        };
+        let message = scheduler_message(id, &record.message, now);
+        self.backlog.push(m::Event::Resumed(message, prior));
+    }
+
+    /// The states of routes, with Unix times.
+    pub(super) fn route_records(&self, now: Timestamp) -> Vec<RouteRecord> {
+        let known = self.scheduler.route_records(now.monotonic).into_iter();
+        let records = known.map(|(destination, endpoint, state)| RouteRecord {
+            destination,
+            endpoint: endpoint.and_then(|id| self.endpoints.name_of(id).cloned()),
+            state: state.map_times(|at| now.unix_micros_of(at)),
+        });
+        records.collect()
+    }
+}
--- a/crates/delivery/src/core/engine/settings.rs
+++ b/crates/delivery/src/core/engine/settings.rs
@@ -1,89 +1,90 @@
-//! The policy that an engine goes by.
+//! The settings of an engine, and the policy it derives from them.
 
 use crate::core::destination_table::DestinationTable;
 use marblefall_scheduler as m;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A repeat within a receiver's deduplication window must have arrived before it closes: left for the way there.
+/// Time that a repeat needs to arrive before its receiver's deduplication window closes.
 pub(super) const DEDUPLICATION_MARGIN: m::Span = m::Span(200_000);
 
-/// What an engine is started with.
+/// The settings of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// The scheduler's settings.
     pub scheduler: m::Settings,
-    /// For the scheduler's random numbers.
+    /// The seed of the scheduler's random numbers.
     pub seed: u64,
-    /// For each class, how long a finished message of the CloudEvents frontend is remembered, in milliseconds.
+    /// For each class, how long a finished message of the CloudEvents frontend is retained, in milliseconds, so that
+    /// repeats of it are recognised.
     pub retention_ms: Vec<i64>,
-    /// How many of them at most.
-    pub max_remembered: usize,
+    /// How many finished messages are retained at most.
+    pub max_retained: usize,
 }
 
-/// Another policy, for an engine that runs.
+/// Another policy for an engine that runs.
 #[derive(Clone, Debug)]
 pub struct PolicyChange {
     /// Its revision.
     pub revision: u64,
-    /// What the engine goes by. A class keeps its place for as long as the engine runs; new ones follow.
+    /// The engine's settings. A class keeps its place for as long as the engine runs; new classes follow.
     pub settings: EngineSettings,
     /// The names of the classes, in their order.
     pub classes: Vec<String>,
-    /// All destinations, where they change with it.
+    /// All destinations, where the policy replaces them.
     pub destination_table: Option<Arc<DestinationTable>>,
 }
 
-/// What a proposed policy has room for.
+/// What a proposed policy covers.
 #[derive(Clone, Debug)]
 pub struct ProposedPolicy {
     /// The names of its classes.
     pub classes: BTreeSet<String>,
     /// Its destinations.
     pub destinations: BTreeSet<m::DestinationId>,
-    /// How many messages may be open.
+    /// How many messages may be open at a time.
     pub max_open: usize,
 }
 
-/// Why a proposed policy has no room for what is pending.
+/// Why a proposed policy does not cover the open messages.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyMismatch {
-    /// A pending message's class is not in it.
+    /// The class of an open message is not in it.
     #[error("a message of class {0} is held, and the class would be gone")]
     ClassRemoved(String),
-    /// A pending message's destination is not in it.
+    /// The destination of an open message is not in it.
     #[error("a message for a destination is held that would be gone")]
     DestinationRemoved,
-    /// More messages are pending than it allows.
+    /// More messages are open than it permits.
     #[error("{pending} messages are held, and no more than {max_open} could be")]
     TooManyPending {
         /// Messages without a final outcome.
         pending: usize,
-        /// How many the policy allows.
+        /// How many the policy permits.
         max_open: usize,
     },
 }
 
-/// The parts of the settings that the engine itself goes by.
+/// The parts of the settings that the engine itself uses.
 pub(super) struct Policy {
-    /// The classes as they were given; the scheduler's windows are shorter.
+    /// The classes as they were configured; the scheduler is given shorter deduplication windows.
     pub classes: Vec<m::MessageClass>,
     /// For each kind of destination, whether its endpoints are separate routes.
     separate_routes: Vec<bool>,
     pub max_open: usize,
     retention_ms: Vec<i64>,
-    pub max_remembered: usize,
+    pub max_retained: usize,
 }
 
 impl Policy {
-    /// Splits settings into what the engine goes by and a scheduler. The scheduler is given shorter windows, since a
-    /// repeat must have arrived before its receiver's window closes.
+    /// Splits settings into the engine's policy and a scheduler. The scheduler is given deduplication windows that are
+    /// shorter by [`DEDUPLICATION_MARGIN`].
     pub fn split(settings: EngineSettings) -> (Policy, m::Scheduler) {
         let EngineSettings {
             mut scheduler,
             seed,
             retention_ms,
-            max_remembered,
+            max_retained,
         } = settings;
         let policy = Policy {
             classes: scheduler.classes.clone(),
@@ -94,7 +95,7 @@
                 .collect(),
             max_open: scheduler.limits.max_open_messages,
             retention_ms,
-            max_remembered,
+            max_retained,
         };
         for class in &mut scheduler.classes {
             if let m::Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
@@ -104,12 +105,12 @@
         (policy, m::Scheduler::new(scheduler, seed))
     }
 
-    /// How long a finished message of a class is remembered, in milliseconds.
+    /// How long a finished message of a class is retained, in milliseconds.
     pub fn retention_ms(&self, class: m::ClassId) -> i64 {
         self.retention_ms.get(class.0).copied().unwrap_or(0)
     }
 
-    /// The window in which receivers drop repeats of a class, where they do.
+    /// The window in which receivers discard repeats of a class by their idempotency key, where they do.
     pub fn deduplication_window(&self, class: m::ClassId) -> Option<m::Span> {
         match self.classes.get(class.0)?.idempotency {
             m::Idempotency::IdempotencyKey { window, .. } => Some(window),
--- a/crates/delivery/src/core/engine/unjournalled.rs
+++ b/crates/delivery/src/core/engine/unjournalled.rs
@@ -1,13 +1,14 @@
-//! What the journal does not take for a while: the disk may be full or fail, and is asked again until it works.
+//! Records that the journal does not accept while its disk is full or fails. They are written again until it succeeds.
 //!
-//! An attempt that is not in the journal must not go out. It is not reported back to the scheduler either, which would
-//! choose it again at once and use up the message's attempts: it waits here, chosen and not started.
+//! An attempt that is not in the journal is not sent. It is not reported to the scheduler as unsent either, which would
+//! choose it again at once and use up the message's attempts. It waits here until the journal accepts it.
 
-use super::{log_journal_error, Engine, EngineCommand, LAST_ATTEMPT_BEFORE_END, STEP_TIMER};
+use super::shutdown::LAST_ATTEMPT_BEFORE_END;
+use super::{log_journal_error, Engine, EngineCommand, STEP_TIMER};
 use crate::core::{MessageId, Timestamp};
 use marblefall_scheduler as m;
 
-/// How often a journal that failed is asked again.
+/// Delay before a journal that failed is written again.
 const RETRY_INTERVAL: m::Span = m::Span(20_000);
 
 /// An attempt that was chosen and is not in the journal yet.
@@ -19,13 +20,14 @@
 }
 
 impl Engine {
-    /// Keeps an attempt until the journal takes it.
-    pub(super) fn keep_unjournalled(&mut self, now: Timestamp, attempt: UnjournalledAttempt) {
+    /// Defers an attempt until the journal accepts it.
+    pub(super) fn defer_unjournalled(&mut self, now: Timestamp, attempt: UnjournalledAttempt) {
         self.unjournalled.push(attempt);
         self.wake_for_journal(now);
     }
 
-    /// Has the engine stepped when the journal is next asked: one timer at a time, however many steps find it failing.
+    /// Has the engine stepped when the journal is to be written again. There is one timer at a time, however many steps
+    /// find the journal failing.
     fn wake_for_journal(&mut self, now: Timestamp) {
         if self.journal_retry_at <= now.monotonic {
             self.journal_retry_at = now.monotonic + RETRY_INTERVAL;
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Asks the journal again for what it did not take, once that is due.
+    /// Writes again what the journal did not accept, and starts the attempts that wait for it, if that is due.
     pub(super) fn retry_journal(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         if now.monotonic < self.journal_retry_at {
             return;
@@ -60,19 +62,19 @@
         }
     }
 
-    /// Drops the attempt of a message that waits for the journal; returns whether there was one.
-    pub(super) fn drop_unjournalled(&mut self, now: Timestamp, message: MessageId) -> bool {
+    /// Cancels a message's attempt that waits for the journal; returns whether there was one.
+    pub(super) fn cancel_unjournalled(&mut self, now: Timestamp, message: MessageId) -> bool {
         let before = self.unjournalled.len();
         self.unjournalled
             .retain(|attempt| attempt.message != message);
-        let is_dropped = self.unjournalled.len() < before;
-        if is_dropped {
+        let is_cancelled = self.unjournalled.len() < before;
+        if is_cancelled {
             self.report_not_sent(now, message);
         }
-        is_dropped
+        is_cancelled
     }
 
-    /// Tells the scheduler that an attempt was not sent after all.
+    /// Reports to the scheduler that an attempt was not sent after all.
     pub(super) fn report_not_sent(&mut self, now: Timestamp, message: MessageId) {
         let attempts = self.store.get(message).map_or(0, |record| record.attempts);
         self.backlog.push(m::Event::AttemptFinished {
--- /dev/null
+++ b/crates/delivery/src/core/journal/adoption.rs
@@ -0,0 +1,145 @@
+//! Takes over the segments of earlier incarnations, and follows those of incarnations that are still running.
+
+use super::segment::{path_of, read_records, segment_numbers, truncate};
+use super::{Generation, Journal, Segment};
+use crate::system_error::is_transient;
+use std::fs::{self, File};
+use std::io::{self, Read, Seek, SeekFrom};
+
+/// The position up to which the log of a running incarnation was read.
+#[derive(Debug)]
+pub struct Tail {
+    /// The incarnation.
+    pub generation: Generation,
+    segment: u64,
+    offset: u64,
+}
+
+/// The content of another incarnation's segment.
+struct SegmentContent {
+    number: u64,
+    bytes: Vec<u8>,
+}
+
+/// The segments that are to be taken over.
+#[derive(Default)]
+struct UnadoptedSegments {
+    segments: Vec<SegmentContent>,
+    /// Why the next one can never be read.
+    unreadable: Option<io::Error>,
+}
+
+impl Journal {
+    /// Takes over the segments of all earlier incarnations in their order, and passes their records to `replay` with the
+    /// number of their segment. The latest segment of an incarnation that is `running` remains its own; a tail of each
+    /// is returned, to be followed.
+    ///
+    /// # Errors
+    /// A segment cannot be read. After a transient error nothing is taken over, otherwise the segments before it are.
+    pub fn take_over(
+        &mut self,
+        running: &[Generation],
+        mut replay: impl FnMut(u64, &[u8]),
+    ) -> io::Result<Vec<Tail>> {
+        let own = self.generation();
+        let numbers: Vec<u64> = segment_numbers(&self.folder)?
+            .into_iter()
+            .filter(|number| Generation::of(*number) < own)
+            .collect();
+        // All segments are read before any is applied: a state that lacks the middle of the log would be useless.
+        let UnadoptedSegments {
+            segments,
+            unreadable,
+        } = self.read_unadopted(&numbers)?;
+        let mut tails = Vec::new();
+        for SegmentContent { number, bytes } in segments {
+            let generation = Generation::of(number);
+            let is_latest = numbers
+                .iter()
+                .rfind(|other| Generation::of(**other) == generation)
+                == Some(&number);
+            let valid_len = read_records(&bytes, |record| replay(number, record)) as u64;
+            if is_latest && running.contains(&generation) {
+                tails.push(Tail {
+                    generation,
+                    segment: number,
+                    offset: valid_len,
+                });
+                continue;
+            }
+            self.adopt_segment(number, valid_len, bytes.len() as u64);
+        }
+        unreadable.map_or(Ok(tails), Err)
+    }
+
+    /// Reads the segments that are not this incarnation's yet, up to the first that can never be read.
+    fn read_unadopted(&self, numbers: &[u64]) -> io::Result<UnadoptedSegments> {
+        let mut read = UnadoptedSegments::default();
+        let is_adopted = |number: u64| self.segments.iter().any(|own| own.number == number);
+        for &number in numbers.iter().filter(|number| !is_adopted(**number)) {
+            match fs::read(path_of(&self.folder, number)) {
+                Ok(bytes) => read.segments.push(SegmentContent { number, bytes }),
+                // A running incarnation may have compacted it meanwhile.
+                Err(error) if error.kind() == io::ErrorKind::NotFound => {}
+                Err(error) if is_transient(&error) => return Err(error),
+                Err(error) => {
+                    read.unreadable = Some(error);
+                    break;
+                }
+            }
+        }
+        Ok(read)
+    }
+
+    /// Reads what a running incarnation has written since the last call.
+    ///
+    /// # Errors
+    /// A segment cannot be read.
+    pub fn follow(
+        &mut self,
+        tail: &mut Tail,
+        mut replay: impl FnMut(u64, &[u8]),
+    ) -> io::Result<()> {
+        loop {
+            // Checked before reading: once the next segment exists, nothing more is written to this one.
+            let has_next = path_of(&self.folder, tail.segment + 1).exists();
+            let mut file = File::open(path_of(&self.folder, tail.segment))?;
+            if file.metadata()?.len() > tail.offset {
+                let mut bytes = Vec::new();
+                file.seek(SeekFrom::Start(tail.offset))?;
+                file.read_to_end(&mut bytes)?;
+                tail.offset += read_records(&bytes, |record| replay(tail.segment, record)) as u64;
+            }
+            if !has_next {
+                return Ok(());
+            }
+            self.adopt_segment(tail.segment, tail.offset, tail.offset);
+            (tail.segment, tail.offset) = (tail.segment + 1, 0);
+        }
+    }
+
+    /// Reads the rest of the log of an incarnation that has exited, and takes over its last segment.
+    ///
+    /// # Errors
+    /// A segment cannot be read. The tail has the position from which the next call reads on.
+    pub fn finish_following(
+        &mut self,
+        tail: &mut Tail,
+        replay: impl FnMut(u64, &[u8]),
+    ) -> io::Result<()> {
+        self.follow(tail, replay)?;
+        let len = fs::metadata(path_of(&self.folder, tail.segment))?.len();
+        self.adopt_segment(tail.segment, tail.offset, len);
+        Ok(())
+    }
+
+    /// Adds a segment to this incarnation's, truncated to its valid length if the disk permits. Nothing more is written
+    /// to it, so that an invalid end only takes up space.
+    fn adopt_segment(&mut self, number: u64, valid_len: u64, len: u64) {
+        let keeps_invalid_end =
+            valid_len < len && truncate(&self.folder, number, valid_len).is_err();
+        let len = if keeps_invalid_end { len } else { valid_len };
+        let index = self.segments.partition_point(|own| own.number < number);
+        self.segments.insert(index, Segment { number, len });
+    }
+}
--- /dev/null
+++ b/crates/delivery/src/core/journal/segment.rs
@@ -0,0 +1,97 @@
+//! Segment files: their names, and how records are framed in them.
+//!
+//! Each record has its length and its checksum in front, both as little-endian numbers of four bytes.
+
+use super::Generation;
+use std::fs::{self, File, OpenOptions};
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// Length of what is in front of each record: its length and its checksum.
+pub(super) const HEADER_BYTES: usize = 8;
+/// Length of each of the two numbers.
+const NUMBER_BYTES: usize = 4;
+/// No record is longer than this; a greater length means that the segment is corrupt.
+const MAX_RECORD_BYTES: usize = 1 << 20;
+/// What the name of each segment begins with.
+const FILE_PREFIX: &str = "journal-";
+
+/// The numbers of the segments in a folder, in ascending order.
+///
+/// # Errors
+/// The folder cannot be read.
+pub fn segment_numbers(folder: &Path) -> io::Result<Vec<u64>> {
+    let mut numbers = Vec::new();
+    for file in fs::read_dir(folder)? {
+        let name = file?.file_name();
+        let number = name
+            .to_str()
+            .and_then(|name| name.strip_prefix(FILE_PREFIX))
+            .and_then(|number| number.parse().ok());
+        numbers.extend(number.map(|number: u64| number));
+    }
+    numbers.sort_unstable();
+    Ok(numbers)
+}
+
+/// The last generation that wrote segments in a folder.
+///
+/// # Errors
+/// The folder cannot be read.
+pub fn latest_generation(folder: &Path) -> io::Result<Generation> {
+    Ok(segment_numbers(folder)?
+        .last()
+        .map_or(Generation(0), |last| Generation::of(*last)))
+}
+
+/// The file of a segment.
+pub(super) fn path_of(folder: &Path, number: u64) -> PathBuf {
+    folder.join(format!("{FILE_PREFIX}{number:010}"))
+}
+
+/// Creates the file of a segment.
+pub(super) fn create(folder: &Path, number: u64) -> io::Result<File> {
+    OpenOptions::new()
+        .create_new(true)
+        .append(true)
+        .open(path_of(folder, number))
+}
+
+/// Truncates the file of a segment.
+pub(super) fn truncate(folder: &Path, number: u64, len: u64) -> io::Result<()> {
+    OpenOptions::new()
+        .write(true)
+        .open(path_of(folder, number))?
+        .set_len(len)
+}
+
+/// A record with its header in front.
+pub(super) fn frame(payload: &[u8]) -> Vec<u8> {
+    let mut record = Vec::with_capacity(HEADER_BYTES + payload.len());
+    record.extend((payload.len() as u32).to_le_bytes());
+    record.extend(crc32fast::hash(payload).to_le_bytes());
+    record.extend(payload);
+    record
+}
+
+/// Passes all records up to the first incomplete or corrupt one to `each`; returns their length in bytes.
+pub(super) fn read_records(bytes: &[u8], mut each: impl FnMut(&[u8])) -> usize {
+    let mut at = 0;
+    while let Some(record) = record_at(&bytes[at..]) {
+        each(record);
+        at += HEADER_BYTES + record.len();
+    }
+    at
+}
+
+fn record_at(bytes: &[u8]) -> Option<&[u8]> {
+    let number = |at: usize| {
+        let bytes = bytes.get(at..at + NUMBER_BYTES)?;
+        Some(u32::from_le_bytes(bytes.try_into().ok()?))
+    };
+    let (len, checksum) = (number(0)? as usize, number(NUMBER_BYTES)?);
+    let payload = bytes
+        .get(HEADER_BYTES..HEADER_BYTES + len)
+        .filter(|_| len > 0 && len <= MAX_RECORD_BYTES)?;
+    (crc32fast::hash(payload) == checksum).then_some(payload)
+}
--- a/crates/delivery/src/core/journal_record/codec.rs
+++ b/crates/delivery/src/core/journal_record/codec.rs
@@ -1,15 +1,15 @@
-//! The primitive fields of journal records: little-endian numbers, byte strings with a length in front, options with
-//! a byte in front.
+//! The fields of journal records: little-endian numbers, byte strings with their length in front, options with a byte in
+//! front.
 
-use crate::core::message_record::AttemptRecord;
+use crate::core::message_record::{AttemptRecord, Execution, NoticeState};
 use crate::core::{FinalOutcome, MessageId};
 
 /// Numbers of the final outcomes in the journal.
 mod outcome {
-    pub const DELIVERED: u8 = 0;
-    pub const RETURNED: u8 = 1;
-    pub const FAILED: u8 = 2;
-    pub const EXPIRED: u8 = 3;
+    pub(super) const DELIVERED: u8 = 0;
+    pub(super) const RETURNED: u8 = 1;
+    pub(super) const FAILED: u8 = 2;
+    pub(super) const EXPIRED: u8 = 3;
 }
 
 /// Writes the fields of one record.
@@ -51,11 +51,11 @@
     pub(super) fn option<T>(
         &mut self,
         value: Option<T>,
-        put: impl FnOnce(&mut Encoder, T) -> &mut Encoder,
+        encode: impl FnOnce(&mut Encoder, T) -> &mut Encoder,
     ) -> &mut Encoder {
         match value {
             None => self.byte(0),
-            Some(value) => put(self.byte(1), value),
+            Some(value) => encode(self.byte(1), value),
         }
     }
 
@@ -64,6 +64,14 @@
             .bytes(attempt.endpoint.as_bytes())
     }
 
+    pub(super) fn execution(&mut self, execution: Execution) -> &mut Encoder {
+        self.flag(execution == Execution::Possible)
+    }
+
+    pub(super) fn notice(&mut self, notice: NoticeState) -> &mut Encoder {
+        self.flag(notice == NoticeState::Pending)
+    }
+
     pub(super) fn outcome(&mut self, outcome: FinalOutcome) -> &mut Encoder {
         let (number, retry_after_ms) = match outcome {
             FinalOutcome::Delivered => (outcome::DELIVERED, 0),
@@ -75,7 +83,7 @@
     }
 }
 
-/// Reads the fields of one record; each call gives `None` where the rest is not that field.
+/// Reads the fields of one record; each call returns `None` where the rest does not start with that field.
 pub(super) struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
@@ -84,9 +92,9 @@
     }
 
     fn take(&mut self, len: usize) -> Option<&'a [u8]> {
-        let (taken, rest) = self.0.split_at_checked(len)?;
+        let (field, rest) = self.0.split_at_checked(len)?;
         self.0 = rest;
-        Some(taken)
+        Some(field)
     }
 
     pub(super) fn byte(&mut self) -> Option<u8> {
@@ -98,11 +106,14 @@
     }
 
     pub(super) fn number(&mut self) -> Option<i64> {
-        self.take(8)?.try_into().ok().map(i64::from_le_bytes)
+        self.take(size_of::<i64>())?
+            .try_into()
+            .ok()
+            .map(i64::from_le_bytes)
     }
 
     pub(super) fn bytes(&mut self) -> Option<Vec<u8>> {
-        let len = u32::from_le_bytes(self.take(4)?.try_into().ok()?);
+        let len = u32::from_le_bytes(self.take(size_of::<u32>())?.try_into().ok()?);
         self.take(len as usize).map(<[u8]>::to_vec)
     }
 
@@ -117,11 +128,11 @@
 
     pub(super) fn option<T>(
         &mut self,
-        get: impl FnOnce(&mut Self) -> Option<T>,
+        decode: impl FnOnce(&mut Self) -> Option<T>,
     ) -> Option<Option<T>> {
         match self.byte()? {
             0 => Some(None),
-            _ => get(self).map(Some),
+            _ => decode(self).map(Some),
         }
     }
 
@@ -132,6 +143,26 @@
         })
     }
 
+    pub(super) fn execution(&mut self) -> Option<Execution> {
+        self.flag().map(|is_possible| {
+            if is_possible {
+                Execution::Possible
+            } else {
+                Execution::RuledOut
+            }
+        })
+    }
+
+    pub(super) fn notice(&mut self) -> Option<NoticeState> {
+        self.flag().map(|is_pending| {
+            if is_pending {
+                NoticeState::Pending
+            } else {
+                NoticeState::NotRequired
+            }
+        })
+    }
+
     pub(super) fn outcome(&mut self) -> Option<FinalOutcome> {
         let number = self.byte()?;
         let retry_after_ms = self.number()? as u64;
--- /dev/null
+++ b/crates/delivery/src/core/journal_record/report.rs
@@ -0,0 +1,118 @@
+//! Results of attempts that the incarnation which started them reports to the one that is active now.
+
+use super::codec::{Decoder, Encoder};
+use super::variant;
+use crate::core::message_record::{Execution, MessageRecord, NoticeState};
+use crate::core::{Disposition, FinalOutcome, MessageId, Origin};
+use marblefall_scheduler::{Outcome, RateLimitReport, Span};
+use std::collections::BTreeMap;
+
+/// The result of an attempt, reported by the incarnation that started it to the one that is active now.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AttemptReport {
+    /// The attempt's number, from 0 for the message's first.
+    pub attempt: u32,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// How long it was in flight.
+    pub duration: Span,
+    /// What the response means for the message.
+    pub disposition: Disposition,
+    /// The rate limit that the response reports.
+    pub rate_limit: RateLimitReport,
+    /// Unix time in milliseconds until which the message is retained if the attempt ended it.
+    pub retain_until_ms: i64,
+}
+
+/// Outcomes in the order of their numbers in the journal.
+const OUTCOMES: [Outcome; 9] = [
+    Outcome::Delivered,
+    Outcome::Error,
+    Outcome::Rejected { retry_after: None },
+    Outcome::TimedOut,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::StaleConnection,
+    Outcome::Cancelled,
+    Outcome::NotSent,
+];
+/// The number of [`Outcome::Rejected`].
+const REJECTED: u8 = 2;
+/// Dispositions in the order of their numbers in the journal.
+const DISPOSITIONS: [Disposition; 3] = [
+    Disposition::Undecided,
+    Disposition::Complete,
+    Disposition::Failed,
+];
+
+/// Applies a report that a later incarnation reads again. The incarnation that was active may have handled it, or may have
+/// exited before.
+pub(super) fn apply_report(
+    id: MessageId,
+    report: &AttemptReport,
+    messages: &mut BTreeMap<MessageId, MessageRecord>,
+) {
+    let Some(record) = messages.get_mut(&id) else {
+        return;
+    };
+    if !record.finish_attempt(Execution::after(report.outcome)) {
+        return;
+    }
+    let delivered = report.outcome == Outcome::Delivered;
+    let complete = delivered || report.disposition == Disposition::Complete;
+    if complete && record.message.origin == Origin::Platform {
+        messages.remove(&id);
+    } else if delivered {
+        record.finish(
+            FinalOutcome::Delivered,
+            NoticeState::NotRequired,
+            report.retain_until_ms,
+        );
+    }
+}
+
+/// Encodes a report.
+pub(super) fn encode_report(encoder: &mut Encoder, report: &AttemptReport) {
+    let (outcome, retry_after) = match report.outcome {
+        Outcome::Rejected { retry_after } => (REJECTED, retry_after),
+        other => (position(&OUTCOMES, other), None),
+    };
+    encoder
+        .byte(variant::ATTEMPT_REPORTED)
+        .number(report.attempt.into());
+    encoder
+        .byte(outcome)
+        .option(retry_after, |encoder, span| encoder.number(span.0));
+    encoder.number(report.duration.0);
+    encoder.byte(position(&DISPOSITIONS, report.disposition));
+    encoder.number(report.retain_until_ms);
+    encoder.option(report.rate_limit.remaining, Encoder::real);
+    encoder.option(report.rate_limit.limit, Encoder::real);
+}
+
+/// Reads a report back.
+pub(super) fn decode_report(decoder: &mut Decoder<'_>) -> Option<AttemptReport> {
+    let attempt = decoder.number()? as u32;
+    let outcome = *OUTCOMES.get(usize::from(decoder.byte()?))?;
+    let retry_after = decoder.option(Decoder::number)?.map(Span);
+    let outcome = match outcome {
+        Outcome::Rejected { .. } => Outcome::Rejected { retry_after },
+        other => other,
+    };
+    Some(AttemptReport {
+        attempt,
+        outcome,
+        duration: Span(decoder.number()?),
+        disposition: *DISPOSITIONS.get(usize::from(decoder.byte()?))?,
+        retain_until_ms: decoder.number()?,
+        rate_limit: RateLimitReport {
+            remaining: decoder.option(Decoder::real)?,
+            limit: decoder.option(Decoder::real)?,
+        },
+    })
+}
+
+/// The number of a value in the list of all values.
+fn position<T: PartialEq>(all: &[T], value: T) -> u8 {
+    all.iter().position(|known| *known == value).unwrap_or(0) as u8
+}
--- a/crates/delivery/src/core/message_record.rs
+++ b/crates/delivery/src/core/message_record.rs
@@ -1,41 +1,71 @@
-//! What the store knows of one message, as a state machine.
+//! The stored state of one message, as a state machine.
 //!
-//! A message is [`Pending`](MessageState::Pending) from its acceptance, [`InFlight`](MessageState::InFlight) while an
-//! attempt of it is out, pending again when that attempt ended without a final outcome, and
-//! [`Finished`](MessageState::Finished) once. A finished record stays until its notice was taken and no repeat can do
-//! harm.
+//! A message is [`Pending`](MessageState::Pending) from its acceptance, [`InFlight`](MessageState::InFlight) during an
+//! attempt, pending again after an attempt without a final outcome, and [`Finished`](MessageState::Finished) once. The
+//! record of a finished message is retained until its notice is acknowledged and repeats of it need no longer be
+//! recognised.
 
 use super::{FinalOutcome, Message};
+use marblefall_scheduler::Outcome;
 use std::rc::Rc;
 
-/// What a record of a finished message takes in the journal besides its identity, in bytes, roughly.
-const RECORD_OVERHEAD: u64 = 256;
-/// What an alias takes besides its bytes.
-const ALIAS_OVERHEAD: u64 = 8;
+/// Estimated size of a record in the journal without the message's identity, attributes and body, in bytes.
+const RECORD_OVERHEAD_BYTES: u64 = 256;
+/// Estimated size of an alias in the journal without its content, in bytes.
+const ALIAS_OVERHEAD_BYTES: u64 = 8;
 
 /// An attempt that was started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRecord {
-    /// When, as Unix time in milliseconds.
+    /// When it was started, as Unix time in milliseconds.
     pub started_ms: i64,
-    /// The endpoint, by the name that stays the same.
+    /// The name of its endpoint.
     pub endpoint: String,
 }
 
-/// The final outcome of a message, and what is still owed for it.
+/// Whether an attempt may have been executed by its receiver.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Execution {
+    /// It may have been executed.
+    Possible,
+    /// It was certainly not executed.
+    RuledOut,
+}
+
+impl Execution {
+    /// Whether an attempt with this outcome may have been executed.
+    pub fn after(outcome: Outcome) -> Execution {
+        if outcome.proves_not_executed() {
+            Execution::RuledOut
+        } else {
+            Execution::Possible
+        }
+    }
+}
+
+/// Whether the platform must be notified of a final outcome.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NoticeState {
+    /// A notice is sent until the platform acknowledges it.
+    Pending,
+    /// No notice is needed.
+    NotRequired,
+}
+
+/// The final outcome of a message, and how long its record is needed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
-    /// How it ended.
+    /// The final outcome.
     pub outcome: FinalOutcome,
-    /// Whether the platform must still be told.
-    pub notice_owed: bool,
+    /// Whether the platform must be notified of it.
+    pub notice: NoticeState,
     /// Unix time in milliseconds until which a repeat must be recognised.
-    pub keep_until_ms: i64,
-    /// An attempt whose end had not been reported when the message finished.
+    pub retain_until_ms: i64,
+    /// An attempt whose result had not been reported when the message finished.
     pub unreported: Option<AttemptRecord>,
 }
 
-/// Where a message stands.
+/// The state of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageState {
     /// Waiting for its first or next attempt.
@@ -46,16 +76,16 @@
     Finished(Completion),
 }
 
-/// What is known of one message.
+/// The record of one message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MessageRecord {
     /// The message; without its body and attributes once it has finished.
     pub message: Rc<Message>,
-    /// Attempts started.
+    /// How many attempts were started.
     pub attempts: u32,
     /// The first attempt that may have been executed.
     pub first_possible_execution: Option<AttemptRecord>,
-    /// Where it stands.
+    /// Its state.
     pub state: MessageState,
     /// Other identities under which it was submitted.
     pub aliases: Vec<Vec<u8>>,
@@ -86,13 +116,13 @@
         self.completion().is_none()
     }
 
-    /// Whether a notice of its final outcome is owed.
-    pub fn notice_owed(&self) -> bool {
+    /// Whether a notice of its final outcome has not been acknowledged yet.
+    pub fn has_pending_notice(&self) -> bool {
         self.completion()
-            .is_some_and(|completion| completion.notice_owed)
+            .is_some_and(|completion| completion.notice == NoticeState::Pending)
     }
 
-    /// The attempt whose end has not been reported.
+    /// The attempt whose result has not been reported.
     pub fn in_flight(&self) -> Option<&AttemptRecord> {
         match &self.state {
             MessageState::Pending => None,
@@ -101,8 +131,8 @@
         }
     }
 
-    /// An attempt starts. One that is still in flight here was when its process ended: lost behind the next one, it
-    /// would let a repeat go out after the receiver's window, so it counts as one that may have been executed.
+    /// Starts an attempt. An earlier attempt that is still in flight was so when its process ended. It may have been
+    /// executed, and is recorded so: otherwise a repeat could be sent after the receiver's deduplication window.
     pub(super) fn start_attempt(&mut self, attempt: AttemptRecord) {
         self.attempts += 1;
         let unfinished = match &mut self.state {
@@ -118,30 +148,35 @@
         }
     }
 
-    /// The attempt in flight ended; returns whether there was one.
-    pub(super) fn finish_attempt(&mut self, may_have_executed: bool) -> bool {
+    /// Ends the attempt in flight; returns whether there was one.
+    pub(super) fn finish_attempt(&mut self, execution: Execution) -> bool {
         let Some(attempt) = self.take_in_flight() else {
             return false;
         };
-        if may_have_executed {
+        if execution == Execution::Possible {
             self.first_possible_execution.get_or_insert(attempt);
         }
         true
     }
 
-    /// Gives it its final outcome. The body and the attributes are needed no more.
-    pub(super) fn finish(&mut self, outcome: FinalOutcome, notice_owed: bool, keep_until_ms: i64) {
+    /// Gives it its final outcome, and drops the body and the attributes.
+    pub(super) fn finish(
+        &mut self,
+        outcome: FinalOutcome,
+        notice: NoticeState,
+        retain_until_ms: i64,
+    ) {
         let unreported = self.take_in_flight();
-        let body_and_attributes_dropped = Message {
+        let without_content = Message {
             body: Vec::new(),
             attributes: Vec::new(),
             ..(*self.message).clone()
         };
-        self.message = Rc::new(body_and_attributes_dropped);
+        self.message = Rc::new(without_content);
         self.state = MessageState::Finished(Completion {
             outcome,
-            notice_owed,
-            keep_until_ms,
+            notice,
+            retain_until_ms,
             unreported,
         });
     }
@@ -159,22 +194,20 @@
         }
     }
 
-    /// What it takes in the journal, in bytes, roughly.
+    /// Estimated size of its record in the journal, in bytes.
     pub(super) fn journal_cost(&self) -> u64 {
-        let message = &self.message;
-        let content = message.identity.len() + message.attributes.len() + message.body.len();
         let aliases: u64 = self.aliases.iter().map(|alias| alias_cost(alias)).sum();
-        content as u64 + aliases + RECORD_OVERHEAD
+        message_cost(&self.message) + aliases
     }
 }
 
-/// What an alias takes in the journal, in bytes, roughly.
+/// Estimated size of an alias in the journal, in bytes.
 pub(super) fn alias_cost(alias: &[u8]) -> u64 {
-    alias.len() as u64 + ALIAS_OVERHEAD
+    alias.len() as u64 + ALIAS_OVERHEAD_BYTES
 }
 
-/// What a message of this size would take in the journal, in bytes, roughly.
+/// Estimated size of an accepted message in the journal, in bytes.
 pub(super) fn message_cost(message: &Message) -> u64 {
     let content = message.identity.len() + message.attributes.len() + message.body.len();
-    content as u64 + RECORD_OVERHEAD
+    content as u64 + RECORD_OVERHEAD_BYTES
 }
--- a/crates/delivery/src/core/message_store/hot_restart.rs
+++ b/crates/delivery/src/core/message_store/hot_restart.rs
@@ -1,11 +1,12 @@
-//! The store between two incarnations of the process: what a new one takes over, what it follows of one that still
-//! runs, and what the old one leaves behind.
+//! The store in a hot restart: an incarnation recovers the messages of its predecessors and follows the journals of those
+//! that are still running, and a predecessor hands over.
 
 use super::{MessageStore, RESERVED_BYTES, SEGMENT_BYTES};
 use crate::core::journal::{Generation, Journal, Tail};
 use crate::core::journal_record::{
     AttemptReport, BackoffRecord, JournalRecord, RouteRecord, NO_MESSAGE,
 };
+use crate::core::message_record::Execution;
 use crate::core::MessageId;
 use crate::system_error::is_transient;
 use marblefall_scheduler::DestinationId;
@@ -13,34 +14,37 @@
 use std::io;
 use std::path::Path;
 
-/// An incarnation leaves a quarter of the folder to one that may start beside it, but no more than this, in bytes.
+/// An incarnation leaves this fraction of the folder to a successor.
+const SUCCESSOR_FRACTION: u64 = 4;
+/// The most that it leaves to a successor, in bytes.
 const MAX_SUCCESSOR_BYTES: u64 = 8 << 20;
-/// What one that has handed over may still write, in bytes: ends of its attempts, and what its last clients submit.
+/// Space for what an incarnation writes after it has handed over, in bytes: results of its attempts, and submissions of
+/// its last clients.
 const AFTER_HANDOVER_BYTES: u64 = 128 * 1024;
-/// Compaction needs room for so many segments.
+/// How many segments compaction needs space for.
 const COMPACTION_SEGMENTS: u64 = 2;
-/// Bits of a message's id that count within one incarnation.
+/// How many bits of a message's id count within one incarnation.
 const ID_BITS_PER_GENERATION: u32 = 40;
 
-/// What an incarnation that still runs wrote since it was last looked at.
+/// What a running predecessor has journalled.
 #[derive(Debug, PartialEq)]
 pub enum PredecessorEvent {
     /// It accepted a message.
     Accepted(MessageId),
-    /// An attempt of its ended.
+    /// It reported the result of an attempt.
     AttemptFinished(MessageId, AttemptReport),
 }
 
-/// What was taken over.
+/// What was recovered besides messages.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// What was known of routes.
+    /// The states of routes.
     pub routes: Vec<RouteRecord>,
-    /// Messages whose attempt is in flight at an incarnation that still runs.
-    pub in_flight_elsewhere: Vec<MessageId>,
+    /// Messages whose attempt is still in flight, at an incarnation that is running.
+    pub in_flight: Vec<MessageId>,
 }
 
-/// What the journal of earlier incarnations holds besides messages.
+/// What the journal of earlier incarnations has besides messages.
 #[derive(Default)]
 struct Replayed {
     routes: Vec<RouteRecord>,
@@ -49,8 +53,8 @@
 }
 
 impl MessageStore {
-    /// Begins this incarnation's part of the journal in a folder that may hold `disk` bytes. Until it takes over it
-    /// keeps to the room that the others leave.
+    /// Begins this incarnation's part of the journal in a folder of at most `disk` bytes. Until it takes over, it uses only
+    /// the space that its predecessors leave.
     ///
     /// # Errors
     /// The folder cannot be read or written.
@@ -60,16 +64,16 @@
         class_names: Vec<String>,
         generation: Generation,
     ) -> io::Result<MessageStore> {
-        let whole = disk.saturating_sub(RESERVED_BYTES);
-        let successor = (disk / 4).min(MAX_SUCCESSOR_BYTES);
+        let usable = disk.saturating_sub(RESERVED_BYTES);
+        let for_successor = (disk / SUCCESSOR_FRACTION).min(MAX_SUCCESSOR_BYTES);
         let mut used = 0;
         for file in std::fs::read_dir(folder)? {
             used += file?.metadata().map_or(0, |file| file.len());
         }
         let journal = Journal::begin(folder, SEGMENT_BYTES, generation)?;
         let for_compaction = COMPACTION_SEGMENTS * SEGMENT_BYTES;
-        let unused = whole.saturating_sub(used + AFTER_HANDOVER_BYTES);
-        let standby_limit = successor.saturating_sub(for_compaction).min(unused);
+        let unused = usable.saturating_sub(used + AFTER_HANDOVER_BYTES);
+        let standby_limit = for_successor.saturating_sub(for_compaction).min(unused);
         Ok(MessageStore {
             journal,
             hard_limit: standby_limit,
@@ -81,27 +85,26 @@
             live_cost: 0,
             open_count: 0,
             next_id: first_id(generation),
-            remembered: Default::default(),
-            remembered_cost: 0,
+            retained: Default::default(),
+            retained_cost: 0,
             class_names,
             backoffs: BTreeMap::new(),
             tails: Vec::new(),
             unwritten: BTreeSet::new(),
             handed_over: false,
-            exclusive_limit: whole.saturating_sub(successor),
+            exclusive_limit: usable.saturating_sub(for_successor),
         })
     }
 
-    /// Takes over all that earlier incarnations left, in their order. Those in `running` still run and have handed
-    /// over: what they write is followed from here, and their attempts in flight stay theirs. Incarnations from
-    /// `first_concurrent` on ran when this one began: the backoffs they were asked for bind it, and what they knew of
-    /// routes is returned. Those of incarnations that ended before do not: a restart ends a backoff.
+    /// Recovers the messages of all earlier incarnations, in their order. Those that are `running` have handed over: their
+    /// journals are followed from here on, and their attempts in flight remain theirs. Incarnations from
+    /// `first_concurrent` on were running when this one started. Only their backoffs remain in force, and only their
+    /// states of routes are returned, as a restart ends a backoff.
     ///
-    /// What the journal does not take meanwhile is left to [`MessageStore::retry_unwritten`].
+    /// Records that the journal does not accept meanwhile are left to [`MessageStore::retry_unwritten`].
     ///
     /// # Errors
-    /// The journal cannot be read. Where that passes by itself, nothing is taken over; else what stands before the error
-    /// is.
+    /// The journal cannot be read. After a transient error nothing is recovered, otherwise what is before the error is.
     pub fn take_over(
         &mut self,
         running: &[Generation],
@@ -110,18 +113,15 @@
         let own: Vec<MessageId> = self.messages.keys().copied().collect();
         let mut replayed = Replayed::default();
         let replay = self.replay(running, first_concurrent, &mut replayed);
-        // What was read before a fault is this incarnation's, and nothing of it is known to be in flight elsewhere.
+        // What was read before an error is recovered, with none of its attempts in flight.
         let (tails, read) = match replay {
             Ok(tails) => (tails, Ok(())),
             Err(error) if is_transient(&error) => return Err(error),
             Err(error) => (Vec::new(), Err(error)),
         };
-        let some_still_run = !tails.is_empty();
+        let some_are_running = !tails.is_empty();
         self.tails.extend(tails);
-        self.hard_limit = self.exclusive_limit;
-        self.compact_above = self
-            .exclusive_limit
-            .saturating_sub(COMPACTION_SEGMENTS * SEGMENT_BYTES);
+        self.use_exclusive_limit();
         replayed
             .segments
             .retain(|id, _| self.messages.contains_key(id));
@@ -131,20 +131,30 @@
         for &id in &found {
             self.index(id);
         }
-        let in_flight_elsewhere = self.settle_in_flight(found, some_still_run);
-        // Said again here, so that the next incarnation need not know when this one began.
-        for ((destination, endpoint), until_ms) in replayed.backoffs {
-            // Where it is not written it binds this incarnation alone, and a restart ends a backoff.
+        let in_flight = self.settle_in_flight(found, some_are_running);
+        self.note_backoffs_again(replayed.backoffs);
+        let routes = replayed.routes;
+        read.map(|()| Recovered { routes, in_flight })
+    }
+
+    /// Uses the space of an incarnation that is the only one, from now on.
+    fn use_exclusive_limit(&mut self) {
+        self.hard_limit = self.exclusive_limit;
+        self.compact_above = self
+            .exclusive_limit
+            .saturating_sub(COMPACTION_SEGMENTS * SEGMENT_BYTES);
+    }
+
+    /// Journals the backoffs of predecessors as this incarnation's, so that the next one need not know when this one
+    /// started.
+    fn note_backoffs_again(&mut self, backoffs: BTreeMap<(DestinationId, String), i64>) {
+        for ((destination, endpoint), until_ms) in backoffs {
+            // A backoff that is not journalled is in force for this incarnation alone, and a restart ends a backoff.
             let _ = self.note_backoff(destination, endpoint, until_ms);
         }
-        let routes = replayed.routes;
-        read.map(|()| Recovered {
-            routes,
-            in_flight_elsewhere,
-        })
     }
 
-    /// Reads the journal of earlier incarnations into the messages.
+    /// Applies the journal of earlier incarnations to the messages.
     fn replay(
         &mut self,
         running: &[Generation],
@@ -177,29 +187,33 @@
         })
     }
 
-    /// Attempts that were in flight when their process ended may have been executed; those at incarnations that still
-    /// run are given back.
-    fn settle_in_flight(&mut self, found: Vec<MessageId>, some_still_run: bool) -> Vec<MessageId> {
-        let mut elsewhere = Vec::new();
+    /// Ends the attempts whose incarnation has exited, as they may have been executed. Where some incarnations are
+    /// running, the messages with an attempt in flight are returned instead.
+    fn settle_in_flight(
+        &mut self,
+        found: Vec<MessageId>,
+        some_are_running: bool,
+    ) -> Vec<MessageId> {
+        let mut in_flight = Vec::new();
         for id in found {
             if self.messages[&id].in_flight().is_none() {
                 continue;
             }
-            if some_still_run {
-                elsewhere.push(id);
+            if some_are_running {
+                in_flight.push(id);
             } else {
-                // Where it is not written it stays in flight there, which the next incarnation takes for the same.
-                let _ = self.attempt_finished(id, true);
+                // If this is not journalled, the next incarnation finds the attempt in flight and does the same.
+                let _ = self.attempt_finished(id, Execution::Possible);
             }
         }
-        elsewhere
+        in_flight
     }
 
-    /// Reads on what incarnations that have handed over still write. Returned are messages that they accepted, which
-    /// are this incarnation's now, and ends of their attempts; the store notes those only once it is told.
+    /// Reads what running predecessors have journalled since the last call. The messages that they accepted are stored as
+    /// this incarnation's. The results of their attempts are only added to `found`.
     ///
     /// # Errors
-    /// The journal cannot be read; what was read before is returned with the next call.
+    /// The journal cannot be read. What was read before the error has been added to `found`.
     pub fn follow(&mut self, found: &mut Vec<PredecessorEvent>) -> io::Result<()> {
         let mut tails = std::mem::take(&mut self.tails);
         let followed = tails.iter_mut().try_for_each(|tail| {
@@ -214,10 +228,10 @@
         followed
     }
 
-    /// Reads the rest of what an incarnation has written that has exited.
+    /// Reads the rest of what a predecessor has journalled that has exited.
     ///
     /// # Errors
-    /// The journal cannot be read. Where that passes by itself, the next call reads on.
+    /// The journal cannot be read. After a transient error the next call reads on.
     pub fn finish_following(
         &mut self,
         generation: Generation,
@@ -244,7 +258,7 @@
         Ok(())
     }
 
-    /// Takes in what an incarnation wrote after it had handed over.
+    /// Handles the records that a predecessor journalled after it had handed over.
     fn absorb(&mut self, read: Vec<(u64, Vec<u8>)>, found: &mut Vec<PredecessorEvent>) {
         for (segment, payload) in read {
             match JournalRecord::decode(&payload, &self.class_names) {
@@ -264,18 +278,18 @@
         }
     }
 
-    /// Whether incarnations that have handed over still run.
+    /// Whether predecessors are still running.
     pub fn is_following(&self) -> bool {
         !self.tails.is_empty()
     }
 
-    /// Hands over: another incarnation reads the journal from now on, with what is known of routes. What is still
-    /// written goes into a segment of its own, and nothing is removed any more.
+    /// Hands over to an incarnation that reads the journal from now on, and journals the states of routes for it. Later
+    /// records are written to a segment of their own, and no segment is removed any more.
     ///
     /// # Errors
-    /// The journal cannot be written; it is handed over all the same.
+    /// The journal cannot be written. It is handed over all the same.
     pub fn hand_over(&mut self, routes: Vec<RouteRecord>) -> io::Result<()> {
-        // The successor reads what is in the journal: the last chance for what it did not take.
+        // What is not journalled now is lost to the successor.
         let _ = self.retry_unwritten();
         self.handed_over = true;
         self.hard_limit = self.journal.size() + AFTER_HANDOVER_BYTES;
@@ -286,7 +300,7 @@
         Ok(())
     }
 
-    /// Reports to the incarnation that is active now how an attempt of this one ended.
+    /// Reports the result of an attempt of this incarnation to the one that is active now.
     ///
     /// # Errors
     /// The journal is full or cannot be written.
@@ -296,10 +310,10 @@
             .map(|_| ())
     }
 
-    /// Notes that an endpoint asked for a backoff until a Unix time in milliseconds; the longest one holds.
+    /// Journals a backoff that an endpoint requested until a Unix time in milliseconds. The longest one is in force.
     ///
     /// # Errors
-    /// The journal is full or cannot be written; it binds this incarnation all the same.
+    /// The journal is full or cannot be written. It is in force for this incarnation all the same.
     pub fn note_backoff(
         &mut self,
         destination: DestinationId,
@@ -320,12 +334,12 @@
             .map(|_| ())
     }
 
-    /// Backoffs that endpoints asked for and that may still run, until a Unix time in milliseconds.
+    /// The ends of the backoffs that endpoints requested, as Unix times in milliseconds. Some may have passed.
     pub fn backoffs(&self) -> &BTreeMap<(DestinationId, String), i64> {
         &self.backoffs
     }
 
-    /// Goes on under a later generation, so that what incarnations in between left can be taken over.
+    /// Continues under a later generation, so that the messages of incarnations in between can be recovered.
     ///
     /// # Errors
     /// The journal cannot be written.
@@ -336,7 +350,7 @@
     }
 }
 
-/// The first id that an incarnation gives.
+/// The first message id of an incarnation.
 fn first_id(generation: Generation) -> MessageId {
     MessageId((generation.0 << ID_BITS_PER_GENERATION) + 1)
 }
--- /dev/null
+++ b/crates/delivery/src/core/message_store/index.rs
@@ -0,0 +1,64 @@
+//! The indexes of the store by identity and idempotency key, and the accounts of its sizes.
+
+use super::MessageStore;
+use crate::core::MessageId;
+
+impl MessageStore {
+    /// Adds a stored message to the indexes and accounts.
+    pub(super) fn index(&mut self, id: MessageId) {
+        let record = &self.messages[&id];
+        let message = record.message.clone();
+        self.live_cost += record.journal_cost();
+        self.open_count += usize::from(record.is_open());
+        self.identities.insert(message.identity.clone(), id);
+        for alias in &record.aliases {
+            self.identities.insert(alias.clone(), id);
+        }
+        if let Some(key) = &message.idempotency_key {
+            self.idempotency_keys
+                .insert((message.destination, key.clone()), id);
+        }
+        if !record.is_open() && !record.has_pending_notice() {
+            self.retain(id);
+        }
+    }
+
+    /// Removes a stored message from the indexes and accounts.
+    pub(super) fn unindex(&mut self, id: MessageId) {
+        let record = &self.messages[&id];
+        let message = record.message.clone();
+        let cost = record.journal_cost();
+        let retain_until_ms = record
+            .completion()
+            .map_or(0, |completion| completion.retain_until_ms);
+        self.open_count -= usize::from(record.is_open());
+        if self.retained.remove(&(retain_until_ms, id)) {
+            self.retained_cost = self.retained_cost.saturating_sub(cost);
+        }
+        self.live_cost = self.live_cost.saturating_sub(cost);
+        for identity in record.aliases.iter().chain([&message.identity]) {
+            if self.identities.get(identity) == Some(&id) {
+                self.identities.remove(identity);
+            }
+        }
+        let key = message
+            .idempotency_key
+            .as_ref()
+            .map(|key| (message.destination, key.clone()));
+        if let Some(key) = key.filter(|key| self.idempotency_keys.get(key) == Some(&id)) {
+            self.idempotency_keys.remove(&key);
+        }
+        self.segments.remove(&id);
+    }
+
+    /// Adds a finished message without a pending notice to the retained ones.
+    pub(super) fn retain(&mut self, id: MessageId) {
+        let record = &self.messages[&id];
+        let Some(completion) = record.completion() else {
+            return;
+        };
+        if self.retained.insert((completion.retain_until_ms, id)) {
+            self.retained_cost += record.journal_cost();
+        }
+    }
+}
--- a/crates/delivery/src/core/recent_completions.rs
+++ b/crates/delivery/src/core/recent_completions.rs
@@ -1,13 +1,13 @@
-//! Which messages finished a short while ago, by identity: one that comes again must not be taken for new.
+//! The identities of messages that finished recently: one that is submitted again is not a new message.
 
 use marblefall_scheduler::{Span, Time};
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
 
-/// Longer than any message of the platform may be delivered.
+/// How long an identity is retained: longer than the deadline of any message of the platform.
 const RETENTION: Span = Span(20_000_000);
 
-/// Identities of messages that finished, each kept for a while.
+/// Identities of messages that finished within [`RETENTION`].
 #[derive(Debug, Default)]
 pub struct RecentCompletions {
     identities: HashSet<Rc<[u8]>>,
@@ -15,7 +15,7 @@
 }
 
 impl RecentCompletions {
-    /// Notes a message that finishes now.
+    /// Inserts a message that finishes now.
     pub fn insert(&mut self, now: Time, identity: &[u8]) {
         let identity: Rc<[u8]> = identity.into();
         if self.identities.insert(identity.clone()) {
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Whether a message finished a short while ago.
+    /// Whether a message finished recently.
     pub fn contains(&self, identity: &[u8]) -> bool {
         self.identities.contains(identity)
     }
 
-    /// Forgets those that finished long ago.
+    /// Removes the identities whose retention has ended.
     pub fn sweep(&mut self, now: Time) {
         while let Some((_, identity)) = self.by_time.pop_front_if(|(at, _)| now - *at >= RETENTION)
         {
--- a/crates/delivery/src/core/snapshot.rs
+++ b/crates/delivery/src/core/snapshot.rs
@@ -1,8 +1,8 @@
-//! What an instance knows of its destinations, as a file in its state folder: for its next incarnation, which must not
-//! overload a destination that was ejected when it died, and for operators.
+//! The encoding of the snapshot of destinations in the state folder. The next incarnation reads it, so that it does not
+//! overload a destination that is ejected, and operators do.
 //!
-//! Only the encoding is here. A snapshot starts with a magic number, a version and a checksum; the records follow as
-//! `postcard` writes them, so neither the order of their fields nor their types change within a version.
+//! A snapshot starts with a magic number, a version and a checksum. The records follow in the encoding of `postcard`, so
+//! neither the order of their fields nor their types change within a version.
 
 use marblefall_scheduler::DestinationId;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     pub ejected_since_ms: Option<i64>,
     /// It has been recovering since then.
     pub recovering_since_ms: Option<i64>,
-    /// The end of the backoff that it asked for.
+    /// The end of the backoff that it requested.
     pub backoff_until_ms: Option<i64>,
     /// Its mean latency, in milliseconds.
     pub mean_latency_ms: Option<f32>,
@@ -26,7 +26,7 @@
     pub pending: u32,
     /// Calls in flight.
     pub in_flight: u32,
-    /// Whether it is in use; otherwise this is what was kept of it.
+    /// Whether it is in use; otherwise this is the record of an idle destination.
     pub active: bool,
 }
 
@@ -40,21 +40,23 @@
 /// Why a snapshot cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is no snapshot.
+    /// The file is not a snapshot.
     #[error("it is no snapshot of destinations")]
     Foreign,
-    /// It was written by a version that is not this one.
+    /// It has the format of another version.
     #[error("it is of version {0}, this program reads version {VERSION}")]
     Version(u16),
-    /// It is not whole.
+    /// It is incomplete or corrupt.
     #[error("it is torn: its checksum does not hold")]
     Torn,
 }
 
 const MAGIC: [u8; 4] = *b"MFds";
-/// Raised when the records change their form.
+/// The version of the format, raised when the records change.
 pub const VERSION: u16 = 1;
-/// Magic number, version, checksum.
+/// Length of the version number.
+const VERSION_BYTES: usize = 2;
+/// Length of the magic number, the version and the checksum.
 const HEADER_BYTES: usize = 10;
 
 /// Encodes records.
@@ -68,7 +70,7 @@
 /// Reads records back.
 ///
 /// # Errors
-/// The bytes are no whole snapshot of this version.
+/// The bytes are not a complete snapshot of this version.
 pub fn decode(bytes: &[u8]) -> Result<Vec<DestinationRecord>, SnapshotError> {
     let (header, payload) = bytes
         .split_at_checked(HEADER_BYTES)
@@ -77,7 +79,7 @@
     if magic != MAGIC {
         return Err(SnapshotError::Foreign);
     }
-    let (version, checksum) = rest.split_at(2);
+    let (version, checksum) = rest.split_at(VERSION_BYTES);
     let version = u16::from_le_bytes([version[0], version[1]]);
     if version != VERSION {
         return Err(SnapshotError::Version(version));
--- a/crates/delivery/src/core/snapshot/tests.rs
+++ b/crates/delivery/src/core/snapshot/tests.rs
@@ -1,9 +1,9 @@
-//! The encoding of snapshots, cut and spoilt.
+//! The encoding of snapshots, also of incomplete and corrupt ones.
 
 use super::*;
 
 #[test]
-fn snapshot_is_read_whole_or_not_at_all() {
+fn incomplete_or_corrupt_snapshot_is_rejected() {
     let record = |n: u64| DestinationRecord {
         destination: n << 40,
         ejected_since_ms: Some(-5).filter(|_| n.is_multiple_of(2)),
@@ -16,12 +16,12 @@
     let records: Vec<DestinationRecord> = (0..20).map(record).collect();
     let bytes = encode(&records);
     assert_eq!(decode(&bytes), Ok(records));
-    // A write that stopped at any byte, and a byte that was spoilt.
+    // A write that stopped at any byte, and any corrupt byte.
     for cut in 0..bytes.len() {
         assert!(decode(&bytes[..cut]).is_err(), "cut at {cut}");
-        let mut spoilt = bytes.clone();
-        spoilt[cut] ^= 0x10;
-        assert!(decode(&spoilt).is_err(), "spoilt at {cut}");
+        let mut corrupt = bytes.clone();
+        corrupt[cut] ^= 0x10;
+        assert!(decode(&corrupt).is_err(), "corrupt at {cut}");
     }
     let mut newer = bytes.clone();
     newer[4] = 2;
--- a/crates/delivery/src/hot_restart/incarnation.rs
+++ b/crates/delivery/src/hot_restart/incarnation.rs
@@ -4,7 +4,7 @@
 //! releases it however the process ends, SIGKILL included. The file holds the marks that the incarnation and its
 //! successors leave, one byte each. Marks are only ever appended.
 
-use crate::core::journal::{latest, Generation};
+use crate::core::journal::{latest_generation, Generation};
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, Write};
 use std::path::{Path, PathBuf};
@@ -236,7 +236,7 @@
 fn claim_generation(folder: &Path, after: Generation) -> io::Result<(Generation, File)> {
     let mut generation = lock_generations(folder)?
         .into_iter()
-        .chain([latest(folder)?, after])
+        .chain([latest_generation(folder)?, after])
         .max()
         .unwrap_or_default();
     loop {
--- a/crates/delivery/src/instance/executor.rs
+++ b/crates/delivery/src/instance/executor.rs
@@ -7,6 +7,7 @@
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::engine::{
     AttemptRequest, AttemptResult, Engine, EngineCommand, EngineEvent, LeaseState, RejectReason,
+    Rejection,
 };
 use crate::core::{FinalOutcome, Message, MessageId, Origin, RequestId, SubmitResponse};
 use crate::counters::{add, Counters};
@@ -111,7 +112,7 @@
             commands.extend(self.withheld.borrow_mut().drain(..));
         }
         engine.step(self.clock.now(), batch, commands);
-        for (request, reason) in engine.take_rejections() {
+        for Rejection { request, reason } in engine.drain_rejections() {
             self.count_rejected(request, reason);
         }
         // The process may have been stopped during the step, and another one decide since.
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -75,7 +75,7 @@
         scheduler: settings,
         seed: u64::from_str_radix(&config.seed, 16).unwrap_or_default(),
         retention_ms: vec![0; class_names.len()],
-        max_remembered: 0,
+        max_retained: 0,
     };
     let admin_listener = bind_admin(config.admin_listen.as_deref())?;
     let platform = PlatformFrontendConfig {
--- a/crates/delivery/src/instance/shutdown.rs
+++ b/crates/delivery/src/instance/shutdown.rs
@@ -5,7 +5,7 @@
 //! clients are let go depends on the [`Successor`].
 
 use crate::clock::Clock;
-use crate::core::engine::{Engine, EngineEvent};
+use crate::core::engine::{Engine, EngineEvent, EngineLoad};
 use crate::hot_restart::driver;
 use crate::hot_restart::incarnation::Incarnation;
 use crate::log_line;
@@ -122,7 +122,10 @@
         let Some(deadline) = self.deadline.get() else {
             return false;
         };
-        let (open_messages, in_flight) = engine.load();
+        let EngineLoad {
+            open_messages,
+            in_flight,
+        } = engine.load();
         let now = Instant::now();
         // One that has handed over also journals what is submitted now, for its successor: it waits only for its attempts
         // and for the connections that clients still use.
--- a/crates/delivery/tests/acceptance.rs
+++ b/crates/delivery/tests/acceptance.rs
@@ -11,8 +11,8 @@
     IDEMPOTENT_CLASS, KEYED_CLASS,
 };
 use common::{folder as temporary_folder, notice_outcomes, responses, started_attempts, START_MS};
-use marblefall_delivery::core::engine::EngineEvent;
-use marblefall_delivery::core::message_record::AttemptRecord;
+use marblefall_delivery::core::engine::{EngineEvent, EngineLoad};
+use marblefall_delivery::core::message_record::{AttemptRecord, Execution, NoticeState};
 use marblefall_delivery::core::{FinalOutcome, Origin, RequestId, SubmitResponse};
 use marblefall_scheduler::{DestinationId, Outcome};
 use std::fs;
@@ -69,7 +69,7 @@
     );
     incarnation.step(20, vec![EngineEvent::ClientGone(RequestId(3))]);
     assert_eq!(
-        incarnation.engine.load().0,
+        incarnation.engine.load().open_messages,
         1,
         "it is still open for its first client"
     );
@@ -104,7 +104,13 @@
         ],
     );
     assert_eq!(started_attempts(&commands).len(), 2);
-    assert_eq!(incarnation.engine.load(), (2, 2));
+    assert_eq!(
+        incarnation.engine.load(),
+        EngineLoad {
+            open_messages: 2,
+            in_flight: 2
+        }
+    );
     assert_eq!(
         responses(&commands),
         [
@@ -121,7 +127,10 @@
     assert_eq!(responses(&commands), [(5, SubmitResponse::Accepted)]);
     let commands = incarnation.step(30, vec![EngineEvent::ClientGone(RequestId(5))]);
     assert_eq!(
-        (notice_outcomes(&commands), incarnation.engine.load().0),
+        (
+            notice_outcomes(&commands),
+            incarnation.engine.load().open_messages
+        ),
         (Vec::new(), 2)
     );
 }
@@ -136,7 +145,7 @@
         responses(&commands)[..],
         [(1, SubmitResponse::Rejected { .. })]
     ));
-    assert_eq!(incarnation.engine.load().0, 0);
+    assert_eq!(incarnation.engine.load().open_messages, 0);
 }
 
 #[test]
@@ -249,14 +258,14 @@
             },
         )
         .unwrap();
-    store.attempt_finished(id, true).unwrap();
+    store.attempt_finished(id, Execution::Possible).unwrap();
     assert!(store
         .finish(
             id,
             FinalOutcome::Returned {
                 retry_after_ms: 1000
             },
-            false,
+            NoticeState::NotRequired,
             START_MS + 60_000
         )
         .unwrap());
--- a/crates/delivery/tests/common/incarnation.rs
+++ b/crates/delivery/tests/common/incarnation.rs
@@ -7,7 +7,7 @@
 use marblefall_delivery::core::engine::{
     AttemptRequest, Engine, EngineCommand, EngineEvent, EngineSettings,
 };
-use marblefall_delivery::core::journal::{latest, Generation};
+use marblefall_delivery::core::journal::{latest_generation, Generation};
 use marblefall_delivery::core::message_store::MessageStore;
 use marblefall_delivery::core::{Message, MessageId, Origin, RequestId, SubmitResponse};
 use marblefall_scheduler::{ClassId, Idempotency, Outcome, Time};
@@ -51,7 +51,7 @@
     /// Starts an incarnation while no other is running, with the endpoint "h".
     pub fn start_alone(folder: &Path, ms: i64) -> (TestIncarnation, Vec<EngineCommand>) {
         let store = MessageStore::open(folder, MAX_BYTES, classes()).unwrap();
-        let generation = latest(folder).unwrap();
+        let generation = latest_generation(folder).unwrap();
         let mut commands = Vec::new();
         let now = timestamp_of(ms, ms);
         let mut incarnation = TestIncarnation {
@@ -65,7 +65,7 @@
 
     /// Starts a standby beside others, with the endpoint "h".
     pub fn standby(folder: &Path, ms: i64) -> TestIncarnation {
-        let generation = latest(folder).unwrap().next();
+        let generation = latest_generation(folder).unwrap().next();
         let store = MessageStore::begin(folder, MAX_BYTES, classes(), generation).unwrap();
         let mut incarnation = TestIncarnation {
             engine: Engine::standby(settings(), store),
--- a/crates/delivery/tests/common/mod.rs
+++ b/crates/delivery/tests/common/mod.rs
@@ -90,7 +90,7 @@
         scheduler: settings,
         seed: 1,
         retention_ms: vec![0; idempotencies.len()],
-        max_remembered: 0,
+        max_retained: 0,
     }
 }
 
--- a/crates/delivery/tests/common/policy.rs
+++ b/crates/delivery/tests/common/policy.rs
@@ -42,7 +42,7 @@
     };
     EngineSettings {
         retention_ms: vec![60_000; idempotencies.len()],
-        max_remembered: 100,
+        max_retained: 100,
         ..engine_settings(idempotencies, limits)
     }
 }
--- a/crates/delivery/tests/common/restarting_engine.rs
+++ b/crates/delivery/tests/common/restarting_engine.rs
@@ -4,7 +4,7 @@
     class_names, endpoint_list, engine_settings, limits, timestamp_of, DESTINATION, KEYED, START_MS,
 };
 use marblefall_delivery::core::engine::{Engine, EngineCommand, EngineEvent, EngineSettings};
-use marblefall_delivery::core::journal::segments;
+use marblefall_delivery::core::journal::segment_numbers;
 use marblefall_delivery::core::message_store::MessageStore;
 use marblefall_delivery::core::{Message, MessageId, Origin, RequestId, Timestamp};
 use marblefall_scheduler::{ClassId, Idempotency, Limits, Outcome};
@@ -53,7 +53,7 @@
 
 /// The file of the segment that is this many after the first one of a folder's journal.
 pub fn segment_path(folder: &Path, after: u64) -> PathBuf {
-    let first = segments(folder).unwrap()[0];
+    let first = segment_numbers(folder).unwrap()[0];
     folder.join(format!("journal-{:010}", first + after))
 }
 
@@ -64,7 +64,7 @@
     };
     EngineSettings {
         retention_ms: vec![60_000; 2],
-        max_remembered: 100,
+        max_retained: 100,
         ..engine_settings(&[KEYED, Idempotency::Idempotent], limits)
     }
 }
--- a/crates/delivery/tests/idle_destinations.rs
+++ b/crates/delivery/tests/idle_destinations.rs
@@ -50,7 +50,7 @@
     settings.scheduler.rules = rules;
     settings.scheduler.rate_hints = RateHints::Approximate;
     settings.retention_ms = vec![60_000];
-    settings.max_remembered = 100;
+    settings.max_retained = 100;
     settings
 }
 
--- a/crates/delivery/tests/journal.rs
+++ b/crates/delivery/tests/journal.rs
@@ -9,7 +9,7 @@
 };
 use common::{folder as temporary_folder, START_MS};
 use marblefall_delivery::core::journal::Journal;
-use marblefall_delivery::core::message_record::AttemptRecord;
+use marblefall_delivery::core::message_record::{AttemptRecord, Execution, NoticeState};
 use marblefall_delivery::core::message_store::MessageStore;
 use marblefall_delivery::core::{FinalOutcome, Origin};
 use std::collections::VecDeque;
@@ -28,11 +28,19 @@
             IDEMPOTENT_CLASS,
             100,
         );
-        assert!(store.has_room(&message), "after {n} messages that finished");
+        assert!(
+            store.has_capacity_for(&message),
+            "after {n} messages that finished"
+        );
         let id = store.allocate_id();
         store.accept(id, Rc::new(message), None).unwrap();
         assert!(store
-            .finish(id, FinalOutcome::Delivered, false, START_MS + 60_000)
+            .finish(
+                id,
+                FinalOutcome::Delivered,
+                NoticeState::NotRequired,
+                START_MS + 60_000
+            )
             .unwrap());
         store.sweep(START_MS, 100_000).unwrap();
     }
@@ -53,7 +61,7 @@
     let (mut live, mut rejections) = (VecDeque::new(), 0);
     for n in 0..400 {
         let message = message(&format!("m{n}"), Origin::Platform, IDEMPOTENT_CLASS, 60_000);
-        if store.has_room(&message) {
+        if store.has_capacity_for(&message) {
             let id = store.allocate_id();
             store.accept(id, Rc::new(message), None).unwrap();
             store
@@ -70,7 +78,9 @@
             rejections += 1;
             // A final outcome is always written, however full the folder is.
             let id = live.pop_front().unwrap();
-            assert!(store.finish(id, FinalOutcome::Failed, true, 0).unwrap());
+            assert!(store
+                .finish(id, FinalOutcome::Failed, NoticeState::Pending, 0)
+                .unwrap());
             store.forget(id).unwrap();
         }
         assert!(used() <= disk, "{} bytes after {n}", used());
@@ -135,7 +145,7 @@
     let failed = (0..100).find(|n| {
         let failed = store.attempt_started(id, started(*n)).is_err();
         if !failed {
-            store.attempt_finished(id, false).unwrap();
+            store.attempt_finished(id, Execution::RuledOut).unwrap();
         }
         failed
     });
--- a/crates/delivery/tests/journal_replay.rs
+++ b/crates/delivery/tests/journal_replay.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::folder as temporary_folder;
-use marblefall_delivery::core::message_record::AttemptRecord;
+use marblefall_delivery::core::message_record::{AttemptRecord, Execution, NoticeState};
 use marblefall_delivery::core::message_store::MessageStore;
 use marblefall_delivery::core::{FinalOutcome, Message, MessageId, Origin};
 use marblefall_scheduler::{ClassId, DestinationId};
@@ -70,12 +70,14 @@
         store.attempt_started(id, attempt(step as i64)).unwrap();
         match random.u16(..2000) {
             0 => {
-                store.finish(id, FinalOutcome::Delivered, false, 0).unwrap();
+                store
+                    .finish(id, FinalOutcome::Delivered, NoticeState::NotRequired, 0)
+                    .unwrap();
                 store.forget(id).unwrap();
                 open.swap_remove(index);
             }
-            1..=10 => store.attempt_finished(id, true).unwrap(),
-            _ => store.attempt_finished(id, false).unwrap(),
+            1..=10 => store.attempt_finished(id, Execution::Possible).unwrap(),
+            _ => store.attempt_finished(id, Execution::RuledOut).unwrap(),
         }
         if step % STEPS_BETWEEN_CHECKS == 0 {
             let restarted = restart(&folder);
--- a/crates/delivery/tests/lease.rs
+++ b/crates/delivery/tests/lease.rs
@@ -42,7 +42,7 @@
     let commands = fixture.step(200, vec![]);
     assert_eq!(responses(&commands), [(3, SubmitResponse::Accepted)]);
     assert_eq!(started_attempts(&commands).len(), 1, "the second message");
-    assert_eq!(fixture.engine.load().0, 2);
+    assert_eq!(fixture.engine.load().open_messages, 2);
 }
 
 #[test]
--- a/crates/delivery/tests/policy_change.rs
+++ b/crates/delivery/tests/policy_change.rs
@@ -6,7 +6,9 @@
 
 use common::policy::{message, policy_settings, PolicyEngine, CLASSES, IDEMPOTENCIES};
 use common::{attempt_finished, class_names, responses, started_attempts, DESTINATION, KEYED};
-use marblefall_delivery::core::engine::{EngineCommand, EngineEvent, LeaseState, ProposedPolicy};
+use marblefall_delivery::core::engine::{
+    EngineCommand, EngineEvent, EngineLoad, LeaseState, ProposedPolicy,
+};
 use marblefall_delivery::core::SubmitResponse;
 use marblefall_scheduler::{DestinationId, Idempotency, Outcome, Span};
 use std::collections::BTreeSet;
@@ -42,7 +44,13 @@
         .iter()
         .any(|command| matches!(command, EngineCommand::PolicyInForce(2))));
     assert_eq!(started_attempts(&commands), [], "the lease is suspended");
-    assert_eq!(fixture.engine.load(), (2, 1));
+    assert_eq!(
+        fixture.engine.load(),
+        EngineLoad {
+            open_messages: 2,
+            in_flight: 1
+        }
+    );
     fixture.engine.set_lease(LeaseState::Held);
     let commands = fixture.step(50, vec![]);
     // The attempt in flight is not started again, and the others start as the new policy permits.
--- a/crates/delivery/tests/restart_backlog.rs
+++ b/crates/delivery/tests/restart_backlog.rs
@@ -107,7 +107,7 @@
         .collect();
     assert_eq!(notice_outcomes(&commands).len(), 0);
     let attempted = started_attempts(&commands).len();
-    assert!(attempted < 5 && incarnation.engine.load().0 == messages as usize);
+    assert!(attempted < 5 && incarnation.engine.load().open_messages == messages as usize);
     (folder, attempted)
 }
 
--- a/crates/delivery/tests/restart_histories.rs
+++ b/crates/delivery/tests/restart_histories.rs
@@ -9,7 +9,7 @@
 };
 use common::{attempt_finished, folder as temporary_folder};
 use marblefall_delivery::core::engine::{AttemptRequest, EngineCommand, EngineEvent};
-use marblefall_delivery::core::journal::latest;
+use marblefall_delivery::core::journal::latest_generation;
 use marblefall_delivery::core::{FinalOutcome, MessageId, RequestId};
 use marblefall_scheduler::{Outcome, Span};
 use std::collections::BTreeMap;
@@ -225,7 +225,7 @@
             self.predecessor = Some(incarnation);
             self.execute(commands, Role::Predecessor);
         } else {
-            let claimed = latest(&self.folder).unwrap().next();
+            let claimed = latest_generation(&self.folder).unwrap().next();
             self.run(Role::Predecessor, vec![EngineEvent::StandbyExited(claimed)]);
             self.predecessor
                 .iter_mut()
--- a/crates/delivery/tests/stored_data.rs
+++ b/crates/delivery/tests/stored_data.rs
@@ -6,7 +6,9 @@
 
 use marblefall_atomic_file::LocalDisk;
 use marblefall_delivery::core::journal::Generation;
-use marblefall_delivery::core::message_record::{AttemptRecord, MessageRecord, MessageState};
+use marblefall_delivery::core::message_record::{
+    AttemptRecord, MessageRecord, MessageState, NoticeState,
+};
 use marblefall_delivery::core::message_store::MessageStore;
 use marblefall_delivery::core::snapshot::DestinationRecord;
 use marblefall_delivery::core::{FinalOutcome, Origin};
@@ -100,10 +102,10 @@
     let unacknowledged = message(&store, "notice-owed");
     let completion = unacknowledged.completion().unwrap();
     assert_eq!(
-        (completion.outcome, completion.notice_owed),
-        (FinalOutcome::Failed, true)
+        (completion.outcome, completion.notice),
+        (FinalOutcome::Failed, NoticeState::Pending)
     );
-    assert_eq!(completion.keep_until_ms, STORED_AT_MS + 60_000);
+    assert_eq!(completion.retain_until_ms, STORED_AT_MS + 60_000);
     assert_eq!(
         unacknowledged.first_possible_execution,
         attempt(300, "bole-1")
@@ -118,7 +120,7 @@
             retry_after_ms: 1500
         }
     );
-    assert!(!completion.notice_owed);
+    assert_eq!(completion.notice, NoticeState::NotRequired);
     assert_eq!(aliased.aliases, [b"second-identity".to_vec()]);
     assert_eq!(
         store.by_identity(b"second-identity"),
@@ -143,10 +145,10 @@
         .unwrap()
         .clone();
     assert_eq!(
-        (delivered.outcome, delivered.notice_owed),
-        (FinalOutcome::Delivered, false)
+        (delivered.outcome, delivered.notice),
+        (FinalOutcome::Delivered, NoticeState::NotRequired)
     );
-    assert_eq!(delivered.keep_until_ms, STORED_AT_MS + 60_000);
+    assert_eq!(delivered.retain_until_ms, STORED_AT_MS + 60_000);
 
     for name in ["accepted-after-handover", "accepted-by-second"] {
         assert_eq!(message(&store, name).state, MessageState::Pending, "{name}");
@@ -168,7 +170,7 @@
     let routes: Vec<_> = recovered
         .routes
         .iter()
-        .map(|route| (route.destination, route.endpoint.as_deref(), route.learned))
+        .map(|route| (route.destination, route.endpoint.as_deref(), route.state))
         .collect();
     let separate = IdleRecord {
         backoff_until: unix(5_000),
@@ -190,7 +192,7 @@
         ]
     );
     assert!(
-        recovered.in_flight_elsewhere.is_empty(),
+        recovered.in_flight.is_empty(),
         "both incarnations have exited"
     );
     fs::remove_dir_all(folder).unwrap();
--- a/crates/delivery/tests/unreadable_journal.rs
+++ b/crates/delivery/tests/unreadable_journal.rs
@@ -6,8 +6,8 @@
 
 use common::incarnation::{is_accepted, started_attempts, TestIncarnation, IDEMPOTENT_CLASS};
 use common::{attempt_finished, folder as temporary_folder};
-use marblefall_delivery::core::engine::{EngineCommand, EngineEvent};
-use marblefall_delivery::core::journal::{segments, Generation};
+use marblefall_delivery::core::engine::{EngineCommand, EngineEvent, EngineLoad};
+use marblefall_delivery::core::journal::{segment_numbers, Generation};
 use marblefall_scheduler::Outcome;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -22,7 +22,7 @@
 impl UnreadableSegment {
     /// Makes the first segment of a generation unreadable: reading what stands in its place fails with EIO.
     fn of(folder: &Path, generation: Generation) -> UnreadableSegment {
-        let all = segments(folder).unwrap();
+        let all = segment_numbers(folder).unwrap();
         let number = all
             .iter()
             .find(|number| Generation::of(**number) == generation)
@@ -50,7 +50,7 @@
         1
     );
     let mut successor = TestIncarnation::standby(&folder, 50);
-    let first = *segments(&folder)
+    let first = *segment_numbers(&folder)
         .unwrap()
         .iter()
         .find(|number| Generation::of(**number) == predecessor.generation)
@@ -74,7 +74,13 @@
         );
         commands = successor.step(ms, std::mem::take(&mut events));
     }
-    assert_eq!(successor.engine.load(), (0, 0));
+    assert_eq!(
+        successor.engine.load(),
+        EngineLoad {
+            open_messages: 0,
+            in_flight: 0
+        }
+    );
     let _ = fs::remove_dir_all(&folder);
 }
 
--- a/crates/simulation/src/cored.rs
+++ b/crates/simulation/src/cored.rs
@@ -103,7 +103,7 @@
         retention_ms: vec![0; settings.classes.len()],
         scheduler: settings,
         seed,
-        max_remembered: 0,
+        max_retained: 0,
     }
 }
 
