--- a/crates/delivery/src/clock.rs
+++ b/crates/delivery/src/clock.rs
@@ -1,9 +1,9 @@
-//! The instance's clock: monotonic time as the core counts it, and Unix time that does not step.
+//! The instance's clock: the monotonic time of the core, and Unix time that does not step.
 //!
 //! The machine's wall clock may be set at any moment, by seconds or by an hour. Deadlines, windows and backoffs are spans
-//! of real time, also across a restart, so that nothing in the journal may be read off the wall clock. [`SteadyClock`] is
-//! Unix time as the wall clock had it once, carried on by the machine's monotonic clock, which all its processes share.
-//! What relates the two lasts in the state folder for as long as the machine runs.
+//! of real time, also across a restart, so the times in the journal are not those of the wall clock. [`SteadyClock`] is
+//! Unix time that was read from the wall clock once and is advanced by the machine's monotonic clock, which all its
+//! processes share. The offset between the two is stored in the state folder and is valid until the machine restarts.
 
 use crate::core::Timestamp;
 use crate::log_line;
@@ -15,19 +15,22 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The file in the state folder.
+const MS_PER_SECOND: i64 = 1000;
+const NANOS_PER_MS: i64 = 1_000_000;
+
+/// The name of the file in the state folder.
 const FILE: &str = "clock";
-/// Names the start of the machine that its monotonic clock counts from.
+/// The system's file that identifies the machine's last start, from which its monotonic clock counts.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
 /// Unix time that neither jumps nor differs between two processes that share a state folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SteadyClock {
-    /// What it shows at the start of the machine's monotonic clock, in milliseconds.
+    /// Its time at the start of the machine's monotonic clock, as Unix time in milliseconds.
     unix_ms_at_boot: i64,
 }
 
-/// What lasts of it.
+/// The content of the file.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClockRecord {
     boot_id: String,
@@ -35,14 +38,15 @@
 }
 
 impl SteadyClock {
-    /// A clock that shows what the wall clock shows now.
+    /// A clock that starts with the present time of the wall clock.
     pub fn from_wall_clock() -> SteadyClock {
         SteadyClock {
             unix_ms_at_boot: wall_unix_ms() - monotonic_ms(),
         }
     }
 
-    /// The clock of a state folder. The first process of the machine that uses the folder sets it by the wall clock.
+    /// The clock of a state folder. The first process that uses the folder after a start of the machine sets it by the
+    /// wall clock.
     ///
     /// # Errors
     /// The folder cannot be read or written.
@@ -72,27 +76,26 @@
         Ok(clock)
     }
 
-    /// The clock that processes of a state folder count by, for who only reads what they wrote; the wall clock where the
-    /// folder has none of this machine's.
+    /// The clock of a state folder that is only read; the wall clock where the folder has none since the machine started.
     pub fn read_or_wall_clock(folder: &Path) -> SteadyClock {
-        let known = read(folder, &boot_id()).ok().flatten();
-        known.unwrap_or_else(SteadyClock::from_wall_clock)
+        let stored = read(folder, &boot_id()).ok().flatten();
+        stored.unwrap_or_else(SteadyClock::from_wall_clock)
     }
 
-    /// What it shows now, as Unix time in milliseconds.
+    /// The present Unix time in milliseconds.
     pub fn unix_ms(self) -> i64 {
         self.unix_ms_at_boot + monotonic_ms()
     }
 }
 
-/// What a folder's file says, if it was written since the machine started.
+/// Reads a folder's clock, if it was written since the machine started.
 fn read(folder: &Path, boot_id: &str) -> io::Result<Option<SteadyClock>> {
     let bytes = match fs::read(folder.join(FILE)) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(error),
     };
-    // One that cannot be parsed was written by nobody who still runs.
+    // Running processes have replaced a file that cannot be parsed.
     let record = serde_json::from_slice::<ClockRecord>(&bytes).ok();
     let of_this_boot = record.filter(|record| !boot_id.is_empty() && record.boot_id == boot_id);
     Ok(of_this_boot.map(|record| SteadyClock {
@@ -100,44 +103,45 @@
     }))
 }
 
-/// Empty where the system does not tell: then each process sets its own clock.
+/// Identifies the machine's last start. Empty where the system does not provide it: each process then has its own clock.
 fn boot_id() -> String {
     fs::read_to_string(BOOT_ID_FILE)
         .map(|text| text.trim().to_owned())
         .unwrap_or_default()
 }
 
-/// Milliseconds on the machine's monotonic clock, read by way of the C library as the standard library reads it.
+/// The machine's monotonic clock in milliseconds. It is read through the C library, as the standard library does.
 fn monotonic_ms() -> i64 {
-    clock_gettime(ClockId::CLOCK_MONOTONIC)
-        .map_or(0, |now| now.tv_sec() * 1000 + now.tv_nsec() / 1_000_000)
+    clock_gettime(ClockId::CLOCK_MONOTONIC).map_or(0, |now| {
+        now.tv_sec() * MS_PER_SECOND + now.tv_nsec() / NANOS_PER_MS
+    })
 }
 
-/// The wall clock's Unix time in milliseconds: for dates that others write, and for nothing that is measured.
+/// The wall clock's Unix time in milliseconds. It is only compared with dates from outside, never used to measure time.
 pub fn wall_unix_ms() -> i64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as i64)
 }
 
-/// When a request was read, on both of the instance's Unix clocks, in milliseconds.
+/// When a request was read, on both Unix clocks of the instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedAt {
-    /// On the steady clock: what the core counts by.
+    /// On the steady clock, which the core uses, in milliseconds.
     pub steady_ms: i64,
-    /// On the wall clock: what dates in a request relate to.
+    /// On the wall clock, which dates in a request refer to, in milliseconds.
     pub wall_ms: i64,
 }
 
 impl ReceivedAt {
-    /// The steady clock's time at a date that was taken from the wall clock.
+    /// The steady clock's time at a date of the wall clock, both in milliseconds.
     pub fn steady_ms_of(self, wall_ms: i64) -> i64 {
         self.steady_ms
             .saturating_add(wall_ms.saturating_sub(self.wall_ms))
     }
 }
 
-/// The clocks as the core counts them.
+/// The clocks that the core uses.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
@@ -161,7 +165,7 @@
         }
     }
 
-    /// The present moment for a request that was just read.
+    /// The present moment as the time of a request that was just read.
     pub fn received_at(self) -> ReceivedAt {
         ReceivedAt {
             steady_ms: self.steady.unix_ms(),
@@ -169,7 +173,7 @@
         }
     }
 
-    /// The instant of a time on this clock; the clock's start for a time before it.
+    /// The instant of a monotonic time; the clock's start for an earlier time.
     pub fn instant(self, at: Time) -> Instant {
         self.started_at + Duration::from_micros(at.0.max(0) as u64)
     }
--- a/crates/delivery/src/clock/tests.rs
+++ b/crates/delivery/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! The steady clock and the file that it lasts in.
+//! The steady clock and its file.
 
 use super::*;
 
@@ -18,10 +18,10 @@
 }
 
 #[test]
-fn folder_first_used_an_hour_ago_by_the_wall_clock_keeps_its_time() {
+fn stepped_wall_clock_does_not_change_a_folders_clock() {
     let folder = folder("stepped");
     let hour_ms = 3_600_000;
-    // What a process left whose wall clock was an hour behind: it has been stepped since.
+    // The wall clock was an hour behind when the file was written, and has been stepped since.
     write(
         &folder,
         &boot_id(),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn processes_that_share_a_folder_share_its_clock() {
+fn processes_of_one_folder_have_the_same_clock() {
     let folder = folder("shared");
     let first = SteadyClock::open(&folder).unwrap();
     assert_eq!(SteadyClock::open(&folder).unwrap(), first);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn clock_of_another_start_of_the_machine_or_torn_is_set_anew() {
+fn clock_is_reset_after_a_reboot_or_torn_write() {
     let folder = folder("reboot");
     write(&folder, "another start", 12);
     let behind_ms = wall_unix_ms() - SteadyClock::open(&folder).unwrap().unix_ms();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn date_in_a_request_counts_by_the_wall_clock_it_was_taken_from() {
+fn request_date_is_converted_from_wall_to_steady_clock() {
     let received_at = ReceivedAt {
         steady_ms: 5_000,
         wall_ms: 3_605_000,
--- a/crates/delivery/src/counters.rs
+++ b/crates/delivery/src/counters.rs
@@ -1,6 +1,4 @@
-//! Counters of an instance, printed on request and at exit.
-//!
-//! Where the printed name differs from the field's, operators' tools read the printed one.
+//! Counters of an instance, printed on request and at exit. Operators' tools read the printed names.
 
 use crate::log_line;
 use crate::rules::Rule;
@@ -27,69 +25,67 @@
 counters! {
     /// Messages submitted.
     submitted = "offered",
-    /// Of these, accepted.
+    /// Messages accepted.
     accepted = "taken_on",
-    /// Of these, rejected.
+    /// Submissions rejected.
     rejected = "declined",
-    /// Messages that an earlier incarnation had accepted.
+    /// Open messages recovered from earlier incarnations.
     recovered = "resumed",
-    /// Requests that could not be read or used.
+    /// Requests that could not be parsed or were invalid.
     unreadable_requests = "rejected",
     /// Attempts started.
     attempts = "legs",
     /// Connections opened to endpoints.
     connections_opened = "dialled",
-    /// Attempts whose response says delivered.
+    /// Attempts whose response reports the delivery.
     attempts_delivered = "delivered",
     /// Attempts that were rejected.
     attempts_rejected = "turned_away",
-    /// Of these, those that found no slot free.
-    attempts_without_slot = "no_slot",
     /// Attempts whose response is an error.
     attempts_failed = "errors",
-    /// Attempts abandoned without a response.
+    /// Attempts abandoned at their time-out.
     attempts_timed_out = "timed_out",
-    /// Attempts that got no connection.
+    /// Attempts for which no connection could be established.
     attempts_unconnected = "unconnected",
-    /// Attempts whose connection broke.
+    /// Attempts whose connection was lost.
     attempts_reset = "resets",
     /// Attempts that were cancelled.
     attempts_cancelled = "cancelled",
-    /// Attempts not sent after all.
+    /// Attempts withheld before their first byte.
     attempts_not_sent = "not_begun",
-    /// Messages returned to be submitted again.
+    /// Messages returned to their clients, which may submit them again.
     returned = "returned",
     /// Messages that failed.
     failed = "failed",
     /// Messages that expired.
     expired = "expired",
-    /// Notices that the platform has acknowledged.
+    /// Notices acknowledged by the platform.
     notices_acknowledged = "notices",
-    /// Submissions rejected as the instance holds as many messages as it may, or its journal is full.
+    /// Submissions rejected because the limit of open messages is reached or the journal is full.
     rejected_full = "rejected_full",
-    /// Submissions rejected as the process ends.
+    /// Submissions rejected because the process is about to end.
     rejected_ending = "rejected_ending",
-    /// Submissions rejected as no endpoint list has named their destination.
+    /// Submissions rejected because their destination has had no endpoint.
     rejected_unknown = "rejected_unknown",
-    /// Submissions rejected as the journal could not be written.
+    /// Submissions rejected because the journal could not be written.
     rejected_unjournalled = "rejected_unjournalled",
-    /// Submissions rejected as the scheduler had no use for them.
+    /// Submissions rejected by the scheduler.
     rejected_by_scheduler = "rejected_by_scheduler",
-    /// Rules that were broken, or would have been had the action not been refused.
+    /// Invariants that an action broke, or would have broken had it not been refused.
     violations = "violations",
-    /// The longest that the engine kept everything else of the instance waiting, in microseconds: no count.
+    /// Duration of the engine's longest step, in microseconds.
     longest_step_us = "longest_step_us",
 }
 
 impl Counters {
-    /// Counts and logs a rule that was broken, or would have been.
+    /// Counts and logs an invariant that was broken, or would have been.
     pub fn violated(&self, rule: Rule, what: &dyn fmt::Display) {
         add(&self.violations);
         log_line!(code = "invariant-violated", rule = rule.name(), "{what}");
     }
 }
 
-/// Adds one.
+/// Increments a counter.
 pub fn add(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
--- a/crates/delivery/src/hot_restart.rs
+++ b/crates/delivery/src/hot_restart.rs
@@ -1,8 +1,8 @@
-//! One process incarnation taking over from another without a gap.
+//! Hot restart: one incarnation of the process takes over from another without a gap in the service.
 //!
-//! A new incarnation starts as a standby beside the running ones, takes over once they have handed over, and follows
-//! them until the last has exited. [`takeover`] is the state machine, free of I/O. [`incarnation`] keeps the lock files
-//! and marks by which incarnations know each other. [`driver`] connects both to the engine.
+//! A new incarnation starts as a standby beside the running ones, becomes active once they have handed over, and follows
+//! their journals until the last has exited. [`takeover`] is the state machine, without I/O. [`incarnation`] has the lock
+//! files and marks by which incarnations find each other. [`driver`] connects both to the engine.
 
 pub mod driver;
 pub mod incarnation;
--- a/crates/delivery/src/hot_restart/driver.rs
+++ b/crates/delivery/src/hot_restart/driver.rs
@@ -1,5 +1,5 @@
-//! The driver of a hot restart: polls the state folder, writes the marks that [`Takeover`] asks for, and sends the engine
-//! its events. It decides nothing itself.
+//! The driver of a hot restart: polls the state folder, executes the steps of [`Takeover`], and sends the engine its
+//! events.
 
 use super::incarnation::{Incarnation, Predecessor, PredecessorState};
 use super::takeover::{PredecessorView, Takeover, TakeoverStep};
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a standby looks at its predecessors: the results of their last attempts are late by this.
+/// How often a standby polls its predecessors. The results of their last attempts are delayed by up to this.
 const PREDECESSOR_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How often an incarnation looks for requests of successors, also when it has nothing to do.
+/// How often an incarnation polls for marks of successors, even when it is idle.
 const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The incarnations that were running when this one was claimed.
@@ -26,27 +26,26 @@
 pub struct RunningPredecessors {
     /// The earliest of them.
     pub first: Generation,
-    /// How many there were.
+    /// How many were running.
     pub count: usize,
 }
 
-/// What the driver needs of the instance it belongs to.
+/// The instance as the driver uses it.
 pub trait HotRestartInstance {
-    /// Reads what operators have set and sends it to the engine. Called right before the takeover.
+    /// Reads the state that operators have set and sends it to the engine. Called immediately before the takeover.
     ///
     /// # Errors
-    /// It cannot be read for a moment.
+    /// It cannot be read because of a transient error.
     fn load_operator_state(&self) -> io::Result<()>;
 
     /// Whether the engine is active.
     fn is_active(&self) -> bool;
 }
 
-/// Announces an incarnation to the predecessors that are running, if any.
+/// Announces an incarnation to the predecessors that are running, if any. It may be announced more than once.
 ///
 /// # Errors
-/// The folder cannot be read, or an error that passes by itself kept a mark from being written: it is announced again
-/// then, which does no harm.
+/// The folder cannot be read, or a mark cannot be written because of a transient error.
 pub fn announce(incarnation: &mut Incarnation) -> io::Result<Option<RunningPredecessors>> {
     let predecessors = incarnation.running_predecessors()?;
     incarnation.forget_exited();
@@ -54,7 +53,7 @@
         let generation = predecessor.generation;
         match incarnation.announce(generation) {
             Ok(()) => {}
-            // Unannounced, this incarnation would not be adopted if it died.
+            // The messages of an unannounced incarnation would not be adopted if it exited.
             Err(error) if is_transient(&error) => return Err(error),
             Err(error) => log_line!(
                 code = "not-announced",
@@ -73,13 +72,12 @@
     }))
 }
 
-/// Whether this incarnation must not decide any more.
+/// Whether a successor requires this incarnation to hand over, and to decide nothing any more.
 pub fn must_hand_over(incarnation: &RefCell<Incarnation>) -> bool {
     incarnation.borrow_mut().successor_requests().hand_over
 }
 
-/// Whether an attempt of this incarnation may still start at this moment. What does not start is reported as such, and
-/// the incarnation that takes over sends it.
+/// Whether an attempt of this incarnation may be started at this moment. The successor sends the message otherwise.
 pub fn may_start_attempt(incarnation: &RefCell<Incarnation>) -> bool {
     !must_hand_over(incarnation)
 }
@@ -115,7 +113,7 @@
             self.report_exited(&mut followed);
             let mut next = takeover;
             let step = next.next_step(self.clock.now().monotonic, view(&predecessors));
-            // A step that cannot be taken yet is chosen again.
+            // A step that fails is chosen again.
             match self.execute(step, &predecessors, &mut followed) {
                 Ok(()) => takeover = next,
                 Err(error) => log_line!(code = "state-folder-unreadable", "{error}"),
@@ -170,7 +168,7 @@
         Ok(())
     }
 
-    /// Leaves a mark for each predecessor that may still decide.
+    /// Writes a mark for each active predecessor, and logs it under a reason code.
     fn mark_active(
         &self,
         predecessors: &[Predecessor],
@@ -195,7 +193,7 @@
         predecessors: &[Predecessor],
         followed: &mut BTreeSet<Generation>,
     ) -> io::Result<()> {
-        // Disabled endpoints are known before anything is decided.
+        // The engine must have the disabled endpoints before it decides anything.
         self.instance.load_operator_state()?;
         let running: Vec<_> = predecessors
             .iter()
@@ -231,8 +229,8 @@
     }
 }
 
-/// Polls for requests of successors until its task is dropped. The messages of a standby that exits before it has taken
-/// over are adopted.
+/// Polls for marks of successors until its task is dropped. The messages of a standby that exits before it has taken over
+/// are adopted.
 pub async fn watch_successors(
     incarnation: Rc<RefCell<Incarnation>>,
     instance: Rc<impl HotRestartInstance>,
@@ -242,7 +240,7 @@
         Timer::after(SUCCESSOR_POLL_INTERVAL).await;
         let requests = incarnation.borrow_mut().successor_requests();
         if requests.hand_over {
-            // Causes a step; the engine's loop finds the request before it decides anything.
+            // Causes a step of the engine, whose loop checks for the request first.
             let _ = engine.try_send(EngineEvent::FollowPredecessors);
         } else if requests.standby_started && instance.is_active() {
             adopt_exited_standbys(&mut incarnation.borrow_mut(), &engine);
--- a/crates/delivery/src/hot_restart/incarnation.rs
+++ b/crates/delivery/src/hot_restart/incarnation.rs
@@ -1,36 +1,36 @@
-//! The lock files and marks by which incarnations of one process know each other.
+//! The lock files and marks by which incarnations of a process find each other.
 //!
-//! Each incarnation holds an advisory lock on a file of its own in the state folder for as long as it runs. The system
-//! releases it however the process ends, SIGKILL included. The file holds the marks that the incarnation and its
-//! successors leave, one byte each. Marks are only ever appended.
+//! Each incarnation holds an advisory lock on a file of its own in the state folder while it is running. The system
+//! releases the lock however the process ends, SIGKILL included. The file has the marks that the incarnation and its
+//! successors write, one byte each. Marks are only ever appended.
 
 use crate::core::journal::{latest_generation, Generation};
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, Write};
 use std::path::{Path, PathBuf};
 
-/// Before the generation in the name of a lock file.
+/// What the name of a lock file begins with, before the generation.
 const LOCK_PREFIX: &str = "life-";
-/// The lock file of programs without generations; they count as generation 0.
+/// The lock file of program versions without generations, which count as generation 0.
 const UNNUMBERED_LOCK: &str = "life.lock";
-/// What those programs look for when they are shut down: a successor is running.
+/// The file by which those versions find that a successor is running when they are shut down.
 const UNNUMBERED_SUCCESSOR: &str = "life.next";
-/// Programs without generations.
+/// The generation of program versions without generations.
 const UNNUMBERED: Generation = Generation(0);
 
-/// Left by the incarnation itself: it has handed over.
+/// Mark of the incarnation itself: it has handed over.
 const HANDED_OVER: u8 = b'o';
-/// Left by a successor: it has started as a standby.
+/// Mark of a successor: it has started as a standby.
 const STANDBY_STARTED: u8 = b'b';
-/// Left by a successor: hand over.
+/// Mark of a successor: the incarnation is to hand over.
 const HANDOVER_REQUESTED: u8 = b'a';
-/// Left by a successor: decide nothing any more.
+/// Mark of a successor: the incarnation must not decide anything any more.
 const FENCED: u8 = b'f';
 
-/// What successors want of this incarnation.
+/// The marks that successors have written for this incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuccessorRequests {
-    /// One has started as a standby; it may have exited since.
+    /// A successor has started as a standby; it may have exited since.
     pub standby_started: bool,
     /// This incarnation is to hand over.
     pub hand_over: bool,
@@ -39,7 +39,7 @@
 /// Whether a predecessor may still decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorState {
-    /// It may decide.
+    /// It may still decide.
     Active,
     /// It has handed over or is fenced.
     Inactive,
@@ -48,27 +48,27 @@
 /// An earlier incarnation that is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Predecessor {
-    /// Which one.
+    /// Its generation.
     pub generation: Generation,
     /// Whether it may still decide.
     pub state: PredecessorState,
 }
 
-/// This process's generation in the state folder, held for as long as the value exists.
+/// This process's generation in the state folder, which is locked for as long as the value exists.
 #[derive(Debug)]
 pub struct Incarnation {
     folder: PathBuf,
     generation: Generation,
     lock_file: File,
-    /// Locks of incarnations that have exited, held until their messages belong to this one.
+    /// Locks of incarnations that have exited, held until this one has their messages.
     exited: Vec<(Generation, File)>,
 }
 
 impl Incarnation {
-    /// Claims the generation after all that exist.
+    /// Claims the generation after all existing ones.
     ///
     /// # Errors
-    /// The folder or the lock cannot be made.
+    /// The folder or the lock file cannot be created.
     pub fn claim(folder: &Path) -> io::Result<Incarnation> {
         std::fs::create_dir_all(folder)?;
         let (generation, lock_file) = claim_generation(folder, UNNUMBERED)?;
@@ -80,12 +80,12 @@
         })
     }
 
-    /// Which generation this is.
+    /// The generation of this incarnation.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// The earlier incarnations that are running, the latest first. The locks of those that have exited are kept until
+    /// The earlier incarnations that are running, the latest first. The locks of those that have exited are held until
     /// [`Incarnation::forget_exited`].
     ///
     /// # Errors
@@ -112,15 +112,15 @@
         Ok(running)
     }
 
-    /// Whether a predecessor that was seen running has exited.
+    /// Whether a predecessor has exited.
     pub fn has_exited(&self, generation: Generation) -> bool {
         self.exited.iter().any(|(exited, _)| *exited == generation)
     }
 
-    /// Removes the lock files of exited incarnations, whose messages are this one's now.
+    /// Removes the lock files of exited incarnations, once this one has their messages.
     pub fn forget_exited(&mut self) {
         for (generation, _lock) in self.exited.drain(..) {
-            // Removed while it is locked; one that stays is found free by the next incarnation.
+            // The file is removed while it is locked. If it remains, the next incarnation finds it unlocked.
             let _ = std::fs::remove_file(lock_path(&self.folder, generation));
             if generation == UNNUMBERED {
                 let _ = std::fs::remove_file(self.folder.join(UNNUMBERED_SUCCESSOR));
@@ -147,7 +147,8 @@
         self.append_mark(predecessor, HANDOVER_REQUESTED)
     }
 
-    /// Keeps a predecessor from deciding anything more. A program without generations would not find the mark.
+    /// Keeps a predecessor from deciding anything any more. Program versions without generations are not fenced, as they do
+    /// not read marks.
     ///
     /// # Errors
     /// The mark cannot be written.
@@ -163,8 +164,8 @@
         self.lock_file.write_all(&[HANDED_OVER])
     }
 
-    /// What successors want. Costs one look at a file's length where there never was one. A file that cannot be read
-    /// requests nothing.
+    /// The marks of successors. Where there has been none, only the length of a file is read. A file that cannot be read
+    /// counts as empty.
     pub fn successor_requests(&mut self) -> SuccessorRequests {
         if self.lock_file.metadata().map_or(0, |file| file.len()) == 0 {
             return SuccessorRequests::default();
@@ -186,7 +187,7 @@
             .filter(|found| *found > self.generation)
             .rev()
             .any(|later| {
-                // One whose lock cannot be looked at may run.
+                // If its lock cannot be tested, it may be running.
                 matches!(
                     try_lock(&self.folder, later),
                     Ok(LockAttempt::HeldByOther(_)) | Err(_)
@@ -194,10 +195,10 @@
             })
     }
 
-    /// Claims a generation after standbys that have all exited. `None` where there was none or one is running.
+    /// Claims the generation after standbys that have all exited. `None` where there was none or one is running.
     ///
     /// # Errors
-    /// The folder or a lock file cannot be read or made.
+    /// The folder or a lock file cannot be read or created.
     pub fn claim_after_exited_standbys(&mut self) -> io::Result<Option<Generation>> {
         let mut exited = Vec::new();
         for later in lock_generations(&self.folder)?
@@ -232,7 +233,7 @@
     }
 }
 
-/// Makes and locks the file of the generation after `after` and all that exist.
+/// Creates and locks the file of the generation after `after` and all existing ones.
 fn claim_generation(folder: &Path, after: Generation) -> io::Result<(Generation, File)> {
     let mut generation = lock_generations(folder)?
         .into_iter()
@@ -257,21 +258,23 @@
                 return Ok((generation, file))
             }
             Err(TryLockError::Error(error)) => {
-                // Without its lock it would be taken for that of an incarnation that has exited.
+                // An unlocked file would mean that the incarnation has exited.
                 let _ = std::fs::remove_file(lock_path(folder, generation));
                 return Err(error);
             }
-            // Another incarnation found the file before it was locked, and takes its owner for exited.
+            // Another incarnation locked the file first, and considers this one as exited.
             Err(TryLockError::WouldBlock) => continue,
         }
     }
 }
 
+/// The result of testing the lock of an incarnation.
 enum LockAttempt {
     /// Its owner has exited.
     Acquired(File),
     /// Its owner is running.
     HeldByOther(File),
+    /// There is no lock file.
     NoFile,
 }
 
@@ -289,13 +292,12 @@
         Ok(()) => Ok(LockAttempt::Acquired(file)),
         Err(TryLockError::WouldBlock) => Ok(LockAttempt::HeldByOther(file)),
         Err(TryLockError::Error(error)) if has_no_locks(&error) => Ok(LockAttempt::Acquired(file)),
-        // Whoever holds it may run: nothing is known.
+        // Whether its owner is running is unknown.
         Err(TryLockError::Error(error)) => Err(error),
     }
 }
 
-/// Whether a lock failed because the system has no such locks: then the platform sees to it that one incarnation runs at
-/// a time. Any other failure passes.
+/// Whether a lock failed because the system does not support such locks. The platform then runs one incarnation at a time.
 fn has_no_locks(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Unsupported
 }
--- a/crates/delivery/src/hot_restart/incarnation/tests.rs
+++ b/crates/delivery/src/hot_restart/incarnation/tests.rs
@@ -1,3 +1,5 @@
+//! Lock files and marks of incarnations.
+
 use super::*;
 
 fn folder(name: &str) -> PathBuf {
@@ -8,7 +10,7 @@
 }
 
 #[test]
-fn predecessor_is_seen_until_it_exits() {
+fn predecessor_is_found_until_it_exits() {
     let folder = folder("running");
     let mut first = Incarnation::claim(&folder).unwrap();
     assert_eq!(first.running_predecessors().unwrap(), []);
@@ -109,7 +111,7 @@
     assert_eq!(
         incarnation.running_predecessors().unwrap()[0].state,
         PredecessorState::Active,
-        "it would not find a fence"
+        "it does not read marks"
     );
     drop(unnumbered);
     assert_eq!(incarnation.running_predecessors().unwrap(), []);
--- a/crates/delivery/src/hot_restart/takeover.rs
+++ b/crates/delivery/src/hot_restart/takeover.rs
@@ -1,45 +1,46 @@
-//! When a standby takes over from the incarnations that run already.
+//! When a standby takes over from the incarnations that are running.
 //!
-//! A state machine without I/O: [`Takeover::next_step`] takes the time and a view of the predecessors, and returns the
-//! next step. The stages are standby, handover requested, predecessors fenced, active.
+//! A state machine without I/O: [`Takeover::next_step`] is given the time and a view of the predecessors, and returns the
+//! next step. The stages are standby, handover requested, predecessors fenced, and active.
 //!
-//! A standby waits until every predecessor has handed over. Predecessors do that when they are shut down. Where nobody
-//! shuts them down the standby requests it, as messages accepted by the standby wait until then. A predecessor that
-//! does not react is fenced: it may have been stopped, and finds the fence before it decides anything again.
+//! A standby waits until every predecessor has handed over, which predecessors do when they are shut down. If they are
+//! not shut down, the standby requests the handover, as the messages that it accepts are pending until then. A
+//! predecessor that does not respond is fenced: if its process was stopped, it finds the fence before it decides
+//! anything again.
 
 use marblefall_scheduler::{Span, Time};
 
-/// How long a standby waits for predecessors to be shut down before it requests the handover. Whoever starts a process
-/// beside another shuts the other down as soon as this one is ready; clients' shortest deadlines are about a second.
+/// How long a standby waits for its predecessors to be shut down before it requests the handover. They are usually shut
+/// down as soon as the standby is ready, and the shortest deadlines of messages are about a second.
 pub const REQUEST_HANDOVER_AFTER: Span = Span(800_000);
-/// How long after the request a predecessor is fenced. One that runs looks for marks four times a second, so one that
-/// has not reacted by then does not run, or hardly.
+/// How long after the request an active predecessor is fenced. A predecessor polls for marks four times a second, so its
+/// process is stopped or starved if it is still active.
 pub const FENCE_AFTER: Span = Span(700_000);
 
-/// How often a predecessor that is still active is fenced again: the disk may not have taken the mark.
+/// How long after a fence a predecessor that is still active is fenced again, as the mark may not have been written.
 pub const FENCE_AGAIN_AFTER: Span = Span(100_000);
 
-/// How many predecessors are running.
+/// The predecessors as a standby sees them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PredecessorView {
-    /// Those whose process is running.
+    /// How many are running.
     pub running: usize,
-    /// Those of them that have neither handed over nor been fenced: one of them may decide.
+    /// How many of them have neither handed over nor been fenced, and may still decide.
     pub active: usize,
 }
 
-/// What the driver does next.
+/// The driver's next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeoverStep {
-    /// Nothing.
+    /// Do nothing.
     Wait,
     /// Request the active predecessors to hand over.
     RequestHandover,
-    /// Fence the active predecessors, which have not reacted.
+    /// Fence the active predecessors, which have not handed over.
     Fence,
-    /// Recover all messages, and be active from now on.
+    /// Recover all messages and become active.
     TakeOver,
-    /// Read what predecessors that are still running have journalled.
+    /// Read what running predecessors have journalled.
     Follow,
 }
 
--- a/crates/delivery/src/hot_restart/takeover/tests.rs
+++ b/crates/delivery/src/hot_restart/takeover/tests.rs
@@ -1,7 +1,12 @@
+//! The steps of a takeover, with a clock set by the tests.
+
 use super::*;
 
-/// The steps of a standby that looks every 10 ms, given what is seen at each millisecond after which steps.
-fn steps_taken(view: impl Fn(i64, &[TakeoverStep]) -> PredecessorView) -> Vec<(i64, TakeoverStep)> {
+/// The distinct steps of a standby that polls every 10 ms, with their times in milliseconds. `view` is given the time and
+/// the steps before.
+fn takeover_steps(
+    view: impl Fn(i64, &[TakeoverStep]) -> PredecessorView,
+) -> Vec<(i64, TakeoverStep)> {
     let mut takeover = Takeover::new(Time(0));
     let mut steps = Vec::<(i64, TakeoverStep)>::new();
     for ms in (0..4000).step_by(10) {
@@ -29,8 +34,8 @@
 };
 
 #[test]
-fn handed_over_predecessor_is_taken_over_and_followed() {
-    let steps = steps_taken(|ms, _| if ms < 130 { ACTIVE } else { HANDED_OVER });
+fn standby_takes_over_and_follows_after_the_handover() {
+    let steps = takeover_steps(|ms, _| if ms < 130 { ACTIVE } else { HANDED_OVER });
     assert_eq!(
         steps,
         [(130, TakeoverStep::TakeOver), (140, TakeoverStep::Follow)]
@@ -38,16 +43,16 @@
 }
 
 #[test]
-fn killed_predecessor_is_taken_over_at_once() {
+fn standby_takes_over_at_once_from_a_killed_predecessor() {
     assert_eq!(
-        steps_taken(|ms, _| if ms < 300 { ACTIVE } else { EXITED }),
+        takeover_steps(|ms, _| if ms < 300 { ACTIVE } else { EXITED }),
         [(300, TakeoverStep::TakeOver)]
     );
 }
 
 #[test]
 fn predecessor_without_shutdown_is_requested_to_hand_over() {
-    let steps = steps_taken(|_, steps| {
+    let steps = takeover_steps(|_, steps| {
         if steps.contains(&TakeoverStep::RequestHandover) {
             HANDED_OVER
         } else {
@@ -65,7 +70,7 @@
 
 #[test]
 fn unresponsive_predecessor_is_fenced_before_takeover() {
-    let steps = steps_taken(|_, steps| {
+    let steps = takeover_steps(|_, steps| {
         if steps.contains(&TakeoverStep::Fence) {
             HANDED_OVER
         } else {
@@ -85,7 +90,7 @@
 #[test]
 fn unfenced_active_predecessor_prevents_takeover() {
     assert_eq!(
-        steps_taken(|_, _| ACTIVE),
+        takeover_steps(|_, _| ACTIVE),
         [
             (800, TakeoverStep::RequestHandover),
             (1500, TakeoverStep::Fence)
@@ -93,10 +98,10 @@
     );
 }
 
-/// A fence whose mark the disk did not take was never written again: behind a predecessor that was stopped, the standby
-/// accepted messages for ever and delivered none.
+/// A fence whose mark could not be written is written again. Otherwise the standby would never deliver a message while the
+/// process of its predecessor is stopped.
 #[test]
-fn fence_is_repeated_while_a_predecessor_stays_active() {
+fn fence_is_repeated_while_a_predecessor_is_active() {
     let mut takeover = Takeover::new(Time(0));
     let mut fences = 0;
     for ms in (0..6000).step_by(10) {
--- a/crates/delivery/src/lease_guard.rs
+++ b/crates/delivery/src/lease_guard.rs
@@ -1,20 +1,24 @@
-//! The lease guard of a process: it stands before all that an instance does under a policy it holds in common with
-//! others, that is accepting a message and starting an attempt. Whoever holds the lease opens it and closes it; once it
-//! is closed, nothing is done behind it any more.
+//! The lease guard of a process. Its instances accept messages and start attempts only with a permit of the guard.
+//!
+//! The process opens the guard while it holds the lease for a revision of the policy that a group decides on, and closes
+//! it otherwise. Once the guard is closed, no permit is held any more.
 
 use std::fs::File;
 use std::io::Write;
 use std::sync::{Mutex, PoisonError, RwLock, RwLockReadGuard};
 use std::time::Instant;
 
-/// Whether the guard lets anything pass.
+const MICROS_PER_SECOND: i64 = 1_000_000;
+const NANOS_PER_MICRO: i64 = 1000;
+
+/// Whether the guard gives permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GuardState {
-    /// It does, until the lease's end if a time is given.
+    /// It gives permits, until the end of the lease if a time is given.
     Open(Option<Instant>),
-    /// A change of policy is under way: what is submitted waits for it.
+    /// The policy is being changed: submissions are deferred.
     Suspended,
-    /// Nobody knows which policy is in force: what is submitted is rejected.
+    /// The policy in force is unknown: submissions are rejected.
     Closed,
 }
 
@@ -40,18 +44,18 @@
     history: Option<Mutex<File>>,
 }
 
-/// Held while something is done behind the guard: it closes only once no permit is held.
+/// A permit to act under the lease. The guard closes only once no permit is held.
 pub struct LeasePermit<'a> {
     lease: Option<RwLockReadGuard<'a, Lease>>,
 }
 
 impl LeasePermit<'_> {
-    /// A permit where no lease is needed.
+    /// A permit for instances that need no lease.
     pub fn unconditional() -> LeasePermit<'static> {
         LeasePermit { lease: None }
     }
 
-    /// Whether it still holds at this very moment: the lease behind it may have ended since it was given.
+    /// Whether the lease is valid at this moment. It may have ended since the permit was given.
     pub fn is_valid(&self) -> bool {
         self.lease
             .as_ref()
@@ -60,8 +64,8 @@
 }
 
 impl LeaseGuard {
-    /// A closed guard. All that passes is written to `history`, if there is one: a line each with the system's monotonic
-    /// clock in microseconds, the instance, what it did and the revision; `-` for the guard itself.
+    /// A closed guard. Its changes and the acts under it are written to `history`, if there is one, a line each: the
+    /// system's monotonic clock in microseconds, the instance or `-` for the guard itself, the act, and the revision.
     pub fn new(history: Option<File>) -> LeaseGuard {
         let lease = Lease {
             revision: 0,
@@ -73,7 +77,7 @@
         }
     }
 
-    /// Opens or closes the guard for a revision of the policy; returns once no permit given before is held.
+    /// Opens or closes the guard for a revision of the policy. Returns once no earlier permit is held.
     pub fn set(&self, revision: u64, state: GuardState) {
         *self.lease.write().unwrap_or_else(PoisonError::into_inner) = Lease { revision, state };
         // These words are read by tools that check histories.
@@ -85,15 +89,15 @@
         self.record("-", change, revision);
     }
 
-    /// A permit to act under a revision, if it may be given at this very moment.
+    /// A permit to act under a revision, if the guard is open for it at this moment.
     pub fn acquire(&self, revision: u64) -> Option<LeasePermit<'_>> {
         let lease = self.lease.read().unwrap_or_else(PoisonError::into_inner);
         let is_open = lease.is_open_at(Instant::now());
         (is_open && lease.revision == revision).then_some(LeasePermit { lease: Some(lease) })
     }
 
-    /// The state towards whoever has this revision. To one that is about to take over the revision in force it is
-    /// suspended.
+    /// The state for an instance with a revision. It is suspended for an instance that does not yet have the revision in
+    /// force.
     pub fn state(&self, revision: u64) -> GuardState {
         let lease = *self.lease.read().unwrap_or_else(PoisonError::into_inner);
         match lease.state {
@@ -103,13 +107,13 @@
         }
     }
 
-    /// Writes an act into the history, if there is one.
+    /// Writes an act to the history, if there is one.
     pub fn record(&self, instance: &str, act: &str, revision: u64) {
         let Some(history) = &self.history else { return };
         let at = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
-        let micros = at.tv_sec * 1_000_000 + at.tv_nsec / 1000;
+        let micros = at.tv_sec * MICROS_PER_SECOND + at.tv_nsec / NANOS_PER_MICRO;
         let line = format!("{micros} {instance} {act} {revision}\n");
-        // A history with gaps would prove nothing, but the instance's work does not depend on it.
+        // A history with gaps is useless, but the instance does not depend on it.
         let _ = history
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/delivery/src/lease_guard/tests.rs
+++ b/crates/delivery/src/lease_guard/tests.rs
@@ -1,10 +1,10 @@
-//! What passes the lease guard, and when it closes.
+//! When the lease guard gives permits, and when it closes.
 
 use super::*;
 use std::time::Duration;
 
 #[test]
-fn only_the_revision_in_force_passes_until_its_lease_ends() {
+fn only_revision_in_force_gets_permits_until_lease_ends() {
     let guard = LeaseGuard::new(None);
     assert!(guard.acquire(0).is_none(), "a new guard is closed");
     guard.set(3, GuardState::Open(None));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn permit_ends_with_the_lease_behind_it() {
+fn permit_is_invalid_after_its_lease_ends() {
     let guard = LeaseGuard::new(None);
     let until = Instant::now() + Duration::from_millis(30);
     guard.set(1, GuardState::Open(Some(until)));
@@ -38,15 +38,15 @@
     let guard = std::sync::Arc::new(LeaseGuard::new(None));
     guard.set(1, GuardState::Open(None));
     let permit = guard.acquire(1).unwrap();
-    let (closed, heard) = std::sync::mpsc::channel();
+    let (closed, closing_done) = std::sync::mpsc::channel();
     let other = guard.clone();
     let closing = std::thread::spawn(move || {
         other.set(1, GuardState::Suspended);
         closed.send(()).unwrap();
     });
-    assert!(heard.try_recv().is_err());
+    assert!(closing_done.try_recv().is_err());
     drop(permit);
-    heard.recv_timeout(Duration::from_secs(5)).unwrap();
+    closing_done.recv_timeout(Duration::from_secs(5)).unwrap();
     closing.join().unwrap();
     assert!(guard.acquire(1).is_none());
 }
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -1,7 +1,7 @@
 //! Accepts, journals and delivers outbound messages.
 //!
-//! [`core`] knows no wire; [`net`] is the network around it, [`frontend`] translates between the two, [`hot_restart`]
-//! is how one process takes over from another, and [`instance`] puts one together and runs it.
+//! [`core`] is independent of any wire protocol. [`net`] is the network around it, and [`frontend`] translates between the
+//! two. In a [`hot_restart`] one process takes over from another. [`instance`] assembles and runs an instance.
 
 #![forbid(unsafe_code)]
 
--- a/crates/delivery/src/log.rs
+++ b/crates/delivery/src/log.rs
@@ -1,8 +1,8 @@
 //! Log lines on standard error, as text or as JSON lines.
 //!
-//! All go through [`log_line!`](crate::log_line), with the reason code and what the line is about as fields, and the
-//! instance and connection as spans. A flood is limited: each second of an instance has room for so many lines, and the
-//! first one after it is preceded by the count of those that were dropped.
+//! All lines are written by [`log_line!`](crate::log_line) and [`message_line!`](crate::message_line), with the reason code
+//! and the subject as fields, and the instance and connection as spans. The rate of lines is limited for each instance.
+//! The next line that is written after some were dropped is preceded by their count.
 
 #[doc(hidden)]
 pub use tracing;
@@ -19,17 +19,18 @@
 
 /// How many lines an instance may write in a second.
 const MAX_LINES_PER_SECOND: u32 = 50;
-/// How many lines more about single messages, which come in floods and must not crowd out the others.
+/// How many lines about single messages an instance may write in a second. They have a limit of their own, so that they do
+/// not displace the others.
 const MAX_MESSAGE_LINES_PER_SECOND: u32 = 20;
-
+/// The span over which lines are counted.
 const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
-/// The lines of one second.
+/// The lines of one window.
 #[derive(Clone, Copy)]
 struct FloodWindow {
     started_at: Option<Instant>,
     lines: u32,
-    /// Dropped since the last line that was written.
+    /// How many lines were dropped since the last one that was written.
     dropped: u64,
 }
 
@@ -40,12 +41,12 @@
         dropped: 0,
     };
 
-    /// Counts one more line; returns whether there is room for it among so many in a second.
+    /// Counts one more line; returns whether it is within the limit.
     fn admit(&mut self, now: Instant, max_lines: u32) -> bool {
-        let is_over = self
+        let has_ended = self
             .started_at
             .is_none_or(|started_at| now - started_at >= WINDOW_LENGTH);
-        if is_over {
+        if has_ended {
             self.started_at = Some(now);
             self.lines = 1;
             return true;
@@ -60,23 +61,23 @@
 }
 
 thread_local! {
-    /// Each instance has a thread of its own, and so a window of its own.
+    /// The window of the instance, as each has a thread of its own.
     static WINDOW: Cell<FloodWindow> = const { Cell::new(FloodWindow::EMPTY) };
-    /// The same for the lines about single messages.
+    /// The window of the instance for lines about single messages.
     static MESSAGE_WINDOW: Cell<FloodWindow> = const { Cell::new(FloodWindow::EMPTY) };
 }
 
-/// How log lines look.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// One line of text each.
+    /// A line of text.
     #[default]
     Text,
-    /// One JSON object a line each.
+    /// A JSON object on one line.
     Json,
 }
 
-/// Whether one more line of a level has room in this second.
+/// Counts one more line of a level; returns whether it may be written.
 fn admit(level: &Level, now: Instant) -> bool {
     let (cell, max_lines) = if *level <= Level::INFO {
         (&WINDOW, MAX_LINES_PER_SECOND)
@@ -89,7 +90,7 @@
     is_admitted
 }
 
-/// How many lines were dropped since the last call.
+/// Returns how many lines were dropped since the last call.
 fn take_dropped() -> u64 {
     [&WINDOW, &MESSAGE_WINDOW]
         .into_iter()
@@ -102,7 +103,7 @@
         .sum()
 }
 
-/// Lets as many lines through as there is room for; spans cost nothing until a line is written in them.
+/// Filters the lines beyond the limits. Spans are not counted.
 struct FloodLimit;
 
 impl<S> Filter<S> for FloodLimit {
@@ -116,7 +117,7 @@
     }
 }
 
-/// Writes before a line how many were dropped.
+/// A layout that writes the count of dropped lines before the next line.
 struct WithDropCount<F> {
     layout: Layout<F>,
     format: Format,
@@ -148,7 +149,7 @@
     }
 }
 
-/// Starts to write the log lines of the whole process in a format. The first call counts.
+/// Starts to write the log lines of the process in a format. Only the first call has an effect.
 pub fn start(format: Format) {
     let layout = tracing_subscriber::fmt::format()
         .with_target(false)
@@ -174,8 +175,8 @@
     }
 }
 
-/// Writes a line for operators, unless too many came just now: fields such as `code = %code` first, then a text as in
-/// `format!`.
+/// Writes a line for operators, within the limit of the present second. The fields, such as `code = %code`, are followed by
+/// a text as in `format!`.
 #[macro_export]
 macro_rules! log_line {
     ($($part:tt)*) => {
@@ -183,7 +184,7 @@
     };
 }
 
-/// Writes a line about a single message, unless too many of those came just now. They have room of their own.
+/// Writes a line about a single message, within the limit for such lines of the present second.
 #[macro_export]
 macro_rules! message_line {
     ($($part:tt)*) => {
--- a/crates/delivery/src/log/tests.rs
+++ b/crates/delivery/src/log/tests.rs
@@ -1,7 +1,9 @@
+//! The limits of log lines.
+
 use super::*;
 
 #[test]
-fn flood_is_limited_and_counted_until_the_next_second() {
+fn lines_beyond_the_limit_are_dropped_and_counted() {
     let start = Instant::now();
     let admitted = (0..80).filter(|_| admit(&Level::INFO, start)).count();
     assert_eq!(admitted, MAX_LINES_PER_SECOND as usize);
@@ -10,7 +12,7 @@
 }
 
 #[test]
-fn lines_about_messages_leave_room_for_the_others() {
+fn message_lines_have_a_limit_of_their_own() {
     let start = Instant::now();
     let admitted = (0..500).filter(|_| admit(&Level::DEBUG, start)).count();
     assert_eq!(admitted, MAX_MESSAGE_LINES_PER_SECOND as usize);
--- a/crates/delivery/src/snapshot_store.rs
+++ b/crates/delivery/src/snapshot_store.rs
@@ -1,4 +1,4 @@
-//! The snapshot of destinations on disk.
+//! The file of an instance's snapshot of destinations.
 
 use crate::core::snapshot::{decode, encode, DestinationRecord, SnapshotError};
 use crate::log_line;
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file's name in an instance's folder.
+/// The name of the file in the state folder.
 const FILE: &str = "destinations.bin";
 
 /// Why a snapshot cannot be read.
@@ -15,25 +15,25 @@
     /// The file cannot be read.
     #[error(transparent)]
     File(#[from] io::Error),
-    /// The file is no usable snapshot.
+    /// The file is not a usable snapshot.
     #[error(transparent)]
     Content(#[from] SnapshotError),
 }
 
-/// An instance's snapshot.
+/// The snapshot file of one instance.
 #[derive(Debug)]
 pub struct SnapshotStore<D = LocalDisk> {
     disk: D,
     path: PathBuf,
-    /// What was last written, or was there at the start.
+    /// The encoded records in the file.
     last_written: Vec<u8>,
     /// Whether the last write failed.
     failed: bool,
 }
 
 impl<D: Disk> SnapshotStore<D> {
-    /// The snapshot in an instance's folder, with what an earlier incarnation left. One that is torn or of another
-    /// version is ignored with a log line.
+    /// Opens the snapshot in a state folder, and reads the records of an earlier incarnation. A snapshot that cannot be
+    /// used is ignored with a log line.
     pub fn open(disk: D, folder: &Path) -> (SnapshotStore<D>, Vec<DestinationRecord>) {
         let path = folder.join(FILE);
         let (last_written, records) = match read(&disk, folder) {
@@ -57,9 +57,9 @@
         &self.disk
     }
 
-    /// Replaces the records, if they differ. A failure is logged once until a write succeeds again: the service goes on
-    /// without. They need not outlast a loss of power: the checksum finds what is torn, and a sync each second would
-    /// cost more than an outage that is forgotten.
+    /// Writes the records, if they have changed. The instance works without a snapshot, so a failure is only logged, once
+    /// until a write succeeds again. The file is not synced, as it may be lost with the power: the checksum detects a
+    /// torn file.
     pub fn write(&mut self, records: &[DestinationRecord]) {
         let bytes = encode(records);
         if bytes == self.last_written {
@@ -83,10 +83,10 @@
     }
 }
 
-/// Reads the snapshot in an instance's folder; no records where there is none.
+/// Reads the snapshot in a state folder; no records where there is none.
 ///
 /// # Errors
-/// The file cannot be read, or is no usable snapshot.
+/// The file cannot be read, or is not a usable snapshot.
 pub fn read(disk: &impl Disk, folder: &Path) -> Result<Vec<DestinationRecord>, ReadError> {
     match disk.read(&folder.join(FILE)) {
         Ok(bytes) => Ok(decode(&bytes)?),
