--- a/crates/delivery/src/instance.rs
+++ b/crates/delivery/src/instance.rs
@@ -1,8 +1,8 @@
-//! One instance: puts the core, the network and the frontends together and runs them on one thread.
+//! One instance: the core, the network and the frontends, assembled and run on one thread.
 //!
-//! [`run_instance`] goes through the assembly, which starts all tasks, and then runs the engine's loop until the instance
-//! has shut down. The command loop takes an [`InstanceCommand`] at a time; the executor executes what the engine wants
-//! done; all that ends an instance goes through the shutdown. [`run_on_platform`] is the instance that the platform
+//! [`run_instance`] assembles the instance, which starts all tasks, and then runs the engine's loop until the instance has
+//! shut down. The command loop handles one [`InstanceCommand`] at a time, and the executor executes the engine's commands.
+//! Every shutdown takes the same path, whatever causes it. [`run_on_platform`] runs the instance that the platform
 //! configures by environment variables and a file.
 
 pub mod admin;
@@ -12,6 +12,7 @@
 mod engine_loop;
 mod error;
 mod executor;
+mod lease;
 mod platform;
 pub mod platform_config;
 mod shutdown;
@@ -34,11 +35,11 @@
 use state_folder::Claim;
 use std::time::{Duration, Instant};
 
-/// The list of endpoints in the configuration is good for so long after the process has started: discovery counts as heard
-/// from its first moment, and what drained may be called for 250 ms after that.
-const CONFIGURED_LIST_IS_FRESH: Duration = Duration::from_millis(150);
+/// How long after the start of the process its configured endpoint list may be used. It counts as received from discovery
+/// at the start, and an endpoint that is draining may be called for 250 ms after that.
+const MAX_CONFIGURED_LIST_AGE: Duration = Duration::from_millis(150);
 
-/// The span of all log lines of an instance; its thread enters it once.
+/// The span of all log lines of an instance, which its thread enters once.
 pub fn instance_span(name: &str) -> tracing::Span {
     tracing::info_span!("instance", name)
 }
@@ -64,7 +65,7 @@
     let Some(claimed) = claimed else {
         return Ok(());
     };
-    if started_at.elapsed() > CONFIGURED_LIST_IS_FRESH {
+    if started_at.elapsed() > MAX_CONFIGURED_LIST_AGE {
         config.refresh_configured_list().await;
     }
     let instance = assembly::assemble(config, claimed, tasks.clone())?;
--- a/crates/delivery/src/instance/admin.rs
+++ b/crates/delivery/src/instance/admin.rs
@@ -1,7 +1,6 @@
-//! What operators' calls change: whether the instance takes clients, and which endpoints are disabled.
+//! The state that operators' calls change: whether clients are drained, and which endpoints are disabled.
 //!
-//! The disabled endpoints last in a file in the state folder, so that the next incarnation, beside which this one may be
-//! running, keeps them disabled from its start.
+//! The disabled endpoints are stored in the state folder, so that they are disabled in the next incarnation from its start.
 
 use crate::core::engine::EngineEvent;
 use crate::hot_restart::driver::HotRestartInstance;
@@ -18,26 +17,29 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The file in the state folder: one id a line.
+/// The name of the file in the state folder, with one endpoint name a line.
 const FILE: &str = "held-out.txt";
+/// HTTP status of a call that was executed.
 const OK: u16 = 200;
+/// HTTP status of a call for an unknown endpoint.
 const NOT_FOUND: u16 = 404;
+/// HTTP status of a call that cannot be executed at present.
 const UNAVAILABLE: u16 = 503;
 
-/// What operators have set on one instance.
+/// The state that operators have set on one instance.
 pub struct AdminState {
     clients: Rc<ClientConnections>,
-    /// Where the engine receives the disabled endpoints, ahead of other events.
+    /// Sends the engine the disabled endpoints, ahead of other events.
     engine: Sender<EngineEvent>,
     folder: PathBuf,
     disabled: RefCell<BTreeSet<String>>,
-    /// The names of the endpoints that are listed now.
+    /// The names of the listed endpoints.
     listed: RefCell<BTreeMap<EndpointId, String>>,
-    /// Whether the engine is active: before, the endpoints are not known, and after, another process decides.
+    /// Whether the engine is active. Before that the endpoints are unknown, and after it another process decides.
     is_active: Cell<bool>,
 }
 
-/// What an operator wants of an endpoint.
+/// How an operator changes an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndpointSwitch {
     Disable,
@@ -45,8 +47,8 @@
 }
 
 impl AdminState {
-    /// For an instance with this state folder. What earlier incarnations have left there is given by
-    /// [`AdminState::set_disabled`] once this one is active: until then another one may still change it.
+    /// The initial state of an instance with a state folder. The endpoints that are disabled there are set by
+    /// [`AdminState::set_disabled`] once the engine is active, as another incarnation may change them until then.
     pub fn new(
         clients: Rc<ClientConnections>,
         engine: Sender<EngineEvent>,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Takes what earlier incarnations have left disabled, and tells the engine.
+    /// Sets the endpoints that are disabled in the state folder, and sends them to the engine.
     pub fn set_disabled(&self, disabled: BTreeSet<String>) {
         self.disabled.replace(disabled);
         self.send_disabled();
@@ -76,27 +78,27 @@
             .try_send(EngineEvent::EndpointsDisabled(disabled));
     }
 
-    /// An endpoint is listed now.
+    /// Notes that an endpoint is listed.
     pub fn endpoint_listed(&self, id: EndpointId, name: &str) {
         self.listed.borrow_mut().insert(id, name.to_owned());
     }
 
-    /// An endpoint is no longer listed.
+    /// Notes that an endpoint was removed from the list.
     pub fn endpoint_removed(&self, id: EndpointId) {
         self.listed.borrow_mut().remove(&id);
     }
 
-    /// The engine is active from now on.
+    /// Notes that the engine is active from now on.
     pub fn activate(&self) {
         self.is_active.set(true);
     }
 
-    /// Another process decides from now on.
+    /// Notes that another process decides from now on.
     pub fn deactivate(&self) {
         self.is_active.set(false);
     }
 
-    /// Disables or enables an endpoint; returns the status to respond with.
+    /// Disables or enables an endpoint; returns the HTTP status of the response.
     fn switch_endpoint(&self, name: &str, switch: EndpointSwitch) -> u16 {
         if !self.is_active.get() {
             return UNAVAILABLE;
@@ -143,7 +145,7 @@
         )
     }
 
-    /// Undoes a change that could not be written, so that what is in force and what lasts stay the same.
+    /// Undoes a change that could not be written, so that the state in force and the stored one are the same.
     fn undo(&self, name: &str, switch: EndpointSwitch) {
         let mut disabled = self.disabled.borrow_mut();
         match switch {
@@ -157,11 +159,10 @@
     }
 }
 
-/// The endpoints that earlier incarnations have left disabled in a state folder. A file that can never be read disables
-/// none.
+/// Reads the endpoints that are disabled in a state folder. A file that can never be read disables none.
 ///
 /// # Errors
-/// The file cannot be read for a moment.
+/// The file cannot be read because of a transient error.
 pub(super) fn read_disabled(folder: &Path) -> io::Result<BTreeSet<String>> {
     let path = folder.join(FILE);
     match std::fs::read_to_string(&path) {
@@ -198,7 +199,7 @@
 impl AdminHandler for AdminState {
     fn handle(&self, call: AdminCall<'_>) -> u16 {
         match call {
-            // Operators can call only once clients are served: their listener starts after the clients'.
+            // Clients are served by now, as the operators' listener is started after the clients'.
             AdminCall::Ready if self.clients.is_draining() => UNAVAILABLE,
             AdminCall::Ready => OK,
             AdminCall::Disable(name) => self.switch_endpoint(name, EndpointSwitch::Disable),
@@ -210,7 +211,7 @@
             }
             AdminCall::Undrain => {
                 self.clients.undrain();
-                log_line!(code = "undrained", "clients are taken again");
+                log_line!(code = "undrained", "clients are accepted again");
                 OK
             }
         }
--- a/crates/delivery/src/instance/assembly.rs
+++ b/crates/delivery/src/instance/assembly.rs
@@ -1,68 +1,62 @@
-//! Puts an instance together, in the order in which its parts depend on each other.
+//! Assembles an instance, in the order in which its parts depend on each other.
 //!
-//! The incarnation is claimed first, as operators may call as soon as something listens. Frontends are started before the
-//! engine: what clients send meanwhile waits in its queue.
+//! The incarnation has been claimed before, as operators may call as soon as there is a listener. Frontends are started
+//! before the engine, and clients' requests wait in its queue meanwhile.
+
+mod frontends;
 
 use super::admin::AdminState;
 use super::command::CommandLoop;
 use super::engine_loop::{EngineLoop, EventReceivers, SnapshotWriter};
-use super::executor::{Executor, Lease};
+use super::executor::Executor;
+use super::lease::Lease;
 use super::shutdown::Shutdown;
 use super::state_folder::ClaimedState;
-use super::{
-    CloudEventsFrontendConfig, InstanceConfig, InstanceError, LeaseConfig, PlatformFrontendConfig,
-};
+use super::{InstanceConfig, InstanceError};
 use crate::clock::Clock;
 use crate::core::engine::{Engine, EngineCommand, EngineEvent, EngineSettings};
 use crate::core::message_store::MessageStore;
 use crate::counters::Counters;
 use crate::frontend::cloudevents::CloudEventsFrontend;
-use crate::frontend::platform::{self, PlatformFrontend};
+use crate::frontend::platform::PlatformFrontend;
 use crate::frontend::SwappableFrontend;
 use crate::hot_restart::driver::{self, RunningPredecessors, StandbyDriver};
 use crate::hot_restart::incarnation::Incarnation;
-use crate::log_line;
-use crate::net::discovery::{
-    deliver_notices, watch_endpoints, DiscoveryEndpoint, PendingNotice, PollSchedule,
-};
-use crate::net::frontend::Frontend;
+use crate::net::discovery::{PendingNotice, PollSchedule};
 use crate::net::pool::{Pool, PoolLimits};
-use crate::net::server::{self, ClientConnections, ReadTimeout, Server};
+use crate::net::server::ClientConnections;
 use crate::net::spawner::Spawner;
-use crate::net::{admin as admin_calls, listener};
 use crate::snapshot_store::SnapshotStore;
 use async_channel::{Receiver, Sender};
-use async_io::{Async, Timer};
+use async_io::Timer;
+use frontends::Frontends;
 use marblefall_atomic_file::LocalDisk;
 use std::cell::{Cell, RefCell};
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Events that wait for the engine at most; beyond that, sessions and attempts wait.
+/// How many events may wait for the engine. Beyond that, sessions and attempts wait.
 const MAX_QUEUED_EVENTS: usize = 1024;
-/// On the platform, clients are close by: what has not come by then is not going to.
-const PLATFORM_READ_TIMEOUT: ReadTimeout = ReadTimeout(Duration::from_millis(2500));
-/// Events come from farther away.
-const CLOUDEVENTS_READ_TIMEOUT: ReadTimeout = ReadTimeout(Duration::from_secs(10));
-/// Descriptors kept for the journal, discovery, notices and the runtime.
+/// File descriptors reserved for the journal, discovery, notices and the runtime.
 const RESERVED_SOCKETS: usize = 24;
-/// Clients hold this part of the descriptors at most, so at that many, connections are what they wait for.
+/// Connections of clients use at most one in this many file descriptors; the rest is for connections to endpoints.
 const CLIENT_FRACTION: usize = 3;
-/// Idle connections are closed well before the endpoints' own timeout: what is on the way when one closes is lost.
+/// Idle connections are closed after this fraction of the endpoints' own time-out, as a request that is sent while the
+/// endpoint closes its connection is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.85;
-/// How often expired connections are looked for.
+/// How often expired connections are closed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// An instance whose tasks are started.
+/// An assembled instance.
 pub(super) struct Instance {
     pub(super) counters: Rc<Counters>,
     pub(super) command_loop: CommandLoop,
     pub(super) engine_loop: EngineLoop,
 }
 
-/// Puts an instance together and starts its tasks, except for those of the returned loops.
+/// Assembles an instance and starts its tasks, except for those of the returned loops.
 pub(super) fn assemble(
     config: InstanceConfig,
     claimed: ClaimedState,
@@ -70,42 +64,37 @@
 ) -> Result<Instance, InstanceError> {
     let clock = Clock::start(claimed.clock);
     let (senders, receivers) = channels();
-    let schedule = poll_schedule(&config.engine);
-    // On the platform the list is known as a whole, and its disk is small.
-    let keeps_snapshots = matches!(config.endpoints, EngineEvent::DestinationTableReplaced(_));
     let mut assembly = Assembly::new(&config, claimed.incarnation, clock, senders, tasks);
     assembly.predecessors = claimed.predecessors;
+    // The platform provides a complete list, and its disk is small.
+    let writes_snapshots = matches!(config.endpoints, EngineEvent::DestinationTableReplaced(_));
     assembly.send_priority(config.endpoints);
     assembly.start_connection_expiry();
-    if let Some(platform) = config.platform {
-        assembly.start_platform(platform, schedule, receivers.notices)?;
-    }
-    assembly.start_idle_eviction();
-    if let Some(listener) = config.admin_listener {
-        assembly.start_admin(listener)?;
-    }
-    if let Some(cloudevents) = config.cloudevents {
-        assembly.start_cloudevents(cloudevents)?;
-    }
+    assembly.start_frontends(Frontends {
+        platform: config.platform,
+        cloudevents: config.cloudevents,
+        admin_listener: config.admin_listener,
+        poll_schedule: poll_schedule(&config.engine),
+        notices: receivers.notices,
+    })?;
     if claimed.predecessors.is_none() {
-        // A standby reads them once its predecessors no longer change them.
+        // A standby reads them once its predecessors can no longer change them.
         assembly.admin.set_disabled(claimed.disabled_endpoints);
     }
     let (mut engine, commands) = assembly.start_engine(config.engine, claimed.store);
-    let snapshots = keeps_snapshots.then(|| assembly.restore_snapshot(&mut engine));
+    let snapshots = writes_snapshots.then(|| assembly.restore_snapshot(&mut engine));
     assembly.start_hot_restart();
-    let lease = lease(config.name, config.lease);
     let shutdown = Rc::new(assembly.shutdown());
     let command_loop = assembly.command_loop(shutdown.clone());
     let counters = assembly.counters.clone();
-    let executor = Rc::new(assembly.into_executor(lease));
+    let lease = Lease::new(config.name, config.lease);
     Ok(Instance {
         counters,
         command_loop,
         engine_loop: EngineLoop {
             engine,
             commands,
-            executor,
+            executor: Rc::new(assembly.into_executor(lease)),
             events: receivers.events,
             shutdown,
             snapshots,
@@ -114,12 +103,16 @@
     })
 }
 
+/// The senders of the channels between the tasks.
 struct Senders {
+    /// Events of clients and attempts.
     queue: Sender<EngineEvent>,
+    /// Events that go ahead of those.
     priority: Sender<EngineEvent>,
     notices: Sender<PendingNotice>,
 }
 
+/// The receivers of the channels between the tasks.
 struct Receivers {
     events: EventReceivers,
     notices: Receiver<PendingNotice>,
@@ -151,19 +144,7 @@
     PollSchedule::new(scheduler.instances, engine.seed, max_delay)
 }
 
-fn lease(instance: String, config: Option<LeaseConfig>) -> Lease {
-    let (guard, revision) = match config {
-        Some(LeaseConfig { guard, revision }) => (Some(guard), revision),
-        None => (None, 0),
-    };
-    Lease {
-        guard,
-        revision: Cell::new(revision),
-        instance,
-    }
-}
-
-/// The parts that are shared between tasks.
+/// The parts of an instance that its tasks share.
 struct Assembly {
     folder: PathBuf,
     clock: Clock,
@@ -237,95 +218,7 @@
         });
     }
 
-    fn start_idle_eviction(&self) {
-        self.tasks.spawn(server::evict_idle(self.clients.clone()));
-    }
-
-    fn start_platform(
-        &mut self,
-        config: PlatformFrontendConfig,
-        schedule: PollSchedule,
-        notices: Receiver<PendingNotice>,
-    ) -> Result<(), InstanceError> {
-        let discovery = self.discovery_endpoint(config.discovery);
-        self.tasks.spawn(deliver_notices(
-            discovery,
-            notices,
-            self.senders.queue.clone(),
-            platform::encode_notice,
-        ));
-        if let Some(watch) = config.watch {
-            let discovery = self.discovery_endpoint(config.discovery);
-            let engine = self.senders.priority.clone();
-            self.tasks
-                .spawn(watch_endpoints(discovery, watch, schedule, engine));
-        }
-        listener::listen(&config.listener).map_err(|source| InstanceError::Bind {
-            address: address_of(&config.listener),
-            source,
-        })?;
-        self.prefer_over_predecessors(&config.listener);
-        let listener = open_listener(config.listener)?;
-        let frontend = Rc::new(SwappableFrontend::new(config.frontend));
-        self.platform = Some(frontend.clone());
-        log_line!("listens at {}", address_of(listener.get_ref()));
-        self.serve(listener, frontend, PLATFORM_READ_TIMEOUT);
-        Ok(())
-    }
-
-    /// Discovery at an address, with a channel for changes of it.
-    fn discovery_endpoint(&mut self, address: SocketAddr) -> DiscoveryEndpoint {
-        let (sender, changes) = async_channel::unbounded();
-        self.discovery_changes.push(sender);
-        DiscoveryEndpoint { address, changes }
-    }
-
-    fn prefer_over_predecessors(&self, listener: &TcpListener) {
-        let Some(predecessors) = self.predecessors else {
-            return;
-        };
-        if let Err(error) = listener::prefer(listener, predecessors.count) {
-            log_line!(
-                code = "not-preferred",
-                "the previous process still gets new connections: {error}"
-            );
-        }
-    }
-
-    fn start_admin(&self, listener: TcpListener) -> Result<(), InstanceError> {
-        let listener = open_listener(listener)?;
-        log_line!("operators call at {}", address_of(listener.get_ref()));
-        let handler = self.admin.clone();
-        self.tasks
-            .spawn(admin_calls::serve(listener, handler, self.tasks.clone()));
-        Ok(())
-    }
-
-    fn start_cloudevents(&self, config: CloudEventsFrontendConfig) -> Result<(), InstanceError> {
-        self.cloudevents.set(config.frontend);
-        let listener = open_listener(config.listener)?;
-        log_line!("takes events at {}", address_of(listener.get_ref()));
-        self.serve(listener, self.cloudevents.clone(), CLOUDEVENTS_READ_TIMEOUT);
-        Ok(())
-    }
-
-    fn serve<F: Frontend + 'static>(
-        &self,
-        listener: Async<TcpListener>,
-        frontend: Rc<F>,
-        read_timeout: ReadTimeout,
-    ) {
-        let server = Server {
-            frontend,
-            clients: self.clients.clone(),
-            read_timeout,
-            clock: self.clock,
-            tasks: self.tasks.clone(),
-        };
-        self.tasks.spawn(server.serve(listener));
-    }
-
-    /// The engine, and what it wants done at first: active at once, or a standby beside predecessors.
+    /// The engine and its first commands. It is active at once, or a standby beside predecessors.
     fn start_engine(
         &self,
         settings: EngineSettings,
@@ -404,13 +297,3 @@
         }
     }
 }
-
-fn open_listener(listener: TcpListener) -> Result<Async<TcpListener>, InstanceError> {
-    Async::new(listener).map_err(InstanceError::Listener)
-}
-
-fn address_of(listener: &TcpListener) -> String {
-    listener
-        .local_addr()
-        .map_or_else(|error| error.to_string(), |address| address.to_string())
-}
--- a/crates/delivery/src/instance/command.rs
+++ b/crates/delivery/src/instance/command.rs
@@ -1,4 +1,4 @@
-//! What an instance is commanded from outside, and the loop that handles it.
+//! The commands to an instance, and the loop that handles them.
 
 use super::shutdown::{Shutdown, Successor};
 use super::PolicyUpdate;
@@ -21,42 +21,42 @@
 pub enum InstanceCommand {
     /// Log the counters.
     PrintCounters,
-    /// Read the configuration again.
+    /// Reload the configuration.
     ReloadConfig,
-    /// Discovery is at another address from now on.
+    /// Use discovery at another address from now on.
     DiscoveryMoved(SocketAddr),
-    /// The destinations are these from now on, and how events are sent to them.
+    /// Replace the destinations, and how events are sent to them.
     ReplaceDestinations(Arc<DestinationTable>, Arc<Vec<Target>>),
-    /// Another policy, which the frontends and the engine put in force while they run; made on the instance's own thread.
+    /// Put another policy in force in the frontends and the engine. The update is created on the instance's own thread.
     UpdatePolicy(Arc<dyn Fn() -> PolicyUpdate + Send + Sync>),
-    /// Asks whether a proposed policy has room for what is pending.
+    /// Check whether a proposed policy covers the open messages.
     CheckPolicy(ProposedPolicy, Sender<Result<(), PolicyMismatch>>),
-    /// The state of its lease has changed.
+    /// Note that the state of the lease has changed.
     LeaseChanged,
     /// Shut down.
     Shutdown {
-        /// How long that may take.
+        /// How long the shutdown may take.
         timeout: Duration,
-        /// Another incarnation is started once this one has ended: no attempt is started any more.
+        /// Whether another incarnation is started once this one has ended: no attempt is started any more then.
         restart: bool,
     },
 }
 
-/// Handles commands for as long as the instance runs.
+/// Handles the commands to a running instance.
 pub(super) struct CommandLoop {
     pub(super) counters: Rc<Counters>,
     pub(super) clients: Rc<ClientConnections>,
     pub(super) platform: Option<Rc<SwappableFrontend<PlatformFrontend>>>,
     pub(super) cloudevents: Rc<SwappableFrontend<CloudEventsFrontend>>,
-    /// Events that go to the engine ahead of clients' requests.
+    /// Sends the engine events that go ahead of clients' requests.
     pub(super) priority_events: Sender<EngineEvent>,
-    /// Where the tasks that speak with discovery receive its new address.
+    /// Sends the tasks that call discovery its new address.
     pub(super) discovery_changes: Vec<Sender<SocketAddr>>,
     pub(super) shutdown: Rc<Shutdown>,
 }
 
 impl CommandLoop {
-    /// Runs until nobody sends commands any more; those that came before it go first.
+    /// Runs until the channel of commands is closed. Commands that were received before go first.
     pub(super) async fn run(
         self,
         early_commands: Vec<InstanceCommand>,
@@ -82,7 +82,7 @@
                 self.send(EngineEvent::CheckPolicy(proposed, answer)).await;
             }
             InstanceCommand::LeaseChanged => self.send(EngineEvent::LeaseChanged).await,
-            // An instance without a configuration file of its own has nothing to read.
+            // An instance without a configuration file of its own has nothing to reload.
             InstanceCommand::ReloadConfig => {}
             InstanceCommand::Shutdown { timeout, restart } => {
                 self.shut_down(timeout, restart).await;
@@ -106,7 +106,7 @@
             .await;
     }
 
-    /// Puts another policy in force: in the frontends at once, in the engine with its next step.
+    /// Puts another policy in force, in the frontends at once and in the engine with its next step.
     async fn update_policy(&self, update: PolicyUpdate) {
         let PolicyUpdate {
             change,
--- a/crates/delivery/src/instance/config.rs
+++ b/crates/delivery/src/instance/config.rs
@@ -1,4 +1,4 @@
-//! What an instance is made of, whoever describes it.
+//! The configuration of an instance, from whatever source.
 
 use crate::core::engine::{EngineEvent, EngineSettings, PolicyChange};
 use crate::frontend::cloudevents::CloudEventsFrontend;
@@ -10,36 +10,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What an instance is made of.
+/// The configuration of an instance.
 pub struct InstanceConfig {
     /// Its name.
     pub name: String,
-    /// Where its state lasts.
+    /// Its state folder.
     pub state_folder: StateFolder,
-    /// How many file descriptors it may hold.
+    /// How many file descriptors it may use.
     pub max_sockets: usize,
     /// The engine's settings.
     pub engine: EngineSettings,
     /// The names of the classes, in their order.
     pub class_names: Vec<String>,
-    /// A connection to an endpoint that takes longer to be established has failed.
+    /// How long a connection to an endpoint may take to be established.
     pub connect_timeout: Duration,
-    /// Endpoints close a connection that has been idle for so long.
+    /// How long a connection may be idle before an endpoint closes it.
     pub idle_timeout: Duration,
-    /// The endpoints that are known at the start.
+    /// The event with the endpoints that are known at the start.
     pub endpoints: EngineEvent,
     /// The platform's frontend, if it is enabled.
     pub platform: Option<PlatformFrontendConfig>,
     /// The CloudEvents frontend, if it is enabled.
     pub cloudevents: Option<CloudEventsFrontendConfig>,
-    /// Where operators call, if anywhere.
+    /// The listener for operators' calls, if there is one.
     pub admin_listener: Option<TcpListener>,
-    /// The lease that it needs to act, where a group decides on the policy.
+    /// The lease that it needs, where a group decides on the policy.
     pub lease: Option<LeaseConfig>,
 }
 
 impl InstanceConfig {
-    /// Replaces the list of the configuration by what discovery has, if it responds.
+    /// Replaces the configured endpoint list by that of discovery, if it responds.
     pub(super) async fn refresh_configured_list(&mut self) {
         let Some(platform) = &mut self.platform else {
             return;
@@ -54,17 +54,17 @@
     }
 }
 
-/// The folder in which an instance's state lasts.
+/// The folder in which an instance stores its state.
 pub struct StateFolder {
-    /// Where it is.
+    /// Its path.
     pub path: PathBuf,
-    /// How many bytes the journal may hold.
+    /// The maximum size of the journal, in bytes.
     pub max_bytes: u64,
 }
 
 /// The lease under which an instance acts.
 pub struct LeaseConfig {
-    /// The guard, which the instances of a process share.
+    /// The guard that the instances of a process share.
     pub guard: Arc<LeaseGuard>,
     /// The revision of the policy in the configuration.
     pub revision: u64,
@@ -72,25 +72,25 @@
 
 /// The platform's frontend of an instance.
 pub struct PlatformFrontendConfig {
-    /// Where clients connect.
+    /// The listener for clients.
     pub listener: TcpListener,
-    /// What parses their requests.
+    /// The parser of their requests.
     pub frontend: PlatformFrontend,
-    /// Where discovery is, which takes notices of final outcomes.
+    /// The address of discovery, which also receives notices of final outcomes.
     pub discovery: SocketAddr,
-    /// The endpoint list to watch there; otherwise the endpoints are those of the configuration.
+    /// The endpoint list to watch there; without it, the configured endpoints remain in force.
     pub watch: Option<ListWatch>,
 }
 
 /// The CloudEvents frontend of an instance.
 pub struct CloudEventsFrontendConfig {
-    /// Where clients connect.
+    /// The listener for clients.
     pub listener: TcpListener,
-    /// What parses their requests.
+    /// The parser of their requests.
     pub frontend: CloudEventsFrontend,
 }
 
-/// Another policy for a running instance; its listeners, its folder and its network stay.
+/// Another policy for a running instance. Its listeners, its folder and its network do not change.
 pub struct PolicyUpdate {
     /// The engine's part.
     pub change: PolicyChange,
--- a/crates/delivery/src/instance/engine_loop.rs
+++ b/crates/delivery/src/instance/engine_loop.rs
@@ -1,4 +1,4 @@
-//! The engine's task: receives events, lets the engine step, executes its commands, and sleeps until there is more.
+//! The engine's loop: receives events, steps the engine, executes its commands, and sleeps until the next event.
 
 use super::executor::Executor;
 use super::shutdown::Shutdown;
@@ -12,22 +12,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often what is known of destinations is written, at most.
+/// How often the snapshot of destinations is written at most.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a shutdown is looked at.
+/// How often it is checked whether a shutdown is complete.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// When requests that still wait at the end are to be sent again.
+/// When clients that still wait at the end of the shutdown may retry, in milliseconds.
 const RETRY_AFTER_SHUTDOWN_MS: u64 = 1000;
-/// How long responses at the end have to be written.
-const LAST_WRITES: Duration = Duration::from_millis(150);
-/// How often it is looked whether they are.
-const LAST_WRITES_POLL: Duration = Duration::from_millis(10);
+/// How long the last responses may take to be written.
+const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(150);
+/// How often it is checked whether they are written.
+const LAST_WRITES_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where the engine's events come from.
+/// The sources of the engine's events.
 pub(super) struct EventReceivers {
-    /// Those of clients and attempts.
+    /// Events of clients and attempts.
     pub(super) queue: Receiver<EngineEvent>,
-    /// Those that go ahead of them.
+    /// Events that go ahead of those.
     pub(super) priority: Receiver<EngineEvent>,
 }
 
@@ -46,10 +46,10 @@
     }
 }
 
-/// The engine and all that its loop needs.
+/// The engine and what its loop uses.
 pub(super) struct EngineLoop {
     pub(super) engine: Engine,
-    /// What the engine wants done at first.
+    /// The engine's first commands.
     pub(super) commands: Vec<EngineCommand>,
     pub(super) executor: Rc<Executor>,
     pub(super) events: EventReceivers,
@@ -59,9 +59,10 @@
     pub(super) has_stepped: bool,
 }
 
-/// What a step was.
+/// A summary of one step.
 struct StepSummary {
     had_events: bool,
+    /// Whether the engine held its lease, or needs none.
     held_lease: bool,
 }
 
@@ -79,7 +80,7 @@
                 return self.finish().await;
             }
             if self.engine.has_backlog() {
-                // The next batch must not have the same time as this one's last event.
+                // The next step must not have the same time as this one.
                 future::yield_now().await;
                 continue;
             }
@@ -87,7 +88,7 @@
         }
     }
 
-    /// All that waits goes in as one batch, priority events first.
+    /// Receives all queued events as one batch, priority events first.
     fn receive(&self, batch: &mut Vec<EngineEvent>) {
         while let Ok(event) = self.events.priority.try_recv() {
             batch.push(event);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Looks before anything is decided: another incarnation may decide already.
+    /// Checks for the request before anything is decided, as another incarnation may be active already.
     fn hand_over_if_requested(&self, batch: &mut Vec<EngineEvent>) {
         if !self.engine.has_handed_over() && driver::must_hand_over(&self.executor.incarnation) {
             batch.push(self.shutdown.hand_over());
@@ -119,7 +120,7 @@
         let held_lease = self
             .executor
             .step(&mut self.engine, batch, &mut self.commands);
-        // What is recovered before anybody is served keeps nobody waiting.
+        // The first step recovers messages before any client is served, and is not counted.
         if std::mem::replace(&mut self.has_stepped, true) {
             let longest = &self.executor.counters.longest_step_us;
             let elapsed_us = started_at.elapsed().as_micros() as u64;
@@ -156,9 +157,9 @@
                 retry_after_ms: RETRY_AFTER_SHUTDOWN_MS,
             });
         self.write_snapshot();
-        let until = Instant::now() + LAST_WRITES;
+        let until = Instant::now() + LAST_WRITES_TIMEOUT;
         loop {
-            Timer::after(LAST_WRITES_POLL).await;
+            Timer::after(LAST_WRITES_POLL_INTERVAL).await;
             let is_over = Instant::now() >= until;
             if is_over || !self.executor.clients.has_open_requests() {
                 return;
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Sleeps until an event comes or something is due.
+    /// Sleeps until the next event, or until something is due.
     async fn next_event(&self, step: &StepSummary) -> Option<EngineEvent> {
         let sleep = async {
             match self.wake_at(step) {
@@ -192,7 +193,7 @@
             .shutdown
             .has_begun()
             .then(|| Instant::now() + SHUTDOWN_POLL_INTERVAL);
-        // What has just changed is written also if nothing else happens.
+        // Changes of this step are written even if there is no further event.
         let snapshot = self
             .snapshots
             .as_ref()
--- a/crates/delivery/src/instance/error.rs
+++ b/crates/delivery/src/instance/error.rs
@@ -11,19 +11,19 @@
     /// The platform's configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// An address in the configuration is none.
+    /// An address in the configuration cannot be parsed.
     #[error("{text}")]
     Address {
-        /// What stands there.
+        /// The text.
         text: String,
-        /// Why it is none.
+        /// Why it cannot be parsed.
         #[source]
         source: AddrParseError,
     },
     /// A listener cannot be opened.
     #[error("{address}")]
     Bind {
-        /// Where it was to listen.
+        /// The address.
         address: String,
         /// The system's error.
         #[source]
--- a/crates/delivery/src/instance/executor.rs
+++ b/crates/delivery/src/instance/executor.rs
@@ -1,75 +1,36 @@
-//! Executes what the engine wants done: responses, attempts, and what the network needs to know of endpoints.
+//! Executes the engine's commands: responses, attempts, notices, and changes of endpoints in the network.
 //!
 //! A step of the engine and the execution of its commands happen under one lease permit, if a lease is needed.
 
+mod attempt_execution;
+
 use super::admin::AdminState;
+use super::lease::Lease;
 use crate::clock::Clock;
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::engine::{
-    AttemptRequest, AttemptResult, Engine, EngineCommand, EngineEvent, LeaseState, RejectReason,
-    Rejection,
+    Engine, EngineCommand, EngineEvent, LeaseState, RejectReason, Rejection,
 };
-use crate::core::{FinalOutcome, Message, MessageId, Origin, RequestId, SubmitResponse};
+use crate::core::{FinalOutcome, Message, MessageId, RequestId, SubmitResponse};
 use crate::counters::{add, Counters};
-use crate::frontend::cloudevents::{self, CloudEventsFrontend};
-use crate::frontend::{platform, SwappableFrontend};
+use crate::frontend::cloudevents::CloudEventsFrontend;
+use crate::frontend::SwappableFrontend;
 use crate::hot_restart::driver;
 use crate::hot_restart::incarnation::Incarnation;
-use crate::lease_guard::{GuardState, LeaseGuard, LeasePermit};
+use crate::lease_guard::LeasePermit;
 use crate::net::discovery::PendingNotice;
-use crate::net::pool::{Attempt, EncodedRequest, Pool};
+use crate::net::pool::Pool;
 use crate::net::server::ClientConnections;
 use crate::net::spawner::Spawner;
 use crate::{log_line, message_line};
 use async_channel::Sender;
-use marblefall_scheduler::{EndpointId, Outcome};
-use std::cell::{Cell, RefCell};
+use marblefall_scheduler::EndpointId;
+use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::sync::Arc;
 
-/// What the history says of an accepted message. Tools that check histories read it.
+/// The act of an accepted message in the history of the lease guard. Tools that check histories read it.
 const HISTORY_ACCEPTED: &str = "takes";
-/// What the history says of a started attempt. Tools that check histories read it.
-const HISTORY_ATTEMPT: &str = "leg";
-
-/// The lease under which an instance acts.
-pub(super) struct Lease {
-    /// The guard, if a lease is needed.
-    pub(super) guard: Option<Arc<LeaseGuard>>,
-    /// The revision of the policy that the engine decides by.
-    pub(super) revision: Cell<u64>,
-    /// The instance's name in the history.
-    pub(super) instance: String,
-}
-
-impl Lease {
-    /// A permit to act by the policy, if that is allowed at this moment.
-    fn acquire(&self) -> Option<LeasePermit<'_>> {
-        match &self.guard {
-            None => Some(LeasePermit::unconditional()),
-            Some(guard) => guard.acquire(self.revision.get()),
-        }
-    }
-
-    /// Why there is no permit.
-    fn state_without_permit(&self) -> LeaseState {
-        let Some(guard) = &self.guard else {
-            return LeaseState::Held;
-        };
-        match guard.state(self.revision.get()) {
-            GuardState::Suspended | GuardState::Open(_) => LeaseState::Suspended,
-            GuardState::Closed => LeaseState::Lost,
-        }
-    }
-
-    /// Writes into the history, if there is one.
-    fn record(&self, what: &str) {
-        if let Some(guard) = &self.guard {
-            guard.record(&self.instance, what, self.revision.get());
-        }
-    }
-}
 
 /// Executes the engine's commands.
 pub(super) struct Executor {
@@ -77,9 +38,9 @@
     pub(super) pool: Rc<Pool>,
     pub(super) cloudevents: Rc<SwappableFrontend<CloudEventsFrontend>>,
     pub(super) notices: Sender<PendingNotice>,
-    /// Where attempts report their results.
+    /// Sends the engine the results of attempts.
     pub(super) events: Sender<EngineEvent>,
-    /// Events that go ahead of those.
+    /// Sends the engine events that go ahead of those.
     pub(super) priority_events: Sender<EngineEvent>,
     pub(super) clock: Clock,
     pub(super) counters: Rc<Counters>,
@@ -88,58 +49,59 @@
     pub(super) tasks: Spawner,
     pub(super) admin: Rc<AdminState>,
     pub(super) incarnation: Rc<RefCell<Incarnation>>,
-    /// Acceptances whose lease ended within their step; they are told under the next one.
+    /// Acceptances whose lease ended within their step. They are reported under the next lease.
     pub(super) withheld: RefCell<Vec<EngineCommand>>,
 }
 
 impl Executor {
-    /// Lets the engine decide, and executes its commands. Returns whether the lease was held.
+    /// Steps the engine, and executes its commands. Returns whether the lease was held.
     pub(super) fn step(
         self: &Rc<Self>,
         engine: &mut Engine,
         batch: Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) -> bool {
-        // Held until all that was decided is executed: the guard closes only between two steps.
+        // Held until all commands are executed: the guard closes only between two steps.
         let permit = self.lease.acquire();
-        let has_permit = permit.is_some();
-        engine.set_lease(if has_permit {
-            LeaseState::Held
-        } else {
-            self.lease.state_without_permit()
-        });
-        if has_permit {
+        if permit.is_some() {
+            engine.set_lease(LeaseState::Held);
             commands.extend(self.withheld.borrow_mut().drain(..));
+        } else {
+            engine.set_lease(self.lease.state_without_permit());
         }
         engine.step(self.clock.now(), batch, commands);
-        for Rejection { request, reason } in engine.drain_rejections() {
-            self.count_rejected(request, reason);
+        for rejection in engine.drain_rejections() {
+            self.count_rejection(rejection);
         }
-        // The process may have been stopped during the step, and another one decide since.
+        // The process may have been stopped during the step, and another one may have become active.
         let is_fenced = !engine.has_handed_over() && driver::must_hand_over(&self.incarnation);
         for command in commands.drain(..) {
             if is_fenced && matches!(command, EngineCommand::SendNotice { .. }) {
-                // It is in the journal, where whoever took over before does not look for it.
+                // The notice is in the journal, but the process that took over may have read the journal before.
                 log_line!(
                     code = "fenced-off",
                     "a notice is left to the process that took over"
                 );
                 continue;
             }
-            let is_acceptance =
-                matches!(command, EngineCommand::Respond(_, SubmitResponse::Accepted));
-            // Without the lease, this is said only of messages that were accepted before.
-            if let (Some(permit), true) = (&permit, is_acceptance) {
-                if !permit.is_valid() {
-                    // The process was held up in the step. What it journalled goes on under the next lease.
-                    self.withheld.borrow_mut().push(command);
-                    continue;
-                }
-                self.lease.record(HISTORY_ACCEPTED);
+            self.execute_under(permit.as_ref(), command);
+        }
+        permit.is_some()
+    }
+
+    /// Executes a command under a lease permit, if there is one. An acceptance is withheld if the lease has ended since
+    /// the permit was given, as the process may have been stopped: its message continues under the next lease. Without
+    /// a permit, only messages that were accepted before are reported as accepted.
+    fn execute_under(self: &Rc<Self>, permit: Option<&LeasePermit<'_>>, command: EngineCommand) {
+        let is_acceptance = matches!(command, EngineCommand::Respond(_, SubmitResponse::Accepted));
+        if let (Some(permit), true) = (permit, is_acceptance) {
+            if !permit.is_valid() {
+                self.withheld.borrow_mut().push(command);
+                return;
             }
-            self.execute(command);
+            self.lease.record(HISTORY_ACCEPTED);
         }
-        has_permit
+        self.execute(command);
     }
 
     fn execute(self: &Rc<Self>, command: EngineCommand) {
@@ -182,9 +144,9 @@
         self.clients.respond(request, response);
     }
 
-    fn count_rejected(&self, request: RequestId, reason: RejectReason) {
+    fn count_rejection(&self, rejection: Rejection) {
         let counters = &self.counters;
-        add(match reason {
+        add(match rejection.reason {
             RejectReason::Full => &counters.rejected_full,
             RejectReason::Ending => &counters.rejected_ending,
             RejectReason::UnknownDestination => &counters.rejected_unknown,
@@ -193,8 +155,9 @@
         });
         message_line!(
             code = "submission-rejected",
-            request = request.0,
-            "{reason:?}"
+            request = rejection.request.0,
+            "{:?}",
+            rejection.reason
         );
     }
 
@@ -250,98 +213,9 @@
     }
 
     fn policy_in_force(&self, revision: u64) {
-        self.lease.revision.set(revision);
+        self.lease.set_revision(revision);
         log_line!(code = "policy-in-force", "decides by revision {revision}");
-        // What was deferred until then goes on in a step under a permit of its own.
+        // Deferred events are handled in a step under a permit of its own.
         let _ = self.priority_events.try_send(EngineEvent::LeaseChanged);
     }
-
-    fn start_attempt(self: &Rc<Self>, request: AttemptRequest) {
-        let executor = self.clone();
-        self.tasks.spawn(async move {
-            let result = executor.run_attempt(request).await;
-            // Fails only once the engine has ended.
-            let _ = executor
-                .events
-                .send(EngineEvent::AttemptFinished(result))
-                .await;
-        });
-    }
-
-    async fn run_attempt(&self, request: AttemptRequest) -> AttemptResult {
-        let message = request.message;
-        add(&self.counters.attempts);
-        let started_at = self.clock.now().monotonic;
-        let address = self.address_of(request.endpoint);
-        let encode = |budget_ms| -> EncodedRequest<'_> {
-            match message.origin {
-                Origin::Platform => platform::encode_attempt(&message, &address, budget_ms),
-                Origin::CloudEvents => self.cloudevents.get().encode_attempt(&message, &address),
-            }
-        };
-        let judge = match message.origin {
-            Origin::Platform => platform::judge,
-            Origin::CloudEvents => cloudevents::judge,
-        };
-        let attempt = Attempt {
-            message_id: request.message_id,
-            endpoint: request.endpoint,
-            route: request.route,
-            timeout_at: self.clock.instant(request.timeout_at),
-            write_by: self.clock.instant(request.write_by),
-            encode: &encode,
-            judge,
-            permit: &|| self.attempt_permit(),
-        };
-        let ended = self.pool.run_attempt(attempt).await;
-        self.count_attempt(&ended.outcome);
-        if ended.outcome != Outcome::Delivered {
-            message_line!(
-                code = "attempt-ended",
-                message = request.message_id.0,
-                attempt = request.attempt,
-                endpoint = request.endpoint.0,
-                "{:?}",
-                ended.outcome
-            );
-        }
-        AttemptResult {
-            message_id: request.message_id,
-            attempt: request.attempt,
-            outcome: ended.outcome,
-            duration: self.clock.now().monotonic - started_at,
-            disposition: ended.disposition,
-            rate_limit: ended.rate_limit,
-        }
-    }
-
-    fn address_of(&self, id: EndpointId) -> Rc<str> {
-        let addresses = self.endpoint_addresses.borrow();
-        addresses.get(&id).cloned().unwrap_or_else(|| "".into())
-    }
-
-    /// A permit to start an attempt. Looked at as late as can be: a process that was stopped since the attempt was chosen
-    /// finds that it is fenced.
-    fn attempt_permit(&self) -> Option<LeasePermit<'_>> {
-        if !driver::may_start_attempt(&self.incarnation) {
-            return None;
-        }
-        let permit = self.lease.acquire()?;
-        self.lease.record(HISTORY_ATTEMPT);
-        Some(permit)
-    }
-
-    fn count_attempt(&self, outcome: &Outcome) {
-        let counters = &self.counters;
-        add(match outcome {
-            Outcome::Delivered => &counters.attempts_delivered,
-            Outcome::Error => &counters.attempts_failed,
-            Outcome::Rejected { .. } => &counters.attempts_rejected,
-            Outcome::TimedOut => &counters.attempts_timed_out,
-            Outcome::ConnectFailed => &counters.attempts_unconnected,
-            Outcome::Reset | Outcome::StaleConnection => &counters.attempts_reset,
-            Outcome::Cancelled => &counters.attempts_cancelled,
-            Outcome::NotSent => &counters.attempts_not_sent,
-        });
-    }
 }
--- /dev/null
+++ b/crates/delivery/src/instance/executor/attempt_execution.rs
@@ -0,0 +1,115 @@
+//! Runs the attempts that the engine orders.
+
+use super::Executor;
+use crate::core::engine::{AttemptRequest, AttemptResult, EngineEvent};
+use crate::core::Origin;
+use crate::counters::add;
+use crate::frontend::{cloudevents, platform};
+use crate::hot_restart::driver;
+use crate::lease_guard::LeasePermit;
+use crate::message_line;
+use crate::net::pool::{Attempt, EncodedRequest};
+use marblefall_scheduler::{EndpointId, Outcome};
+use std::rc::Rc;
+
+/// The act of a started attempt in the history of the lease guard. Tools that check histories read it.
+const HISTORY_ATTEMPT: &str = "leg";
+
+impl Executor {
+    /// Starts an attempt in a task of its own, which sends its result to the engine.
+    pub(super) fn start_attempt(self: &Rc<Self>, request: AttemptRequest) {
+        let executor = self.clone();
+        self.tasks.spawn(async move {
+            let result = executor.run_attempt(request).await;
+            // Fails only once the engine has ended.
+            let _ = executor
+                .events
+                .send(EngineEvent::AttemptFinished(result))
+                .await;
+        });
+    }
+
+    async fn run_attempt(&self, request: AttemptRequest) -> AttemptResult {
+        let message = request.message;
+        add(&self.counters.attempts);
+        let started_at = self.clock.now().monotonic;
+        let address = self.address_of(request.endpoint);
+        let encode = |budget_ms| -> EncodedRequest<'_> {
+            match message.origin {
+                Origin::Platform => platform::encode_attempt(&message, &address, budget_ms),
+                Origin::CloudEvents => self.cloudevents.get().encode_attempt(&message, &address),
+            }
+        };
+        let judge = match message.origin {
+            Origin::Platform => platform::judge,
+            Origin::CloudEvents => cloudevents::judge,
+        };
+        let attempt = Attempt {
+            message_id: request.message_id,
+            endpoint: request.endpoint,
+            route: request.route,
+            timeout_at: self.clock.instant(request.timeout_at),
+            write_by: self.clock.instant(request.write_by),
+            encode: &encode,
+            judge,
+            permit: &|| self.attempt_permit(),
+        };
+        let ended = self.pool.run_attempt(attempt).await;
+        let result = AttemptResult {
+            message_id: request.message_id,
+            attempt: request.attempt,
+            outcome: ended.outcome,
+            duration: self.clock.now().monotonic - started_at,
+            disposition: ended.disposition,
+            rate_limit: ended.rate_limit,
+        };
+        self.count_attempt(&result.outcome);
+        log_unless_delivered(&result, request.endpoint);
+        result
+    }
+
+    fn address_of(&self, id: EndpointId) -> Rc<str> {
+        let addresses = self.endpoint_addresses.borrow();
+        addresses.get(&id).cloned().unwrap_or_else(|| "".into())
+    }
+
+    /// A permit to start an attempt. It is acquired immediately before the first byte, as the process may have been stopped
+    /// and fenced since the attempt was chosen.
+    fn attempt_permit(&self) -> Option<LeasePermit<'_>> {
+        if !driver::may_start_attempt(&self.incarnation) {
+            return None;
+        }
+        let permit = self.lease.acquire()?;
+        self.lease.record(HISTORY_ATTEMPT);
+        Some(permit)
+    }
+
+    fn count_attempt(&self, outcome: &Outcome) {
+        let counters = &self.counters;
+        add(match outcome {
+            Outcome::Delivered => &counters.attempts_delivered,
+            Outcome::Error => &counters.attempts_failed,
+            Outcome::Rejected { .. } => &counters.attempts_rejected,
+            Outcome::TimedOut => &counters.attempts_timed_out,
+            Outcome::ConnectFailed => &counters.attempts_unconnected,
+            Outcome::Reset | Outcome::StaleConnection => &counters.attempts_reset,
+            Outcome::Cancelled => &counters.attempts_cancelled,
+            Outcome::NotSent => &counters.attempts_not_sent,
+        });
+    }
+}
+
+/// Writes a log line about an attempt that did not deliver its message.
+fn log_unless_delivered(result: &AttemptResult, endpoint: EndpointId) {
+    if result.outcome == Outcome::Delivered {
+        return;
+    }
+    message_line!(
+        code = "attempt-ended",
+        message = result.message_id.0,
+        attempt = result.attempt,
+        endpoint = endpoint.0,
+        "{:?}",
+        result.outcome
+    );
+}
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -1,4 +1,4 @@
-//! The instance that the platform configures.
+//! The instance that the platform configures, and its start.
 
 use super::platform_config::PlatformConfig;
 use super::{
@@ -16,20 +16,24 @@
 use async_executor::LocalExecutor;
 use error_reporter::Report;
 use marblefall_scheduler::{Idempotency, MessageClass};
+use marblefall_settings::InstanceSettings;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Where the platform gives no time to establish a connection.
+/// The connect time-out where the platform sets none, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1500.0;
-/// Where it gives no time after which endpoints close idle connections.
+/// The time-out of idle connections where the platform sets none, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 10_000.0;
-
-/// How long a shortage of descriptors or memory is waited out at the start ...
+/// How long a shortage of descriptors or memory at the start is waited out.
 const MAX_SHORTAGE: Duration = Duration::from_secs(25);
-/// ... and how often it is looked whether it is over.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before an operation is retried during a shortage.
+const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+const BYTES_PER_MB: f64 = 1e6;
+const MS_PER_SECOND: f64 = 1000.0;
+/// The base of the seed's digits.
+const HEXADECIMAL: u32 = 16;
 
 /// Runs an instance on the platform until it is shut down.
 ///
@@ -52,12 +56,12 @@
 fn instance_config(config: PlatformConfig) -> Result<InstanceConfig, InstanceError> {
     let listen = parse_address(&config.listen)?;
     let discovery = config.discovery_address()?;
-    let boot = config.settings;
+    let settings = config.settings;
     let names = NameIndex {
-        kinds: boot.kinds.clone(),
-        zones: boot.zones.clone(),
+        kinds: settings.kinds.clone(),
+        zones: settings.zones.clone(),
     };
-    let class_names: Vec<String> = boot
+    let class_names: Vec<String> = settings
         .classes
         .iter()
         .map(|class| class.name.clone())
@@ -67,16 +71,11 @@
         Some(list) => list.into_event(&names),
         None => EngineEvent::EndpointsReplaced(Vec::new()),
     };
-    let connect_timeout = ms_or_default(boot.limits.connect_timeout_ms, DEFAULT_CONNECT_TIMEOUT_MS);
-    let idle_timeout = ms_or_default(boot.limits.idle_timeout_ms, DEFAULT_IDLE_TIMEOUT_MS);
-    let settings = boot.scheduler_settings();
-    let requires_key = settings.classes.iter().map(requires_key).collect();
-    let engine = EngineSettings {
-        scheduler: settings,
-        seed: u64::from_str_radix(&config.seed, 16).unwrap_or_default(),
-        retention_ms: vec![0; class_names.len()],
-        max_retained: 0,
-    };
+    let limits = &settings.limits;
+    let connect_timeout = ms_or_default(limits.connect_timeout_ms, DEFAULT_CONNECT_TIMEOUT_MS);
+    let idle_timeout = ms_or_default(limits.idle_timeout_ms, DEFAULT_IDLE_TIMEOUT_MS);
+    let engine = engine_settings(settings, &config.seed);
+    let requires_key = engine.scheduler.classes.iter().map(requires_key).collect();
     let admin_listener = bind_admin(config.admin_listen.as_deref())?;
     let platform = PlatformFrontendConfig {
         listener: bind_clients(listen)?,
@@ -95,7 +94,7 @@
         name: config.name,
         state_folder: StateFolder {
             path: config.state_folder,
-            max_bytes: (config.limits.disk_mb * 1e6) as u64,
+            max_bytes: (config.limits.disk_mb * BYTES_PER_MB) as u64,
         },
         max_sockets: config.limits.sockets,
         engine,
@@ -110,22 +109,34 @@
     })
 }
 
+/// The engine's settings. The platform's messages are not retained once they have finished.
+fn engine_settings(settings: InstanceSettings, seed: &str) -> EngineSettings {
+    let scheduler = settings.scheduler_settings();
+    EngineSettings {
+        retention_ms: vec![0; scheduler.classes.len()],
+        max_retained: 0,
+        scheduler,
+        seed: u64::from_str_radix(seed, HEXADECIMAL).unwrap_or_default(),
+    }
+}
+
 fn requires_key(class: &MessageClass) -> bool {
     matches!(class.idempotency, Idempotency::IdempotencyKey { .. })
 }
 
 fn ms_or_default(ms: f64, default_ms: f64) -> Duration {
-    Duration::from_secs_f64(if ms > 0.0 { ms } else { default_ms } / 1000.0)
+    let ms = if ms > 0.0 { ms } else { default_ms };
+    Duration::from_secs_f64(ms / MS_PER_SECOND)
 }
 
-/// Tries until the system gives what it was short of for a moment: a process that starts just then must not end.
-fn while_short<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = Instant::now() + MAX_SHORTAGE;
+/// Retries an operation while the system is short of a resource, so that a process that starts just then does not fail.
+fn retry_while_short<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let deadline = Instant::now() + MAX_SHORTAGE;
     loop {
         match attempt() {
-            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
+            Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 log_line!(code = "listener-deferred", "{error}; tried again");
-                std::thread::sleep(SHORTAGE_PAUSE);
+                std::thread::sleep(SHORTAGE_RETRY_INTERVAL);
             }
             result => return result,
         }
@@ -133,7 +144,7 @@
 }
 
 fn bind_clients(address: SocketAddr) -> Result<TcpListener, InstanceError> {
-    while_short(|| listener::bind_shared(address)).map_err(|source| InstanceError::Bind {
+    retry_while_short(|| listener::bind_shared(address)).map_err(|source| InstanceError::Bind {
         address: address.to_string(),
         source,
     })
@@ -144,7 +155,7 @@
         return Ok(None);
     };
     let address = parse_address(text)?;
-    let listener = while_short(|| TcpListener::bind(address));
+    let listener = retry_while_short(|| TcpListener::bind(address));
     listener.map(Some).map_err(|source| InstanceError::Bind {
         address: text.to_owned(),
         source,
@@ -158,8 +169,8 @@
     })
 }
 
-/// Passes commands on. To read the configuration again is to find where discovery is now. One that cannot be read changes
-/// nothing.
+/// Forwards commands. A reload of the configuration is replaced by the new address of discovery. A configuration that
+/// cannot be read changes nothing.
 async fn reload_configuration(
     signalled: Receiver<InstanceCommand>,
     commands: Sender<InstanceCommand>,
--- a/crates/delivery/src/instance/platform_config.rs
+++ b/crates/delivery/src/instance/platform_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of an instance on the platform: the environment, and the JSON file that it names.
+//! The configuration of an instance on the platform: environment variables, and the JSON file that one of them names.
 
 use crate::net::discovery::EndpointList;
 use marblefall_settings::InstanceSettings;
@@ -6,6 +6,15 @@
 use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
 
+/// Names the configuration file.
+const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
+/// Names the state folder.
+const STATE_FOLDER_VARIABLE: &str = "RELAY_STATE";
+/// Overrides the address for clients.
+const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
+/// Overrides the address for operators' calls.
+const ADMIN_LISTEN_VARIABLE: &str = "RELAY_MGMT";
+
 /// Why the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -26,16 +35,16 @@
     Unparsable {
         /// The file.
         path: String,
-        /// Where and why.
+        /// The parser's error, with its position.
         #[source]
         source: serde_json::Error,
     },
-    /// Discovery's address is none.
+    /// The address of discovery cannot be parsed.
     #[error("{text}")]
     DiscoveryAddress {
-        /// What stands there.
+        /// The text.
         text: String,
-        /// Why it is none.
+        /// Why it cannot be parsed.
         #[source]
         source: AddrParseError,
     },
@@ -44,66 +53,67 @@
 /// The limits that the platform sets.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PlatformLimits {
-    /// File descriptors of the process.
+    /// How many file descriptors the process may use.
     pub sockets: usize,
-    /// Size of the state folder.
+    /// Maximum size of the state folder, in megabytes.
     pub disk_mb: f64,
 }
 
-/// The platform's file. The keys are the platform's.
+/// The platform's configuration file, with the platform's keys.
 #[derive(Debug, Deserialize)]
 pub struct PlatformConfig {
     /// The instance's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: String,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: String,
-    /// Where operators call, if anywhere; `RELAY_MGMT` goes before it.
+    /// The address for operators' calls, if there is one. `RELAY_MGMT` overrides it.
     #[serde(default, rename = "mgmt")]
     pub admin_listen: Option<String>,
-    /// For random numbers, in hexadecimal.
+    /// The seed of random numbers, in hexadecimal.
     pub seed: String,
-    /// What it may use.
+    /// The limits of its resources.
     pub limits: PlatformLimits,
-    /// The endpoint list as it was last.
+    /// The last endpoint list.
     #[serde(rename = "known")]
     pub last_list: Option<EndpointList>,
     /// The scheduler's settings.
     pub settings: InstanceSettings,
-    /// The state folder; given by the environment only.
+    /// The state folder, which is set by the environment only.
     #[serde(skip)]
     pub state_folder: PathBuf,
 }
 
 impl PlatformConfig {
-    /// Reads the file that `RELAY_CONFIG` names and what else the environment gives.
+    /// Reads the file that `RELAY_CONFIG` names, and the other environment variables.
     ///
     /// # Errors
     /// A variable is missing, or the file cannot be read or parsed.
     pub fn from_env() -> Result<PlatformConfig, ConfigError> {
-        let path = variable("RELAY_CONFIG")?;
-        let text = match std::fs::read(&path) {
-            Ok(text) => text,
-            Err(source) => return Err(ConfigError::Unreadable { path, source }),
-        };
-        let mut config: PlatformConfig = match serde_json::from_slice(&text) {
-            Ok(config) => config,
-            Err(source) => return Err(ConfigError::Unparsable { path, source }),
-        };
-        config.state_folder = variable("RELAY_STATE")?.into();
-        // The environment stays as it was when the process started, while the file may be replaced under it: where
-        // discovery is, the file says.
-        if let Ok(listen) = variable("RELAY_LISTEN") {
+        let path = variable(CONFIG_VARIABLE)?;
+        let mut config = PlatformConfig::from_file(path)?;
+        config.state_folder = variable(STATE_FOLDER_VARIABLE)?.into();
+        // The address of discovery is read from the file alone, as the file may be replaced while the process is running,
+        // and the environment cannot.
+        if let Ok(listen) = variable(LISTEN_VARIABLE) {
             config.listen = listen;
         }
-        if let Ok(listen) = variable("RELAY_MGMT") {
+        if let Ok(listen) = variable(ADMIN_LISTEN_VARIABLE) {
             config.admin_listen = Some(listen);
         }
         Ok(config)
     }
 
-    /// Where discovery is.
+    fn from_file(path: String) -> Result<PlatformConfig, ConfigError> {
+        let text = match std::fs::read(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Unreadable { path, source }),
+        };
+        serde_json::from_slice(&text).map_err(|source| ConfigError::Unparsable { path, source })
+    }
+
+    /// The address of discovery.
     ///
     /// # Errors
     /// The address cannot be parsed.
--- a/crates/delivery/src/instance/shutdown.rs
+++ b/crates/delivery/src/instance/shutdown.rs
@@ -1,11 +1,11 @@
-//! The one path by which an instance ends, whatever asks for it: a command, or a successor that takes over.
+//! Graceful shutdown of an instance, which a command or a successor requests.
 //!
-//! Clients are let go first, in a task of its own: they use connections that are open, so each is closed with its next
-//! response, then those that are idle, then all. The engine goes on until nothing is open, or the time is up. How fast
-//! clients are let go depends on the [`Successor`].
+//! Client connections are closed first, in a task of its own: each after its next response, then the idle ones, then all.
+//! The engine continues until no message is open, or until the deadline. How fast connections are closed depends on the
+//! [`Successor`].
 
 use crate::clock::Clock;
-use crate::core::engine::{Engine, EngineEvent, EngineLoad};
+use crate::core::engine::{Engine, EngineEvent};
 use crate::hot_restart::driver;
 use crate::hot_restart::incarnation::Incarnation;
 use crate::log_line;
@@ -17,28 +17,29 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a process has from SIGTERM on.
+/// How long a process may take to shut down after SIGTERM.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3400);
-/// Without a successor, idle connections are closed after this, when no new ones are expected.
+/// Without a successor, idle connections are closed after this time, when no new ones are expected.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(500);
-/// Connections that have waited so long for a request are then closed.
+/// After that, connections are closed once they have been idle for this long.
 const IDLE_FOR: Duration = Duration::from_millis(150);
-/// How often they are looked for.
+/// How often idle connections are looked for.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_micros(37_500);
-/// An instance that another process has taken over from responds on the connections that clients keep, each for the last
-/// time. It closes those that have been idle for a while only after this ...
+/// With a running successor, idle connections are closed only after this time. Until then each client has one more response
+/// on its connection, after which it connects to the successor.
 const SUCCESSOR_CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2200);
+/// With a running successor, connections are then closed once they have been idle for this long.
 const SUCCESSOR_IDLE_FOR: Duration = Duration::from_millis(400);
-/// ... and all that still wait after this.
+/// Delay after which the remaining idle connections are closed, with a running successor.
 const SUCCESSOR_CLOSE_ALL_AFTER: Duration = Duration::from_millis(3100);
-/// So long before its end a process closes its listeners: what waits in the system's queue is served first, as the end
-/// would reset it.
+/// How long before its end a process closes its listeners. Connections in the system's queue are served until then, as the
+/// end of the process would reset them.
 const STOP_ACCEPTING_BEFORE_END: Duration = Duration::from_millis(400);
 
-/// Who serves clients after this incarnation.
+/// The incarnation that serves clients after this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Successor {
-    /// Nobody that is known of.
+    /// None is known.
     None,
     /// An incarnation that is started once this one has ended.
     Restart,
@@ -47,7 +48,7 @@
 }
 
 impl Successor {
-    /// Whether attempts are left to it.
+    /// Whether it delivers the messages that are still open.
     fn takes_over(self) -> bool {
         match self {
             Successor::None => false,
@@ -62,7 +63,7 @@
     pub(super) incarnation: Rc<RefCell<Incarnation>>,
     pub(super) clock: Clock,
     pub(super) tasks: Spawner,
-    /// Set once it has begun.
+    /// When the instance ends at the latest; set once the shutdown has begun.
     pub(super) deadline: Cell<Option<Instant>>,
 }
 
@@ -71,8 +72,8 @@
         self.deadline.get().is_some()
     }
 
-    /// Begins to end this incarnation: at once towards clients, and within `timeout` altogether. A running successor goes
-    /// before the one that is given. Returns the event that tells the engine.
+    /// Begins the shutdown, which takes at most `timeout`. If a successor is running, it is used in place of the given one.
+    /// Returns the event for the engine.
     pub(super) fn begin(&self, timeout: Duration, successor: Successor) -> EngineEvent {
         let now = Instant::now();
         let has_running_successor =
@@ -84,7 +85,7 @@
         };
         self.deadline.set(Some(now + timeout));
         if successor.takes_over() {
-            // It listens at once, so connections are let go without a pause, and new ones go to it.
+            // The successor accepts connections at once.
             self.clients.begin_closing(now);
             self.clients.stop_accepting();
         } else {
@@ -100,7 +101,7 @@
         self.engine_event(timeout, successor)
     }
 
-    /// Hands over to the successor that requests it. Returns the event that tells the engine.
+    /// Hands over to the successor that requests it. Returns the event for the engine.
     pub(super) fn hand_over(&self) -> EngineEvent {
         if self.has_begun() {
             return self.engine_event(SHUTDOWN_TIMEOUT, Successor::Running);
@@ -116,23 +117,19 @@
         }
     }
 
-    /// Whether the instance may end now. Once nothing is open, the listeners are closed, as who waits to be accepted is
-    /// still served.
+    /// Whether the instance may end now. Once nothing is open, the listeners are closed, and connections in the system's
+    /// queue are still served.
     pub(super) fn is_complete(&self, engine: &Engine) -> bool {
         let Some(deadline) = self.deadline.get() else {
             return false;
         };
-        let EngineLoad {
-            open_messages,
-            in_flight,
-        } = engine.load();
+        let load = engine.load();
         let now = Instant::now();
-        // One that has handed over also journals what is submitted now, for its successor: it waits only for its attempts
-        // and for the connections that clients still use.
-        let is_idle = in_flight == 0
-            && (open_messages == 0 || engine.has_handed_over())
+        // After a handover, open messages are the successor's, and only attempts and connections are waited for.
+        let is_idle = load.in_flight == 0
+            && (load.open_messages == 0 || engine.has_handed_over())
             && self.clients.connections() == 0;
-        // Clients that do not know of the end yet still come.
+        // Clients may connect until they are notified of the shutdown.
         let is_done = is_idle
             && self
                 .clients
@@ -145,7 +142,7 @@
     }
 }
 
-/// Lets clients go.
+/// Closes the connections of clients during a shutdown.
 struct ClientClosing {
     clients: Rc<ClientConnections>,
     begun_at: Instant,
@@ -178,7 +175,7 @@
 
     async fn await_first_close(&self) {
         match self.successor {
-            // A connection closed under a request fails it; with a response, its client goes elsewhere.
+            // Closing a connection could fail a request on it; after a response, the client connects elsewhere.
             Successor::Running => {
                 Timer::at(self.begun_at + SUCCESSOR_CLOSE_IDLE_AFTER).await;
             }
--- a/crates/delivery/src/instance/signals.rs
+++ b/crates/delivery/src/instance/signals.rs
@@ -1,4 +1,4 @@
-//! The process's signals as commands.
+//! Signals of the process as commands to its instance.
 
 use super::{InstanceCommand, InstanceError, SHUTDOWN_TIMEOUT};
 use crate::log_line;
@@ -8,27 +8,27 @@
 use futures_lite::StreamExt;
 use std::time::Duration;
 
-/// How long reading pauses after an error.
-const ERROR_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before signals are read again after an error.
+const ERROR_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Registers the signals that are commands. Called before anything else starts: until then they would kill the process.
+/// Registers the signals that are commands. Until it is called, they kill the process.
 ///
 /// # Errors
-/// The system does not register them.
+/// The signals cannot be registered.
 pub fn signals() -> Result<Signals, InstanceError> {
     Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])
         .map_err(InstanceError::Signals)
 }
 
-/// Turns signals into commands for as long as somebody receives them.
+/// Sends signals as commands until the channel is closed.
 pub async fn watch_signals(mut signals: Signals, commands: Sender<InstanceCommand>) {
     while let Some(signal) = signals.next().await {
         let signal = match signal {
             Ok(signal) => signal,
             Err(error) => {
-                // A process that heard no signal any more could only be killed.
+                // A process that receives no signals could only be killed.
                 log_line!(code = "signal-not-read", "{error}; tried again");
-                Timer::after(ERROR_PAUSE).await;
+                Timer::after(ERROR_RETRY_DELAY).await;
                 continue;
             }
         };
--- a/crates/delivery/src/instance/state_folder.rs
+++ b/crates/delivery/src/instance/state_folder.rs
@@ -1,7 +1,7 @@
-//! Claiming the state folder, however long its disk fails.
+//! Claims the state folder, and retries for as long as its disk fails.
 //!
-//! A process that gave up because its disk was full for a moment would leave what an earlier one accepted. It waits
-//! instead, accepts nothing meanwhile, and ends if it is told to.
+//! A process that exited on a transient error would leave the messages of earlier incarnations undelivered. It retries
+//! instead, accepts nothing meanwhile, and can be shut down.
 
 use super::admin::read_disabled;
 use super::{InstanceCommand, InstanceError, StateFolder};
@@ -17,33 +17,33 @@
 use std::io;
 use std::time::Duration;
 
-/// How often a disk that fails is tried again.
+/// Delay before a failed operation is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What an incarnation owns of the state folder.
+/// The state that an incarnation has claimed.
 pub(super) struct ClaimedState {
     pub(super) incarnation: Incarnation,
     pub(super) predecessors: Option<RunningPredecessors>,
-    /// With what earlier incarnations left, unless some of them are running.
+    /// The store with the messages of earlier incarnations, unless some of them are running.
     pub(super) store: MessageStore,
     pub(super) clock: SteadyClock,
-    /// Endpoints that operators have disabled, unless earlier incarnations are running, which may still change them.
+    /// The endpoints that operators have disabled. Empty while earlier incarnations are running, as they may change them.
     pub(super) disabled_endpoints: BTreeSet<String>,
 }
 
-/// Claims the folder, and keeps the commands that come meanwhile.
+/// Claims the folder, and queues the commands that are received meanwhile.
 pub(super) struct Claim<'a> {
     pub(super) folder: &'a StateFolder,
     pub(super) commands: &'a Receiver<InstanceCommand>,
-    /// Commands that came, to be handled once the instance runs.
+    /// The queued commands, to be handled once the instance is running.
     pub(super) early_commands: Vec<InstanceCommand>,
 }
 
 impl Claim<'_> {
-    /// Claims the folder; `None` if the process is to end before the disk works.
+    /// Claims the folder; `None` if the process is shut down before the disk works.
     ///
     /// # Errors
-    /// One that does not pass by itself: the folder is no folder, or belongs to somebody else.
+    /// An error that is not transient, such as missing permissions.
     pub(super) async fn run(
         &mut self,
         class_names: &[String],
@@ -81,20 +81,20 @@
         }))
     }
 
-    /// Takes over what earlier incarnations left, none of which is running; returns the endpoints that are disabled.
+    /// Recovers the messages of earlier incarnations, none of which is running; returns the disabled endpoints.
     async fn take_over(
         &mut self,
         store: &mut MessageStore,
     ) -> Result<Option<BTreeSet<String>>, InstanceError> {
-        let taken_over = self.retry(|| store.take_over(&[], None)).await?;
-        if taken_over.is_none() {
+        let recovered = self.retry(|| store.take_over(&[], None)).await?;
+        if recovered.is_none() {
             return Ok(None);
         }
         let path = &self.folder.path;
         self.retry(|| read_disabled(path)).await
     }
 
-    /// Tries until it succeeds; `None` if the process is to end first.
+    /// Retries an operation until it succeeds; `None` if the process is shut down first.
     async fn retry<T>(
         &mut self,
         mut attempt: impl FnMut() -> io::Result<T>,
@@ -116,14 +116,15 @@
                 self.folder.path.display()
             );
             Timer::after(RETRY_INTERVAL).await;
-            if self.is_to_end() {
-                log_line!("ends before its state folder works");
+            if self.is_shut_down() {
+                log_line!("shut down before its state folder works");
                 return Ok(None);
             }
         }
     }
 
-    fn is_to_end(&mut self) -> bool {
+    /// Whether the process is shut down. Other commands are queued.
+    fn is_shut_down(&mut self) -> bool {
         while let Ok(command) = self.commands.try_recv() {
             if matches!(command, InstanceCommand::Shutdown { .. }) {
                 return true;
