--- a/crates/delivery/src/core/recent_completions.rs
+++ b/crates/delivery/src/core/recent_completions.rs
@@ -7,7 +7,7 @@
 /// How long an identity is retained: longer than the deadline of any message of the platform.
 const RETENTION: Span = Span(20_000_000);
 
-/// Identities of messages that finished within [`RETENTION`].
+/// Identities of messages that finished recently.
 #[derive(Debug, Default)]
 pub struct RecentCompletions {
     identities: HashSet<Rc<[u8]>>,
