--- a/crates/cli/src/group/history.rs
+++ b/crates/cli/src/group/history.rs
@@ -25,7 +25,7 @@
         "{}  change {} by {}: {outcome} (after {took_ms} ms)",
         timestamp(change.proposed_ms),
         change.proposal.0,
-        change.author.by
+        change.author.name
     )
 }
 
@@ -36,7 +36,7 @@
     };
     json!({
         "change": change.proposal.0,
-        "by": change.author.by,
+        "by": change.author.name,
         "proposed": timestamp(change.proposed_ms),
         "resolved": timestamp(change.resolved_ms),
         "revision": revision,
--- a/crates/cli/src/group/propose.rs
+++ b/crates/cli/src/group/propose.rs
@@ -62,7 +62,7 @@
         let operator = std::env::var("USER").unwrap_or_else(|_| "an operator".to_owned());
         let key = fastrand::u64(1..);
         let author = Author {
-            by: format!("{operator} at {}", connection.membership().name),
+            name: format!("{operator} at {}", connection.membership().name),
             key,
         };
         let base = plan.base.revision;
@@ -120,7 +120,7 @@
                 base: self.base,
                 committed: committed.0,
             }),
-            Some(Reply::Busy(author)) => Err(CommandError::OtherChangePending(author.by)),
+            Some(Reply::Busy(author)) => Err(CommandError::OtherChangePending(author.name)),
             Some(_) => Ok(None),
         }
     }
--- a/crates/cli/src/group/status.rs
+++ b/crates/cli/src/group/status.rs
@@ -75,7 +75,7 @@
     if let Some(pending) = &status.pending {
         println!(
             "open: a change by {}, {}; waits for: {}",
-            pending.author.by,
+            pending.author.name,
             phase_name(pending.phase),
             connection.names(&pending.awaited)
         );
@@ -149,7 +149,7 @@
     let awaited = pending.awaited.iter();
     let awaited: Vec<String> = awaited.map(|member| connection.name(*member)).collect();
     json!({
-        "by": pending.author.by,
+        "by": pending.author.name,
         "stage": phase_name(pending.phase),
         "waits_for": awaited,
     })
--- /dev/null
+++ b/crates/coordination/src/leader/leases.rs
@@ -0,0 +1,95 @@
+//! Leases that the leader grants to members.
+
+use super::pending_change::Phase;
+use super::{Leader, LeaderAction};
+use crate::identifiers::MemberId;
+use crate::message::{LeaseGrant, LeaseRequest, ToMember};
+use crate::settings::{CoordinationSettings, PartitionPolicy};
+use marblefall_time::{Span, Time};
+
+/// Number of resend intervals after which a member without a verdict is granted no further lease.
+const MAX_RESENDS_BEFORE_NO_LEASE: i64 = 3;
+
+impl Leader {
+    /// Grants a lease, unless the pending change forbids it.
+    pub(super) fn handle_lease_request(
+        &mut self,
+        now: Time,
+        from: MemberId,
+        request: LeaseRequest,
+        actions: &mut Vec<LeaderAction>,
+    ) {
+        if self.change_forbids_lease(now, from) {
+            // Repeats the message of the phase: the member may not have received it, or may have restarted.
+            if let Some(progress) = self.members.get_mut(&from) {
+                progress.last_sent = None;
+            }
+            let resolved = ToMember::Resolved(self.resolved);
+            return actions.push(LeaderAction::Send(from, resolved));
+        }
+        // After the end of this leader's own lease another leader may exist.
+        if !self.holds_lease(now) {
+            return;
+        }
+        let duration = self.grant_lease(now, from);
+        let policy = (request.applied != Some(self.committed)).then(|| self.policy.clone());
+        let grant = LeaseGrant {
+            incarnation: request.incarnation,
+            sent_at: request.sent_at,
+            duration: duration.map(|duration| duration.0),
+            committed: self.committed,
+            policy,
+            resolved: self.resolved,
+        };
+        let granted = ToMember::LeaseGranted(grant);
+        actions.push(LeaderAction::Send(from, granted));
+    }
+
+    /// Whether a member is granted no lease before the pending change is resolved, or before the member's verdict on it.
+    fn change_forbids_lease(&self, now: Time, member: MemberId) -> bool {
+        let (Some(change), Some(progress)) = (&self.pending, self.members.get(&member)) else {
+            return false;
+        };
+        match change.phase {
+            // A quiesced member that requests a lease may have restarted. Only the outcome releases it.
+            Phase::Quiescing | Phase::Deciding => true,
+            Phase::Checking => {
+                // A member that sends requests and no verdict may be unable to receive messages: its lease must not be
+                // renewed forever.
+                let resend_interval = self.settings.resend_interval.0;
+                let overdue = self.settings.partition_policy == PartitionPolicy::Stop
+                    && now - change.since >= Span(resend_interval * MAX_RESENDS_BEFORE_NO_LEASE);
+                !progress.is_done(change) && (progress.has_expired(now) || overdue)
+            }
+        }
+    }
+
+    /// Grants a lease that ends with the leader's own at the latest. Returns its duration; `None` is without end.
+    fn grant_lease(&mut self, now: Time, to: MemberId) -> Option<Span> {
+        let duration = match self.settings.partition_policy {
+            PartitionPolicy::Serve => None,
+            PartitionPolicy::Stop => {
+                let remaining = self.lease_end - now;
+                Some(self.settings.lease_duration.min(remaining))
+            }
+        };
+        // The lease counts from the request, which was sent before now.
+        let expires = duration.map(|duration| now + self.settings.max_elapsed(duration));
+        if let Some(progress) = self.members.get_mut(&to) {
+            progress.lease_expires = match expires {
+                None => None,
+                Some(_) => progress.lease_expires.max(expires),
+            };
+        }
+        duration
+    }
+}
+
+/// When every lease that any leader has granted up to now has expired; `None` is never. A lease ends with its leader's own,
+/// so that a new leader finds all leases expired, as long as leaders' leases do not overlap. This does not rely on it.
+pub(super) fn latest_lease_expiry(settings: &CoordinationSettings, now: Time) -> Option<Time> {
+    match settings.partition_policy {
+        PartitionPolicy::Stop => Some(now + settings.max_elapsed(settings.lease_duration)),
+        PartitionPolicy::Serve => None,
+    }
+}
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the daemons of a group agree on: which member may act under which policy until when (leases), and the change of
-//! all members from one policy to the next, at every one or at none. All parts are state machines that are fed with
-//! events and time and hand out actions: no clocks, sockets, disk or threads, and no knowledge of a policy's content.
+//! Coordination of a group of daemons: leases, by which members act under a policy, and the change from one policy to the
+//! next, at all members or at none. All parts are state machines that receive events and time and return actions. They use
+//! no clocks, sockets, disks or threads, and do not depend on a policy's content.
 //!
 //! | module | state machine |
 //! | --- | --- |
@@ -9,10 +9,12 @@
 //! | [`leader`] | grants leases, and takes a proposed policy through the two-phase change |
 //! | [`voter`] | the replicated log by the consensus library, leader election, the leader's own lease |
 //!
-//! The committed log is an input of [`leader::Leader`]. Whoever drives it guarantees three things: entries are committed
-//! in one order that every leader sees; a leader is elected only once all that was committed before is applied to its
-//! state, and what an earlier leader appended is committed before that or never; and it is the only leader until the end
-//! of the lease that it is given.
+//! The committed log is an input of [`leader::Leader`]. Its driver guarantees that
+//!
+//! - entries are committed in one order, which is the same for every leader;
+//! - a leader is elected only after all committed entries are applied to its state, and no entry of an earlier leader is
+//!   committed after that;
+//! - no other leader exists until the end of the lease that the leader is given.
 
 #![forbid(unsafe_code)]
 
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -1,34 +1,34 @@
 //! A member: whether it may act, and under which policy.
 //!
-//! A process starts without knowing which policy is in force, and acts only while it holds a lease that it requested
-//! itself. Once it has confirmed that it is quiesced for a change, only the change's outcome releases it.
+//! A process starts without a policy, and acts only while it holds a lease that it requested itself. Once it has confirmed
+//! that it is quiesced for a change, only the outcome of the change releases it.
 
 use crate::identifiers::{Epoch, Policy, ProcessIncarnation, ProposalId, Revision};
 use crate::message::{LeaseGrant, LeaseRequest, ToLeader, ToMember};
 use crate::settings::CoordinationSettings;
 use marblefall_time::{Span, Time};
 
-/// What the member's driver must do.
+/// An action that the member's driver must take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
-    /// Send this to the leader.
+    /// Send this message to the leader.
     Send(ToLeader),
-    /// Check this policy, which is to follow this revision, against the messages that are held, and send the verdict with
-    /// [`ToLeader::PolicyChecked`].
+    /// Check a policy that is proposed to follow this revision against the messages that the instances hold, and send the
+    /// verdict as [`ToLeader::PolicyChecked`].
     CheckPolicy(ProposalId, Revision, Policy),
     /// Store the policy and put it in force.
     ApplyPolicy(Revision, Policy),
 }
 
-/// A member that was released gets a lease after one request; after so many without one it has lost the group.
+/// Number of requests after which a released member without a lease counts as partitioned from the group.
 const MAX_REQUESTS_AFTER_RELEASE: i64 = 4;
-/// Requests within one lease: two responses may be lost.
+/// Number of requests within one lease, so that two responses may be lost.
 const REQUESTS_PER_LEASE: i64 = 3;
 
 /// The permission to act under a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// The policy.
+    /// The revision of the policy.
     pub revision: Revision,
     /// When the lease ends; never under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve).
     pub until: Option<Time>,
@@ -50,21 +50,22 @@
     Quiesced(ProposalId),
 }
 
-/// One process of a member.
+/// One run of a member's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     settings: CoordinationSettings,
     incarnation: ProcessIncarnation,
     lease: LeaseState,
     applied: Option<Revision>,
-    /// The latest leader that sent anything.
+    /// The latest epoch from which a message was received.
     epoch: Epoch,
+    /// The latest proposal with a known outcome.
     resolved: ProposalId,
     last_request: Option<Time>,
 }
 
 impl Member {
-    /// A process that starts.
+    /// A starting process.
     pub fn new(settings: CoordinationSettings, incarnation: ProcessIncarnation) -> Member {
         Member {
             settings,
@@ -77,8 +78,8 @@
         }
     }
 
-    /// The lease that the member holds at this moment. To be called directly before each act: the process may have been
-    /// suspended since any earlier call.
+    /// The lease that the member holds at this moment. Must be called immediately before each act, because the process may
+    /// have been suspended since an earlier call.
     pub fn lease(&self, now: Time) -> Option<Lease> {
         match self.lease {
             LeaseState::Held { until } if until.is_none_or(|until| now < until) => {
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Whether the member is quiesced for a change, or was just released and requests a lease: what is submitted waits
-    /// and is not rejected.
+    /// Whether the member is quiesced for a change, or was just released and requests a lease. Submitted messages then wait
+    /// instead of being rejected.
     pub fn is_quiesced(&self, now: Time) -> bool {
         match self.lease {
             LeaseState::Quiesced(_) => true,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The policy that was last applied.
+    /// The revision of the policy that was last applied.
     pub fn applied(&self) -> Option<Revision> {
         self.applied
     }
@@ -114,15 +115,14 @@
             .map_or(now, |sent_at| sent_at + self.request_interval())
     }
 
-    /// Time has passed.
+    /// Requests a lease if it is time to.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<MemberAction>) {
         if self.next_wake(now) <= now {
             self.request_lease(now, actions);
         }
     }
 
-    /// The leader of this epoch has sent a message. What comes late, from a former leader or to an earlier process,
-    /// changes nothing.
+    /// Handles a message of the leader of this epoch. Messages of a former leader, or for an earlier process, are ignored.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -169,29 +169,29 @@
     }
 
     fn handle_grant(&mut self, now: Time, grant: LeaseGrant, actions: &mut Vec<MemberAction>) {
-        // One that was granted before the member was quiesced is void.
-        let void = match self.lease {
+        // A lease that was granted before the member was quiesced is void.
+        let is_void = match self.lease {
             LeaseState::Quiesced(quiesced) => grant.resolved < quiesced,
             LeaseState::Unknown { .. } | LeaseState::Held { .. } => false,
         };
         let until = grant
             .duration
             .map(|duration| Time(grant.sent_at) + self.settings.min_elapsed(Span(duration)));
-        let expired = until.is_some_and(|until| until <= now);
-        if void || grant.resolved < self.resolved || expired {
+        let has_expired = until.is_some_and(|until| until <= now);
+        if is_void || grant.resolved < self.resolved || has_expired {
             return;
         }
         if self.applied != Some(grant.committed) {
-            // Without its content the policy is requested again.
+            // Without the policy's content the next request reports the old revision, and receives it.
             let Some(policy) = grant.policy else { return };
             self.applied = Some(grant.committed);
             actions.push(MemberAction::ApplyPolicy(grant.committed, policy));
-            // Reports the applied revision at once: whoever proposed the change waits for it.
+            // Reports the applied revision at once, because operators wait for it.
             self.request_lease(now, actions);
         }
         self.resolved = grant.resolved;
         let until = match self.lease {
-            // Responses may overtake each other.
+            // Grants may arrive out of order.
             LeaseState::Held { until: earlier } => earlier.max(until),
             LeaseState::Unknown { .. } | LeaseState::Quiesced(_) => until,
         };
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -1,7 +1,7 @@
-//! What members and the leader send each other.
+//! Messages between members and the leader.
 //!
-//! Messages travel as `postcard`, also between two versions of the program: neither the order of variants nor that of
-//! fields may change.
+//! They are encoded as `postcard`, also between two versions of the program: the order of variants and fields must not
+//! change.
 
 use crate::identifiers::{Epoch, Micros, Policy, ProcessIncarnation, ProposalId, Revision};
 use serde::{Deserialize, Serialize};
@@ -9,9 +9,9 @@
 /// A member's verdict on a proposed policy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PolicyVerdict {
-    /// It can act under the policy.
+    /// The member can act under the policy.
     Accepted,
-    /// It cannot, for this reason, which operators read.
+    /// The member cannot act under the policy, for this reason, which operators read.
     Rejected(String),
 }
 
@@ -27,54 +27,54 @@
 /// A member's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The member's process.
+    /// The incarnation of the member's process.
     pub incarnation: ProcessIncarnation,
-    /// Its monotonic clock at the request, in microseconds.
+    /// The process's monotonic clock at the request, in microseconds.
     pub sent_at: Micros,
-    /// The policy that it has applied: its content is not sent again.
+    /// The revision that the member has applied, whose content is not sent again.
     pub applied: Option<Revision>,
 }
 
-/// A lease as the leader grants it.
+/// A lease that the leader grants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The process that requested it.
+    /// The incarnation that requested it.
     pub incarnation: ProcessIncarnation,
-    /// That process's monotonic clock at the request, in microseconds.
+    /// The process's monotonic clock at the request, in microseconds.
     pub sent_at: Micros,
-    /// Microseconds from the request, less the drift; without end under
-    /// [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve).
+    /// The duration from the request on in microseconds, from which the member subtracts the drift; `None` is without end,
+    /// under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve).
     pub duration: Option<Micros>,
     /// The revision in force.
     pub committed: Revision,
-    /// The policy in force, where the member has not applied it.
+    /// The policy in force, unless the member has applied it.
     pub policy: Option<Policy>,
-    /// The last proposal whose outcome is known.
+    /// The last proposal with a known outcome.
     pub resolved: ProposalId,
 }
 
-/// From a member to the leader.
+/// A message from a member to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ToLeader {
     /// A request for a lease.
     LeaseRequest(LeaseRequest),
     /// The member's verdict on a proposed policy.
     PolicyChecked(ProposalId, PolicyVerdict),
-    /// The member does not act any more, and will not before it learns the outcome of the proposal. Responds to the
-    /// leader of this epoch alone: a response to an earlier leader may come from an earlier process, while a later
-    /// process of the member holds a lease.
+    /// The member has stopped acting until it receives the outcome of the proposal. Addressed to the leader of this epoch
+    /// alone: a confirmation for an earlier leader may be from an earlier process, while a later process of the member
+    /// holds a lease.
     Quiesced(ProposalId, Epoch),
 }
 
-/// From the leader to a member.
+/// A message from the leader to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ToMember {
     /// The member may act under the policy in force.
     LeaseGranted(LeaseGrant),
-    /// Check this policy, which is to follow this revision.
+    /// Check this policy, which is proposed to follow this revision.
     CheckPolicy(ProposalId, Revision, Policy),
-    /// Stop acting until the outcome is known.
+    /// Stop acting until the proposal has its outcome.
     Quiesce(ProposalId),
-    /// Proposals up to this one have their outcome: a lease may be requested again.
+    /// Proposals up to this one have their outcome, so that a lease can be requested again.
     Resolved(ProposalId),
 }
--- a/crates/coordination/src/node/operator.rs
+++ b/crates/coordination/src/node/operator.rs
@@ -1,113 +1,15 @@
-//! What operators ask of a group, and how its leader responds.
-//!
-//! Requests and replies travel as `postcard`, also between two versions of the program: neither the order of variants nor
-//! that of fields may change.
+//! The leader's replies to operators' requests.
 
+use super::operator_message::{
+    ChangePhase, GroupStatus, MemberStatus, PendingStatus, Reply, Request,
+};
 use super::{Node, NodeAction};
-use crate::identifiers::{Author, ClockReading, MemberId, Micros, Policy, Revision};
+use crate::identifiers::{Author, ClockReading, MemberId, Policy, Revision};
 use crate::leader::{Leader, LeaderAction};
-use crate::replicated_state::{KnownChange, LeaderEntry, ReplicatedState, ResolvedChange};
+use crate::replicated_state::{KnownChange, LeaderEntry, ReplicatedState};
 use marblefall_time::Time;
-use serde::{Deserialize, Serialize};
 
-/// What an operator asks of the group.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Request {
-    /// Change the policy.
-    Propose {
-        /// The revision that the change is based on.
-        base: Revision,
-        /// The new policy.
-        policy: Policy,
-        /// Who proposes it.
-        author: Author,
-    },
-    /// What became of the change with this key?
-    Outcome(u64),
-    /// Withdraw the pending change.
-    Withdraw,
-    /// This member is stopped, as the operator confirms: do not wait for it.
-    Exclude(MemberId),
-    /// What is the state of the group?
-    Status,
-    /// What became of earlier changes?
-    History,
-}
-
-/// How the leader responds.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
-    /// The change is on its way into the log.
-    Proposed,
-    /// Another change has no outcome yet: who proposed it.
-    Busy(Author),
-    /// The change is based on another revision than the one in force, which is this.
-    Stale(Revision),
-    /// The change is in this phase, and waits for these members.
-    Pending(ChangePhase, Vec<MemberId>),
-    /// The change has its outcome.
-    Resolved(ResolvedChange),
-    /// No such change, or no such member, is known.
-    Unknown,
-    /// The request is on its way into the log.
-    Accepted,
-    /// No change is pending.
-    NothingPending,
-    /// The group as its leader sees it.
-    Status(Box<GroupStatus>),
-    /// Outcomes of changes, the latest last.
-    History(Vec<ResolvedChange>),
-}
-
-/// The phase of a pending change.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ChangePhase {
-    /// Members check the policy.
-    Checking,
-    /// Members stop acting under the policy in force, or the outcome is on its way into the log.
-    Quiescing,
-}
-
-/// The group as its leader sees it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct GroupStatus {
-    /// Who leads.
-    pub leader: MemberId,
-    /// The revision in force.
-    pub committed: Revision,
-    /// The change that has no outcome.
-    pub pending: Option<PendingStatus>,
-    /// All members.
-    pub members: Vec<MemberStatus>,
-}
-
-/// A pending change as the leader sees it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PendingStatus {
-    /// Who proposed it.
-    pub author: Author,
-    /// Its phase.
-    pub phase: ChangePhase,
-    /// The members that it waits for.
-    pub awaited: Vec<MemberId>,
-}
-
-/// A member as the leader sees it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemberStatus {
-    /// Which.
-    pub member: MemberId,
-    /// The revision that it last reported as applied.
-    pub applied: Option<Revision>,
-    /// Microseconds since its last request to this leader.
-    pub since_last_request: Option<Micros>,
-    /// Whether it votes.
-    pub votes: bool,
-    /// Whether operators confirmed that it is stopped.
-    pub excluded: bool,
-}
-
-/// What a leader knows that is surely the only one.
+/// The state of a leader that holds its own lease.
 struct LeaderView<'a> {
     leader: &'a Leader,
     state: &'a ReplicatedState,
@@ -123,7 +25,7 @@
         }
     }
 
-    /// What became of the change with this key, if it is known.
+    /// The outcome or the phase of the change with this key, if it is known.
     fn outcome(&self, key: u64) -> Option<Reply> {
         Some(match self.state.find_change(key)? {
             KnownChange::Resolved(change) => Reply::Resolved(change.clone()),
@@ -133,8 +35,8 @@
         })
     }
 
-    /// Why a change is not taken into the log, if it is known already or cannot be made now.
-    fn objection(&self, base: Revision, author: &Author) -> Option<Reply> {
+    /// The reply to a proposal that is not appended to the log: it is known already, or cannot be made now.
+    fn rejection(&self, base: Revision, author: &Author) -> Option<Reply> {
         if let Some(reply) = self.outcome(author.key) {
             return Some(reply);
         }
@@ -155,7 +57,7 @@
 }
 
 impl Node {
-    /// The leader's reply to an operator; nothing where this daemon does not lead.
+    /// The reply to an operator's request; `None` if this daemon does not lead.
     pub(super) fn reply(
         &mut self,
         now: ClockReading,
@@ -168,22 +70,18 @@
                 base,
                 policy,
                 author,
-            } => match view.objection(base, &author) {
+            } => match view.rejection(base, &author) {
                 Some(reply) => reply,
                 None => self.reply_to_proposal(now, policy, author, actions),
             },
             Request::Outcome(key) => view.outcome(key).unwrap_or(Reply::Unknown),
+            Request::Withdraw if view.state.pending.is_none() => Reply::NothingPending,
             Request::Withdraw => {
-                if view.state.pending.is_none() {
-                    return Some(Reply::NothingPending);
-                }
                 self.lead(now, actions, Leader::withdraw_by_operator);
                 Reply::Accepted
             }
+            Request::Exclude(member) if !self.setup.members.contains(&member) => Reply::Unknown,
             Request::Exclude(member) => {
-                if !self.setup.members.contains(&member) {
-                    return Some(Reply::Unknown);
-                }
                 let excluded = LeaderAction::Append(LeaderEntry::Excluded(member));
                 self.lead(now, actions, |_, actions| actions.push(excluded));
                 Reply::Accepted
@@ -193,7 +91,7 @@
         })
     }
 
-    /// None where another leader may have followed: what was in force is not reported as what is.
+    /// The leader's state; `None` if another leader may exist, as this one may not know the policy in force.
     fn leader_view(&self, now: Time) -> Option<LeaderView<'_>> {
         let leader = self.leader.as_ref()?;
         let state = self.voter.as_ref()?.state();
@@ -210,7 +108,7 @@
         actions: &mut Vec<NodeAction>,
     ) -> Reply {
         match &self.proposal_in_flight {
-            // An operator who has heard nothing for a while proposes the same change again.
+            // An operator's command repeats its proposal while it receives no reply.
             Some(in_flight) if in_flight.key == author.key => {}
             Some(in_flight) => return Reply::Busy(in_flight.clone()),
             None => self.propose(now, policy, author, actions),
--- a/crates/coordination/src/persistent_state.rs
+++ b/crates/coordination/src/persistent_state.rs
@@ -1,7 +1,7 @@
-//! What a voter keeps on disk: its part of the log, and how far it has shown others that it had come.
+//! A voter's persistent state: its part of the log, and the storage versions by which a loss of the storage is detected.
 //!
-//! It is one file that is replaced whole: a magic number, a version, a checksum, and the state as `postcard`, which goes by
-//! the order of fields: that order may not change.
+//! It is one file, which is replaced atomically: a magic number, a version, a checksum, and the state as `postcard`, which
+//! depends on the order of fields: that order must not change.
 
 use crate::identifiers::{MemberId, StorageId, StorageVersion};
 use crate::replicated_state::{LogEntry, ReplicatedState};
@@ -9,39 +9,40 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version of the file's form.
+/// The version of the file format.
 const VERSION: u8 = 1;
+/// The first bytes of the file.
 const MAGIC: &[u8; 7] = b"mfgroup";
 
-/// Why a file is not the state of this voter.
+/// Why a file cannot be decoded as the state of this voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// It does not begin with the magic number.
     #[error("it is no file of a group")]
     UnknownFormat,
-    /// A later program wrote it.
+    /// A later version of the program wrote it.
     #[error("a later version of the program wrote it")]
     NewerVersion,
-    /// Its checksum does not fit, or its content cannot be read.
+    /// Its checksum does not match, or its content cannot be decoded.
     #[error("it is damaged")]
     Corrupt,
-    /// It is of a group or a member with another name.
+    /// It belongs to another group or member.
     #[error("it is of another group or another member")]
     OtherOwner,
 }
 
-/// What is kept.
+/// A voter's persistent state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistentState {
-    /// The group's and the member's names, as one number.
+    /// A hash of the group's and the member's name.
     pub owner: u64,
-    /// Which storage this is, and how often it was written: all that a voter sends names the write that it depends on.
+    /// The storage and its number of writes. Each message of the voter contains the number of the write that it depends on.
     pub storage: StorageVersion,
-    /// The storage of the other voters, as they last showed it.
+    /// The other voters' storage versions, as last received.
     pub peers: BTreeMap<MemberId, StorageVersion>,
-    /// The configuration of voters that the log is of; 0 before there was any.
+    /// The number of the configuration of voters that the log belongs to; 0 before the first one.
     pub configuration: u32,
-    /// What the log of this configuration began with.
+    /// The state before the first entry of the log.
     pub base: Option<ReplicatedState>,
     pub(crate) promise: Option<Ballot>,
     pub(crate) accepted_round: Option<Ballot>,
@@ -50,7 +51,7 @@
 }
 
 impl PersistentState {
-    /// The state of a storage that is new.
+    /// The state of a new storage.
     pub fn new(owner: u64, id: StorageId) -> PersistentState {
         PersistentState {
             owner,
@@ -65,11 +66,11 @@
         }
     }
 
-    /// Begins another configuration: an empty log after this state.
+    /// Begins another configuration, with an empty log after this state.
     pub fn begin_configuration(&mut self, configuration: u32, base: ReplicatedState) {
         let peer = |(member, id): (&MemberId, &StorageId)| {
             let known = self.peers.get(member).filter(|known| known.id == *id);
-            // A storage that was admitted as new has shown nothing yet.
+            // A voter that was admitted with a new storage has not sent its version yet.
             let new = StorageVersion {
                 id: *id,
                 write_count: 0,
@@ -86,33 +87,33 @@
         };
     }
 
-    /// What the log began with: an empty state before there was a configuration.
+    /// The state before the first entry of the log; an empty state before the first configuration.
     pub fn base_state(&self) -> ReplicatedState {
         self.base
             .clone()
             .unwrap_or_else(|| ReplicatedState::new(BTreeMap::new()))
     }
 
-    /// How many entries the log has, decided or not.
+    /// The number of entries of the log, decided or not.
     pub fn log_length(&self) -> usize {
         self.log.len()
     }
 
-    /// The entries of the log from this one on.
+    /// The entries of the log from this index on.
     pub fn entries_from(&self, first: usize) -> Vec<LogEntry> {
         self.log
             .get(first..)
             .map_or_else(Vec::new, <[LogEntry]>::to_vec)
     }
 
-    /// Whether the end of this configuration is in the log, decided or not.
+    /// Whether the log contains the end of this configuration, decided or not.
     pub fn is_configuration_ending(&self) -> bool {
         self.log
             .iter()
             .any(|entry| matches!(entry, LogEntry::ConfigurationEnded(_)))
     }
 
-    /// The content of the file.
+    /// Encodes the content of the file.
     pub fn encode(&self) -> Vec<u8> {
         // Cannot fail: the length of each sequence is known.
         let body = postcard::to_allocvec(self).unwrap_or_default();
@@ -123,10 +124,10 @@
         bytes
     }
 
-    /// Reads what [`PersistentState::encode`] made.
+    /// Decodes the content of the file of this owner.
     ///
     /// # Errors
-    /// Where it is something else, damaged, of a later version, or of another owner.
+    /// The content is of another format, damaged, of a later version, or of another owner.
     pub fn decode(bytes: &[u8], owner: u64) -> Result<PersistentState, DecodeError> {
         let rest = bytes
             .strip_prefix(&MAGIC[..])
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -1,59 +1,59 @@
-//! The state that the replicated log leads to: the policy in force, the pending change, and the outcomes of earlier ones.
-//! The same entries in the same order lead to the same state at every voter; the state is also what the log of a new
-//! configuration of voters begins with.
+//! The state machine that is replicated by the log: the policy in force, the pending change, and the outcomes of earlier
+//! changes. The same entries in the same order lead to the same state at every voter. The log of a new configuration of
+//! voters begins with this state.
 //!
-//! Entries and state are stored and sent as `postcard`: neither the order of variants nor that of fields may change.
+//! Entries and state are stored and sent as `postcard`: the order of variants and fields must not change.
 
 use crate::identifiers::{Author, Epoch, MemberId, Policy, ProposalId, Revision, StorageId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Resolved changes that are kept at most.
+/// Maximum number of resolved changes in the history.
 const MAX_HISTORY: usize = 256;
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogEntry {
-    /// A leader begins: what earlier leaders append from here on is void.
+    /// A leader's epoch begins. Later entries of earlier leaders are void.
     EpochStarted(Epoch),
-    /// What a leader appended.
+    /// A leader's entry.
     Leader {
-        /// Which leader.
+        /// The leader's epoch.
         epoch: Epoch,
-        /// Its wall clock, in Unix time and milliseconds.
+        /// The leader's wall clock, as Unix time in milliseconds.
         unix_ms: i64,
-        /// What it appended.
+        /// The entry.
         entry: LeaderEntry,
     },
-    /// The configuration ends here, and the next one has these voters: what follows in this log is void.
+    /// The configuration ends, and the next one has these voters. Later entries of this log are void.
     ConfigurationEnded(BTreeMap<MemberId, StorageId>),
 }
 
-/// What a leader appends to the log.
+/// A leader's entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum LeaderEntry {
     /// A policy is proposed to follow the one in force.
     Proposed(ProposalId, Policy, Author),
     /// The proposed policy is in force.
     InForce(ProposalId),
-    /// The proposed policy never will be in force, and why.
+    /// The proposed policy will never be in force, for this reason.
     Withdrawn(ProposalId, String),
-    /// Operators confirm that this member is stopped: changes do not wait for it.
+    /// Operators have confirmed that this member is stopped. Changes do not wait for it.
     Excluded(MemberId),
-    /// The member has requested a lease again, and counts as one that may act from now on.
+    /// An excluded member has requested a lease. Changes wait for it again.
     Readmitted(MemberId),
 }
 
-/// A change that has no outcome yet.
+/// A change without an outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PendingChange {
-    /// Its number.
+    /// The number of the change.
     pub proposal: ProposalId,
     /// The proposed policy.
     pub policy: Policy,
-    /// Who proposed it.
+    /// The author of the change.
     pub author: Author,
-    /// When, in Unix time and milliseconds.
+    /// When it was proposed, as Unix time in milliseconds.
     pub proposed_ms: i64,
 }
 
@@ -66,53 +66,53 @@
     Withdrawn(String),
 }
 
-/// A change that has its outcome.
+/// A change with an outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ResolvedChange {
-    /// Its number.
+    /// The number of the change.
     pub proposal: ProposalId,
-    /// Who proposed it.
+    /// The author of the change.
     pub author: Author,
-    /// When, in Unix time and milliseconds.
+    /// When it was proposed, as Unix time in milliseconds.
     pub proposed_ms: i64,
-    /// When it had its outcome, in Unix time and milliseconds.
+    /// When the outcome was appended to the log, as Unix time in milliseconds.
     pub resolved_ms: i64,
-    /// Its outcome.
+    /// The outcome.
     pub outcome: ChangeOutcome,
 }
 
-/// A change that was looked up.
+/// The result of looking a change up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KnownChange<'a> {
-    /// It has no outcome yet.
+    /// The change has no outcome.
     Pending(&'a PendingChange),
-    /// It has one.
+    /// The change has an outcome.
     Resolved(&'a ResolvedChange),
 }
 
-/// The state after all entries that were applied.
+/// The replicated state after a number of entries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The leader whose entries count.
+    /// The epoch whose entries are valid.
     pub epoch: Epoch,
-    /// The revision in force; 0 is none yet.
+    /// The revision in force; 0 before the first policy.
     pub committed: Revision,
     /// The policy in force.
     pub policy: Policy,
-    /// The last change that has its outcome.
+    /// The last change with an outcome.
     pub resolved: ProposalId,
-    /// The change that has none.
+    /// The change without an outcome, if there is one.
     pub pending: Option<PendingChange>,
-    /// Members that are stopped, as operators confirmed.
+    /// Members that are stopped, as operators have confirmed.
     pub excluded: BTreeSet<MemberId>,
-    /// Outcomes of changes, the latest last.
+    /// Changes with an outcome, the latest last.
     pub history: VecDeque<ResolvedChange>,
-    /// Who votes, with the storage that each had when it was admitted.
+    /// The voters, each with the storage with which it was admitted.
     pub voters: BTreeMap<MemberId, StorageId>,
 }
 
 impl ReplicatedState {
-    /// The state of an empty log of these voters; the policy of revision 0 is empty.
+    /// The state before the first entry of these voters' log. The policy of revision 0 is empty.
     pub fn new(voters: BTreeMap<MemberId, StorageId>) -> ReplicatedState {
         ReplicatedState {
             epoch: Epoch::default(),
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Applies the next entry of the log; returns what a leader appended if it counts. The first outcome of a change is
-    /// its outcome.
+    /// Applies the next entry of the log, and returns a leader's entry unless it is void. The first outcome of a change is
+    /// final.
     pub fn apply(&mut self, entry: LogEntry) -> Option<LeaderEntry> {
         match entry {
             LogEntry::EpochStarted(epoch) => {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The change that was proposed with this key, if it is known.
+    /// Looks up the change with this key.
     pub fn find_change(&self, key: u64) -> Option<KnownChange<'_>> {
         let resolved = self.history.iter().rev();
         let pending = self.pending.iter();
@@ -156,7 +156,7 @@
             .find(|change| change.author().key == key)
     }
 
-    /// Applies what the current leader appended; whether it counts.
+    /// Applies an entry of the current leader; whether it is valid.
     fn apply_leader_entry(&mut self, unix_ms: i64, entry: &LeaderEntry) -> bool {
         match entry {
             LeaderEntry::Proposed(proposal, policy, author) => {
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,11 +1,14 @@
-//! The settings of a group: leases, timeouts, and what a network partition costs.
+//! The settings of a group: leases, timeouts, and the behaviour in a network partition.
 
 use marblefall_time::Span;
 
-/// What a network partition costs, by the operators' choice.
+/// Hundredths in a whole.
+const PERCENT: i64 = 100;
+
+/// What a member does while it cannot reach the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PartitionPolicy {
-    /// A member that has not reached the leader for longer than its lease stops acting; changes then complete without it.
+    /// It stops acting when its lease expires. Changes then complete without it.
     Stop,
     /// It continues to act; changes wait for it.
     Serve,
@@ -14,17 +17,17 @@
 /// The settings of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CoordinationSettings {
-    /// What a network partition costs.
+    /// What a member does while it cannot reach the leader.
     pub partition_policy: PartitionPolicy,
-    /// How long a lease lasts, under [`PartitionPolicy::Stop`].
+    /// The duration of a lease, under [`PartitionPolicy::Stop`].
     pub lease_duration: Span,
-    /// By how many hundredths two clocks may differ in speed.
+    /// Maximum difference in speed between two clocks, in percent.
     pub clock_drift_percent: i64,
-    /// How long a change may wait for the members' verdicts, under [`PartitionPolicy::Stop`].
+    /// Time after which a change without all members' verdicts is withdrawn, under [`PartitionPolicy::Stop`].
     pub check_timeout: Span,
-    /// How long members may be quiesced before the change is withdrawn.
+    /// Time after which a change is withdrawn, if not all members are quiesced.
     pub quiesce_timeout: Span,
-    /// A message without a response is sent again after this.
+    /// Time after which a message without a response is sent again.
     pub resend_interval: Span,
 }
 
@@ -40,6 +43,6 @@
     }
 
     fn drift(&self, span: Span) -> i64 {
-        span.0 * self.clock_drift_percent / 100
+        span.0 * self.clock_drift_percent / PERCENT
     }
 }
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -1,15 +1,15 @@
-//! A voter: its part of the replicated log by the consensus library, when it leads and until when it is the only leader,
-//! and whether its storage still has what it once acknowledged. Without I/O: what must be on disk is handed out before
-//! what depends on it.
+//! A voter: its part of the replicated log by the consensus library, its leadership and the leader's own lease, and the
+//! detection of lost storage. It performs no I/O: the state that must be on disk is returned before the messages that
+//! depend on it.
 //!
 //! Three protocols are added to the library's:
-//! - *Leader leases* (`leadership`): a leader asks the other voters whether they have promised to anyone else since. If a
-//!   majority has not, a later leader begins only after the question was sent.
-//! - *Epochs* (`replication`): a leader's first entry marks where its epoch begins; entries that an earlier leader had
-//!   under way are void from there on.
-//! - *Amnesia detection* (`amnesia`): everything that a voter sends names how often its storage had been written, the
-//!   others keep the highest number that they were shown, and a voter that starts participates only once enough others
-//!   were shown no more than it has.
+//! - *Leader leases* (`leadership`): a leader requests from the other voters a confirmation that their last promise is to it.
+//!   Once a majority has confirmed, no later leader was elected before the request was sent.
+//! - *Epochs* (`replication`): a leader's first entry marks the start of its epoch, after which entries of earlier leaders
+//!   are void.
+//! - *Amnesia detection* (`amnesia`): the messages of a voter contain the number of writes of its storage, of which the
+//!   other voters store the highest. A starting voter participates only after enough others have confirmed that they know
+//!   of no later write than its storage has.
 
 mod amnesia;
 mod leadership;
@@ -28,25 +28,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The consensus library's unit of time.
+/// The interval of the consensus library's ticks.
 const TICK: Span = Span(100_000);
-/// A voter that does not participate asks the others again after this.
+/// The interval at which a voter that does not participate repeats its requests to the others.
 const HELLO_INTERVAL: Span = Span(400_000);
 
-/// What the voter's driver must do.
+/// An action that the voter's driver must take.
 #[derive(Debug)]
 pub enum VoterAction {
-    /// Send this to another voter.
+    /// Send this message to another voter.
     Send(MemberId, VoterMessage),
-    /// An entry of the log that counts is committed.
+    /// A leader's entry is committed, and is not void.
     Committed(LeaderEntry),
-    /// This voter leads from now on: all that was committed before is in its state.
+    /// This voter leads from now on. Its state includes all committed entries.
     Elected(Epoch),
-    /// It does not lead any more.
+    /// This voter no longer leads.
     Deposed,
-    /// It is the only leader until then.
+    /// No other leader exists until this time.
     LeaseExtended(Time),
-    /// Write a log line: a reason code, and what happened.
+    /// Write a log line with a reason code.
     Log(&'static str, String),
 }
 
@@ -55,33 +55,33 @@
 pub struct VotingStatus {
     /// Whether it participates.
     pub participates: bool,
-    /// The configuration of voters; 0 is none.
+    /// The number of the configuration of voters; 0 before the first one.
     pub configuration: u32,
 }
 
-/// What a voter starts with.
+/// The parts of a voter.
 #[derive(Clone, Debug)]
 pub struct VoterSetup {
-    /// Which member this is.
+    /// The member that the voter is.
     pub own_id: MemberId,
     /// All voters.
     pub voters: BTreeSet<MemberId>,
-    /// How long a leader is the only one after its question was sent.
+    /// The duration of a leader's own lease.
     pub lease_duration: Span,
-    /// What its storage holds.
+    /// The content of its storage.
     pub state: PersistentState,
-    /// Drawn anew for each process.
+    /// A random number of this process.
     pub seed: u64,
 }
 
 /// Whether the voter participates.
 #[derive(Clone, Debug, PartialEq)]
 enum Participation {
-    /// It asks what others know of its storage; these have responded.
+    /// It requests from the others what they know of its storage. These have confirmed it.
     Recovering(BTreeSet<MemberId>),
     /// It participates.
     Participating,
-    /// Its storage has lost what it acknowledged; it asks to be admitted as a new one.
+    /// Its storage has lost acknowledged writes. It requests to be admitted as a new voter.
     AwaitingAdmission,
 }
 
@@ -92,12 +92,12 @@
     lease_duration: Span,
     storage: LogStorage,
     participation: Participation,
-    /// The consensus library; none where there is only one voter.
+    /// The consensus library; `None` before the voter participates, and if it is the only one.
     paxos: Option<OmniPaxos<LogEntry, LogStorage>>,
-    /// The only voter commits what it has written.
+    /// The only voter commits without the library.
     is_only_voter: bool,
     state: ReplicatedState,
-    /// Entries of the log that were applied to the state.
+    /// The number of entries of the log that are applied to the state.
     applied: usize,
     next_tick: Time,
     next_hello: Time,
@@ -105,14 +105,14 @@
     lease_rounds: Vec<LeaseRound>,
     last_lease_round: u64,
     next_lease_round: Time,
-    /// When the configuration was last sent to other voters.
+    /// When the configuration was last sent to each other voter.
     configuration_sent: BTreeMap<MemberId, Time>,
-    /// For the identity of a new storage.
+    /// The identity of the next new storage.
     seed: u64,
 }
 
 impl Voter {
-    /// A voter that starts.
+    /// The voter of a starting process.
     pub fn new(setup: VoterSetup, now: Time) -> Voter {
         let is_only_voter = setup.voters.len() == 1;
         let mut voter = Voter {
@@ -134,7 +134,7 @@
             configuration_sent: BTreeMap::new(),
             seed: setup.seed,
         };
-        // The first write gives the storage its identity before anything is sent.
+        // The identity of the storage must be on disk before anything is sent.
         voter.storage.mark_unsaved();
         if is_only_voter {
             voter.participate(now, &mut Vec::new());
@@ -142,12 +142,12 @@
         voter
     }
 
-    /// The state after all entries that are committed.
+    /// The state after all committed entries.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Whether it participates, and in which configuration.
+    /// Whether the voter participates, and in which configuration.
     pub fn status(&self) -> VotingStatus {
         VotingStatus {
             participates: self.participation == Participation::Participating,
@@ -155,7 +155,8 @@
         }
     }
 
-    /// The content of the file that must be on disk before anything that was handed out since is sent. Counts as written.
+    /// The content of the file, if it must be written before the messages returned so far are sent. It then counts as
+    /// written, unless [`Voter::handle_write_failed`] is called.
     pub fn take_unsaved(&mut self) -> Option<Vec<u8>> {
         if !self.storage.is_unsaved() {
             return None;
@@ -166,7 +167,7 @@
         Some(state.encode())
     }
 
-    /// What [`Voter::take_unsaved`] gave was not written.
+    /// The content that [`Voter::take_unsaved`] returned could not be written.
     pub fn handle_write_failed(&mut self) {
         self.storage.mark_unsaved();
     }
@@ -180,7 +181,7 @@
         }
     }
 
-    /// The connection to another voter was established anew: what was sent on the old one may be lost.
+    /// The connection to another voter was established again. Messages on the former one may be lost.
     pub fn handle_connected(&mut self, member: MemberId, actions: &mut Vec<VoterAction>) {
         let node_id = self.paxos_id(member);
         if let (Some(paxos), Some(node_id)) = (&mut self.paxos, node_id) {
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Executes what has become due.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         match &self.participation {
             Participation::Participating => {
@@ -215,7 +216,7 @@
         self.advance(now, actions);
     }
 
-    /// Another voter has sent a message.
+    /// Handles a message of another voter.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -253,7 +254,7 @@
         self.advance(now, actions);
     }
 
-    /// Appends to the log what the leader of this epoch decided, dated with its wall clock.
+    /// Appends an entry of the leader of this epoch to the log, dated with its wall clock.
     pub fn append(
         &mut self,
         now: Time,
@@ -275,7 +276,7 @@
         voters.filter(|member| *member != self.own_id)
     }
 
-    /// A voter's number with the consensus library, which counts from 1.
+    /// The consensus library's number of a voter, counted from 1.
     fn paxos_id(&self, member: MemberId) -> Option<u64> {
         let mut voters = self.voters.iter();
         let position = voters.position(|voter| *voter == member)?;
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Sends to all other voters, once per interval.
+    /// Sends a message to all other voters, once per [`HELLO_INTERVAL`].
     fn send_periodically(
         &mut self,
         now: Time,
--- a/crates/coordination/src/voter/amnesia.rs
+++ b/crates/coordination/src/voter/amnesia.rs
@@ -1,9 +1,9 @@
-//! Whether a voter's storage still has what it once acknowledged, and how a voter whose storage has not is admitted as a
-//! new one.
+//! Detection of storage that has lost acknowledged writes, and the admission of such a voter as a new one.
 //!
-//! A voter that starts shows its storage to the others ([`VoterMessage::Hello`]) and participates once enough of them
-//! know of no later state of it. If one does, the storage was lost or restored from an old copy: the voter takes a new
-//! [`StorageId`] and asks the leader to be admitted with it, by a configuration of its own.
+//! A starting voter sends its storage version to the others ([`VoterMessage::Hello`]), and participates once enough of them
+//! have responded that they know of no later version. If one knows of a later version, the storage was lost or restored
+//! from an old copy: the voter takes a new [`StorageId`] and requests admission from the leader, which begins a new
+//! configuration for it.
 
 use super::{KnownStorage, Participation, Voter, VoterAction, VoterMessage, HELLO_INTERVAL};
 use crate::identifiers::{MemberId, StorageId, StorageVersion};
@@ -15,30 +15,36 @@
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 
+/// Multiplier of the linear congruential generator that derives the identities of further new storages.
+const SEED_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+/// Increment of that generator.
+const SEED_INCREMENT: u64 = 1;
+
 impl Voter {
+    /// Records another voter's storage version, and responds with the one that was known.
     pub(super) fn handle_hello(
         &mut self,
         now: Time,
         from: MemberId,
-        shown: StorageVersion,
+        received: StorageVersion,
         configuration: u32,
         actions: &mut Vec<VoterAction>,
     ) {
         let mut state = self.storage.state_mut();
-        // Before a group is founded nobody has acknowledged anything: storage that was lost is as good as any other.
-        let is_replaced = |known: &StorageVersion| known.id != shown.id;
+        // Before the first configuration no voter has acknowledged anything, so that a lost storage can be replaced.
+        let is_replaced = |known: &StorageVersion| known.id != received.id;
         if state.configuration == 0 && state.peers.get(&from).is_some_and(is_replaced) {
             state.peers.remove(&from);
         }
         let known = match state.peers.entry(from) {
             Entry::Vacant(vacant) => {
                 self.storage.mark_unsaved();
-                *vacant.insert(shown)
+                *vacant.insert(received)
             }
             Entry::Occupied(occupied) => {
                 let known = occupied.into_mut();
-                if known.id == shown.id {
-                    known.write_count = known.write_count.max(shown.write_count);
+                if known.id == received.id {
+                    known.write_count = known.write_count.max(received.write_count);
                 }
                 *known
             }
@@ -56,6 +62,8 @@
         }
     }
 
+    /// Handles a response to [`VoterMessage::Hello`]: participates once enough voters have responded, or replaces the
+    /// storage if one of them knows of a later version.
     pub(super) fn handle_known_storage(
         &mut self,
         now: Time,
@@ -84,7 +92,7 @@
         responded.insert(from);
         let required = match is_founded {
             true => self.voters.len() / 2,
-            // All must respond when a group is founded: one that is not known could be one that has lost its storage.
+            // All must respond before the first configuration: an unknown voter may have lost its storage.
             false if response.configuration == 0 => self.voters.len() - 1,
             false => return,
         };
@@ -93,7 +101,7 @@
         }
     }
 
-    /// Participates from now on, and founds the group if it has no configuration yet.
+    /// Participates from now on, and begins the first configuration if there is none.
     pub(super) fn participate(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         let mut state = self.storage.state_mut();
         if state.configuration == 0 {
@@ -114,7 +122,7 @@
         ));
     }
 
-    /// Sends the current configuration to a voter that does not know it, at most once per interval.
+    /// Sends the current configuration to a voter that does not know it, at most once per [`HELLO_INTERVAL`].
     pub(super) fn send_configuration(
         &mut self,
         now: Time,
@@ -133,7 +141,7 @@
         }
     }
 
-    /// A configuration may be later than the one that is known here: its log begins with this state.
+    /// Begins a configuration that is later than the current one, and whose log begins with this state.
     pub(super) fn handle_configuration(
         &mut self,
         now: Time,
@@ -143,7 +151,7 @@
     ) {
         let state = self.storage.state();
         let is_admitted = base.voters.get(&self.own_id) == Some(&state.storage.id);
-        // Storage that may be an old copy could have participated in that configuration already.
+        // Storage that may be an old copy may have participated in that configuration already.
         let is_current = match &self.participation {
             Participation::Recovering(responded) => {
                 state.configuration == 0 && responded.len() >= self.voters.len() / 2
@@ -161,7 +169,7 @@
         self.begin_configuration(now, configuration, base, actions);
     }
 
-    /// A voter whose storage was replaced is admitted by a configuration of its own.
+    /// Admits a voter whose storage was replaced, by beginning another configuration.
     pub(super) fn handle_admission_request(
         &mut self,
         now: Time,
@@ -182,7 +190,7 @@
         }
     }
 
-    /// Keeps how often another voter's storage had been written.
+    /// Records the number of writes of another voter's storage.
     pub(super) fn note_write_count(
         &mut self,
         from: MemberId,
@@ -195,7 +203,7 @@
             return;
         };
         known.write_count = write_count;
-        // What a majority depends on must be known of those that form it, also after this voter's restart.
+        // Writes on which a majority depends must be known after a restart of this voter, too.
         let acknowledges = match message {
             Message::SequencePaxos(paxos) => {
                 matches!(paxos.msg, PaxosMsg::Accepted(_) | PaxosMsg::Promise(_))
@@ -207,7 +215,7 @@
         }
     }
 
-    /// Neither the promises nor the log of this storage are known any more: the voter must not vote as if they were.
+    /// Begins with a new storage. The voter must not vote before its admission, as its promises and its log are lost.
     fn replace_storage(
         &mut self,
         now: Time,
@@ -224,8 +232,8 @@
         drop(state);
         self.seed = self
             .seed
-            .wrapping_mul(6_364_136_223_846_793_005)
-            .wrapping_add(1);
+            .wrapping_mul(SEED_MULTIPLIER)
+            .wrapping_add(SEED_INCREMENT);
         self.storage.mark_unsaved();
         self.participation = Participation::AwaitingAdmission;
         self.next_hello = now;
--- a/crates/coordination/src/voter/leadership.rs
+++ b/crates/coordination/src/voter/leadership.rs
@@ -1,7 +1,7 @@
-//! Whether a voter leads, by the consensus library, and until when it is the only leader.
+//! Leader election by the consensus library, and the leader's own lease.
 //!
-//! A leader sends [`VoterMessage::ConfirmLeader`] several times per lease. Once a majority, itself included, has
-//! confirmed a round, it is the only leader for a lease duration from when the round was sent.
+//! A leader sends [`VoterMessage::ConfirmLeader`] several times per lease. Once a majority, including itself, has confirmed
+//! a round, no other leader exists for a lease duration from the time when the round was sent.
 
 use super::{Participation, Voter, VoterAction, VoterMessage};
 use crate::identifiers::{Epoch, MemberId};
@@ -10,22 +10,28 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use std::collections::BTreeSet;
 
-/// Rounds that are sent within one lease.
+/// Number of rounds within one lease.
 const ROUNDS_PER_LEASE: i64 = 4;
+/// Bits below the configuration in an epoch.
+const CONFIGURATION_SHIFT: u32 = 44;
+/// Bits below the ballot's number in an epoch.
+const BALLOT_NUMBER_SHIFT: u32 = 8;
+/// Bits of the voter's number in an epoch.
+const VOTER_MASK: u64 = 0xff;
 
-/// Whether a voter leads.
+/// A voter's leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Leadership {
-    /// It does not.
+    /// It does not lead.
     Follower,
-    /// By the consensus library it does; the entry that starts its epoch is not committed yet.
+    /// It leads in the consensus library, and the entry that starts its epoch is not committed yet.
     Starting(Epoch),
-    /// It does.
+    /// It leads.
     Leading(Epoch),
 }
 
 impl Leadership {
-    /// The epoch that the voter leads, or is about to.
+    /// The epoch that the voter leads, or is about to lead.
     fn epoch(self) -> Option<Epoch> {
         match self {
             Leadership::Follower => None,
@@ -33,12 +39,13 @@
         }
     }
 
+    /// Whether the voter leads.
     pub(super) fn is_leading(self) -> bool {
         matches!(self, Leadership::Leading(_))
     }
 }
 
-/// A question of a leader whether it is still the only one.
+/// One round of a leader's requests for confirmation.
 pub(super) struct LeaseRound {
     number: u64,
     sent_at: Time,
@@ -46,7 +53,7 @@
 }
 
 impl Voter {
-    /// Follows the consensus library's leader election.
+    /// Applies the outcome of the consensus library's leader election.
     pub(super) fn update_leadership(&mut self, actions: &mut Vec<VoterAction>) {
         let epoch = self.elected_epoch();
         if epoch == self.leadership.epoch() {
@@ -65,7 +72,7 @@
         };
     }
 
-    /// The entry that starts an epoch is committed: this voter leads if it is its own.
+    /// The entry that starts an epoch is committed. This voter leads from now on, if the epoch is its own.
     pub(super) fn handle_epoch_started(
         &mut self,
         now: Time,
@@ -80,7 +87,7 @@
         }
     }
 
-    /// A leader asks the other voters whether it is still the only one, if it is time to.
+    /// Starts a round of confirmation, if this voter leads and it is time to.
     pub(super) fn renew_lease(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         let Leadership::Leading(epoch) = self.leadership else {
             return;
@@ -101,10 +108,11 @@
             sent_at: now,
             confirmed_by: BTreeSet::new(),
         });
-        let question = VoterMessage::ConfirmLeader(epoch, self.last_lease_round);
-        self.send_to_others(&question, actions);
+        let request = VoterMessage::ConfirmLeader(epoch, self.last_lease_round);
+        self.send_to_others(&request, actions);
     }
 
+    /// Confirms a round, if this voter's last promise is to the leader of this epoch.
     pub(super) fn handle_confirm_leader(
         &mut self,
         from: MemberId,
@@ -125,6 +133,7 @@
         }
     }
 
+    /// Extends the lease, if a majority has confirmed the round.
     pub(super) fn handle_leader_confirmed(
         &mut self,
         from: MemberId,
@@ -140,7 +149,7 @@
             return;
         };
         round.confirmed_by.insert(from);
-        // With the leader itself it is a majority.
+        // A majority, together with the leader itself.
         if round.confirmed_by.len() >= self.voters.len() / 2 {
             let until = round.sent_at + self.lease_duration;
             self.lease_rounds.retain(|round| round.number > number);
@@ -148,7 +157,7 @@
         }
     }
 
-    /// The epoch in which this voter leads by the consensus library; an only voter always leads.
+    /// The epoch in which this voter leads in the consensus library. The only voter always leads.
     fn elected_epoch(&self) -> Option<Epoch> {
         let Some(paxos) = &self.paxos else {
             let next = Epoch(self.state.epoch.0 + 1);
@@ -160,7 +169,10 @@
     }
 }
 
-/// Epochs are in the order of the library's ballots, and configurations before them.
+/// The epoch of a ballot: epochs have the order of the library's ballots. The configuration has the highest bits, then the
+/// ballot's number of 32 bits, then the voter's number.
 fn epoch_of(ballot: Ballot) -> Epoch {
-    Epoch(u64::from(ballot.config_id) << 44 | u64::from(ballot.n) << 8 | (ballot.pid & 0xff))
+    let configuration = u64::from(ballot.config_id) << CONFIGURATION_SHIFT;
+    let number = u64::from(ballot.n) << BALLOT_NUMBER_SHIFT;
+    Epoch(configuration | number | (ballot.pid & VOTER_MASK))
 }
--- a/crates/coordination/src/voter/message.rs
+++ b/crates/coordination/src/voter/message.rs
@@ -1,54 +1,55 @@
-//! What voters send each other.
+//! Messages between voters.
 //!
-//! Messages travel as `postcard`, also between two versions of the program: neither the order of variants nor that of
-//! fields may change.
+//! They are encoded as `postcard`, also between two versions of the program: the order of variants and fields must not
+//! change.
 
 use crate::identifiers::{Epoch, StorageId, StorageVersion};
 use crate::replicated_state::{LogEntry, ReplicatedState};
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
 
-/// What voters send each other.
+/// A message between voters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum VoterMessage {
-    /// A voter that starts shows its storage and asks what others know of it.
+    /// Requests what the receiver knows of the sender's storage. Sent by a voter that starts.
     Hello {
-        /// Its storage.
+        /// The sender's storage.
         storage: StorageVersion,
-        /// Its configuration; 0 is none.
+        /// The number of the sender's configuration; 0 before the first one.
         configuration: u32,
     },
     /// The response to [`VoterMessage::Hello`].
     KnownStorage(KnownStorage),
-    /// A voter whose storage has lost what it acknowledged asks to be admitted as a new one.
+    /// Requests admission with this new storage. Sent by a voter whose storage has lost acknowledged writes.
     AdmissionRequest(StorageId),
-    /// The current configuration, and what its log began with.
+    /// The number of the current configuration, and the state before the first entry of its log.
     Configuration(u32, Box<ReplicatedState>),
     /// A message of the consensus library.
     Paxos(PaxosMessage),
-    /// Has the receiver promised to nobody but the leader of this epoch? With the number of the round.
+    /// Requests a confirmation that the receiver's last promise is to the leader of this epoch; with the number of the
+    /// round.
     ConfirmLeader(Epoch, u64),
-    /// It had not when it received the question of this round.
+    /// The confirmation of a round.
     LeaderConfirmed(Epoch, u64),
 }
 
-/// What a voter knows of the storage of another one.
+/// What a voter knows of another voter's storage.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KnownStorage {
     /// The responding voter's own storage.
     pub own: StorageId,
-    /// The responding voter's configuration.
+    /// The number of the responding voter's configuration.
     pub configuration: u32,
-    /// The asking voter's storage as it was last shown.
+    /// The requesting voter's storage, as last received from it.
     pub known: StorageVersion,
 }
 
-/// A message of the consensus library, with what it depends on.
+/// A message of the consensus library, with the configuration and the write that it depends on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PaxosMessage {
-    /// In which configuration.
+    /// The number of the configuration.
     pub configuration: u32,
-    /// The write of the sender's storage that it depends on.
+    /// The number of the write of the sender's storage that the message depends on.
     pub write_count: u64,
     /// The message.
     pub message: Message<LogEntry>,
--- a/crates/coordination/src/voter/replication.rs
+++ b/crates/coordination/src/voter/replication.rs
@@ -1,5 +1,5 @@
-//! The replicated log: entries go in through the consensus library, and are applied to the state once it has decided them.
-//! A log that has grown long is cut by beginning another configuration of the same voters.
+//! The replicated log: entries are appended through the consensus library, and applied to the state once it has decided
+//! them. A long log is truncated by beginning another configuration of the same voters.
 
 use super::leadership::Leadership;
 use super::{Participation, PaxosMessage, Voter, VoterAction, VoterMessage};
@@ -10,37 +10,38 @@
 use omnipaxos::{ClusterConfig, ServerConfig};
 use std::collections::BTreeMap;
 
-/// Ticks of one round of the library's heartbeats.
+/// Number of ticks of one round of the library's heartbeats.
 const HEARTBEAT_TICKS: u64 = 4;
-/// Ticks after which the library sends again what was lost.
+/// Number of ticks after which the library resends lost messages.
 const RESEND_TICKS: u64 = 8;
-/// Entries that the library buffers.
+/// Number of entries that the library buffers.
 const PAXOS_BUFFER: usize = 64;
-/// A log of so many entries is cut.
+/// Number of entries at which the log is truncated.
 const MAX_LOG_LENGTH: usize = 96;
 
 impl Voter {
-    /// Appends to the log.
+    /// Appends an entry to the log. It is lost if this voter does not lead, or the configuration is ending.
     pub(super) fn propose(&mut self, entry: LogEntry) {
         if self.is_only_voter {
-            self.storage.append_undisputed(entry);
+            self.storage.append_as_only_voter(entry);
         } else if let Some(paxos) = &mut self.paxos {
-            // Fails where the configuration is ending; whoever proposed it asks again.
+            // Fails while the configuration is ending. Proposals are repeated.
             let _ = paxos.append(entry);
         }
     }
 
-    /// Ends the current configuration with one of these voters to follow; whether it may.
+    /// Ends the current configuration, to be followed by one of these voters. Returns whether this voter may do so.
     pub(super) fn reconfigure(&mut self, voters: BTreeMap<MemberId, StorageId>) -> bool {
-        let may = self.leadership.is_leading()
+        let is_permitted = self.leadership.is_leading()
             && self.participation == Participation::Participating
             && !self.storage.state().is_configuration_ending();
-        if may {
+        if is_permitted {
             self.propose(LogEntry::ConfigurationEnded(voters));
         }
-        may
+        is_permitted
     }
 
+    /// Passes a message to the consensus library, if it is of the current configuration.
     pub(super) fn handle_paxos(
         &mut self,
         now: Time,
@@ -58,20 +59,20 @@
         }
         let message = received.message;
         self.note_write_count(from, received.write_count, &message);
-        let addressed = Some(message.get_sender()) == self.paxos_id(from)
+        let is_addressed = Some(message.get_sender()) == self.paxos_id(from)
             && Some(message.get_receiver()) == self.paxos_id(self.own_id);
-        if let Some(paxos) = self.paxos.as_mut().filter(|_| addressed) {
+        if let Some(paxos) = self.paxos.as_mut().filter(|_| is_addressed) {
             paxos.handle_incoming(message);
         }
     }
 
-    /// Applies what the consensus library has decided, and hands out what it sends.
+    /// Applies the entries that the consensus library has decided, and returns its messages.
     pub(super) fn advance(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         if self.participation != Participation::Participating {
             return;
         }
         if self.is_only_voter {
-            // What an earlier process left comes before this one's epoch.
+            // Entries of an earlier process precede this one's epoch.
             self.apply_decided(now, actions);
         }
         self.update_leadership(actions);
@@ -79,7 +80,7 @@
         self.send_paxos_messages(actions);
     }
 
-    /// Begins a configuration with an empty log after this state.
+    /// Begins a configuration, with an empty log after this state.
     pub(super) fn begin_configuration(
         &mut self,
         now: Time,
@@ -99,7 +100,7 @@
         self.start_log(now);
     }
 
-    /// Starts the consensus library on what is stored.
+    /// Starts the consensus library with the stored log.
     pub(super) fn start_log(&mut self, now: Time) {
         let configuration = self.storage.state().configuration;
         self.state = self.storage.state().base_state();
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Entries that are decided and not applied yet.
+    /// The entries that are decided and not applied.
     fn decided_entries(&self) -> Vec<LogEntry> {
         let Some(paxos) = &self.paxos else {
             return self.storage.state().entries_from(self.applied);
@@ -158,7 +159,7 @@
             .into_iter()
             .filter_map(|entry| match entry {
                 PaxosEntry::Decided(entry) => Some(entry),
-                // Nothing else is ever put into this log.
+                // Snapshots, stop signs and trimmed entries do not occur in this log.
                 _ => None,
             })
             .collect()
@@ -180,7 +181,7 @@
         let mut messages = Vec::new();
         paxos.take_outgoing_messages(&mut messages);
         let state = self.storage.state();
-        // They depend on the next write, if there is one to come.
+        // They depend on the next write, if there is an unsaved change.
         let write_count = state.storage.write_count + u64::from(self.storage.is_unsaved());
         for message in messages {
             let position = message.get_receiver().saturating_sub(1) as usize;
--- a/crates/coordination/tests/nodes/simulation.rs
+++ b/crates/coordination/tests/nodes/simulation.rs
@@ -206,7 +206,7 @@
             base: applied.unwrap_or_default(),
             policy,
             author: Author {
-                by: "a test".to_owned(),
+                name: "a test".to_owned(),
                 key,
             },
         };
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -34,7 +34,7 @@
 
 fn author() -> Author {
     Author {
-        by: "ann at east".to_owned(),
+        name: "ann at east".to_owned(),
         key: 300,
     }
 }
