--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the simulated groups of these tests share: clocks that run at different speeds, policies that a member rejects,
-//! checkers of the group's guarantees, and traces of what happened.
+//! Common parts of the simulated groups: clocks of different speeds, policies that a member rejects, the checker of the
+//! group's invariants, and traces.
 
 use marblefall_coordination::identifiers::{MemberId, Policy, Revision};
 use marblefall_coordination::message::PolicyVerdict;
@@ -10,34 +10,41 @@
 use std::fmt::{Debug, Write};
 use std::panic::{catch_unwind, set_hook, take_hook, AssertUnwindSafe};
 
-/// Simulated time is in microseconds.
+/// A millisecond of simulated time, which is in microseconds.
 pub const MS: i64 = 1000;
-/// What a policy begins with that one member rejects.
+/// The first bytes of a policy that one member rejects. The member's number follows.
 const REJECTED: &[u8; 3] = b"bad";
-/// The end of a trace that a failure shows.
-const SHOWN_LINES: usize = 70;
+/// Number of lines at the end of a trace that a failure prints.
+const PRINTED_LINES: usize = 70;
+/// Maximum drift of a clock, in hundredths of a percent.
+const MAX_DRIFT: i64 = 45;
+/// Hundredths of a percent in a whole.
+const DRIFT_UNITS: i64 = 10_000;
 
 /// A member's clock.
 pub struct MemberClock {
+    /// The reading at the start of the simulation, in microseconds.
     pub offset: i64,
-    /// By how many hundredths of a percent it runs fast.
+    /// The difference in speed from simulated time, in hundredths of a percent.
     drift: i64,
 }
 
 impl MemberClock {
-    pub fn draw(rng: &mut Pcg64, max_offset: i64) -> MemberClock {
+    /// A clock with a random offset and a random drift.
+    pub fn random(rng: &mut Pcg64, max_offset: i64) -> MemberClock {
         MemberClock {
             offset: rng.random_range(0..max_offset),
-            drift: rng.random_range(-45..=45),
+            drift: rng.random_range(-MAX_DRIFT..=MAX_DRIFT),
         }
     }
 
+    /// The clock's reading at a simulated time.
     pub fn reading(&self, now: i64) -> Time {
-        Time(self.offset + now + now * self.drift / 10_000)
+        Time(self.offset + now + now * self.drift / DRIFT_UNITS)
     }
 }
 
-/// What happened, for failures.
+/// The events of a simulation, for failures.
 #[derive(Default)]
 pub struct Trace {
     lines: Vec<String>,
@@ -49,23 +56,23 @@
         self.lines.push(format!("{ms:8.1} ms {text}"));
     }
 
-    /// The last lines.
+    /// The last lines, as a failure prints them.
     pub fn tail(&self) -> String {
-        let first = self.lines.len().saturating_sub(SHOWN_LINES);
+        let first = self.lines.len().saturating_sub(PRINTED_LINES);
         self.lines[first..].join("\n")
     }
 }
 
-/// Checks that a revision has one policy, and that nobody acts under an earlier revision once anybody acted under a later
-/// one.
+/// Checks that a revision has one policy, and that no member acts under an earlier revision after any member acted under a
+/// later one.
 #[derive(Default)]
-pub struct Guarantees {
+pub struct InvariantChecker {
     policies: BTreeMap<Revision, Policy>,
-    /// How often members acted under a revision.
+    /// The number of acts under each revision.
     pub acts: BTreeMap<Revision, u64>,
 }
 
-impl Guarantees {
+impl InvariantChecker {
     pub fn check_applied(&mut self, revision: Revision, policy: Policy) {
         let known = self
             .policies
@@ -108,32 +115,58 @@
     }
 }
 
+/// The result of a simulation.
+pub struct Summary {
+    /// Number of changes that came into force.
+    pub changes: u64,
+    /// Number of acts of all members.
+    pub acts: u64,
+}
+
+impl Summary {
+    /// Adds the result of another simulation.
+    pub fn add(&mut self, other: &Summary) {
+        self.changes += other.changes;
+        self.acts += other.acts;
+    }
+}
+
 /// A simulation that ran to its end or to a failed check.
-pub struct Run<T> {
-    pub result: std::thread::Result<T>,
+pub struct Run {
+    /// The number of changes that came into force, or the panic of the failed check.
+    pub changes: std::thread::Result<u64>,
+    /// Number of acts of all members.
+    pub acts: u64,
+    /// The parameters of the simulation.
     pub title: String,
     pub trace: Trace,
 }
 
-impl<T> Run<T> {
+impl Run {
     /// The result, or the failed check with the end of the trace.
-    pub fn finish(self) -> Result<T, String> {
-        self.result.map_err(|panic| {
-            let mut text = self.title;
-            if let Some(message) = panic.downcast_ref::<String>() {
-                let _ = write!(text, ": {message}");
+    pub fn finish(self) -> Result<Summary, String> {
+        match self.changes {
+            Ok(changes) => Ok(Summary {
+                changes,
+                acts: self.acts,
+            }),
+            Err(panic) => {
+                let mut text = self.title;
+                if let Some(message) = panic.downcast_ref::<String>() {
+                    let _ = write!(text, ": {message}");
+                }
+                Err(text + "\n" + &self.trace.tail())
             }
-            text + "\n" + &self.trace.tail()
-        })
+        }
     }
 }
 
 /// Runs a simulation to its end or to a failed check.
-pub fn catch<T>(run: impl FnOnce() -> T) -> std::thread::Result<T> {
+pub fn catch_failure(run: impl FnOnce() -> u64) -> std::thread::Result<u64> {
     catch_unwind(AssertUnwindSafe(run))
 }
 
-/// Asserts that the checks detect each of these mutants.
+/// Asserts that each of these mutants is detected. Panics of failed checks are not printed.
 pub fn assert_all_detected<M: Copy + Debug>(mutants: &[M], is_detected: impl Fn(M) -> bool) {
     set_hook(Box::new(|_| {}));
     let undetected: Vec<M> = mutants
--- /dev/null
+++ b/crates/coordination/tests/model/state.rs
@@ -0,0 +1,97 @@
+//! The state of the model.
+
+use marblefall_coordination::identifiers::{Author, Epoch, MemberId, Policy, Revision};
+use marblefall_coordination::leader::Leader;
+use marblefall_coordination::member::Member;
+use marblefall_coordination::message::{ToLeader, ToMember};
+use marblefall_coordination::replicated_state::{LeaderEntry, ReplicatedState};
+use marblefall_coordination::settings::{CoordinationSettings, PartitionPolicy};
+use marblefall_time::{Span, Time};
+use std::collections::BTreeSet;
+
+/// The unit of time, in microseconds.
+pub const UNIT: i64 = 1000;
+/// Duration of a leader's own lease.
+pub const LEADER_LEASE: i64 = 2 * UNIT;
+/// Speed of a fast clock, in percent.
+const FAST_CLOCK_PERCENT: i64 = 104;
+/// Speed of a slow clock, in percent.
+const SLOW_CLOCK_PERCENT: i64 = 96;
+
+/// A message in flight.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum Message {
+    ToLeader(MemberId, ToLeader),
+    ToMember(MemberId, Epoch, ToMember),
+}
+
+/// A state of the model.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct ModelState {
+    pub now: i64,
+    pub replicated: ReplicatedState,
+    /// The leaders that have not noticed a later one, the latest last. Only the latest leader's entries are committed.
+    pub leaders: Vec<Leader>,
+    /// The end of the latest leader's lease.
+    pub lease_end: i64,
+    /// Entries that are not committed yet.
+    pub appended: Vec<(Epoch, LeaderEntry)>,
+    pub members: Vec<Member>,
+    /// The revision under which each member last acted, for the mutant.
+    pub last_acted: Vec<Option<Revision>>,
+    /// Number of processes that were started.
+    pub starts: u64,
+    pub in_flight: BTreeSet<Message>,
+    pub restarts: u8,
+    pub elections: u8,
+    /// The latest revision under which any member has acted.
+    pub highest: Revision,
+    /// Whether a member has acted under an earlier revision than that.
+    pub is_violated: bool,
+    pub is_proposed: bool,
+}
+
+/// The group's settings.
+pub fn settings() -> CoordinationSettings {
+    CoordinationSettings {
+        partition_policy: PartitionPolicy::Stop,
+        lease_duration: Span(2 * UNIT),
+        clock_drift_percent: 10,
+        check_timeout: Span(4 * UNIT),
+        quiesce_timeout: Span(4 * UNIT),
+        resend_interval: Span(2 * UNIT),
+    }
+}
+
+/// A member's clock. Member 1 has a fast clock, member 2 a slow one, both within the permitted drift.
+pub fn clock(member: usize, now: i64) -> Time {
+    Time(match member % 3 {
+        1 => now * FAST_CLOCK_PERCENT / 100,
+        2 => now * SLOW_CLOCK_PERCENT / 100,
+        _ => now,
+    })
+}
+
+impl ModelState {
+    /// Proposes a change at the latest leader; `None` if it has none.
+    pub fn propose(&mut self) -> Option<()> {
+        self.is_proposed = true;
+        let leader = self.leaders.last()?;
+        let proposal = leader.next_proposal().ok()?;
+        let policy = Policy::from(&b"second"[..]);
+        let entry = LeaderEntry::Proposed(proposal, policy, Author::default());
+        self.appended.push((leader.epoch(), entry));
+        Some(())
+    }
+
+    /// Whether all members may act under this revision.
+    pub fn all_act_under(&self, revision: Revision) -> bool {
+        let mut members = self.members.iter().enumerate();
+        members.all(|(index, member)| {
+            member
+                .lease(clock(index, self.now))
+                .map(|lease| lease.revision)
+                == Some(revision)
+        })
+    }
+}
--- a/crates/coordination/tests/nodes.rs
+++ b/crates/coordination/tests/nodes.rs
@@ -1,6 +1,6 @@
-//! Whole nodes of a group in simulated time: the log by the consensus library, leases, policy changes, and what is on disk;
-//! with connections that break or work in one direction only, nodes that are killed or suspended, storage that is lost or
-//! restored from an old copy, and disks that are full. The checkers must find mutants too. A failure names its seed and
+//! Complete nodes of a group in simulated time: the log by the consensus library, leases, policy changes and storage; with
+//! connections that break or work in one direction only, nodes that are killed or suspended, storage that is lost or
+//! restored from an old copy, and disks that are full. The checks must also detect mutants. A failure names its seed and
 //! ends with its trace.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
@@ -8,28 +8,29 @@
 mod common;
 #[path = "nodes/daemon.rs"]
 mod daemon;
+#[path = "nodes/driver.rs"]
+mod driver;
 #[path = "nodes/faults.rs"]
 mod faults;
+#[path = "nodes/link.rs"]
+mod link;
+#[path = "nodes/mutant.rs"]
+mod mutant;
+#[path = "nodes/operators.rs"]
+mod operators;
 #[path = "nodes/simulation.rs"]
 mod simulation;
 
-use common::{assert_all_detected, catch, Run, MS};
+use common::{assert_all_detected, catch_failure, Run, Summary, MS};
 use marblefall_coordination::identifiers::{MemberId, Revision, StorageId};
 use marblefall_coordination::persistent_state::{DecodeError, PersistentState};
 use marblefall_coordination::settings::PartitionPolicy;
-use simulation::{GroupSize, Mutant, Simulation, OWNER};
+use mutant::Mutant;
+use simulation::{GroupSize, Simulation, OWNER};
 
-/// Steps under faults.
+/// Number of steps under faults.
 const STEPS: u32 = 8000;
 
-/// What a run came to.
-struct Summary {
-    /// Changes that came into force.
-    changes: u64,
-    /// How often members acted.
-    acts: u64,
-}
-
 fn run_seed(
     seed: u64,
     size: GroupSize,
@@ -37,10 +38,9 @@
     mutant: Mutant,
 ) -> Result<Summary, String> {
     let mut simulation = Simulation::new(seed, size, partition_policy, mutant);
-    let result = catch(|| simulation.run(STEPS));
-    let acts = simulation.guarantees.act_count();
     let run = Run {
-        result: result.map(|changes| Summary { changes, acts }),
+        changes: catch_failure(|| simulation.run(STEPS)),
+        acts: simulation.invariants.act_count(),
         title: format!("seed {seed}, {size:?}, {partition_policy:?}"),
         trace: simulation.trace,
     };
@@ -53,9 +53,12 @@
 }
 
 #[test]
-fn guarantees_hold_under_random_faults() {
+fn invariants_hold_under_random_faults() {
     let sizes = [(3, 3), (5, 3), (6, 5), (2, 1)];
-    let (mut changes, mut acts) = (0, 0);
+    let mut total = Summary {
+        changes: 0,
+        acts: 0,
+    };
     let seeds = number_from_env("SEEDS", 24);
     let first = number_from_env("FROM", 0);
     for seed in first..first + seeds {
@@ -66,15 +69,16 @@
         };
         let size = GroupSize { members, voters };
         match run_seed(seed, size, partition_policy, Mutant::Unmodified) {
-            Ok(summary) => (changes, acts) = (changes + summary.changes, acts + summary.acts),
+            Ok(summary) => total.add(&summary),
             Err(failure) => panic!("{failure}"),
         }
     }
-    assert!(changes > 10 * seeds, "too few changes to tell: {changes}");
-    assert!(acts > 10_000 * seeds, "members hardly acted: {acts}");
+    let Summary { changes, acts } = total;
+    assert!(changes > 10 * seeds, "too few changes: {changes}");
+    assert!(acts > 10_000 * seeds, "too few acts: {acts}");
 }
 
-/// In simulated time, so that it is the same on any machine: frames take 1 to 8 ms one way, writes none.
+/// Simulated time does not depend on the machine. Frames take 1 to 8 ms one way, writes no time.
 #[test]
 fn change_of_300_members_takes_under_one_second() {
     let size = GroupSize {
@@ -86,7 +90,9 @@
     simulation.run_until_common(Revision(1));
     simulation.propose_acceptable(MemberId(299));
     let elapsed_ms = simulation.run_until_common(Revision(2)) / MS;
-    println!("300 members: {elapsed_ms} ms of simulated time from proposed to acting under it");
+    println!(
+        "300 members: {elapsed_ms} ms of simulated time from the proposal until all act under it"
+    );
     assert!(elapsed_ms < 1000, "{elapsed_ms} ms");
 }
 
@@ -110,7 +116,7 @@
 }
 
 #[test]
-fn votes_file_of_other_owner_version_or_damaged_is_rejected() {
+fn invalid_voter_state_file_is_rejected() {
     let state = PersistentState::new(OWNER, StorageId(3));
     let bytes = state.encode();
     let decode = |bytes: &[u8]| PersistentState::decode(bytes, OWNER);
--- a/crates/coordination/tests/nodes/faults.rs
+++ b/crates/coordination/tests/nodes/faults.rs
@@ -1,22 +1,23 @@
-//! What goes wrong in a simulated group.
+//! Fault injection in the simulated group of nodes.
 
 use super::common::MS;
 use super::daemon::Daemon;
-use super::simulation::{Mutant, Simulation, OWNER, WRITES_AHEAD};
+use super::mutant::Mutant;
+use super::simulation::{Simulation, OWNER, WRITES_AHEAD};
 use marblefall_coordination::identifiers::MemberId;
 use marblefall_coordination::persistent_state::PersistentState;
 use rand::Rng;
 
-/// What happens to a voter's storage.
+/// A fault of a voter's storage.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StorageFault {
     Lost,
-    /// Put back to an old copy.
+    /// Restored from an old copy.
     Restored,
 }
 
 impl Simulation {
-    /// Most times nothing goes wrong.
+    /// Injects a random fault, or none in most steps.
     pub fn inject_fault(&mut self) {
         let member = self.random_member();
         let voter = MemberId(self.rng.random_range(0..self.voters));
@@ -79,9 +80,10 @@
         }
     }
 
-    /// The storage of one voter at a time may be lost or restored: with that of most gone nobody could know.
+    /// Loses or restores the storage of a voter, if all other voters participate: the loss of a majority's storage could not
+    /// be detected.
     fn damage_storage(&mut self, voter: MemberId, down: i64) {
-        let is_sound = |(member, daemon): (&MemberId, &Daemon)| {
+        let is_intact = |(member, daemon): (&MemberId, &Daemon)| {
             let is_other_voter = member.0 < self.voters && *member != voter;
             !is_other_voter || daemon.participates() == Some(true)
         };
@@ -89,8 +91,8 @@
             .links
             .values()
             .any(|link| link.is_partitioned(self.now));
-        // Nobody else knows what an only voter acknowledged.
-        if self.voters == 1 || !self.daemons.iter().all(is_sound) || is_partitioned {
+        // The loss of an only voter's storage cannot be detected.
+        if self.voters == 1 || !self.daemons.iter().all(is_intact) || is_partitioned {
             return;
         }
         let fault = match self.rng.random_bool(0.5) {
@@ -116,8 +118,8 @@
             StorageFault::Lost => "lost",
             StorageFault::Restored => "restored from an old copy",
         };
-        self.log(&format!("{voter:?} dies, its storage is {outcome}"));
-        // Back while those still run that know what it acknowledged.
+        self.log(&format!("{voter:?} crashes, its storage is {outcome}"));
+        // It starts again while the voters still run that know of its writes.
         self.kill(voter, down.min(200 * MS));
     }
 }
@@ -128,7 +130,7 @@
         PersistentState::decode(bytes, OWNER).ok()
     }
 
-    /// For a mutant: storage that has lost what it acknowledged, and cannot be told from storage that has not.
+    /// For a mutant: storage that has lost acknowledged writes, and whose loss the others cannot detect.
     fn trusted_storage(&self, fault: StorageFault, backup: Option<&[u8]>) -> Option<Vec<u8>> {
         let current = self.stored()?;
         let write_count = current.storage.write_count + WRITES_AHEAD;
@@ -148,7 +150,7 @@
         Some(state.encode())
     }
 
-    /// For a mutant: the storage does not have a write that others know of, and cannot be told from storage that has.
+    /// For a mutant: loses a write that others know of, so that the others cannot detect the loss.
     pub fn lose_write(&mut self, written: &[u8]) {
         let Ok(written) = PersistentState::decode(written, OWNER) else {
             return;
--- a/crates/coordination/tests/nodes/simulation.rs
+++ b/crates/coordination/tests/nodes/simulation.rs
@@ -1,13 +1,13 @@
-//! A group of nodes in simulated time, the changes that operators propose, and the checks.
+//! A group of nodes in simulated time.
 
-use super::common::{policy_rejected_by, rejects, verdict, Guarantees, MemberClock, Trace, MS};
-use super::daemon::{Daemon, Link};
+use super::common::{InvariantChecker, MemberClock, Trace, MS};
+use super::daemon::Daemon;
+use super::link::Link;
+use super::mutant::Mutant;
 use marblefall_coordination::identifiers::{
-    Author, ClockReading, MemberId, Policy, ProcessIncarnation, Revision, StorageId,
-};
-use marblefall_coordination::node::{
-    Frame, Node, NodeAction, NodeSetup, Reply, Request, RequestNumber,
+    MemberId, Policy, ProcessIncarnation, Revision, StorageId,
 };
+use marblefall_coordination::node::{Node, NodeSetup};
 use marblefall_coordination::persistent_state::PersistentState;
 use marblefall_coordination::replicated_state::ChangeOutcome;
 use marblefall_coordination::settings::{CoordinationSettings, PartitionPolicy};
@@ -16,34 +16,38 @@
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
 
-/// One step of the simulation.
+/// The duration of a step.
 const STEP: i64 = 5 * MS;
-/// The group's and the members' names, as one number.
+/// Number of steps between two proposals.
+const STEPS_PER_PROPOSAL: u32 = 60;
+/// Number of steps between two proposals that a member rejects.
+const STEPS_PER_REJECTED_PROPOSAL: u32 = 360;
+/// Number of steps between two requests for an outcome.
+const STEPS_PER_OUTCOME_REQUEST: u32 = 100;
+/// The step of the first request for an outcome.
+const FIRST_OUTCOME_REQUEST: u32 = 50;
+/// Number of steps without faults in which a change must complete.
+const CHANGE_STEPS: u32 = 600;
+/// Minimum number of steps without faults before the group counts as recovered.
+const MIN_RECOVERY_STEPS: u32 = 1200;
+/// Maximum number of steps without faults in which the group must recover.
+const MAX_RECOVERY_STEPS: u32 = 6000;
+/// Maximum time in which all members must act under an expected revision.
+const MAX_CHANGE_TIME: i64 = 20_000 * MS;
+/// The interval of the copies of a disk.
+const BACKUP_INTERVAL: i64 = 700 * MS;
+/// Time in which connections are established after a start.
+const CONNECT_TIME: i64 = 20 * MS;
+/// Maximum reading of a clock at the start of the simulation.
+const MAX_CLOCK_OFFSET: i64 = 1_000_000;
+/// The owner of all voters' storage.
 pub const OWNER: u64 = 7;
-/// How often a node handles the frames that it sends itself within a step.
+/// Number of times within a step that a node handles the frames that it sends to itself.
 const ROUNDS_PER_STEP: usize = 6;
-/// More often than any voter writes within a test.
+/// A number of writes that no voter reaches within a test.
 pub const WRITES_AHEAD: u64 = 1_000_000;
 
-/// What is broken on purpose.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutant {
-    Unmodified,
-    /// A voter that lost its storage goes on as if it were the same one, with an empty log.
-    TrustsLostStorage,
-    /// Storage that was restored from an old copy is taken for what it was.
-    TrustsRestoredStorage,
-    /// A voter sends what is not on disk, and dies.
-    SendsBeforeWriting,
-    /// A member acts on after its lease.
-    ActsAfterLease,
-    /// A member acts under the policy that it has stored before it holds a lease.
-    TrustsStoredPolicy,
-    /// A member confirms that it is quiesced, and acts on.
-    ActsWhileQuiesced,
-}
-
-/// How many members a group has, the voters first.
+/// The size of a group. The first members are the voters.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupSize {
     pub members: u32,
@@ -58,10 +62,10 @@
     pub voters: u32,
     pub daemons: BTreeMap<MemberId, Daemon>,
     pub links: BTreeMap<(MemberId, MemberId), Link>,
-    pub guarantees: Guarantees,
-    /// Outcomes that operators were answered, by key.
-    outcomes: BTreeMap<u64, ChangeOutcome>,
-    last_key: u64,
+    pub invariants: InvariantChecker,
+    /// Outcomes that operators received, by key.
+    pub outcomes: BTreeMap<u64, ChangeOutcome>,
+    pub last_key: u64,
     starts: u64,
     pub trace: Trace,
     pub faults_enabled: bool,
@@ -88,7 +92,7 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let members: Vec<MemberId> = (0..size.members).map(MemberId).collect();
         let mut daemon = |member: &MemberId| {
-            let clock = MemberClock::draw(&mut rng, 1_000_000);
+            let clock = MemberClock::random(&mut rng, MAX_CLOCK_OFFSET);
             (*member, Daemon::new(clock))
         };
         let daemons = members.iter().map(&mut daemon).collect();
@@ -107,7 +111,7 @@
             voters: size.voters,
             daemons,
             links,
-            guarantees: Guarantees::default(),
+            invariants: InvariantChecker::default(),
             outcomes: BTreeMap::new(),
             last_key: 0,
             starts: 0,
@@ -132,6 +136,7 @@
         self.daemons.get_mut(&member).unwrap()
     }
 
+    /// Kills a member's node, which starts again after `down`.
     pub fn kill(&mut self, member: MemberId, down: i64) {
         let down_until = self.now + down;
         let daemon = self.daemon(member);
@@ -140,32 +145,23 @@
         daemon.inbox.clear();
     }
 
-    /// Runs changes under faults, then without; returns how many changes came into force.
+    /// Runs changes under faults, then without; returns the number of changes that came into force.
     pub fn run(&mut self, steps: u32) -> u64 {
         for step in 0..steps {
-            if step % 60 == 0 {
-                let at = self.random_member();
-                match step % 360 {
-                    0 => self.propose_rejected(at),
-                    _ => self.propose_acceptable(at),
-                }
-            }
-            if step % 100 == 50 {
-                self.ask_for_outcome();
-            }
+            self.act_as_operator(step);
             self.step();
         }
         let revision = self.recover();
-        // With everybody there, one rejection is enough. (`policy_change.rs` checks those that cannot be received.)
+        // While all members are present, one rejection is enough. `policy_change.rs` tests rejections that are lost.
         self.propose_rejected(MemberId(0));
-        (0..600).for_each(|_| self.step());
+        (0..CHANGE_STEPS).for_each(|_| self.step());
         assert_eq!(
             self.common_revision(),
             revision,
             "in force though one member rejected it"
         );
         self.propose_acceptable(MemberId(0));
-        (0..600).for_each(|_| self.step());
+        (0..CHANGE_STEPS).for_each(|_| self.step());
         assert!(
             self.common_revision() > revision,
             "a change does not come into force without faults"
@@ -173,88 +169,65 @@
         revision.unwrap_or_default().0
     }
 
-    /// Runs until all act under this revision; returns how long that took.
+    fn act_as_operator(&mut self, step: u32) {
+        if step.is_multiple_of(STEPS_PER_PROPOSAL) {
+            let at = self.random_member();
+            match step % STEPS_PER_REJECTED_PROPOSAL {
+                0 => self.propose_rejected(at),
+                _ => self.propose_acceptable(at),
+            }
+        }
+        if step % STEPS_PER_OUTCOME_REQUEST == FIRST_OUTCOME_REQUEST {
+            self.request_outcome();
+        }
+    }
+
+    /// Runs until all members act under this revision; returns the time that passed.
     pub fn run_until_common(&mut self, revision: Revision) -> i64 {
         let started_at = self.now;
         while self.common_revision() != Some(revision) {
             self.step();
             assert!(
-                self.now - started_at < 20_000 * MS,
+                self.now - started_at < MAX_CHANGE_TIME,
                 "not all under {revision:?}"
             );
         }
         self.now - started_at
     }
 
-    pub fn propose_acceptable(&mut self, at: MemberId) {
-        self.last_key += 1;
-        let policy = format!("policy {}", self.last_key).into_bytes();
-        self.propose(at, Policy::from(policy));
-    }
-
-    /// One of the members will reject it.
-    fn propose_rejected(&mut self, at: MemberId) {
-        self.last_key += 1;
-        let rejecting = self.random_member();
-        self.propose(at, policy_rejected_by(rejecting.0 as u8));
-    }
-
-    fn propose(&mut self, at: MemberId, policy: Policy) {
-        let key = self.last_key;
-        let applied = self.daemons[&at].node.as_ref().and_then(Node::applied);
-        let request = Request::Propose {
-            base: applied.unwrap_or_default(),
-            policy,
-            author: Author {
-                name: "a test".to_owned(),
-                key,
-            },
-        };
-        self.call(at, |node, now, actions| {
-            node.handle_request(now, RequestNumber(key), request, actions);
-        });
-    }
-
-    /// What became of an earlier change is asked for anywhere.
-    fn ask_for_outcome(&mut self) {
-        let at = self.random_member();
-        let key = self.rng.random_range(0..=self.last_key);
-        self.call(at, |node, now, actions| {
-            node.handle_request(now, RequestNumber(key), Request::Outcome(key), actions);
-        });
-    }
-
-    /// Without faults, all must act under one revision some time.
+    /// Runs without faults until all members act under one revision, which is returned.
     fn recover(&mut self) -> Option<Revision> {
         self.faults_enabled = false;
         let mut steps = 0;
-        while steps < 6000 {
+        while steps < MAX_RECOVERY_STEPS {
             self.step();
             steps += 1;
             let participates = |daemon: &Daemon| daemon.participates() == Some(true);
-            let recovered = steps > 1200 && self.daemons.values().all(participates);
+            let recovered = steps > MIN_RECOVERY_STEPS && self.daemons.values().all(participates);
             if recovered && self.common_revision().is_some() {
                 break;
             }
         }
         let revision = self.common_revision();
-        let describe = |(member, daemon): (&MemberId, &Daemon)| {
-            let node = daemon.node.as_ref()?;
-            let (voting, applied) = (node.voting_status(), node.applied());
-            Some(format!(
-                "{member:?} {voting:?} {applied:?} {:?}",
-                node.last_leader()
-            ))
-        };
-        let states: Vec<_> = self.daemons.iter().filter_map(describe).collect();
         assert!(
             revision.is_some(),
-            "not all act under one policy after {steps} steps without faults: {states:?}"
+            "not all act under one policy after {steps} steps without faults: {:?}",
+            self.describe_nodes()
         );
         revision
     }
 
-    /// The revision under which all act, if there is one.
+    fn describe_nodes(&self) -> Vec<String> {
+        let describe = |(member, daemon): (&MemberId, &Daemon)| {
+            let node = daemon.node.as_ref()?;
+            let (voting, applied) = (node.voting_status(), node.applied());
+            let last_leader = node.last_leader();
+            Some(format!("{member:?} {voting:?} {applied:?} {last_leader:?}"))
+        };
+        self.daemons.iter().filter_map(describe).collect()
+    }
+
+    /// The revision under which all members act, if there is one.
     fn common_revision(&self) -> Option<Revision> {
         let lease = |daemon: &Daemon| {
             let node = daemon.node.as_ref()?;
@@ -290,10 +263,10 @@
         let daemon = self.daemon(member);
         if daemon.node.is_none() && daemon.down_until <= now {
             self.start(member);
-        } else if now % (700 * MS) < STEP {
+        } else if now % BACKUP_INTERVAL < STEP {
             daemon.backups.push(daemon.disk.clone());
         }
-        // One that died in its write is stopped here.
+        // A node that crashed in a write is stopped here.
         let daemon = &self.daemons[&member];
         if daemon.down_until > now && daemon.node.is_some() {
             self.kill(member, daemon.down_until - now);
@@ -327,7 +300,7 @@
         self.log(&format!("{member:?} is started"));
         for ((from, to), link) in &mut self.links {
             if *from == member || *to == member {
-                link.reconnect(now + 20 * MS);
+                link.reconnect(now + CONNECT_TIME);
             }
         }
     }
@@ -368,7 +341,7 @@
         self.call(member, Node::tick);
     }
 
-    /// Every member that may act does, at this very moment.
+    /// Every member that may act does so at this moment.
     fn act(&mut self) {
         for (member, daemon) in &mut self.daemons {
             if daemon.suspended_until > self.now {
@@ -376,91 +349,8 @@
             }
             let now = daemon.clock.reading(self.now);
             if let Some(revision) = daemon.acts_under(now, self.mutant) {
-                self.guarantees.check_act(*member, revision);
+                self.invariants.check_act(*member, revision);
             }
         }
     }
-
-    fn call(
-        &mut self,
-        member: MemberId,
-        call: impl FnOnce(&mut Node, ClockReading, &mut Vec<NodeAction>),
-    ) {
-        let simulated_now = self.now;
-        let daemon = self.daemon(member);
-        let now = ClockReading {
-            monotonic: daemon.clock.reading(simulated_now),
-            unix_ms: 0,
-        };
-        let Some(node) = &mut daemon.node else { return };
-        let mut actions = Vec::new();
-        call(node, now, &mut actions);
-        self.execute(member, actions);
-    }
-
-    fn execute(&mut self, member: MemberId, actions: Vec<NodeAction>) {
-        let mut written = true;
-        for action in actions {
-            match action {
-                NodeAction::Write(bytes) => written = self.write(member, bytes),
-                NodeAction::Send(..) if !written => {}
-                NodeAction::Send(to, frame) => self.send(member, to, frame),
-                NodeAction::CheckPolicy(proposal, _, policy) => {
-                    let verdict = verdict(rejects(&policy, member));
-                    self.call(member, |node, now, actions| {
-                        node.handle_checked(now, proposal, verdict, actions);
-                    });
-                }
-                NodeAction::ApplyPolicy(revision, policy) => {
-                    self.log(&format!("{member:?} applies {revision:?}"));
-                    self.guarantees.check_applied(revision, policy);
-                    self.daemon(member).applied = Some(revision);
-                }
-                NodeAction::Reply(number, reply) => self.check_outcome(number.0, reply),
-                NodeAction::Log(code, text) => self.log(&format!("{member:?} {code}: {text}")),
-            }
-        }
-    }
-
-    /// Writes a voter's state; whether what depends on it may be sent.
-    fn write(&mut self, member: MemberId, bytes: Vec<u8>) -> bool {
-        let now = self.now;
-        let daemon = self.daemons.get_mut(&member).unwrap();
-        if daemon.disk_full_until > now {
-            daemon.node.iter_mut().for_each(Node::handle_write_failed);
-            return false;
-        }
-        if self.mutant == Mutant::SendsBeforeWriting && self.rng.random_bool(0.05) {
-            assert!(daemon.node.is_some());
-            daemon.lose_write(&bytes);
-            daemon.down_until = now + 300 * MS;
-            self.log(&format!("{member:?} dies before its write"));
-        } else {
-            daemon.disk = Some(bytes);
-        }
-        true
-    }
-
-    fn send(&mut self, from: MemberId, to: MemberId, frame: Frame) {
-        if to == from {
-            return self.daemon(from).inbox.push((from, frame));
-        }
-        let slow = self.faults_enabled && self.rng.random_bool(0.02);
-        let max_ms = if slow { 300 } else { 8 };
-        let arrives_at = self.now + self.rng.random_range(1..max_ms) * MS;
-        let link = self.links.get_mut(&(from, to)).unwrap();
-        link.send(self.now, arrives_at, frame);
-    }
-
-    /// A change has one outcome, whoever answers.
-    fn check_outcome(&mut self, key: u64, reply: Reply) {
-        let Reply::Resolved(change) = reply else {
-            return;
-        };
-        if change.author.key == key {
-            let first = self.outcomes.entry(key);
-            let first = first.or_insert_with(|| change.outcome.clone());
-            assert_eq!(*first, change.outcome, "change {key} has two outcomes");
-        }
-    }
 }
--- a/crates/coordination/tests/policy_change.rs
+++ b/crates/coordination/tests/policy_change.rs
@@ -1,30 +1,29 @@
 //! Leases and the two-phase policy change in simulated time, without the consensus library: members that are partitioned,
-//! suspended or restarted, leaders that are deposed, messages that are lost or late, clocks of different speeds. The
-//! checkers of the guarantees in `docs/design/group.md` must find mutants too.
+//! suspended or restarted, leaders that are deposed, messages that are lost or late, clocks of different speeds. The checks
+//! of the invariants in `docs/design/group.md` must also detect mutants.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
+#[path = "policy_change/elections.rs"]
+mod elections;
 #[path = "policy_change/faults.rs"]
 mod faults;
+#[path = "policy_change/mutant.rs"]
+mod mutant;
+#[path = "policy_change/network.rs"]
+mod network;
 #[path = "policy_change/simulated_member.rs"]
 mod simulated_member;
 #[path = "policy_change/simulation.rs"]
 mod simulation;
 
-use common::{assert_all_detected, catch, Run};
+use common::{assert_all_detected, catch_failure, Run, Summary};
 use marblefall_coordination::identifiers::{MemberId, Policy, ProposalId, Revision};
 use marblefall_coordination::replicated_state::LeaderEntry;
 use marblefall_coordination::settings::PartitionPolicy;
-use simulation::{LeaderState, Mutant, Simulation};
-
-/// What a run came to.
-struct Summary {
-    /// Changes that came into force.
-    changes: u64,
-    /// How often members acted.
-    acts: u64,
-}
+use mutant::Mutant;
+use simulation::{LeaderState, Simulation};
 
 fn run_seed(
     seed: u64,
@@ -33,10 +32,9 @@
     mutant: Mutant,
 ) -> Result<Summary, String> {
     let mut simulation = Simulation::new(seed, members, partition_policy, mutant);
-    let result = catch(|| simulation.run());
-    let acts = simulation.guarantees.act_count();
     let run = Run {
-        result: result.map(|changes| Summary { changes, acts }),
+        changes: catch_failure(|| simulation.run()),
+        acts: simulation.invariants.act_count(),
         title: format!("seed {seed}, {members} members, {partition_policy:?}"),
         trace: simulation.trace,
     };
@@ -44,20 +42,24 @@
 }
 
 #[test]
-fn guarantees_hold_under_random_faults() {
-    let (mut changes, mut acts) = (0, 0);
-    // 47 and 1776 found messages of an earlier process taken for a later one's.
+fn invariants_hold_under_random_faults() {
+    let mut total = Summary {
+        changes: 0,
+        acts: 0,
+    };
+    // Seeds 47 and 1776 deliver messages of an earlier process to a later one.
     for seed in (0..200).chain([1776]) {
         for partition_policy in [PartitionPolicy::Stop, PartitionPolicy::Serve] {
             let members = 3 + (seed % 3) as u32;
             match run_seed(seed, members, partition_policy, Mutant::Unmodified) {
-                Ok(summary) => (changes, acts) = (changes + summary.changes, acts + summary.acts),
+                Ok(summary) => total.add(&summary),
                 Err(failure) => panic!("{failure}"),
             }
         }
     }
-    assert!(changes > 2000, "too few changes to tell: {changes}");
-    assert!(acts > 5_000_000, "members hardly acted: {acts}");
+    let Summary { changes, acts } = total;
+    assert!(changes > 2000, "too few changes: {changes}");
+    assert!(acts > 5_000_000, "too few acts: {acts}");
 }
 
 #[test]
@@ -82,7 +84,7 @@
     simulation.faults_enabled = false;
     simulation.start_all();
     simulation.run_steps(500);
-    // A member that is stopped and stays so: the change waits for it.
+    // The change waits for a member that is stopped and does not restart.
     simulation.stop(absent);
     simulation.step(Some(&Policy::from(&b"second"[..])));
     simulation.run_steps(3000);
@@ -91,7 +93,7 @@
         pending: Some(ProposalId(1)),
     };
     assert_eq!(simulation.leader_state(), waiting);
-    let acted_under: Vec<Revision> = simulation.guarantees.acts.keys().copied().collect();
+    let acted_under: Vec<Revision> = simulation.invariants.acts.keys().copied().collect();
     assert_eq!(acted_under, [Revision(0)], "the others continue to act");
     simulation.append_now(LeaderEntry::Excluded(absent));
     simulation.run_steps(200);
--- a/crates/coordination/tests/policy_change/faults.rs
+++ b/crates/coordination/tests/policy_change/faults.rs
@@ -1,12 +1,13 @@
-//! What goes wrong in a simulated group.
+//! Fault injection in the simulated group.
 
 use super::common::MS;
-use super::simulation::{Mutant, Simulation, MAX_CLOCK_OFFSET};
+use super::mutant::Mutant;
+use super::simulation::{Simulation, MAX_CLOCK_OFFSET};
 use marblefall_coordination::identifiers::MemberId;
 use rand::Rng;
 
 impl Simulation {
-    /// Most times nothing goes wrong.
+    /// Injects a random fault, or none in most steps.
     pub fn inject_fault(&mut self) {
         let id = MemberId(self.rng.random_range(0..self.members.len() as u32));
         let duration = self.rng.random_range(20..1500) * MS;
@@ -35,7 +36,7 @@
                 }
             }
             4 if self.rng.random_bool(0.4) => {
-                // Another leader comes once its lease has surely expired.
+                // Another leader is elected after its lease has surely expired.
                 self.log_line("the leader loses its voters");
                 self.is_deposed = true;
                 self.appended.clear();
--- a/crates/coordination/tests/policy_change/simulated_member.rs
+++ b/crates/coordination/tests/policy_change/simulated_member.rs
@@ -1,17 +1,17 @@
 //! A simulated machine with its member and clock.
 
 use super::common::MemberClock;
-use super::simulation::Mutant;
+use super::mutant::Mutant;
 use marblefall_coordination::identifiers::Revision;
 use marblefall_coordination::member::Member;
 
-/// One member and its machine.
+/// A machine with a member's process.
 pub struct SimulatedMember {
     pub state: Option<Member>,
     pub clock: MemberClock,
     pub suspended_until: i64,
     pub partitioned_until: i64,
-    /// Its state before it was last quiesced.
+    /// The process's state before it was last quiesced.
     pub earlier: Option<Member>,
     pub applied: Option<Revision>,
 }
@@ -28,7 +28,7 @@
         }
     }
 
-    /// What the member acts under at this moment, if it does.
+    /// The revision under which the member acts at this moment; `None` if it does not act.
     pub fn acts_under(&self, now: i64, mutant: Mutant) -> Option<Revision> {
         let state = self.state.as_ref()?;
         let now = self.clock.reading(now);
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -1,6 +1,6 @@
-//! What daemons send each other, and what stands in the log, is encoded as by earlier versions of the program: daemons of
-//! two versions work in one group, and a voter reads the log that an earlier version wrote. The bytes were written by the
-//! version before the types were renamed, and are never written anew.
+//! Messages between daemons and entries of the log are encoded as by earlier versions of the program, so that daemons of two
+//! versions work in one group, and a voter reads the log of an earlier version. The expected bytes are those of an earlier
+//! version, and must not be changed.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// The consensus library's own message is the last field.
+/// The last field is the consensus library's own message.
 #[test]
 fn paxos_message_is_encoded_as_before() {
     let message = Message::BLE(BLEMessage {
