--- a/crates/control-plane/src/list_watcher.rs
+++ b/crates/control-plane/src/list_watcher.rs
@@ -1,16 +1,19 @@
-//! The list watcher: watches the endpoint lists of a manifest on a thread of its own. A list that is found good is kept
-//! in `HOME/rosters` as the last good one, put in force, and announced; one that is not is logged once, and changes
-//! nothing.
+//! The list watcher: watches the endpoint lists of a manifest on a thread of its own. A valid list is stored in
+//! `HOME/rosters` as the last good one, put in force, and announced. An invalid one is logged once, and the last good list
+//! stays in force.
 //!
-//! The system tells of changes where it can, and a slow poll finds the rest. Nothing depends on when a scan comes: a file
-//! that is half written is detected by its form.
+//! The operating system reports most changes, and a slow poll finds the others. Correctness does not depend on when a scan
+//! runs: a half-written file is detected by its form.
 
 mod file_states;
 mod folder_watch;
+mod last_good_writer;
 mod list_files;
 mod scanner;
 mod shared_lists;
 mod status;
+mod status_reporter;
+mod wakeup;
 
 pub use list_files::{list_files, read_bounded};
 pub use status::{FileState, FileStatus, ListStatus};
@@ -20,19 +23,20 @@
 use marblefall_delivery::log_line;
 use marblefall_endpoint_lists::last_good_store::{LastGoodStore, StoreError};
 use marblefall_endpoint_lists::{ActiveLists, Report};
-use scanner::{ScanScope, Scanner, ScannerConfig, Wakeup};
+use scanner::{ScanScope, Scanner, ScannerConfig};
 use shared_lists::SharedLists;
 use std::io;
 use std::path::Path;
 use std::sync::mpsc;
 use std::thread::{self, JoinHandle};
+use wakeup::Wakeup;
 
-/// The folder in a home that holds the last good lists and the status.
+/// The folder in a home that holds the last good lists and the status file.
 const LISTS_FOLDER: &str = "rosters";
 /// The name of the watcher's thread.
 const THREAD_NAME: &str = "rosters";
 
-/// Why the lists are not watched.
+/// Why the watcher cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ListWatcherError {
     /// The last good lists cannot be read.
@@ -45,17 +49,17 @@
 
 /// The last good lists of a home.
 pub struct LastGoodLists {
-    /// Those that are in force.
+    /// The readable ones, in force.
     pub lists: ActiveLists,
-    /// What is wrong with those that were not fit to be read back.
+    /// A report for each one that cannot be decoded.
     pub unreadable: Vec<Report>,
 }
 
 impl LastGoodLists {
-    /// Reads them, under what the manifest allows.
+    /// Reads the last good lists, under the manifest's rules.
     ///
     /// # Errors
-    /// Where the folder or a file cannot be read.
+    /// The folder or a file cannot be read.
     pub fn read(home: &Path, manifest: &Manifest) -> Result<LastGoodLists, StoreError> {
         let mut lists = ActiveLists::new(manifest.list_rules());
         let mut unreadable = Vec::new();
@@ -66,20 +70,20 @@
     }
 }
 
-/// The owner of the watcher's thread, which ends with it.
+/// The owner of the watcher's thread, which ends when this is dropped.
 pub struct ListWatcher {
     lists: SharedLists,
     wakeups: mpsc::Sender<Wakeup>,
-    /// Filled when a list was put in force since it was last emptied.
+    /// Holds a message after a list was put in force.
     pub changes: Receiver<()>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ListWatcher {
-    /// Puts in force the last good lists of a home and what the files say now, then goes on watching them.
+    /// Puts the last good lists of a home in force, scans the files once, and starts watching them.
     ///
     /// # Errors
-    /// Where the last good lists cannot be read, or the thread cannot be started.
+    /// The last good lists cannot be read, or the thread cannot be started.
     pub fn start(home: &Path, manifest: &Manifest) -> Result<ListWatcher, ListWatcherError> {
         let last_good = LastGoodLists::read(home, manifest)?;
         for report in last_good.unreadable {
@@ -96,7 +100,7 @@
             wakeup_sender: wakeup_sender.clone(),
             wakeups,
         });
-        // The first scan is on the thread as well: memory that reading needs for a moment is kept by thread.
+        // The first scan runs on the thread too: the allocator keeps the memory that it frees for the thread that used it.
         let (first_scan_done, first_scan) = mpsc::channel();
         let body = move || {
             scanner.scan(ScanScope::AllFiles);
@@ -106,7 +110,7 @@
         let thread = thread::Builder::new()
             .name(THREAD_NAME.to_owned())
             .spawn(body)?;
-        // An error means that the thread panicked; what is in force stays so.
+        // An error means that the thread panicked; the lists in force stay.
         let _ = first_scan.recv();
         Ok(ListWatcher {
             lists,
@@ -116,14 +120,14 @@
         })
     }
 
-    /// Goes on under another manifest. What it no longer lets lists say counts for nothing from now on.
+    /// Watches under another manifest from now on. Entries of the lists in force that it does not permit are ignored.
     pub fn set_manifest(&self, manifest: &Manifest) {
         self.lists
             .write(|lists| lists.set_rules(manifest.list_rules()));
         self.wake(Wakeup::SourceChanged(manifest.list_source.clone()));
     }
 
-    /// Scans the files as if they had changed.
+    /// Scans the changed files now.
     pub fn rescan(&self) {
         self.wake(Wakeup::FilesChanged);
     }
@@ -134,7 +138,7 @@
     }
 
     fn wake(&self, wakeup: Wakeup) {
-        // Only a thread that panicked no longer receives.
+        // Fails only if the thread has panicked.
         let _ = self.wakeups.send(wakeup);
     }
 }
--- a/crates/control-plane/src/list_watcher/file_states.rs
+++ b/crates/control-plane/src/list_watcher/file_states.rs
@@ -4,36 +4,40 @@
 use marblefall_delivery::log_line;
 use std::collections::BTreeMap;
 
-/// Stands for the path itself, where it cannot be read.
-pub(super) const WHOLE_PATH: &str = "";
+/// The name under which an unreadable source path itself is recorded.
+pub(super) const SOURCE_PATH: &str = "";
 
-/// What was last found of each file, by name.
+/// The last recorded state of each file, by name.
 #[derive(Default)]
 pub(super) struct FileStates(BTreeMap<String, FileState>);
 
 impl FileStates {
+    /// The state of a file, if it was recorded.
     pub fn get(&self, file: &str) -> Option<&FileState> {
         self.0.get(file)
     }
 
+    /// All files with their states, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &FileState)> {
         self.0.iter()
     }
 
+    /// Forgets all files.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
+    /// Forgets one file.
     pub fn remove(&mut self, file: &str) {
         self.0.remove(file);
     }
 
-    /// Forgets files; the state of the path itself stays.
+    /// Forgets all files but those to `keep`. The state of the source path itself stays.
     pub fn retain_files(&mut self, keep: impl Fn(&str) -> bool) {
-        self.0.retain(|file, _| file == WHOLE_PATH || keep(file));
+        self.0.retain(|file, _| file == SOURCE_PATH || keep(file));
     }
 
-    /// Notes a file's state; logs it if that is new.
+    /// Records a file's state, and logs it if it has changed.
     pub fn record(&mut self, file: &str, state: FileState) {
         if self.0.get(file) == Some(&state) {
             return;
@@ -66,14 +70,14 @@
         .lines()
         .map(str::trim)
         .filter(|line| !line.is_empty());
-    let what = lines.next().unwrap_or_default();
+    let message = lines.next().unwrap_or_default();
     // The file and the line follow the arrow in a report.
-    let place = lines
+    let location = lines
         .find_map(|line| line.strip_prefix("--> "))
         .unwrap_or(file);
     log_line!(
         code = "endpoint-list-rejected",
         file,
-        "endpoint list rejected, the last good one stays in force: {place}: {what}"
+        "endpoint list rejected, the last good one stays in force: {location}: {message}"
     );
 }
--- a/crates/control-plane/src/list_watcher/folder_watch.rs
+++ b/crates/control-plane/src/list_watcher/folder_watch.rs
@@ -1,6 +1,6 @@
-//! The system's watch on the folders in which endpoint lists may change.
+//! The operating system's watch on the folders in which endpoint lists may change.
 
-use super::scanner::Wakeup;
+use super::wakeup::Wakeup;
 use marblefall_delivery::log_line;
 use notify::event::{AccessKind, AccessMode};
 use notify::{Event, EventKind, RecommendedWatcher, RecursiveMode, Watcher};
@@ -10,10 +10,23 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
 
-/// A folder's device and inode: one that was replaced by another of its name must be watched anew.
-type FolderId = (u64, u64);
+/// Identity of a folder. A folder that was replaced by another one of its name must be watched anew.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct FolderId {
+    device: u64,
+    inode: u64,
+}
+
+impl FolderId {
+    fn of(metadata: &Metadata) -> FolderId {
+        FolderId {
+            device: metadata.dev(),
+            inode: metadata.ino(),
+        }
+    }
+}
 
-/// Wakes the scanner when the system tells of a change.
+/// Wakes the scanner when the operating system reports a change.
 pub(super) struct FolderWatch {
     wakeups: mpsc::Sender<Wakeup>,
     active: Option<ActiveWatch>,
@@ -21,11 +34,12 @@
 
 struct ActiveWatch {
     folders: BTreeMap<PathBuf, FolderId>,
-    /// It watches for as long as it is held.
+    /// Watches until it is dropped.
     _watcher: RecommendedWatcher,
 }
 
 impl FolderWatch {
+    /// A watch that sends [`Wakeup::FilesChanged`], and watches nothing yet.
     pub fn new(wakeups: mpsc::Sender<Wakeup>) -> FolderWatch {
         FolderWatch {
             wakeups,
@@ -33,29 +47,34 @@
         }
     }
 
+    /// Stops watching.
     pub fn stop(&mut self) {
         self.active = None;
     }
 
-    /// Watches the folders that matter to a path, if these are not watched already. Where the system cannot, lists are
-    /// polled every `poll_ms`.
-    pub fn follow(&mut self, path: &Path, poll_ms: u64) {
+    /// Watches the folders in which the content of `path` may change, unless they are watched already. Where the operating
+    /// system cannot, lists are only polled every `poll_interval_ms`.
+    pub fn follow(&mut self, path: &Path, poll_interval_ms: u64) {
         let folders = relevant_folders(path);
         let is_followed = |active: &ActiveWatch| active.folders == folders;
         if self.active.as_ref().is_some_and(is_followed) {
             return;
         }
-        let mut watcher = match notify::recommended_watcher(wake_on_change(self.wakeups.clone())) {
-            Ok(watcher) => watcher,
+        self.active = match notify::recommended_watcher(wake_on_change(self.wakeups.clone())) {
+            Ok(watcher) => Some(ActiveWatch::start(watcher, folders)),
             Err(error) => {
                 log_line!(
                     code = "file-watch-unavailable",
-                    "the system does not tell of changes, endpoint lists are polled every {poll_ms} ms: {error}"
+                    "the system reports no file changes, endpoint lists are polled every {poll_interval_ms} ms: {error}"
                 );
-                self.active = None;
-                return;
+                None
             }
         };
+    }
+}
+
+impl ActiveWatch {
+    fn start(mut watcher: RecommendedWatcher, folders: BTreeMap<PathBuf, FolderId>) -> ActiveWatch {
         for folder in folders.keys() {
             if let Err(error) = watcher.watch(folder, RecursiveMode::NonRecursive) {
                 let folder = folder.display();
@@ -65,15 +84,15 @@
                 );
             }
         }
-        self.active = Some(ActiveWatch {
+        ActiveWatch {
             folders,
             _watcher: watcher,
-        });
+        }
     }
 }
 
-/// The path's own folder, the one that it is in (it may be renamed over, or go and come back), and where it really is (it
-/// may be a link that is swapped, or a link into a folder behind one).
+/// The folder at the path, its parent (in which the path may be replaced, or removed and created again), and the same two
+/// of the path with all links resolved (a link may be switched to another target).
 fn relevant_folders(path: &Path) -> BTreeMap<PathBuf, FolderId> {
     let real_path = fs::canonicalize(path).ok();
     let paths = [Some(path), real_path.as_deref()];
@@ -81,7 +100,7 @@
     for folder in paths.into_iter().flatten() {
         for folder in [Some(folder), folder.parent()].into_iter().flatten() {
             if let Some(metadata) = fs::metadata(folder).ok().filter(Metadata::is_dir) {
-                folders.insert(folder.to_owned(), (metadata.dev(), metadata.ino()));
+                folders.insert(folder.to_owned(), FolderId::of(&metadata));
             }
         }
     }
@@ -90,9 +109,9 @@
 
 fn wake_on_change(wakeups: mpsc::Sender<Wakeup>) -> impl FnMut(notify::Result<Event>) {
     move |event| {
-        // The scanner's own reading causes events as well; taken for a change, it would cause the next reading.
+        // The scanner's own reads cause events too. Taken for a change, each read would cause the next one.
         if !event.as_ref().is_ok_and(is_read_only) {
-            // A scanner that has ended needs no wake-up.
+            // Fails only once the scanner has ended.
             let _ = wakeups.send(Wakeup::FilesChanged);
         }
     }
--- a/crates/control-plane/src/list_watcher/list_files.rs
+++ b/crates/control-plane/src/list_watcher/list_files.rs
@@ -1,4 +1,4 @@
-//! The files of endpoint lists: which there are, how they are read, and whether one has changed since.
+//! The files of endpoint lists: finding them, reading them, and telling whether one has changed since it was read.
 
 use std::collections::BTreeMap;
 use std::fs::{self, Metadata, OpenOptions};
@@ -7,15 +7,15 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// A file that changed so shortly before it was read may have changed once more without a trace in its times.
+/// A file that changed within this time before it was read may have changed again within the resolution of its timestamps.
 const RACY_AGE: Duration = Duration::from_secs(2);
-/// Entries of a folder that are looked at, at most.
+/// Maximum number of entries of a folder that are considered.
 const MAX_FILES: usize = 20_000;
 
 /// The endpoint lists' files at a path, by name: the file itself, or those of the folder that end in `.toml`.
 ///
 /// # Errors
-/// Where the path is not there, or the folder cannot be read.
+/// The path does not exist, or the folder cannot be read.
 pub fn list_files(path: &Path) -> io::Result<BTreeMap<String, PathBuf>> {
     let with_name = |path: PathBuf| Some((path.file_name()?.to_str()?.to_owned(), path));
     if !fs::metadata(path)?.is_dir() {
@@ -24,7 +24,7 @@
     let entries = fs::read_dir(path)?
         .take(MAX_FILES)
         .collect::<io::Result<Vec<_>>>()?;
-    // What starts with a dot is an editor's or a mount's own.
+    // Names that start with a dot belong to editors and mounts.
     let is_list = |name: &str| name.ends_with(".toml") && !name.starts_with('.');
     Ok(entries
         .into_iter()
@@ -33,10 +33,11 @@
         .collect())
 }
 
-/// Reads a file to its end, but no more than one byte over the limit, and only a plain file: a pipe would never end.
+/// Reads a regular file to its end, but at most one byte more than `max_bytes`. Other files are rejected: a pipe might
+/// never end.
 ///
 /// # Errors
-/// Where the file cannot be read, or is no plain one.
+/// The file cannot be read, or is not a regular file.
 pub fn read_bounded(path: &Path, max_bytes: usize) -> io::Result<(Vec<u8>, Metadata)> {
     let nonblock = rustix::fs::OFlags::NONBLOCK.bits() as i32;
     let file = OpenOptions::new()
@@ -52,7 +53,7 @@
     Ok((bytes, metadata))
 }
 
-/// What the system said of a file.
+/// The metadata by which a change of a file shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileIdentity {
     device: u64,
@@ -76,7 +77,7 @@
     }
 }
 
-/// By what a file that was read is known to be unchanged.
+/// The identity of a file when it was read.
 #[derive(Clone, Debug)]
 pub(super) struct FileFingerprint {
     identity: FileIdentity,
@@ -84,7 +85,7 @@
 }
 
 impl FileFingerprint {
-    /// Of a file that was read just now.
+    /// The fingerprint of a file that was read just now.
     pub fn of(metadata: &Metadata) -> FileFingerprint {
         FileFingerprint {
             identity: FileIdentity::of(metadata),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether a file of which the system says this now surely holds what it held then.
+    /// Whether a file with this metadata surely holds the bytes that were read.
     pub fn matches(&self, metadata: &Metadata) -> bool {
         let changed_s = Duration::from_secs(metadata.ctime().max(0) as u64);
         let age = self
--- a/crates/control-plane/src/list_watcher/shared_lists.rs
+++ b/crates/control-plane/src/list_watcher/shared_lists.rs
@@ -3,19 +3,22 @@
 use marblefall_endpoint_lists::ActiveLists;
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// A handle on them. A panic of one thread does not keep the other from them.
+/// A shared handle on the lists in force. After a panic of one thread the other one continues to use them.
 #[derive(Clone)]
 pub(super) struct SharedLists(Arc<RwLock<ActiveLists>>);
 
 impl SharedLists {
+    /// Shares these lists.
     pub fn new(lists: ActiveLists) -> SharedLists {
         SharedLists(Arc::new(RwLock::new(lists)))
     }
 
+    /// Calls `read` with the lists under a shared lock.
     pub fn read<T>(&self, read: impl FnOnce(&ActiveLists) -> T) -> T {
         read(&self.0.read().unwrap_or_else(PoisonError::into_inner))
     }
 
+    /// Calls `change` with the lists under an exclusive lock.
     pub fn write(&self, change: impl FnOnce(&mut ActiveLists)) {
         change(&mut self.0.write().unwrap_or_else(PoisonError::into_inner));
     }
--- a/crates/control-plane/src/list_watcher/status.rs
+++ b/crates/control-plane/src/list_watcher/status.rs
@@ -1,4 +1,5 @@
-//! What the watcher last found, as a file for those who show it. Its names are those of earlier versions.
+//! The state of all endpoint lists after the last scan, as a file that the operators' commands read. `#[serde(rename)]`
+//! keeps its keys.
 
 use super::LISTS_FOLDER;
 use crate::json_file::{self, JsonFileError};
@@ -15,52 +16,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum FileState {
-    /// What it says is in force.
+    /// Its list is in force.
     InForce,
-    /// It is wrong; what was in force before still is.
+    /// Its list is invalid; the last good one stays in force.
     #[serde(rename = "refused")]
     Rejected {
-        /// Where, what and what to do, for people.
+        /// The report for operators: place, fault and remedy.
         report: String,
     },
     /// It cannot be read.
     Unreadable {
-        /// Why.
+        /// The cause, for operators.
         cause: String,
     },
-    /// It is not there.
+    /// It does not exist; its last good list stays in force.
     Missing,
 }
 
-/// What operators are shown of an endpoint list's file.
+/// The state of an endpoint list's file, and its list in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FileStatus {
     /// The file's state.
     #[serde(flatten)]
     pub state: FileState,
-    /// The revision in force of what it said, if any is.
+    /// The revision of its list in force, if there is one.
     pub revision: Option<u64>,
 }
 
-/// What the watcher last found.
+/// The state of all endpoint lists after the last scan.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ListStatus {
     /// The endpoint lists' files by name.
     pub files: BTreeMap<String, FileStatus>,
-    /// Destinations without endpoints in the manifest that no list in force names: they are served nothing.
+    /// Destinations without endpoints in the manifest that no list in force names. Nothing is sent to them.
     pub unlisted: Vec<String>,
 }
 
 impl ListStatus {
-    /// Where the status of a lists' folder is.
+    /// The path of the status file in the lists' folder.
     pub(super) fn path(folder: &Path) -> PathBuf {
         folder.join(STATUS_FILE)
     }
 
-    /// Reads what a watcher of this home last wrote; an empty status where none has run yet.
+    /// Reads the status that the watcher of this home last wrote; an empty status where no watcher has run yet.
     ///
     /// # Errors
-    /// Where the file cannot be read, or holds something else.
+    /// The file cannot be read, or is not a status.
     pub fn read(home: &Path) -> Result<ListStatus, JsonFileError> {
         json_file::read_or_default(&ListStatus::path(&home.join(LISTS_FOLDER)))
     }
