--- a/crates/control-plane/src/manifest.rs
+++ b/crates/control-plane/src/manifest.rs
@@ -1,15 +1,15 @@
-//! The manifest: what operators declare in their file, namely the instances with their frontends, and the classes,
-//! destinations and limits that they serve.
+//! The manifest: the operators' declaration of instances with their frontends, and of the classes, destinations and limits
+//! that they serve.
 //!
-//! Reading goes in three steps, each with a module of its own: `document` is the file as it is written, with the
-//! position of each entry; `checks` finds what contradicts itself; the specs of `spec` and `group` are the model, which
-//! is also what is stored once applied. What is unknown or wrong is an error that names the line.
+//! Reading has three steps, each with a module of its own: `document` is the file as it is written, with the position of
+//! each entry; `checks` finds invalid and contradictory entries; `spec` and `group` are the model, which is also the
+//! stored form of an applied manifest. An unknown or invalid entry is an error that names its line.
 //!
-//! The operators' keys are those of the first version; where a field has a better name, `#[serde(rename)]` keeps the
-//! key.
+//! Where a field's name differs from the operators' key, `#[serde(rename)]` keeps the key.
 
 mod checks;
 mod document;
+mod entries;
 mod error;
 mod group;
 mod instance_manifest;
@@ -31,10 +31,10 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// All that an operator's file declares.
+/// An operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Limits of every instance that has none of its own.
+    /// Limits of instances that have none of their own.
     #[serde(default)]
     pub limits: InstanceLimits,
     /// Classes by name.
@@ -46,17 +46,17 @@
     /// Instances by name.
     #[serde(default)]
     pub instances: BTreeMap<String, InstanceSpec>,
-    /// How many instances serve the same destinations from other homes or machines. Destinations' rates and recovery
-    /// ramps are shared with them, without any communication.
+    /// The number of instances that serve the same destinations from other homes or machines. Destinations' rates and
+    /// recovery ramps are shared with them, without any communication.
     #[serde(default, rename = "elsewhere", skip_serializing_if = "is_zero")]
     pub external_instances: usize,
-    /// Where the endpoints of the destinations that have none here are listed.
+    /// The source of endpoint lists, for destinations without endpoints of their own.
     #[serde(default, rename = "roster")]
     pub list_source: Option<EndpointListSource>,
-    /// The daemons that change all this together, if there are several.
+    /// The group of daemons that change their policy together, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub group: Option<GroupSpec>,
-    /// Which destinations get their endpoints from lists, where the destinations themselves are kept in a directory.
+    /// Where each destination's endpoints come from, if the destinations themselves are in an endpoint directory.
     #[serde(skip)]
     pub endpoint_origins: Option<BTreeMap<String, EndpointSource>>,
 }
@@ -66,10 +66,10 @@
 }
 
 impl Manifest {
-    /// Reads an operator's file from disk. A relative path of endpoint lists starts from the file's folder.
+    /// Reads an operator's file. A relative path of endpoint lists is relative to the file's folder.
     ///
     /// # Errors
-    /// Where the file cannot be read, or is not valid; the error names it.
+    /// The file cannot be read, or is not valid.
     pub fn read(path: &Path) -> Result<Manifest, ManifestError> {
         let text = std::fs::read_to_string(path).map_err(|source| ManifestError::Read {
             path: path.to_owned(),
@@ -80,7 +80,7 @@
             source,
         })?;
         if let Some(list_source) = &mut manifest.list_source {
-            // The daemon may run in another folder than the operator who plans.
+            // The daemon may run in another working folder than the operator's command.
             let folder = path.parent().unwrap_or(Path::new(""));
             list_source.path = std::path::absolute(folder.join(&list_source.path))
                 .map_err(ManifestError::ListPath)?;
@@ -88,10 +88,10 @@
         Ok(manifest)
     }
 
-    /// Reads the text of an operator's file.
+    /// Parses the text of an operator's file.
     ///
     /// # Errors
-    /// Where it is no TOML, has unknown or missing keys, or contradicts itself; all such faults are given at once.
+    /// It is not TOML, has unknown or missing keys, or has invalid or contradictory entries, of which all are reported.
     pub fn parse(text: &str) -> Result<Manifest, InvalidManifest> {
         let document: Document = toml::from_str(text)?;
         let faults = checks::check(&document, text);
@@ -102,20 +102,20 @@
         }
     }
 
-    /// What endpoint lists must keep to under this manifest.
+    /// The rules for endpoint lists under this manifest.
     pub fn list_rules(&self) -> ListRules {
         let origins = self.endpoint_origins.clone();
-        let terms = ListRules {
+        let rules = ListRules {
             destinations: Some(origins.unwrap_or_else(|| self.own_endpoint_origins())),
             ..ListRules::default()
         };
         match &self.list_source {
-            None => terms,
+            None => rules,
             Some(source) => ListRules {
                 max_bytes: source.max_bytes(),
                 max_weight_loss: source.max_weight_lost,
                 max_endpoint_loss: source.max_endpoints_lost,
-                ..terms
+                ..rules
             },
         }
     }
@@ -132,8 +132,8 @@
     }
 }
 
-/// The id by which the scheduler knows a destination: a hash of its name (64-bit FNV-1a), so that it stays the same when
-/// others come and go.
+/// The scheduler's id of a destination: the 64-bit FNV-1a hash of its name without the lowest bit. It does not depend on
+/// other destinations.
 pub fn destination_number(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
--- a/crates/control-plane/src/manifest/checks/group.rs
+++ b/crates/control-plane/src/manifest/checks/group.rs
@@ -1,27 +1,32 @@
-//! Checks of the group: its times, its voters, and which member runs which instance.
+//! Checks of the group: its durations, its voters, and the assignment of instances to members.
 
 use super::entries::name_is_valid;
 use super::{Checker, Place};
-use crate::manifest::document::GroupSection;
 use crate::manifest::error::FaultCause;
+use crate::manifest::group::GroupSection;
 use crate::manifest::{MemberSpec, PartitionPolicy};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
+/// Permitted durations of leases and timeouts.
 const DURATIONS_MS: RangeInclusive<u64> = 200..=600_000;
+/// Maximum number of voters.
 const MAX_VOTERS: usize = 9;
+/// Time by which a timeout must exceed the longest time after which a member's lease has surely expired.
+const TIMEOUT_MARGIN_MS: u64 = 1000;
 
-/// What members have claimed so far.
+/// The members that use each address and run each instance, as far as members were checked.
 #[derive(Default)]
-struct Claims<'a> {
-    /// Who listens at an address.
+struct Assignments<'a> {
+    /// The member that listens at an address.
     links: BTreeMap<SocketAddr, &'a str>,
-    /// Who runs an instance.
+    /// The member that runs an instance.
     instances: BTreeMap<&'a str, &'a str>,
 }
 
 impl Checker<'_> {
+    /// Checks the group, if the document has one.
     pub(super) fn check_group(&mut self) {
         let Some(group) = &self.document.group else {
             return;
@@ -33,12 +38,12 @@
         }
         self.check_durations(place, group);
         self.check_voters(place, group);
-        let mut claims = Claims::default();
+        let mut assignments = Assignments::default();
         for (name, member) in &group.members {
             let place = Place::named("member", name, member);
-            self.check_member(place, name, member.get_ref(), &mut claims);
+            self.check_member(place, name, member.get_ref(), &mut assignments);
         }
-        self.check_instances_are_run(&claims);
+        self.check_instances_are_run(&assignments);
     }
 
     fn check_durations(&mut self, place: Place<'_>, group: &GroupSection) {
@@ -54,8 +59,7 @@
         if group.partition_policy == PartitionPolicy::Serve {
             return;
         }
-        // A member that cannot be reached is passed over once its lease has run out, and not before.
-        let min_ms = group.lease_ms * 5 / 4 + 1000;
+        let min_ms = min_timeout_ms(group.lease_ms);
         for (key, ms) in timeouts {
             if ms < min_ms {
                 let lease_ms = group.lease_ms;
@@ -85,7 +89,7 @@
         place: Place<'_>,
         name: &'d str,
         member: &'d MemberSpec,
-        claims: &mut Claims<'d>,
+        assignments: &mut Assignments<'d>,
     ) {
         if !name_is_valid(name) {
             self.report(place, FaultCause::InvalidName);
@@ -93,14 +97,14 @@
         if member.link.port() == 0 {
             self.report(place, FaultCause::LinkWithoutPort);
         }
-        if let Some(other) = claims.links.insert(member.link, name) {
+        if let Some(other) = assignments.links.insert(member.link, name) {
             self.report(place, FaultCause::DuplicateLink(other.to_owned()));
         }
         for instance in &member.instances {
             if !self.document.instances.contains_key(instance) {
                 self.report(place, FaultCause::UnknownInstance(instance.clone()));
             }
-            if let Some(other) = claims.instances.insert(instance, name) {
+            if let Some(other) = assignments.instances.insert(instance, name) {
                 let cause = FaultCause::InstanceRunTwice {
                     instance: instance.clone(),
                     member: other.to_owned(),
@@ -110,12 +114,18 @@
         }
     }
 
-    fn check_instances_are_run(&mut self, claims: &Claims<'_>) {
+    fn check_instances_are_run(&mut self, assignments: &Assignments<'_>) {
         for (name, instance) in &self.document.instances {
-            if !claims.instances.contains_key(name.as_str()) {
+            if !assignments.instances.contains_key(name.as_str()) {
                 let place = Place::named("instance", name, instance);
                 self.report(place, FaultCause::InstanceNotRun);
             }
         }
     }
 }
+
+/// The shortest timeout for a lease of this duration. A change completes without an unreachable member only after the
+/// member's lease has expired, for which a quarter more is allowed.
+fn min_timeout_ms(lease_ms: u64) -> u64 {
+    lease_ms * 5 / 4 + TIMEOUT_MARGIN_MS
+}
--- a/crates/control-plane/src/manifest/error.rs
+++ b/crates/control-plane/src/manifest/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an operator's file. Messages name the operators' own keys.
+//! Faults of an operator's file. Messages name the operators' own keys.
 
 use std::fmt;
 use std::io;
@@ -21,18 +21,18 @@
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Its faults.
         source: InvalidManifest,
     },
-    /// The absolute path of the endpoint lists cannot be found out.
+    /// The path of the endpoint lists cannot be made absolute.
     #[error("{0}")]
     ListPath(#[source] io::Error),
 }
 
-/// What is wrong with a manifest's text.
+/// Why a manifest's text is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidManifest {
-    /// It is no TOML, or has unknown, missing or mistyped keys.
+    /// It is not TOML, or has unknown, missing or mistyped keys.
     #[error("{}", .0.to_string().trim_end())]
     Syntax(#[from] toml::de::Error),
     /// Its entries contradict themselves or each other.
@@ -48,11 +48,11 @@
 /// A fault of one entry.
 #[derive(Debug, thiserror::Error)]
 pub struct ManifestFault {
-    /// Where the entry begins, counted from 1; `None` where it may be left out.
+    /// The line of the entry, counted from 1; `None` for an entry that may be left out.
     pub line: Option<usize>,
     /// The entry.
     pub entry: String,
-    /// What is wrong with it.
+    /// The cause.
     #[source]
     pub cause: FaultCause,
 }
@@ -66,22 +66,22 @@
     }
 }
 
-/// What is wrong with an entry.
+/// Why an entry is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FaultCause {
-    /// A name cannot be a folder's.
+    /// A name cannot be the name of a folder.
     #[error("a name holds letters, digits, - and _ only")]
     InvalidName,
-    /// A path does not begin with /, or has other than graphic characters.
+    /// A path does not begin with /, or has characters that are not graphic ASCII.
     #[error("{0:?} is no path")]
     InvalidPath(String),
-    /// A limit allows nothing.
+    /// A limit is 0.
     #[error("slots, max_open and max_attempts are 1 at least")]
     ZeroLimit,
-    /// The journal has no room.
+    /// The state folder is too small for the journal.
     #[error("disk_mb is 1 at least")]
     DiskTooSmall,
-    /// There are fewer sockets than an instance needs.
+    /// The limit on descriptors is below what an instance needs.
     #[error("sockets is 64 at least")]
     TooFewSockets,
     /// A class with idempotency keys has no deduplication window.
@@ -93,7 +93,7 @@
     /// The latency objective is beyond the deadline, or the deadline is 0.
     #[error("wanted_ms is beyond give_up_ms")]
     ObjectiveBeyondDeadline,
-    /// The late value is no proportion.
+    /// The late value is not a proportion.
     #[error("late_value is not within 0 and 1")]
     LateValueOutOfRange,
     /// The priority weight is not above 0.
@@ -117,15 +117,15 @@
     /// An instance has no frontend.
     #[error("no front is on")]
     NoFrontend,
-    /// A type of event has a class that is not in the manifest.
+    /// An event type has a class that is not in the manifest.
     #[error("type {event_type:?} has the unknown class {class:?}")]
     UnknownClass {
-        /// The type.
+        /// The event type.
         event_type: String,
         /// Its class.
         class: String,
     },
-    /// A number is none, or has a destination that is not in the manifest.
+    /// A destination's number is not a number, or its destination is not in the manifest.
     #[error("number {number:?} has no known destination {destination:?}")]
     UnknownDestination {
         /// The number.
@@ -136,19 +136,19 @@
     /// Two frontends have the same address.
     #[error("{0} is listened at twice")]
     DuplicateAddress(SocketAddr),
-    /// More instances run elsewhere than is plausible.
+    /// The number of external instances is implausibly large.
     #[error("elsewhere is {max} at most")]
     TooManyExternalInstances {
-        /// The most that are.
+        /// The maximum.
         max: usize,
     },
-    /// An allowed loss is no proportion.
+    /// A permitted loss is not a proportion.
     #[error("most_weight_lost and most_endpoints_lost are within 0 and 1")]
     LossOutOfRange,
     /// The path of the endpoint lists is empty.
     #[error("path is empty")]
     EmptyPath,
-    /// The size of an endpoint list is out of range.
+    /// The maximum size of an endpoint list is out of range.
     #[error("max_kb is 1 at least and 1,048,576 at most")]
     MaxKibOutOfRange,
     /// The poll interval is out of range.
@@ -160,20 +160,20 @@
         /// Its key.
         key: &'static str,
     },
-    /// A timeout could end before a lease has run out.
+    /// A timeout could end before a lease has expired.
     #[error("{key} is {min_ms} at least, for a term of {lease_ms}")]
     ShorterThanLease {
         /// Its key.
         key: &'static str,
-        /// The least that it may be.
+        /// The minimum.
         min_ms: u64,
-        /// The lease.
+        /// The duration of a lease.
         lease_ms: u64,
     },
     /// The group has no voters.
     #[error("no member has votes = true")]
     NoVoters,
-    /// The group has more voters than are of use.
+    /// The group has too many voters.
     #[error("{0} members vote; nine are enough for any group")]
     TooManyVoters(usize),
     /// A member's link has no port.
--- a/crates/control-plane/src/manifest/group/tests.rs
+++ b/crates/control-plane/src/manifest/group/tests.rs
@@ -1,10 +1,10 @@
-//! The group of the examples, whole and with one entry spoilt at a time.
+//! The group of the examples, valid and with one invalid entry at a time.
 
 use crate::manifest::Manifest;
 
 const GOOD: &str = include_str!("../../../../../examples/group/fleet.toml");
 
-/// What is replaced by what, the message, and its line.
+/// An entry, its replacement, a part of the error message, and the line that the message names.
 const INVALID: [(&str, &str, &str, usize); 10] = [
     (
         "instances = [\"north-1\"]",
--- a/crates/control-plane/src/manifest/instance_manifest.rs
+++ b/crates/control-plane/src/manifest/instance_manifest.rs
@@ -1,13 +1,13 @@
-//! The part of a manifest that one instance runs by.
+//! The part of a manifest that concerns one instance.
 
 use super::{ClassSpec, EventsFrontendSpec, InstanceLimits, Manifest, PlatformFrontendSpec};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// All that one instance depends on: when this changes, the instance applies it, in place or by a restart.
+/// The part of a manifest that concerns one instance. When it changes, the instance applies it, in place or by a restart.
 ///
-/// Destinations are not in it: they are in the endpoint directory, which changes while an instance runs. Where the
-/// endpoint lists are is the supervisor's own matter, and so is the group.
+/// It does not contain the destinations, which are in the endpoint directory and change while an instance runs, nor what
+/// concerns the supervisor alone: the source of the endpoint lists, and the group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceManifest {
     /// Its name.
@@ -16,16 +16,16 @@
     pub events: Option<EventsFrontendSpec>,
     /// The platform's frontend, if it is on.
     pub platform: Option<PlatformFrontendSpec>,
-    /// What it may use.
+    /// Its limits.
     pub limits: InstanceLimits,
     /// Classes by name.
     pub classes: BTreeMap<String, ClassSpec>,
-    /// How many instances serve the same destinations, for their parts of a rate.
+    /// The number of instances that serve the same destinations and share their rates.
     pub total_instances: usize,
 }
 
 impl Manifest {
-    /// What an instance runs by; `None` where the manifest does not name it.
+    /// The part of the manifest that concerns an instance; `None` if the manifest does not contain the instance.
     pub fn instance_manifest(&self, name: &str) -> Option<InstanceManifest> {
         let instance = self.instances.get(name)?;
         Some(InstanceManifest {
@@ -40,8 +40,8 @@
 }
 
 impl InstanceManifest {
-    /// Whether an instance that runs by this one can change to `new` without a restart: its listeners, its folder and its
-    /// connections stay.
+    /// Whether a running instance can change to `new` without a restart: its listeners, its state folder and its
+    /// connections stay as they are.
     pub fn can_update_in_place(&self, new: &InstanceManifest) -> bool {
         self.events_address() == new.events_address()
             && self.platform_addresses() == new.platform_addresses()
--- a/crates/control-plane/src/manifest/spec.rs
+++ b/crates/control-plane/src/manifest/spec.rs
@@ -7,18 +7,26 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// A day, in seconds.
 const DAY_S: u64 = 24 * 3600;
-
-/// What a repeated attempt does at a class's receivers.
+const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
+/// Attempts per second.
+const DEFAULT_RATE: f64 = 1.0;
+const DEFAULT_POLL_INTERVAL_MS: u64 = 2000;
+const DEFAULT_MAX_LIST_KIB: usize = 8192;
+const DEFAULT_MAX_LOST: f64 = 0.5;
+const BYTES_PER_KIB: usize = 1024;
+
+/// The effect of a repeated attempt at a class's receivers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IdempotencySpec {
-    /// Nothing: an event may be sent again freely.
+    /// None: an event may always be sent again.
     #[serde(rename = "free")]
     Idempotent,
-    /// It is dropped by its key, for the class's window.
+    /// Receivers drop it by its idempotency key, within the class's deduplication window.
     #[serde(rename = "keyed")]
     IdempotencyKey,
-    /// It has a second effect: an event is sent again only if it surely was not executed.
+    /// A second execution: an event is sent again only if it surely was not executed.
     #[serde(rename = "never")]
     NonIdempotent,
 }
@@ -27,31 +35,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// What a repeated attempt does.
+    /// The effect of a repeated attempt.
     #[serde(rename = "repeats")]
     pub idempotency: IdempotencySpec,
-    /// For how long receivers drop repeats, in milliseconds; for [`IdempotencySpec::IdempotencyKey`] only.
+    /// The time in milliseconds within which receivers drop repeats; for [`IdempotencySpec::IdempotencyKey`] only.
     #[serde(default, rename = "window_ms")]
     pub deduplication_window_ms: Option<u64>,
-    /// The value of one event that is delivered in time.
+    /// The value of an event that is delivered within the latency objective.
     #[serde(default = "default_weight", rename = "worth")]
     pub priority_weight: f64,
-    /// Time within which it has the full value, in milliseconds.
+    /// The time in milliseconds within which a delivered event has its full value.
     #[serde(rename = "wanted_ms")]
     pub latency_objective_ms: u64,
-    /// How long an event without an `expirytime` may be delivered, in milliseconds.
+    /// The time to live in milliseconds of an event without an `expirytime`.
     #[serde(rename = "give_up_ms")]
     pub deadline_ms: u64,
-    /// The part of the value, 0 to 1, that is left at the deadline.
+    /// The proportion of the value, 0 to 1, that an event has at the deadline.
     #[serde(default)]
     pub late_value: f64,
-    /// How long a finished event is recognised, in seconds.
+    /// The time in seconds for which a repeat of a completed event is recognised.
     #[serde(default = "default_remember_s")]
     pub remember_s: u64,
 }
 
 fn default_weight() -> f64 {
-    1.0
+    DEFAULT_PRIORITY_WEIGHT
 }
 
 fn default_remember_s() -> u64 {
@@ -62,29 +70,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// A name that stays the same when its address changes.
+    /// Its name, which does not change with its address.
     pub name: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// It finishes what it has, and gets nothing new.
+    /// Whether it is draining: it receives no new attempts.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// A destination: a partner's system.
+/// A destination: the system of a partner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DestinationSpec {
-    /// The content mode in which it wants events.
+    /// The content mode in which events are sent to it.
     #[serde(default, rename = "mode")]
     pub content_mode: ContentMode,
-    /// The path at its endpoints.
+    /// The request path at its endpoints.
     #[serde(default = "root_path")]
     pub path: String,
-    /// Attempts a second that it takes from all instances together, as far as known.
+    /// The approximate rate that it accepts from all instances together, in attempts per second.
     #[serde(default = "default_rate")]
     pub rate: f64,
-    /// Its endpoints; none where endpoint lists give them.
+    /// Its endpoints; none if they come from endpoint lists.
     #[serde(default)]
     pub endpoints: Vec<EndpointSpec>,
 }
@@ -94,35 +102,35 @@
 }
 
 fn default_rate() -> f64 {
-    1.0
+    DEFAULT_RATE
 }
 
-/// What an instance may use.
+/// The resources that an instance may use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct InstanceLimits {
-    /// Attempts in flight at once.
+    /// Maximum number of attempts in flight.
     #[serde(rename = "slots")]
     pub max_in_flight: usize,
-    /// Messages open at once.
+    /// Maximum number of open messages.
     pub max_open: usize,
-    /// Attempts for one message.
+    /// Maximum number of attempts for a message.
     pub max_attempts: u32,
-    /// Descriptors of the instance.
+    /// Maximum number of file descriptors.
     #[serde(rename = "sockets")]
     pub max_sockets: usize,
-    /// Size of its folder, in megabytes.
+    /// Maximum size of the state folder, in megabytes.
     pub disk_mb: f64,
-    /// Finished events that are recognised at most.
+    /// Maximum number of completed events whose repeats are recognised.
     #[serde(rename = "remember")]
     pub max_remembered: usize,
-    /// A connection that takes longer to open has failed, in milliseconds.
+    /// The connect timeout, in milliseconds.
     #[serde(rename = "dial_ms")]
     pub connect_timeout_ms: u64,
-    /// Endpoints close a connection that has been idle for so long, in milliseconds.
+    /// The time in milliseconds after which endpoints close an idle connection.
     #[serde(rename = "idle_ms")]
     pub idle_timeout_ms: u64,
-    /// The longest `Retry-After` that a client is given, in milliseconds.
+    /// The longest `Retry-After` that clients receive, in milliseconds.
     #[serde(rename = "retry_after_ms")]
     pub max_retry_after_ms: u64,
 }
@@ -147,13 +155,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EventsFrontendSpec {
-    /// Where partners connect.
+    /// The address at which partners connect.
     #[serde(rename = "listen")]
     pub listen_address: SocketAddr,
     /// The path at which events are accepted.
     #[serde(default = "root_path")]
     pub path: String,
-    /// The attribute that names an event's destination.
+    /// The attribute that contains an event's destination.
     pub destination_attribute: String,
     /// The class of each type of event.
     #[serde(rename = "types")]
@@ -164,13 +172,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformFrontendSpec {
-    /// Where clients connect.
+    /// The address at which clients connect.
     #[serde(rename = "listen")]
     pub listen_address: SocketAddr,
-    /// Where final outcomes are notified.
+    /// The address to which final outcomes are reported.
     #[serde(rename = "notices")]
     pub notice_address: SocketAddr,
-    /// The destinations by the numbers that clients know them by.
+    /// The destinations by the numbers that clients use for them.
     #[serde(rename = "numbers")]
     pub destination_by_number: BTreeMap<String, String>,
 }
@@ -185,46 +193,46 @@
     /// The platform's frontend, if it is on.
     #[serde(default, rename = "relay")]
     pub platform: Option<PlatformFrontendSpec>,
-    /// What it may use; the manifest's limits where left out.
+    /// Its limits; the manifest's limits if left out.
     #[serde(default)]
     pub limits: Option<InstanceLimits>,
 }
 
-/// Where endpoint lists are, and what they must keep to.
+/// The source of the endpoint lists, and the limits on their changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointListSource {
     /// An endpoint list, or a folder of them.
     pub path: PathBuf,
-    /// How often the lists are polled, in milliseconds.
+    /// The interval in milliseconds at which the lists are polled.
     #[serde(default = "default_poll_interval_ms", rename = "poll_ms")]
     pub poll_interval_ms: u64,
-    /// The largest list, in units of 1,024 bytes.
+    /// The maximum size of a list, in units of 1,024 bytes.
     #[serde(default = "default_max_kib", rename = "max_kb")]
     pub max_kib: usize,
-    /// The part of a destination's weight, 0 to 1, that one change may remove without an allowance.
+    /// The proportion of a destination's weight, 0 to 1, that one change may remove without an allowance.
     #[serde(default = "default_max_lost", rename = "most_weight_lost")]
     pub max_weight_lost: f64,
-    /// The part of a list's endpoints, 0 to 1, that one change may remove without an allowance.
+    /// The proportion of a list's endpoints, 0 to 1, that one change may remove without an allowance.
     #[serde(default = "default_max_lost", rename = "most_endpoints_lost")]
     pub max_endpoints_lost: f64,
 }
 
 impl EndpointListSource {
-    /// The largest list, in bytes.
+    /// The maximum size of a list, in bytes.
     pub fn max_bytes(&self) -> usize {
-        self.max_kib * 1024
+        self.max_kib * BYTES_PER_KIB
     }
 }
 
 fn default_poll_interval_ms() -> u64 {
-    2000
+    DEFAULT_POLL_INTERVAL_MS
 }
 
 fn default_max_kib() -> usize {
-    8192
+    DEFAULT_MAX_LIST_KIB
 }
 
 fn default_max_lost() -> f64 {
-    0.5
+    DEFAULT_MAX_LOST
 }
--- a/crates/control-plane/src/manifest/tests.rs
+++ b/crates/control-plane/src/manifest/tests.rs
@@ -1,4 +1,4 @@
-//! The deployed manifest, whole and with one entry spoilt at a time.
+//! The deployed manifest, valid and with one invalid entry at a time.
 
 use super::Manifest;
 
