--- a/crates/control-plane/src/endpoint_directory.rs
+++ b/crates/control-plane/src/endpoint_directory.rs
@@ -1,5 +1,5 @@
-//! The endpoint directory: all destinations of the manifest and their endpoints, those of the endpoint lists in force
-//! included, in the compact form that all instances of the process share.
+//! The endpoint directory: all destinations of the manifest with their endpoints, including those of the endpoint lists in
+//! force, in the compact form that all instances of the process share.
 
 mod compact_applied;
 
@@ -19,20 +19,20 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// All destinations, and the few encodings in which events are sent to them.
+/// All destinations, and the distinct targets in which events are encoded for them.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointDirectory {
     /// The destinations.
     pub destination_table: Arc<DestinationTable>,
-    /// What their encodings stand for, by index.
+    /// The targets, by the destinations' `encoding`.
     pub targets: Arc<Vec<Target>>,
 }
 
 impl EndpointDirectory {
-    /// The same with the endpoints that the lists in force give.
+    /// A copy with the endpoints of the lists in force.
     ///
     /// # Errors
-    /// Where the table has no room for them.
+    /// The table's capacity is exceeded.
     pub fn with_endpoint_lists(
         &self,
         lists: &ActiveLists,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A directory while it is filled.
+/// Builds a directory.
 struct DirectoryBuilder {
     encodings: HashMap<(ContentMode, String), u16>,
     targets: Vec<Target>,
@@ -94,7 +94,7 @@
         self.table.add(entry, endpoints)
     }
 
-    /// The index of the encoding that a destination wants.
+    /// The index of a destination's target.
     fn encoding(&mut self, destination: &DestinationSpec) -> Result<u16, TableError> {
         let next = u16::try_from(self.targets.len()).map_err(|_| TableError::Encodings)?;
         let key = (destination.content_mode, destination.path.clone());
@@ -126,8 +126,8 @@
 }
 
 impl<'de> Deserialize<'de> for EndpointDirectory {
-    /// Reads the destinations of an applied file one by one: a hundred thousand of them as values of their own would
-    /// take ten times the room that they need here, and an allocator does not give all of it back.
+    /// Reads the destinations of an applied file one by one. As values of their own, a hundred thousand of them would take
+    /// ten times the memory, which an allocator does not return completely.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<EndpointDirectory, D::Error> {
         deserializer.deserialize_map(DestinationVisitor)
     }
--- a/crates/control-plane/src/endpoint_directory/compact_applied.rs
+++ b/crates/control-plane/src/endpoint_directory/compact_applied.rs
@@ -1,4 +1,4 @@
-//! What is applied in a home, read with its destinations straight into a directory.
+//! The applied manifest of a home, read with its destinations directly into an endpoint directory.
 
 use super::EndpointDirectory;
 use crate::json_file::JsonFileError;
@@ -14,13 +14,13 @@
 use std::io::{self, BufReader};
 use std::path::Path;
 
-/// The size of the buffer through which the file is read.
+/// Size of the read buffer, in bytes.
 const READ_BUFFER: usize = 64 * 1024;
 
-/// What is applied, its destinations apart from the manifest in as little room as will do.
+/// The applied manifest and its revision, with the destinations in an endpoint directory.
 #[derive(Clone, Debug, Default)]
 pub struct CompactApplied {
-    /// How many applies led to it.
+    /// Grows by one with each apply.
     pub revision: u64,
     /// The manifest without its destinations.
     pub manifest: Manifest,
@@ -28,7 +28,7 @@
     pub directory: EndpointDirectory,
 }
 
-/// The stored form of [`Applied`](crate::plan::Applied); its names are those of earlier versions.
+/// The stored form of [`Applied`](crate::plan::Applied).
 #[derive(Deserialize)]
 struct StoredApplied {
     revision: u64,
@@ -55,10 +55,10 @@
 }
 
 impl CompactApplied {
-    /// Reads what is applied in a home; an empty manifest of revision 0 where nothing is.
+    /// Reads the applied manifest of a home; an empty manifest of revision 0 if none is applied.
     ///
     /// # Errors
-    /// Where the file cannot be read, or holds something else.
+    /// The file cannot be read, or has other content.
     pub fn read(home: &Path) -> Result<CompactApplied, JsonFileError> {
         let path = home.join(APPLIED_FILE);
         let file = match File::open(&path) {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Which destinations get their endpoints from lists.
+/// Where each destination's endpoints come from.
 fn endpoint_origins(directory: &EndpointDirectory) -> BTreeMap<String, EndpointSource> {
     let origin = |entry: &DestinationEntry<'_>| match entry.from_list {
         true => EndpointSource::Lists,
--- a/crates/control-plane/src/json_file.rs
+++ b/crates/control-plane/src/json_file.rs
@@ -1,4 +1,4 @@
-//! Reads stored JSON files, whose absence means that nothing is stored yet.
+//! Stored JSON files, whose absence means that nothing is stored yet.
 
 use serde::de::DeserializeOwned;
 use std::fs;
@@ -16,17 +16,17 @@
         /// Why.
         source: io::Error,
     },
-    /// The file holds something else.
+    /// The file has other content.
     #[error("{}: {source}", path.display())]
     Parse {
         /// The file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// The fault and its position.
         source: serde_json::Error,
     },
 }
 
-/// Reads a file; the default value where there is none.
+/// Reads a file; the default value if it does not exist.
 pub(crate) fn read_or_default<T>(path: &Path) -> Result<T, JsonFileError>
 where
     T: DeserializeOwned + Default,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,8 +1,13 @@
-//! The control plane: what operators declare, and what keeps the instances to it.
+//! The control plane: runs the instances that operators declare, and puts changes to the declaration in force.
 //!
-//! [`manifest`] is what they declare, [`plan`] what a change to it would do and how it is applied,
-//! [`endpoint_directory`] the destinations of what is applied, [`list_watcher`] the endpoint lists beside it,
-//! [`supervisor`] what runs the instances, and [`group`] what makes several supervisors change together.
+//! | module | concern |
+//! | --- | --- |
+//! | [`manifest`] | the operators' declaration |
+//! | [`plan`] | the change from the applied manifest to another one, and how it is applied |
+//! | [`endpoint_directory`] | the destinations of the applied manifest |
+//! | [`list_watcher`] | the endpoint lists beside the manifest |
+//! | [`supervisor`] | the instances and their restarts |
+//! | [`group`] | several daemons that change their policy together |
 
 #![forbid(unsafe_code)]
 
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,6 +1,6 @@
-//! Data that an earlier version of the program stored, in `tests/fixtures`, is read by this one: a member's home with
-//! its voter's log and the policy in force, and a fleet with the endpoint list in force. The fixtures were written by
-//! the version before the packages moved to `crates/`, and are never written anew.
+//! Data that an earlier version of the program stored is read by this one: a member's home with its voter's log and the
+//! policy in force, and a fleet with the endpoint list in force. The fixtures in `tests/fixtures` were written by an earlier
+//! version, and must not be changed.
 
 use marblefall_control_plane::endpoint_directory::CompactApplied;
 use marblefall_control_plane::group::Membership;
@@ -38,7 +38,7 @@
         ("east", "clinics")
     );
     assert_eq!(membership.names(), ["east", "north", "south"]);
-    // Written again it is the same, key by key.
+    // Encoded again, it is the same, key by key.
     let before: serde_json::Value =
         serde_json::from_slice(&fs::read(home.join("applied.json")).unwrap()).unwrap();
     assert_eq!(serde_json::to_value(&applied).unwrap(), before);
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn compact_reading_equals_whole_reading() {
+fn compact_read_equals_full_read() {
     for (home, origins) in [("member", 0), ("fleet", 1)] {
-        let whole = Applied::read(&fixture(home)).unwrap();
+        let full = Applied::read(&fixture(home)).unwrap();
         let compact = CompactApplied::read(&fixture(home)).unwrap();
         let names: Vec<_> = compact
             .directory
@@ -96,10 +96,10 @@
             .entries()
             .map(|entry| entry.name.to_owned())
             .collect();
-        assert_eq!(names.len(), whole.manifest.destinations.len());
+        assert_eq!(names.len(), full.manifest.destinations.len());
         assert!(names
             .iter()
-            .all(|name| whole.manifest.destinations.contains_key(name)));
+            .all(|name| full.manifest.destinations.contains_key(name)));
         assert_eq!(
             compact
                 .manifest
@@ -108,18 +108,18 @@
                 .map(|all| all.len()),
             Some(origins)
         );
-        let mut manifest = whole.manifest;
+        let mut manifest = full.manifest;
         manifest.destinations.clear();
         manifest.endpoint_origins = compact.manifest.endpoint_origins.clone();
         assert_eq!(
             (compact.revision, compact.manifest),
-            (whole.revision, manifest)
+            (full.revision, manifest)
         );
     }
 }
 
 #[test]
-fn every_key_of_an_applied_file_is_kept() {
+fn applied_file_keeps_every_key() {
     let stored = serde_json::json!({
         "revision": 7,
         "fleet": {
