--- a/crates/cli/src/group/status.rs
+++ b/crates/cli/src/group/status.rs
@@ -60,7 +60,7 @@
     match &local.last_leader {
         Some(leader) => println!(
             "nobody leads just now; {} did, heard {} ms ago",
-            leader.name, leader.heard_ms_ago
+            leader.name, leader.contact_ms_ago
         ),
         None => println!("nobody leads just now, and nobody did since this daemon started"),
     }
--- a/crates/cli/src/policy.rs
+++ b/crates/cli/src/policy.rs
@@ -56,7 +56,7 @@
         Some(group) if plan.base.revision == 0 => group,
         _ => return Err(CommandError::MemberNotExpected),
     };
-    Membership::found(home, name, &plan.target)?;
+    Membership::create(home, name, &plan.target)?;
     println!("founded as member {name} of group {}", group.name);
     println!(
         "it is in force once the group's voters run and agree: marblefall run {}",
--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -1,7 +1,7 @@
 //! A home as a member of a group: its files, and the daemon's node in the group.
 //!
-//! The folder `group` in the home holds all of it: `member` names the member that the home is, `founding.json` is the
-//! manifest that it was founded with, and `votes` the state of its voter.
+//! The folder `group` in the home contains three files: `member` is the member's name, `founding.json` the initial manifest,
+//! and `votes` the persistent state of the member's voter.
 
 mod driver;
 mod error;
@@ -20,38 +20,39 @@
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// The folder in a home that holds all this.
+/// The folder in a home that contains the group's files.
 const FOLDER: &str = "group";
-/// Which member the home is.
+/// The file that contains the member's name.
 const MEMBER_FILE: &str = "member";
-/// The manifest that the home was founded with.
+/// The file that contains the initial manifest.
 const INITIAL_MANIFEST_FILE: &str = "founding.json";
-/// The state of the home's voter.
-const VOTES_FILE: &str = "votes";
+/// The file that contains the persistent state of the member's voter.
+const VOTER_STATE_FILE: &str = "votes";
 
-/// By how many hundredths the clocks of two machines may differ in speed.
+/// Maximum difference in speed between the clocks of two machines, in percent.
 const CLOCK_DRIFT_PERCENT: i64 = 1;
-/// A message without a response is sent again after this.
+/// Time after which a message without a response is sent again.
 const RESEND_INTERVAL: Span = Span(250_000);
+const MICROS_PER_MS: i64 = 1000;
 
 /// A home as a member of its group.
 #[derive(Clone, Debug)]
 pub struct Membership {
     /// The member's name.
     pub name: String,
-    /// Its position among the names.
+    /// The member's position among the names.
     pub id: MemberId,
-    /// The group as the home knows it.
+    /// The group, by the manifest in force in the home or else by the initial manifest.
     pub group: GroupSpec,
-    /// The manifest that the home was founded with.
+    /// The initial manifest, as JSON.
     initial_manifest: Option<Vec<u8>>,
 }
 
 impl Membership {
-    /// Reads a home's membership; `None` where the home is of no group.
+    /// Reads a home's membership; `None` if the home does not belong to a group.
     ///
     /// # Errors
-    /// Where its files cannot be read, or do not fit each other.
+    /// The home's files cannot be read, or contradict each other.
     pub fn read(home: &Path) -> Result<Option<Membership>, GroupError> {
         let path = group_file(home, MEMBER_FILE);
         let Some(name) = read_if_present(&path)? else {
@@ -87,11 +88,12 @@
         }))
     }
 
-    /// Makes a home a member. The group begins with the manifest once all its voters agree.
+    /// Makes a home a member of the manifest's group. The manifest is the group's initial policy; it comes into force once
+    /// all voters run.
     ///
     /// # Errors
-    /// Where the manifest has no such member, or its files cannot be written.
-    pub fn found(home: &Path, name: &str, manifest: &Manifest) -> Result<(), GroupError> {
+    /// The manifest has no such member, or the home's files cannot be written.
+    pub fn create(home: &Path, name: &str, manifest: &Manifest) -> Result<(), GroupError> {
         let Some(group) = &manifest.group else {
             return Err(GroupError::NoGroupInManifest);
         };
@@ -111,7 +113,7 @@
         let text = serde_json::to_vec(manifest).map_err(GroupError::EncodeManifest)?;
         let initial_path = group_file(home, INITIAL_MANIFEST_FILE);
         replace(&LocalDisk, &initial_path, &text, Durability::PowerLoss).map_err(write_error)?;
-        // Last: a home that has this file is a member.
+        // Written last, as a home with this file is a member.
         let member_path = group_file(home, MEMBER_FILE);
         replace(
             &LocalDisk,
@@ -122,18 +124,18 @@
         .map_err(write_error)
     }
 
-    /// The member of a name.
+    /// The member with a name.
     pub fn member_id(&self, name: &str) -> Option<MemberId> {
         member_id(&self.group, name)
     }
 
-    /// The members' names, in the order of their identities.
+    /// The members' names, in the order of their ids.
     pub fn names(&self) -> Vec<String> {
         self.group.members.keys().cloned().collect()
     }
 
     fn settings(&self) -> CoordinationSettings {
-        let span = |ms: u64| Span(ms as i64 * 1000);
+        let span = |ms: u64| Span(ms as i64 * MICROS_PER_MS);
         CoordinationSettings {
             partition_policy: match self.group.partition_policy {
                 PartitionSpec::Stop => PartitionPolicy::Stop,
@@ -152,7 +154,7 @@
     home.join(FOLDER).join(name)
 }
 
-/// A file's content; `None` where there is no such file.
+/// The content of a file; `None` if it does not exist.
 fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, GroupError> {
     match fs::read(path) {
         Ok(bytes) => Ok(Some(bytes)),
--- /dev/null
+++ b/crates/control-plane/src/group/driver/inbox.rs
@@ -0,0 +1,54 @@
+//! The events that the driver waits for.
+
+use crate::group::transport::TransportEvent;
+use async_channel::Receiver;
+use async_io::Timer;
+use futures_lite::future;
+use marblefall_coordination::identifiers::ProposalId;
+use marblefall_coordination::message::PolicyVerdict;
+use std::time::Instant;
+
+/// An event for the driver.
+pub(super) enum DriverEvent {
+    /// An event of the transport.
+    Transport(TransportEvent),
+    /// The instances have checked a proposed policy.
+    Checked(ProposalId, PolicyVerdict),
+    /// The time to wake has come.
+    Timer,
+}
+
+/// The driver's queues of events.
+pub(super) struct Inbox {
+    /// Events of the transport.
+    pub transport: Receiver<TransportEvent>,
+    /// Verdicts on proposed policies.
+    pub verdicts: Receiver<(ProposalId, PolicyVerdict)>,
+}
+
+impl Inbox {
+    /// Waits for the next event, until `wake` at the latest.
+    pub async fn receive(&self, wake: Instant) -> DriverEvent {
+        let transport = async {
+            let event = self.transport.recv().await;
+            event.map_or(DriverEvent::Timer, DriverEvent::Transport)
+        };
+        let verdict = async {
+            match self.verdicts.recv().await {
+                Ok((proposal, verdict)) => DriverEvent::Checked(proposal, verdict),
+                Err(_) => DriverEvent::Timer,
+            }
+        };
+        let timer = async {
+            Timer::at(wake).await;
+            DriverEvent::Timer
+        };
+        future::or(transport, future::or(verdict, timer)).await
+    }
+
+    /// The next event of the transport that has arrived.
+    pub fn try_receive(&self) -> Option<DriverEvent> {
+        let event = self.transport.try_recv().ok()?;
+        Some(DriverEvent::Transport(event))
+    }
+}
--- a/crates/control-plane/src/group/driver/lease.rs
+++ b/crates/control-plane/src/group/driver/lease.rs
@@ -1,68 +1,72 @@
-//! The lease guard of the daemon's instances follows the node's lease.
+//! Publishes the node's lease: the lease guard of the daemon's instances follows it.
 
 use super::{Driver, GroupEvent};
+use crate::group::transport::{LEASE_CLOSED, LEASE_OPEN, LEASE_SUSPENDED};
 use marblefall_delivery::lease_guard::GuardState;
 use marblefall_delivery::log_line;
 use std::time::Instant;
 
-/// What the lease guard was last set to.
+/// The lease to which the lease guard was last set.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) struct ShownLease {
+pub(super) struct PublishedLease {
     revision: u64,
     state: GuardState,
 }
 
-impl ShownLease {
-    /// Whether it differs in more than the end of the lease.
-    fn differs_from(&self, earlier: &ShownLease) -> bool {
-        let is_open = |lease: &ShownLease| matches!(lease.state, GuardState::Open(_));
+impl PublishedLease {
+    /// Whether it differs from an earlier one in more than the end of the lease.
+    fn differs_from(&self, earlier: &PublishedLease) -> bool {
+        let is_open = |lease: &PublishedLease| matches!(lease.state, GuardState::Open(_));
         self.revision != earlier.revision || is_open(self) != is_open(earlier)
     }
+
+    /// The state at this moment, as operators read it.
+    fn state_name(&self) -> &'static str {
+        match self.state {
+            GuardState::Open(until) if until.is_none_or(|until| Instant::now() < until) => {
+                LEASE_OPEN
+            }
+            GuardState::Suspended => LEASE_SUSPENDED,
+            GuardState::Open(_) | GuardState::Closed => LEASE_CLOSED,
+        }
+    }
 }
 
 impl Driver {
-    /// Sets the lease guard to the node's lease, and tells the supervisor where instances may act or may not any more.
+    /// Sets the lease guard to the node's lease, and notifies the supervisor if instances may now act, or may no longer.
     pub(super) fn update_lease_guard(&mut self) {
         let lease = self.current_lease();
-        if self.shown_lease == Some(lease) {
+        if self.published_lease == Some(lease) {
             return;
         }
         let changed = self
-            .shown_lease
+            .published_lease
             .is_none_or(|earlier| lease.differs_from(&earlier));
         self.lease_guard.set(lease.revision, lease.state);
-        self.shown_lease = Some(lease);
+        self.published_lease = Some(lease);
         if changed {
-            let revision = lease.revision;
-            log_line!(
-                code = "lease-guard",
-                "{} under revision {revision}",
-                self.lease_state()
-            );
-            // Fails where the supervisor has ended.
+            let PublishedLease { revision, .. } = lease;
+            let state = lease.state_name();
+            log_line!(code = "lease-guard", "{state} under revision {revision}");
+            // Fails if the supervisor has ended.
             let _ = self.group_events.try_send(GroupEvent::LeaseChanged);
         }
     }
 
-    /// Whether instances may act, in the words that operators read.
+    /// Whether instances may act, as operators read it.
     pub(super) fn lease_state(&self) -> &'static str {
-        match self.shown_lease.map(|lease| lease.state) {
-            Some(GuardState::Open(until)) if until.is_none_or(|until| Instant::now() < until) => {
-                "acts"
-            }
-            Some(GuardState::Suspended) => "still",
-            Some(GuardState::Open(_) | GuardState::Closed) | None => "shut",
-        }
+        self.published_lease
+            .map_or(LEASE_CLOSED, |lease| lease.state_name())
     }
 
-    fn current_lease(&self) -> ShownLease {
+    fn current_lease(&self) -> PublishedLease {
         let now = self.clock.now().monotonic;
         let state = match self.node.lease(now) {
             Some(lease) => GuardState::Open(lease.until.map(|at| self.clock.instant(at))),
             None if self.node.is_quiesced(now) => GuardState::Suspended,
             None => GuardState::Closed,
         };
-        ShownLease {
+        PublishedLease {
             revision: self.node.applied().unwrap_or_default().0,
             state,
         }
--- a/crates/control-plane/src/group/driver/operators.rs
+++ b/crates/control-plane/src/group/driver/operators.rs
@@ -1,54 +1,74 @@
-//! Operators' requests, from the connection that they came on to the response on it.
+//! Operators' requests, from the connection that they were received on to the response on it.
 
 use super::Driver;
 use crate::group::transport::{LastLeader, LocalStatus, OperatorResponse};
 use async_channel::Sender;
 use marblefall_coordination::node::{LeaderContact, Reply, RequestNumber};
+use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A request to which no leader replies within this is answered without one.
-pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time after which a request without a leader's reply is answered without one.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
+const MICROS_PER_MS: u64 = 1000;
 
-/// A request without a response.
-pub(super) struct OpenRequest {
-    pub(super) received_at: Instant,
+/// Requests without a response.
+#[derive(Default)]
+pub(super) struct OpenRequests {
+    requests: BTreeMap<RequestNumber, OpenRequest>,
+    last_number: u64,
+}
+
+struct OpenRequest {
+    expires_at: Instant,
     responses: Sender<OperatorResponse>,
 }
 
-impl Driver {
-    /// Numbers a request.
-    pub(super) fn open_request(&mut self, responses: Sender<OperatorResponse>) -> RequestNumber {
-        self.last_request = RequestNumber(self.last_request.0 + 1);
+impl OpenRequests {
+    /// Adds a request, and returns its number.
+    pub fn open(&mut self, responses: Sender<OperatorResponse>) -> RequestNumber {
+        self.last_number += 1;
+        let number = RequestNumber(self.last_number);
         let request = OpenRequest {
-            received_at: Instant::now(),
+            expires_at: Instant::now() + RESPONSE_TIMEOUT,
             responses,
         };
-        self.open_requests.insert(self.last_request, request);
-        self.last_request
+        self.requests.insert(number, request);
+        number
     }
 
-    /// Responds to a request, unless that was done already.
+    /// When the next request expires.
+    pub fn next_expiry(&self) -> Option<Instant> {
+        let requests = self.requests.values();
+        requests.map(|request| request.expires_at).min()
+    }
+
+    fn expired(&self) -> Vec<RequestNumber> {
+        let now = Instant::now();
+        self.requests
+            .iter()
+            .filter(|(_, request)| request.expires_at <= now)
+            .map(|(number, _)| *number)
+            .collect()
+    }
+}
+
+impl Driver {
+    /// Responds to a request, unless it has been responded to already.
     pub(super) fn respond(&mut self, number: RequestNumber, reply: Option<Reply>) {
-        let Some(request) = self.open_requests.remove(&number) else {
+        let Some(request) = self.open_requests.requests.remove(&number) else {
             return;
         };
         let response = OperatorResponse {
             local: self.local_status(),
             reply,
         };
-        // Fails where the operator has gone away.
+        // Fails if the operator has closed the connection.
         let _ = request.responses.try_send(response);
     }
 
-    /// Responds to requests to which no leader has replied in time.
+    /// Responds to requests that received no leader's reply in time.
     pub(super) fn expire_requests(&mut self) {
-        let expired: Vec<RequestNumber> = self
-            .open_requests
-            .iter()
-            .filter(|(_, request)| request.received_at.elapsed() >= RESPONSE_TIMEOUT)
-            .map(|(number, _)| *number)
-            .collect();
-        for number in expired {
+        for number in self.open_requests.expired() {
             self.respond(number, None);
         }
     }
@@ -69,7 +89,7 @@
         let elapsed = self.clock.now().monotonic - contact.received_at;
         Some(LastLeader {
             name: names.nth(contact.leader.0 as usize)?.clone(),
-            heard_ms_ago: elapsed.0.max(0) as u64 / 1000,
+            contact_ms_ago: elapsed.0.max(0) as u64 / MICROS_PER_MS,
         })
     }
 }
--- a/crates/control-plane/src/group/driver/policy.rs
+++ b/crates/control-plane/src/group/driver/policy.rs
@@ -1,9 +1,8 @@
-//! Policies of the group: they are checked before they are agreed on, and stored in the home once they are in force.
+//! Policies of the group: a proposed policy is checked, and a policy in force is stored in the home.
 
 use super::{Driver, GroupEvent};
 use crate::manifest::{GroupSpec, Manifest};
-use crate::plan::{Applied, APPLIED_FILE};
-use marblefall_atomic_file::{replace, Durability, LocalDisk};
+use crate::plan::Applied;
 use marblefall_coordination::identifiers::{Policy, ProposalId, Revision};
 use marblefall_coordination::message::PolicyVerdict;
 use marblefall_delivery::log_line;
@@ -22,37 +21,54 @@
 }
 
 impl Driver {
-    /// Checks whether a proposed policy can be decoded, is one that this member can act under, and has room for the
-    /// messages that are held.
+    /// Checks whether a proposed policy can be decoded, whether this member can act under it, and whether it permits the
+    /// messages that the instances hold. The verdict arrives as an event.
     pub(super) fn check_policy(&self, proposal: ProposalId, follows: Revision, policy: &[u8]) {
-        let name = self.membership.name.clone();
-        let manifest = match self.check_form(follows, policy) {
-            Ok(manifest) => manifest,
+        match self.check_form(follows, policy) {
+            Ok(manifest) => self.check_with_instances(proposal, manifest),
             Err(error) => {
-                let verdict = PolicyVerdict::Rejected(format!("member {name}: {error}"));
-                // Never full, and open for as long as this driver is.
+                let verdict = rejection(&self.membership.name, &error.to_string());
+                // The queue is unbounded, and open as long as this driver exists.
                 let _ = self.verdicts.try_send((proposal, verdict));
-                return;
             }
-        };
+        }
+    }
+
+    /// Checks everything that does not depend on the instances.
+    fn check_form(&self, follows: Revision, policy: &[u8]) -> Result<Manifest, PolicyError> {
+        let manifest: Manifest = serde_json::from_slice(policy)?;
+        let group = manifest.group.as_ref().ok_or(PolicyError::NoGroup)?;
+        if fixed_settings(group) != fixed_settings(&self.membership.group) {
+            return Err(PolicyError::OtherGroup);
+        }
+        let initial_policy = self.initial_policy.as_deref();
+        let is_other_initial = initial_policy.is_some_and(|initial| initial != policy);
+        if follows == Revision(0) && is_other_initial {
+            return Err(PolicyError::OtherInitialPolicy);
+        }
+        Ok(manifest)
+    }
+
+    /// Requests the instances' verdict from the supervisor.
+    fn check_with_instances(&self, proposal: ProposalId, manifest: Manifest) {
         let (sender, verdict) = async_channel::bounded(1);
         let check = GroupEvent::CheckPolicy(Box::new(manifest), sender);
+        // Fails if the supervisor has ended; then no verdict arrives below.
         let _ = self.group_events.try_send(check);
+        let name = self.membership.name.clone();
         let verdicts = self.verdicts.clone();
         self.tasks.spawn(async move {
             let verdict = match verdict.recv().await {
                 Ok(PolicyVerdict::Accepted) => PolicyVerdict::Accepted,
-                Ok(PolicyVerdict::Rejected(reason)) => {
-                    PolicyVerdict::Rejected(format!("member {name}: {reason}"))
-                }
-                // The supervisor has ended: the leader asks again.
+                Ok(PolicyVerdict::Rejected(reason)) => rejection(&name, &reason),
+                // The supervisor has ended. The leader repeats the request.
                 Err(_) => return,
             };
             let _ = verdicts.try_send((proposal, verdict));
         });
     }
 
-    /// Stores a policy that is in force in the home, and tells the supervisor.
+    /// Stores a policy in force in the home, and notifies the supervisor. Does nothing if it is stored already.
     pub(super) fn store_policy(&mut self, revision: Revision, policy: &Policy) {
         if revision == Revision(0) {
             return;
@@ -74,14 +90,7 @@
         if Applied::read(&self.home).is_ok_and(|stored| stored == applied) {
             return;
         }
-        // Cannot fail: all keys are strings.
-        let text = serde_json::to_vec_pretty(&applied).unwrap_or_default();
-        if let Err(error) = replace(
-            &LocalDisk,
-            &self.home.join(APPLIED_FILE),
-            &text,
-            Durability::PowerLoss,
-        ) {
+        if let Err(error) = applied.write(&self.home) {
             // Until it is stored, instances stay under their policy, for which the lease guard is closed.
             self.unstored_policy = Some((revision, policy.clone()));
             return log_line!(
@@ -93,35 +102,24 @@
             code = "policy-in-force",
             "group: revision {number} is in force"
         );
-        // Fails where the supervisor has ended.
+        // Fails if the supervisor has ended.
         let _ = self.group_events.try_send(GroupEvent::PolicyInForce);
     }
 
-    /// Stores a policy in force that could not be stored before.
+    /// Retries storing a policy in force that could not be stored.
     pub(super) fn retry_storing_policy(&mut self) {
         if let Some((revision, policy)) = self.unstored_policy.take() {
             self.store_policy(revision, &policy);
         }
     }
+}
 
-    /// Checks what does not depend on the instances.
-    fn check_form(&self, follows: Revision, policy: &[u8]) -> Result<Manifest, PolicyError> {
-        let manifest: Manifest = serde_json::from_slice(policy)?;
-        let group = manifest.group.as_ref().ok_or(PolicyError::NoGroup)?;
-        if fixed_settings(group) != fixed_settings(&self.membership.group) {
-            return Err(PolicyError::OtherGroup);
-        }
-        let initial_policy = self.initial_policy.as_deref();
-        let is_other_initial = initial_policy.is_some_and(|initial| initial != policy);
-        if follows == Revision(0) && is_other_initial {
-            return Err(PolicyError::OtherInitialPolicy);
-        }
-        Ok(manifest)
-    }
+fn rejection(member: &str, reason: &str) -> PolicyVerdict {
+    PolicyVerdict::Rejected(format!("member {member}: {reason}"))
 }
 
-/// What a change may not touch, as members could not agree on it while it changes: all of the group but which instances
-/// its members run.
+/// The settings that a change must not alter, because members could not agree on it while they change: all of the group's
+/// settings except for the instances of its members.
 fn fixed_settings(group: &GroupSpec) -> GroupSpec {
     let mut group = group.clone();
     for member in group.members.values_mut() {
--- /dev/null
+++ b/crates/control-plane/src/group/driver/voter_state.rs
@@ -0,0 +1,93 @@
+//! The file that contains the persistent state of the member's voter.
+
+use crate::group::{group_file, read_if_present, GroupError, Membership, VOTER_STATE_FILE};
+use crate::manifest::destination_number;
+use marblefall_atomic_file::{replace, Disk, Durability, LocalDisk};
+use marblefall_coordination::identifiers::StorageId;
+use marblefall_coordination::persistent_state::PersistentState;
+use marblefall_delivery::log_line;
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// The extension of a state file that could not be decoded.
+const UNREADABLE_EXTENSION: &str = "unreadable";
+
+/// The file that contains the persistent state of the member's voter.
+pub(super) struct VoterStateFile {
+    path: PathBuf,
+    /// The last write failed.
+    write_failing: bool,
+}
+
+impl VoterStateFile {
+    /// The file of a home, which need not exist.
+    pub fn new(home: &Path) -> VoterStateFile {
+        VoterStateFile {
+            path: group_file(home, VOTER_STATE_FILE),
+            write_failing: false,
+        }
+    }
+
+    /// Reads the state of a member's voter; `None` if the member does not vote. Where there is no file, or it cannot be
+    /// decoded, returns the state of a new storage: the group then admits the voter as a new one.
+    ///
+    /// # Errors
+    /// The file exists and cannot be read.
+    pub fn read(
+        &self,
+        membership: &Membership,
+        new_storage: StorageId,
+    ) -> Result<Option<PersistentState>, GroupError> {
+        let (group, name) = (&membership.group, &membership.name);
+        if !group.members[name].votes {
+            return Ok(None);
+        }
+        let owner = destination_number(&format!("{}/{name}", group.name));
+        let new = || PersistentState::new(owner, new_storage);
+        let Some(bytes) = read_if_present(&self.path)? else {
+            return Ok(Some(new()));
+        };
+        let state = PersistentState::decode(&bytes, owner).unwrap_or_else(|error| {
+            log_line!(
+                code = "votes-unreadable",
+                "{}: {error}; this voter asks to be admitted as a new one",
+                self.path.display()
+            );
+            // Preserved for analysis. If it cannot be renamed, the next write replaces it.
+            let _ = fs::rename(&self.path, self.path.with_extension(UNREADABLE_EXTENSION));
+            new()
+        });
+        Ok(Some(state))
+    }
+
+    /// Replaces the file; whether the state is on disk. Only the first of several failures is logged.
+    pub fn write(&mut self, bytes: &[u8]) -> bool {
+        match replace_in_folder(&self.path, bytes) {
+            Ok(()) => {
+                if std::mem::take(&mut self.write_failing) {
+                    log_line!(code = "votes-written", "votes can be written again");
+                }
+                true
+            }
+            Err(error) => {
+                if !std::mem::replace(&mut self.write_failing, true) {
+                    log_line!(
+                        code = "votes-not-written",
+                        "{}: {error}; this voter sends nothing until it can be written",
+                        self.path.display()
+                    );
+                }
+                false
+            }
+        }
+    }
+}
+
+/// Replaces a file, and creates its folder if need be.
+fn replace_in_folder(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    if let Some(folder) = path.parent() {
+        LocalDisk.create_folder(folder)?;
+    }
+    replace(&LocalDisk, path, bytes, Durability::PowerLoss)
+}
--- a/crates/control-plane/src/group/error.rs
+++ b/crates/control-plane/src/group/error.rs
@@ -1,11 +1,11 @@
-//! Why a home is no member of a group, or cannot take part in it.
+//! Errors of a home's membership in a group.
 
 use std::error::Error;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a home is no member of a group, or cannot take part in it.
+/// Why a home cannot be, or take part as, a member of a group.
 #[derive(Debug, thiserror::Error)]
 pub enum GroupError {
     /// A file cannot be read.
@@ -27,7 +27,7 @@
     /// What is applied in the home cannot be read.
     #[error("{0}")]
     Applied(#[source] Box<dyn Error + Send + Sync>),
-    /// The manifest that the home was founded with cannot be read.
+    /// The initial manifest cannot be read.
     #[error("{}: {source}", path.display())]
     InitialManifest {
         /// Its file.
@@ -38,20 +38,20 @@
     /// The manifest cannot be encoded.
     #[error("{0}")]
     EncodeManifest(#[source] serde_json::Error),
-    /// The manifest that a home is to be founded with has no group.
+    /// The manifest has no group.
     #[error("the file has no [group]")]
     NoGroupInManifest,
-    /// The group has no member of the name that a home is to be founded as.
+    /// The group has no member with the requested name.
     #[error("group {group} has no member {member:?}; it has {}", members.join(", "))]
     NoSuchMember {
         /// The group.
         group: String,
         /// The name.
         member: String,
-        /// The names of its members.
+        /// The names of the group's members.
         members: Vec<String>,
     },
-    /// The home is a member, and no manifest in it has the group.
+    /// The home is a member, but none of its manifests declares the group.
     #[error(
         "{}: the home is a member, and neither what is applied nor {initial_manifest} says of what group",
         path.display()
@@ -59,20 +59,20 @@
     UnknownGroup {
         /// The file that makes the home a member.
         path: PathBuf,
-        /// The name of the file that the home was founded with.
+        /// The name of the initial manifest's file.
         initial_manifest: &'static str,
     },
-    /// The group has no member of the home's name.
+    /// The group has no member with the name in the home.
     #[error("{}: group {group} has no member {member:?}", path.display())]
     NotAMember {
         /// The file that makes the home a member.
         path: PathBuf,
         /// The group.
         group: String,
-        /// The home's name.
+        /// The name in the home.
         member: String,
     },
-    /// The member's address cannot be listened at.
+    /// The member cannot listen at its address.
     #[error("the group's link, {address}: {source}")]
     Listen {
         /// The address.
--- a/crates/control-plane/src/group/transport.rs
+++ b/crates/control-plane/src/group/transport.rs
@@ -1,11 +1,11 @@
-//! The transport between the daemons of a group: frames over TCP, each connection in one direction, from the daemon that
-//! opened it.
+//! The transport between the daemons of a group: frames over TCP. Each connection carries frames in one direction, from the
+//! daemon that opened it.
 //!
 //! A connection begins with a [`Hello`]. The receiver acknowledges each frame with one byte, so that a connection that
-//! accepts everything and delivers nothing is detected. There are no keys and there is no authentication: a daemon
-//! listens at the address that the manifest gives and nowhere else.
+//! accepts data without delivering it is detected. Connections are neither encrypted nor authenticated: a daemon listens
+//! at its address in the manifest and nowhere else.
 //!
-//! Operators connect to the daemon of their home in the same way: each [`Request`] is answered with an
+//! Operators connect to the daemon of their home in the same way: the daemon responds to each [`Request`] with an
 //! [`OperatorResponse`].
 
 mod channel;
@@ -25,6 +25,13 @@
 /// The version of the protocol.
 const VERSION: u16 = 1;
 
+/// [`LocalStatus::lease_state`] of a member that may act.
+pub const LEASE_OPEN: &str = "acts";
+/// [`LocalStatus::lease_state`] of a member that is quiesced for a change.
+pub const LEASE_SUSPENDED: &str = "still";
+/// [`LocalStatus::lease_state`] of a member that holds no lease.
+pub const LEASE_CLOSED: &str = "shut";
+
 /// The first frame on a connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
@@ -68,40 +75,40 @@
     }
 }
 
-/// How a daemon sees itself, for operators.
+/// The state of a daemon, for operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LocalStatus {
-    /// Its name.
+    /// The member's name.
     pub member: String,
     /// The revision that it has applied.
     pub applied: Option<u64>,
-    /// Whether it may act: `acts`, `still` or `shut`, as operators read it.
+    /// Whether it may act: [`LEASE_OPEN`], [`LEASE_SUSPENDED`] or [`LEASE_CLOSED`].
     pub lease_state: String,
-    /// The leader that it last heard.
+    /// The leader that last sent it a message.
     pub last_leader: Option<LastLeader>,
     /// Whether it participates in voting, if it is a voter.
     pub voting: Option<VotingStatus>,
 }
 
-/// A leader as a daemon last heard it.
+/// The last message that a daemon received from a leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LastLeader {
-    /// Its name.
+    /// The leader's name.
     pub name: String,
-    /// How many milliseconds ago.
-    pub heard_ms_ago: u64,
+    /// Milliseconds since the message was received.
+    pub contact_ms_ago: u64,
 }
 
-/// What an operator is answered.
+/// The response to an operator's request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OperatorResponse {
-    /// The daemon that was asked.
+    /// The state of the daemon that received the request.
     pub local: LocalStatus,
-    /// The leader's reply, if one was reached.
+    /// The leader's reply, if a leader could be reached.
     pub reply: Option<Reply>,
 }
 
-/// What the transport receives.
+/// An event of the transport.
 pub enum TransportEvent {
     /// A member has sent a frame.
     Frame(MemberId, Frame),
--- a/crates/control-plane/src/group/transport/channel.rs
+++ b/crates/control-plane/src/group/transport/channel.rs
@@ -1,6 +1,6 @@
-//! The connection to one member, which is opened again whenever it breaks.
+//! The connection to one member, which is reopened whenever it breaks.
 //!
-//! Frames are lost with the connection that they were queued for. Whoever sends them learns of each new connection by
+//! Frames are lost with the connection that they were queued for. Each new connection is reported by
 //! [`TransportEvent::Connected`].
 
 use super::frame::encode_frame;
@@ -16,28 +16,33 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Frames that wait for a connection at most; beyond that it is opened anew.
-const QUEUE: usize = 256;
-/// A connection on which a frame is not acknowledged within this is dead.
+/// Maximum number of queued frames. A connection whose queue overflows is reopened.
+const QUEUE_CAPACITY: usize = 256;
+/// Time after which a connection with an unacknowledged frame is reopened.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How often acknowledgements are checked within that.
+/// Number of checks within [`ACKNOWLEDGE_TIMEOUT`].
 const CHECKS_PER_TIMEOUT: u32 = 4;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection that broke is opened again after this, and twice that each time, up to a bound; half of it is jitter.
+/// Backoff before the first reconnect. It doubles with each further one.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// Smallest proportion of the backoff that is waited; the rest is random.
+const MIN_BACKOFF_FACTOR: f64 = 0.5;
+/// Acknowledgements that are read at once.
+const ACKNOWLEDGEMENT_BUFFER: usize = 256;
 
-/// What a channel is opened with.
+/// The parts of a channel.
 pub struct ChannelSetup {
     /// The first frame of each connection.
     pub hello: Hello,
-    /// The member that it leads to.
+    /// The member at the other end.
     pub to: MemberId,
-    /// Where that member listens.
+    /// The address at which that member listens.
     pub address: SocketAddr,
-    /// Who learns of new connections.
+    /// Receives an event for each new connection.
     pub events: Sender<TransportEvent>,
-    /// For the jitter.
+    /// Seed of the backoff's jitter.
     pub seed: u64,
 }
 
@@ -47,7 +52,7 @@
     overflowed: Rc<Cell<bool>>,
 }
 
-/// What a channel's task works with.
+/// The task that keeps a channel's connection open.
 struct Connector {
     hello: Vec<u8>,
     to: MemberId,
@@ -60,14 +65,14 @@
 /// Frames that were written and are not acknowledged.
 struct Unacknowledged {
     count: Cell<u64>,
-    /// Since when the first of them waits.
+    /// When the last acknowledgement was received, or else the first frame written; `None` without unacknowledged frames.
     since: Cell<Option<Instant>>,
 }
 
 impl Channel {
-    /// Opens a channel, and keeps it open.
+    /// Opens a channel, whose connection is kept open until the channel is dropped.
     pub fn open(setup: ChannelSetup, tasks: &Spawner) -> Channel {
-        let (queue, frames) = async_channel::bounded(QUEUE);
+        let (queue, frames) = async_channel::bounded(QUEUE_CAPACITY);
         let overflowed = Rc::new(Cell::new(false));
         let connector = Connector {
             hello: encode_frame(&setup.hello),
@@ -81,7 +86,7 @@
         Channel { queue, overflowed }
     }
 
-    /// Sends a frame, unless there is no connection. A connection that does not keep up is opened anew.
+    /// Queues a frame. It is lost if there is no connection, or if the queue is full; then the connection is reopened.
     pub fn send(&self, frame: Vec<u8>) {
         if self.queue.try_send(frame).is_err() {
             self.overflowed.set(true);
@@ -94,7 +99,7 @@
     async fn run(self, mut rng: fastrand::Rng) {
         let mut backoff = MIN_BACKOFF;
         loop {
-            // What is queued is of a connection that is no more; new frames follow the event that there is one.
+            // Queued frames belong to the former connection. Senders continue after the event of the new one.
             while self.frames.try_recv().is_ok() {}
             self.overflowed.set(false);
             let started_at = Instant::now();
@@ -104,17 +109,17 @@
             if started_at.elapsed() > MAX_BACKOFF {
                 backoff = MIN_BACKOFF;
             }
-            Timer::after(backoff.mul_f64(0.5 + rng.f64() / 2.0)).await;
+            Timer::after(jittered(backoff, &mut rng)).await;
             backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// Carries frames until the connection breaks; `Ok` once the channel is dropped.
+    /// Opens a connection and writes frames until it breaks; `Ok` once the channel is dropped.
     async fn run_connection(&self) -> io::Result<()> {
         let stream = self.connect().await?;
         (&stream).write_all(&self.hello).await?;
         let unacknowledged = Unacknowledged::hello();
-        // Waits where many events are queued: the connection does not break for that.
+        // Waits while the event queue is full, before the acknowledgement timeout is checked.
         let connected = TransportEvent::Connected(self.to);
         if self.events.send(connected).await.is_err() {
             return Ok(());
@@ -159,7 +164,7 @@
 }
 
 impl Unacknowledged {
-    /// The first frame of a connection.
+    /// The state after the first frame of a connection.
     fn hello() -> Unacknowledged {
         Unacknowledged {
             count: Cell::new(1),
@@ -185,12 +190,17 @@
     }
 }
 
-/// Each byte acknowledges a frame.
+/// The backoff with jitter.
+fn jittered(backoff: Duration, rng: &mut fastrand::Rng) -> Duration {
+    backoff.mul_f64(MIN_BACKOFF_FACTOR + rng.f64() * (1.0 - MIN_BACKOFF_FACTOR))
+}
+
+/// Reads acknowledgements until the connection breaks. Each byte acknowledges a frame.
 async fn read_acknowledgements(
     mut stream: &Async<TcpStream>,
     unacknowledged: &Unacknowledged,
 ) -> io::Result<()> {
-    let mut bytes = [0; 256];
+    let mut bytes = [0; ACKNOWLEDGEMENT_BUFFER];
     loop {
         let received = stream.read(&mut bytes).await?;
         if received == 0 {
--- a/crates/control-plane/src/group/transport/frame.rs
+++ b/crates/control-plane/src/group/transport/frame.rs
@@ -1,14 +1,14 @@
-//! Frames on a connection: a length and a CRC-32, both of four bytes in little-endian order, then the content as
-//! `postcard`.
+//! The encoding of frames: the length of the content and its CRC-32, both of four bytes in little-endian order, then the
+//! content as `postcard`.
 
 use futures_lite::AsyncReadExt;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::{self, ErrorKind};
 
-/// The longest frame, in bytes: the manifest of a hundred thousand destinations is shorter.
+/// Maximum length of a frame's content in bytes. A manifest of a hundred thousand destinations is shorter.
 const MAX_LENGTH: usize = 64 << 20;
-/// Bytes that are read at once.
+/// Number of bytes that are read at once.
 const READ_SIZE: usize = 16 * 1024;
 
 /// Why a frame is not accepted.
@@ -17,10 +17,10 @@
     /// The connection broke or ended.
     #[error("{0}")]
     Connection(#[from] io::Error),
-    /// It is longer than any frame.
+    /// Its length is above the limit.
     #[error("a frame of {0} bytes")]
     TooLong(usize),
-    /// Its checksum does not fit.
+    /// Its checksum does not match its content.
     #[error("a frame whose checksum does not fit")]
     Checksum,
     /// Its content cannot be decoded.
@@ -29,7 +29,7 @@
 }
 
 impl FrameError {
-    /// The reason code of its log line.
+    /// The reason code for log lines.
     pub(super) fn code(&self) -> &'static str {
         match self {
             FrameError::Connection(_) => "link-broke",
@@ -40,7 +40,7 @@
     }
 }
 
-/// A frame as it is sent.
+/// Encodes a frame.
 pub fn encode_frame(content: &impl Serialize) -> Vec<u8> {
     // Cannot fail: the length of each sequence is known.
     let body = postcard::to_allocvec(content).unwrap_or_default();
@@ -53,7 +53,7 @@
 /// Reads one frame.
 ///
 /// # Errors
-/// Where the connection breaks, or what is received is no frame.
+/// The connection breaks, or the received bytes are not a valid frame.
 pub async fn read_frame<T: DeserializeOwned>(
     stream: &mut (impl AsyncReadExt + Unpin),
 ) -> Result<T, FrameError> {
@@ -72,13 +72,13 @@
     postcard::from_bytes(&body).map_err(FrameError::Undecodable)
 }
 
-/// Memory is allocated as bytes are received: a length alone costs nothing.
+/// Reads the content. Memory is allocated as bytes arrive, so that a false length alone costs none.
 async fn read_body(stream: &mut (impl AsyncReadExt + Unpin), length: usize) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     let mut part = [0; READ_SIZE];
     while body.len() < length {
-        let want = (length - body.len()).min(part.len());
-        let received = stream.read(&mut part[..want]).await?;
+        let wanted = (length - body.len()).min(part.len());
+        let received = stream.read(&mut part[..wanted]).await?;
         if received == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
         }
--- a/crates/control-plane/src/group/transport/listener.rs
+++ b/crates/control-plane/src/group/transport/listener.rs
@@ -14,30 +14,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that are open at most.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 1200;
-/// A connection on which no [`Hello`] is received within this is closed.
+/// Time after which a connection without a [`Hello`] is closed.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// After a connection could not be accepted, most likely for want of descriptors.
+/// Time before the next accept after a failed one, which most likely lacked a file descriptor.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
-/// Acknowledges a frame, the [`Hello`] among them.
+/// Acknowledges one frame; the [`Hello`] is acknowledged too.
 const ACKNOWLEDGEMENT: [u8; 1] = [1];
 
-/// What connections are accepted with.
+/// The parts of a listener.
 #[derive(Clone)]
 pub struct ListenerSetup {
-    /// The group's name: connections of other groups are closed.
+    /// The group's name. Connections from other groups are closed.
     pub group: String,
-    /// How many members the group has.
+    /// The number of members of the group.
     pub members: u32,
-    /// Who receives what is sent.
+    /// Receives an event for each frame and each operator's request.
     pub events: Sender<TransportEvent>,
 }
 
 /// Why a connection is closed.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionError {
-    #[error("nothing came")]
+    #[error("no hello was received")]
     NoHello,
     #[error("it speaks version {0}, this is {VERSION}")]
     OtherVersion(u16),
@@ -50,7 +50,7 @@
 }
 
 impl ConnectionError {
-    /// The reason code of its log line.
+    /// The reason code for log lines.
     fn code(&self) -> &'static str {
         match self {
             ConnectionError::NoHello => "link-silent",
@@ -70,7 +70,7 @@
     let open = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            // The connections that are open still work.
+            // Open connections are not affected.
             Timer::after(ACCEPT_BACKOFF).await;
             continue;
         };
--- a/crates/control-plane/src/group/transport/tests.rs
+++ b/crates/control-plane/src/group/transport/tests.rs
@@ -1,3 +1,5 @@
+//! The channel to a member, and the encoding of the first frame and of responses.
+
 use super::*;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -7,7 +9,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// A daemon that has many events queued does not lose its connections for that.
+/// A full event queue delays the event of a new connection, and does not break the connection.
 #[test]
 fn channel_connecting_to_full_queue_delivers_frames() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -42,10 +44,10 @@
     }));
 }
 
-/// Daemons of two versions of the program work in one group, and operators' commands with either.
+/// Daemons and operators' commands of two versions of the program understand each other.
 #[test]
 fn hello_and_response_are_encoded_as_before() {
-    // In the order of the fields of earlier versions.
+    // The fields in the order of earlier versions.
     let earlier_hello = |peer: (u8, Option<u32>)| match peer {
         (tag, Some(member)) => encode_frame(&(1u16, "g", (tag, member))),
         (tag, None) => encode_frame(&(1u16, "g", tag)),
@@ -61,7 +63,7 @@
             lease_state: "acts".to_owned(),
             last_leader: Some(LastLeader {
                 name: "north".to_owned(),
-                heard_ms_ago: 300,
+                contact_ms_ago: 300,
             }),
             voting: Some(VotingStatus {
                 participates: true,
--- a/crates/control-plane/src/plan.rs
+++ b/crates/control-plane/src/plan.rs
@@ -1,5 +1,5 @@
-//! Plan and apply: what an operator's manifest would change against what is applied, kept as a plan. A plan is then
-//! applied as it is, at once and whole, or rejected as stale if something else was applied since.
+//! Plan and apply. A plan is the change from the applied manifest to an operator's manifest. It is applied atomically, or
+//! rejected as stale if another change was applied after the plan was made.
 
 mod changes;
 
@@ -11,15 +11,15 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file in a home that holds what is applied.
+/// The file in a home that contains the applied manifest.
 pub const APPLIED_FILE: &str = "applied.json";
-/// Locked for as long as a plan is applied.
+/// The file that is locked while a plan is applied.
 const LOCK_FILE: &str = "lock";
 
 /// Why a plan is not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ApplyError {
-    /// Something else was applied since.
+    /// Another change was applied after the plan was made.
     #[error("the plan is stale: it was made against revision {base}, applied is revision {applied}; plan again")]
     Stale {
         /// The revision that the plan was made against.
@@ -27,12 +27,9 @@
         /// The revision that is applied.
         applied: u64,
     },
-    /// What is applied cannot be read.
+    /// The applied manifest cannot be read.
     #[error(transparent)]
     Applied(#[from] JsonFileError),
-    /// It cannot be written.
-    #[error("{0}")]
-    Encode(#[from] serde_json::Error),
     /// The home cannot be written to.
     #[error("{}: {source}", home.display())]
     Home {
@@ -43,7 +40,7 @@
     },
 }
 
-/// What is applied: the manifest and how many applies led to it. Stored; its names are those of earlier versions.
+/// The applied manifest and its revision, as stored. `#[serde(rename)]` keeps the keys of earlier versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Applied {
     /// Grows by one with each apply.
@@ -54,26 +51,37 @@
 }
 
 impl Applied {
-    /// Reads what is applied in a home; an empty manifest of revision 0 where nothing is.
+    /// Reads the applied manifest of a home; an empty manifest of revision 0 if none is applied.
     ///
     /// # Errors
-    /// Where the file cannot be read, or holds something else.
+    /// The file cannot be read, or has other content.
     pub fn read(home: &Path) -> Result<Applied, JsonFileError> {
         json_file::read_or_default(&home.join(APPLIED_FILE))
     }
+
+    /// Replaces the applied manifest of a home.
+    pub(crate) fn write(&self, home: &Path) -> io::Result<()> {
+        let text = serde_json::to_vec_pretty(self)?;
+        replace(
+            &LocalDisk,
+            &home.join(APPLIED_FILE),
+            &text,
+            Durability::PowerLoss,
+        )
+    }
 }
 
-/// A change that was worked out, with what it was worked out against. Shown, it lists the changes.
+/// A change from the applied manifest to another one. Displayed, it lists the changed entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What was applied when it was made.
+    /// The applied manifest when the plan was made.
     pub base: Applied,
-    /// What will be.
+    /// The manifest to apply.
     pub target: Manifest,
 }
 
 impl Plan {
-    /// What leads from what is applied to a manifest.
+    /// The change from the applied manifest to `target`.
     pub fn new(base: Applied, target: Manifest) -> Plan {
         Plan { base, target }
     }
@@ -83,17 +91,17 @@
         self.base.manifest == self.target
     }
 
-    /// Puts the plan in force. Readers see what was applied before or all of the plan, never a part.
+    /// Applies the plan atomically.
     ///
     /// # Errors
-    /// Where the plan is stale, or the home cannot be read or written to.
+    /// The plan is stale, or the home cannot be read or written to.
     pub fn apply(&self, home: &Path) -> Result<Applied, ApplyError> {
         let home_error = |source| ApplyError::Home {
             home: home.to_owned(),
             source,
         };
         fs::create_dir_all(home).map_err(home_error)?;
-        // Of two operators who apply at once, the second must see what the first applied.
+        // Of two operators who apply at the same time, the second must see the first one's change.
         let lock = File::create(home.join(LOCK_FILE)).map_err(home_error)?;
         lock.lock().map_err(home_error)?;
         let current = Applied::read(home)?;
@@ -107,14 +115,7 @@
             revision: current.revision + 1,
             manifest: self.target.clone(),
         };
-        let text = serde_json::to_vec_pretty(&applied)?;
-        replace(
-            &LocalDisk,
-            &home.join(APPLIED_FILE),
-            &text,
-            Durability::PowerLoss,
-        )
-        .map_err(home_error)?;
+        applied.write(home).map_err(home_error)?;
         Ok(applied)
     }
 }
--- a/crates/control-plane/src/plan/changes.rs
+++ b/crates/control-plane/src/plan/changes.rs
@@ -1,4 +1,4 @@
-//! What a plan changes, entry by entry, as an operator is shown it: by the manifest's own keys.
+//! The changes of a plan, entry by entry, for operators: by the manifest's own keys.
 
 use super::Plan;
 use crate::manifest::Manifest;
@@ -6,33 +6,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The keys of the manifest's tables, and what an entry of each is called.
+/// The keys of the manifest's tables, each with the name of an entry.
 const TABLES: [(&str, &str); 3] = [
     ("classes", "class"),
     ("destinations", "destination"),
     ("instances", "instance"),
 ];
 
-/// What happens to an entry.
+/// The change of an entry.
 enum Change<'a> {
     Added,
     Changed(&'a Value, &'a Value),
     Removed,
 }
 
-/// The entries of a manifest, by what an operator calls them.
+/// The entries of a manifest, by their names for operators.
 fn entries(manifest: &Manifest) -> BTreeMap<String, Value> {
     let mut entries = BTreeMap::new();
-    let whole = serde_json::to_value(manifest).unwrap_or_default();
+    let tables = serde_json::to_value(manifest).unwrap_or_default();
     for (table, entry) in TABLES {
-        for (name, value) in whole[table].as_object().into_iter().flatten() {
+        for (name, value) in tables[table].as_object().into_iter().flatten() {
             entries.insert(format!("{entry} {name}"), value.clone());
         }
     }
     let has_entries = !entries.is_empty();
     let mut add = |entry: &str, key: &str, is_set: bool| {
         if is_set {
-            entries.insert(entry.to_owned(), whole[key].clone());
+            entries.insert(entry.to_owned(), tables[key].clone());
         }
     };
     add("limits", "limits", has_entries);
