--- a/crates/control-plane/src/supervisor/coordinated.rs
+++ b/crates/control-plane/src/supervisor/group_member.rs
@@ -1,5 +1,4 @@
-//! What a supervisor has in common with others of its group: its member's name, the lease under which its instances
-//! act, and the group's events.
+//! The supervisor's part in a group: its member's name, the lease guard of its instances, and the group's events.
 
 use crate::group::{GroupError, GroupEvent, Membership};
 use crate::manifest::Manifest;
@@ -29,41 +28,45 @@
 }
 
 /// A supervisor's part in its group.
-pub(super) struct Coordinated {
-    member: String,
+pub(super) struct GroupMember {
+    name: String,
     lease_guard: Arc<LeaseGuard>,
-    /// What the group says to those who run the instances.
+    /// Events of the member's node.
     pub events: Receiver<GroupEvent>,
 }
 
-impl Coordinated {
-    /// Starts the member's node.
-    pub fn join(
+impl GroupMember {
+    /// Starts the member's node. Everything that instances do under a lease is written to `history`, if it is given.
+    ///
+    /// # Errors
+    /// The history cannot be opened, or the node cannot be started.
+    pub fn start(
         membership: Membership,
         home: &Path,
         history: Option<&Path>,
-        link: Option<SocketAddr>,
+        listen: Option<SocketAddr>,
         tasks: &Spawner,
-    ) -> Result<Coordinated, CoordinationError> {
+    ) -> Result<GroupMember, CoordinationError> {
         let history = history.map(open_history).transpose()?;
         let lease_guard = Arc::new(LeaseGuard::new(history));
-        let member = membership.name.clone();
-        let events = membership.start(home, link, lease_guard.clone(), tasks)?;
-        Ok(Coordinated {
-            member,
+        let name = membership.name.clone();
+        let events = membership.start(home, listen, lease_guard.clone(), tasks)?;
+        Ok(GroupMember {
+            name,
             lease_guard,
             events,
         })
     }
 
+    /// The lease guard of all instances of this supervisor.
     pub fn lease_guard(&self) -> Arc<LeaseGuard> {
         self.lease_guard.clone()
     }
 
-    /// Whether the manifest gives an instance to this member.
+    /// Whether the manifest assigns an instance to this member.
     pub fn runs(&self, manifest: &Manifest, instance: &str) -> bool {
         let group = manifest.group.as_ref();
-        let member = group.and_then(|group| group.members.get(&self.member));
+        let member = group.and_then(|group| group.members.get(&self.name));
         member.is_some_and(|member| member.instances.contains(instance))
     }
 }
--- a/crates/control-plane/src/supervisor/instance_handle.rs
+++ b/crates/control-plane/src/supervisor/instance_handle.rs
@@ -1,4 +1,4 @@
-//! The supervisor's hold on an instance that runs on a thread of its own.
+//! An instance that runs on a thread of its own.
 
 use super::listeners::{FrontendListeners, ListenError};
 use crate::endpoint_directory::EndpointDirectory;
@@ -17,7 +17,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The folder in a home that holds a folder for each instance.
+/// The folder in a home that contains a state folder for each instance.
 const INSTANCES_FOLDER: &str = "instances";
 
 /// Why an instance cannot be started.
@@ -29,20 +29,22 @@
     Thread(#[from] io::Error),
 }
 
-/// What an instance is started with beside its own manifest.
+/// The parameters of a start, beside the instance's own manifest.
 pub(super) struct StartContext<'a> {
+    /// The home folder.
     pub home: &'a Path,
+    /// The destinations.
     pub directory: &'a EndpointDirectory,
-    /// What it may act under, in a group.
+    /// The guard of the lease under which the instance acts; `None` outside a group.
     pub lease_guard: Option<Arc<LeaseGuard>>,
-    /// The revision of its manifest.
+    /// The revision of the instance's manifest.
     pub revision: u64,
 }
 
 /// An instance and its thread.
 pub(super) struct InstanceHandle {
     manifest: InstanceManifest,
-    /// The revision that the group knows it by; 0 outside a group.
+    /// The revision of its manifest in a group; 0 outside a group.
     revision: u64,
     classes: ClassTable,
     commands: Sender<InstanceCommand>,
@@ -52,6 +54,9 @@
 
 impl InstanceHandle {
     /// Opens the listeners and starts the thread.
+    ///
+    /// # Errors
+    /// An address cannot be listened at, or the thread cannot be started.
     pub fn start(
         manifest: InstanceManifest,
         context: StartContext<'_>,
@@ -86,38 +91,38 @@
         })
     }
 
-    /// What it runs by.
+    /// The manifest that it runs under.
     pub fn manifest(&self) -> &InstanceManifest {
         &self.manifest
     }
 
-    /// The revision that the group knows it by; 0 outside a group.
+    /// The revision of its manifest in a group; 0 outside a group.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether it was told to end.
+    /// Whether it has received a command to shut down.
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down
     }
 
-    /// Whether its thread ended, also by a panic.
+    /// Whether its thread has ended, by a return or a panic.
     pub fn has_ended(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits for its thread, which has ended but for its last steps.
+    /// Waits for its thread. To be called once [`InstanceHandle::has_ended`] is true, so that it returns at once.
     pub fn join(self) {
-        // A panic was printed by its hook; the other instances go on.
+        // The panic hook has printed a panic. The other instances continue.
         let _ = self.thread.join();
     }
 
-    /// Sends a command; one that ended by itself no longer receives it.
+    /// Sends a command. It is lost if the instance has ended.
     pub fn send(&self, command: InstanceCommand) {
         let _ = self.commands.try_send(command);
     }
 
-    /// Tells it to end within `timeout`.
+    /// Shuts it down within `timeout`.
     pub fn shut_down(&mut self, timeout: Duration) {
         self.send(InstanceCommand::Shutdown {
             timeout,
@@ -126,8 +131,8 @@
         self.shutting_down = true;
     }
 
-    /// Tells it to end within `timeout`, as it is started again then: it starts no more attempts.
-    pub fn end_for_restart(&mut self, timeout: Duration) {
+    /// Shuts it down within `timeout` for a restart: it starts no further attempts.
+    pub fn shut_down_for_restart(&mut self, timeout: Duration) {
         self.send(InstanceCommand::Shutdown {
             timeout,
             restart: true,
@@ -135,7 +140,7 @@
         self.shutting_down = true;
     }
 
-    /// Changes its policy as it runs.
+    /// Changes its policy while it runs.
     pub fn update_policy(
         &mut self,
         manifest: InstanceManifest,
@@ -157,7 +162,7 @@
         self.send(InstanceCommand::UpdatePolicy(Arc::new(make_update)));
     }
 
-    /// Gives it another directory under the policy that it has.
+    /// Replaces its destinations; its policy stays.
     pub fn replace_destinations(&self, directory: &EndpointDirectory) {
         self.send(InstanceCommand::ReplaceDestinations(
             directory.destination_table.clone(),
--- /dev/null
+++ b/crates/control-plane/src/supervisor/instance_set.rs
@@ -0,0 +1,177 @@
+//! The instances that a supervisor runs, and the steps that bring them to what the manifest declares.
+
+use super::desired_state::DesiredState;
+use super::group_member::GroupMember;
+use super::instance_handle::{InstanceHandle, StartContext};
+use super::listeners::{FrontendListeners, ListenerKey};
+use super::policy_check;
+use crate::manifest::Manifest;
+use marblefall_coordination::message::PolicyVerdict;
+use marblefall_delivery::instance::{InstanceCommand, SHUTDOWN_TIMEOUT};
+use marblefall_delivery::log_line;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+/// Time after which an instance that failed, or could not be started, is started again.
+const RESTART_BACKOFF: Duration = Duration::from_secs(1);
+/// Time within which an instance that is restarted for a change lets its attempts finish.
+const RESTART_TIMEOUT: Duration = Duration::from_secs(8);
+
+/// The instances that a supervisor runs.
+#[derive(Default)]
+pub(super) struct InstanceSet {
+    instances: BTreeMap<String, InstanceHandle>,
+    /// Instances in backoff, each with the earliest time of its start.
+    restart_at: BTreeMap<String, Instant>,
+    listeners: FrontendListeners,
+}
+
+impl InstanceSet {
+    /// Whether no instance runs.
+    pub fn is_empty(&self) -> bool {
+        self.instances.is_empty()
+    }
+
+    /// Sends a command to all instances.
+    pub fn broadcast(&self, command: &InstanceCommand) {
+        for instance in self.instances.values() {
+            instance.send(command.clone());
+        }
+    }
+
+    /// Shuts all instances down.
+    pub fn shut_down(&mut self, timeout: Duration) {
+        for instance in self.instances.values_mut() {
+            instance.shut_down(timeout);
+        }
+    }
+
+    /// Checks whether the instances can act under a proposed policy.
+    pub async fn check_policy(&self, proposed: &Manifest, desired: &DesiredState) -> PolicyVerdict {
+        let expected: Vec<&str> = desired.instances().collect();
+        let result = policy_check::check_policy(proposed, &self.instances, &expected).await;
+        result.into()
+    }
+
+    /// Passes a change of the manifest or of an endpoint list on to the instances that can apply it without a restart.
+    pub fn push_changes(&mut self, desired: &DesiredState) {
+        let applied = &desired.applied;
+        let is_grouped = desired.group_member.is_some();
+        for (name, instance) in &mut self.instances {
+            // Its successor starts with the changed manifest.
+            if instance.is_shutting_down() {
+                continue;
+            }
+            let new_policy = is_grouped && instance.revision() != applied.revision;
+            let manifest = applied.manifest.instance_manifest(name);
+            let changed = manifest.filter(|manifest| {
+                (new_policy || manifest != instance.manifest())
+                    && instance.manifest().can_update_in_place(manifest)
+            });
+            match changed {
+                Some(manifest) => {
+                    log_line!("{name}: applies a change in place");
+                    instance.update_policy(manifest, applied.revision, &applied.directory);
+                }
+                None => instance.replace_destinations(&applied.directory),
+            }
+        }
+    }
+
+    /// Removes instances that have ended. One that was not shut down is started again after a backoff.
+    pub fn reap(&mut self) {
+        let ended: Vec<String> = self
+            .instances
+            .iter()
+            .filter(|(_, instance)| instance.has_ended())
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in ended {
+            let Some(instance) = self.instances.remove(&name) else {
+                continue;
+            };
+            if !instance.is_shutting_down() {
+                log_line!("{name}: ended by itself, is started again");
+                self.back_off(&name);
+            }
+            instance.join();
+        }
+    }
+
+    /// Shuts down outdated instances, closes unused listeners, and starts missing instances.
+    pub fn reconcile(&mut self, desired: &DesiredState) {
+        self.shut_down_outdated(desired);
+        self.close_unused_listeners(desired);
+        self.start_missing(desired);
+    }
+
+    /// Shuts down instances that are no longer declared here, or differ from their declaration.
+    fn shut_down_outdated(&mut self, desired: &DesiredState) {
+        for (name, instance) in &mut self.instances {
+            if instance.is_shutting_down() {
+                continue;
+            }
+            let manifest = desired.applied.manifest.instance_manifest(name);
+            match manifest.filter(|_| desired.runs_here(name)) {
+                Some(manifest) if manifest == *instance.manifest() => {}
+                Some(_) => {
+                    log_line!("{name}: applies a change by a restart");
+                    instance.shut_down_for_restart(RESTART_TIMEOUT);
+                }
+                None => {
+                    log_line!("{name}: leaves the manifest");
+                    instance.shut_down(SHUTDOWN_TIMEOUT);
+                }
+            }
+        }
+    }
+
+    /// Listeners stay open while their instance restarts, so that clients wait instead of being rejected.
+    fn close_unused_listeners(&mut self, desired: &DesiredState) {
+        let specs = &desired.applied.manifest.instances;
+        let used: BTreeSet<ListenerKey> = desired
+            .instances()
+            .filter_map(|name| Some((name, specs.get(name)?)))
+            .flat_map(|(name, spec)| ListenerKey::all_of(name, spec))
+            .collect();
+        self.listeners.retain(&used);
+    }
+
+    fn start_missing(&mut self, desired: &DesiredState) {
+        let now = Instant::now();
+        let missing: Vec<&str> = desired
+            .instances()
+            .filter(|name| !self.instances.contains_key(*name))
+            .filter(|name| self.restart_at.get(*name).is_none_or(|at| *at <= now))
+            .collect();
+        for name in missing {
+            self.start(name, desired);
+        }
+    }
+
+    fn start(&mut self, name: &str, desired: &DesiredState) {
+        let Some(manifest) = desired.applied.manifest.instance_manifest(name) else {
+            return;
+        };
+        let context = StartContext {
+            home: &desired.home,
+            directory: &desired.applied.directory,
+            lease_guard: desired.group_member.as_ref().map(GroupMember::lease_guard),
+            revision: desired.applied.revision,
+        };
+        match InstanceHandle::start(manifest, context, &mut self.listeners) {
+            Ok(instance) => {
+                self.instances.insert(name.to_owned(), instance);
+            }
+            Err(error) => {
+                log_line!("{name}: not started, {error}");
+                self.back_off(name);
+            }
+        }
+    }
+
+    fn back_off(&mut self, name: &str) {
+        let restart_at = Instant::now() + RESTART_BACKOFF;
+        self.restart_at.insert(name.to_owned(), restart_at);
+    }
+}
--- a/crates/control-plane/src/supervisor/listeners.rs
+++ b/crates/control-plane/src/supervisor/listeners.rs
@@ -1,4 +1,5 @@
-//! The sockets at which instances' frontends listen. The supervisor owns them, so that they outlive the instances.
+//! The sockets at which instances' frontends listen. The supervisor owns them, so that they stay open while an instance
+//! restarts.
 
 use crate::instance_config::InstanceListeners;
 use crate::manifest::{InstanceManifest, InstanceSpec};
@@ -21,7 +22,7 @@
     Platform,
 }
 
-/// Who listens where: a port that the system picks is each instance's own.
+/// The owner and the address of a listener. Instances with port 0 each have a port of their own.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ListenerKey {
     instance: String,
@@ -30,7 +31,7 @@
 }
 
 impl ListenerKey {
-    /// Those of an instance's frontends.
+    /// The keys of an instance's frontends.
     pub fn all_of(name: &str, instance: &InstanceSpec) -> Vec<ListenerKey> {
         let events = instance.events.iter().map(|events| ListenerKey {
             instance: name.to_owned(),
@@ -51,12 +52,15 @@
 pub(super) struct FrontendListeners(BTreeMap<ListenerKey, TcpListener>);
 
 impl FrontendListeners {
-    /// Closes those that are not used any more.
+    /// Closes listeners that are not in `used`.
     pub fn retain(&mut self, used: &BTreeSet<ListenerKey>) {
         self.0.retain(|key, _| used.contains(key));
     }
 
-    /// Opens an instance's listeners, or takes those that are open.
+    /// Opens an instance's listeners, or shares those that are open.
+    ///
+    /// # Errors
+    /// An address cannot be listened at.
     pub fn open(&mut self, manifest: &InstanceManifest) -> Result<InstanceListeners, ListenError> {
         let events = manifest.events.as_ref().map(|events| events.listen_address);
         let platform = manifest
--- a/crates/control-plane/src/supervisor/policy_check.rs
+++ b/crates/control-plane/src/supervisor/policy_check.rs
@@ -1,4 +1,4 @@
-//! The instances' answer to a policy that the group proposes: whether it has room for the messages they hold.
+//! Checks with the instances whether a proposed policy permits the messages that they hold.
 
 use super::instance_handle::InstanceHandle;
 use crate::manifest::{destination_number, Manifest};
@@ -10,16 +10,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long an instance may take to answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time within which an instance must respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a proposed policy cannot be put in force.
+/// Why the instances cannot act under a proposed policy.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PolicyCheckError {
     #[error("instance {0} is only starting")]
     Starting(String),
     #[error("instance {0}: does not answer")]
-    NoAnswer(String),
+    NoResponse(String),
     #[error("instance {instance}: {source}")]
     Mismatch {
         instance: String,
@@ -27,7 +27,11 @@
     },
 }
 
-/// Asks all instances that run; `expected` are those that have to.
+/// Checks a policy with all running instances.
+///
+/// # Errors
+/// One of the `expected` instances does not run, or an instance that the policy declares does not respond or cannot act
+/// under it.
 pub(super) async fn check_policy(
     proposed: &Manifest,
     instances: &BTreeMap<String, InstanceHandle>,
@@ -48,8 +52,8 @@
             destinations: destinations.clone(),
             max_open: manifest.map_or(usize::MAX, |manifest| manifest.limits.max_open),
         };
-        let verdict = ask(name, instance, policy).await;
-        // One that leaves the manifest finishes what it holds within its time, as always.
+        let verdict = request_verdict(name, instance, policy).await;
+        // An instance that the policy removes completes its messages while it shuts down.
         if proposed.instances.contains_key(name) {
             verdict?;
         }
@@ -57,22 +61,22 @@
     Ok(())
 }
 
-async fn ask(
+async fn request_verdict(
     name: &str,
     instance: &InstanceHandle,
     policy: ProposedPolicy,
 ) -> Result<(), PolicyCheckError> {
-    let (sender, answer) = async_channel::bounded(1);
+    let (sender, response) = async_channel::bounded(1);
     instance.send(InstanceCommand::CheckPolicy(policy, sender));
     let timeout = async {
-        Timer::after(ANSWER_TIMEOUT).await;
+        Timer::after(RESPONSE_TIMEOUT).await;
         None
     };
-    match future::or(async { answer.recv().await.ok() }, timeout).await {
+    match future::or(async { response.recv().await.ok() }, timeout).await {
         Some(verdict) => verdict.map_err(|source| PolicyCheckError::Mismatch {
             instance: name.to_owned(),
             source,
         }),
-        None => Err(PolicyCheckError::NoAnswer(name.to_owned())),
+        None => Err(PolicyCheckError::NoResponse(name.to_owned())),
     }
 }
