--- a/crates/control-plane/src/list_watcher/scanner.rs
+++ b/crates/control-plane/src/list_watcher/scanner.rs
@@ -224,7 +224,7 @@
                 return Observation::Rejected;
             }
         };
-        if self.lists.read(|lists| candidate.is_in_force(lists)) {
+        if self.lists.read(|lists| candidate.is_active(lists)) {
             self.states.record(file, FileState::InForce);
             return Observation::Settled;
         }
