--- a/crates/cli/tests/common/shim.rs
+++ b/crates/cli/tests/common/shim.rs
@@ -93,7 +93,7 @@
     pub fn struck(&self, kind: FaultKind) -> u64 {
         let bytes = std::fs::read(&self.counts).unwrap();
         let counts = read_counts(&bytes);
-        let (_, Count { struck, .. }) = counts[kind.index()];
-        struck
+        let (_, Count { injected, .. }) = counts[kind.index()];
+        injected
     }
 }
--- a/crates/cli/tests/fleet_faults.rs
+++ b/crates/cli/tests/fleet_faults.rs
@@ -41,7 +41,7 @@
     let shim = Shim::new(&folder, "shim", &home, &[failing]);
     let program = Program::start(&["run", text(&home)], &shim.env());
     program.address("takes events at ", 0);
-    wait_for("the fault's time", || failing.is_in_force(monotonic_ms()));
+    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
     apply(&folder, &manifest(&["one", "two"]));
     program.address("takes events at ", 1);
     assert!(shim.struck(FaultKind::OpenNoFiles) > 0, "{}", program.log());
@@ -79,10 +79,10 @@
         text.contains(&format!("revision = {revision}\n"))
     };
     wait_for("the first list", || is_stored(1));
-    wait_for("the fault's time", || failing.is_in_force(monotonic_ms()));
+    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
     write_list(2);
     wait_for("the second list in force", || {
-        assert!(failing.is_in_force(monotonic_ms()), "{}", program.log());
+        assert!(failing.is_active(monotonic_ms()), "{}", program.log());
         program.log().contains("last-good-list-not-written")
     });
     assert!(!is_stored(2));
--- a/crates/cli/tests/system_faults.rs
+++ b/crates/cli/tests/system_faults.rs
@@ -97,7 +97,7 @@
     let (program, shim) = site.start_under(&[failing]);
     let at = program.address(MARKER, 0);
     // What was accepted before would fill the instance's room.
-    wait_for("the fault's time", || failing.is_in_force(monotonic_ms()));
+    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
     wait_for("the fault", || {
         hand(at, "in-fault", "refill-status", "20000").unwrap();
         shim.struck(FaultKind::DiskError) > 8
@@ -284,7 +284,7 @@
     let at = program.address(MARKER, 0);
     let answer = hand(at, "m", "refill-status", "20000").unwrap();
     assert_eq!(answer.status(), 202);
-    wait_for("the fault's time", || failing.is_in_force(monotonic_ms()));
+    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
     open.store(true, Ordering::SeqCst);
     wait_for("the delivery", || {
         program.signal("USR1");
@@ -397,7 +397,7 @@
     for n in 0..20 {
         hand(at, &format!("held-{n}"), "refill-status", "20000").unwrap();
     }
-    wait_for("the fault's time", || failing.is_in_force(monotonic_ms()));
+    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
     // What is delivered now cannot be noted.
     open.store(true, Ordering::SeqCst);
     let before = processor_ticks(&program);
@@ -405,7 +405,7 @@
     wait_for("the end of the fault", || {
         n += 1;
         let _ = hand(at, &format!("in-fault-{n}"), "refill-status", "20000");
-        !failing.is_in_force(monotonic_ms())
+        !failing.is_active(monotonic_ms())
     });
     let ticks = processor_ticks(&program) - before;
     assert!(ticks < 100, "{ticks} of 300 ticks, {n} requests");
--- /dev/null
+++ b/crates/fault-plan/src/fault/tests.rs
@@ -0,0 +1,35 @@
+//! Tests of the lines of a plan.
+
+use super::*;
+
+#[test]
+fn every_kind_of_fault_survives_its_line() {
+    for kind in FaultKind::ALL {
+        let fault = Fault {
+            kind: *kind,
+            from_ms: 10,
+            until_ms: 20,
+            amount: -5,
+        };
+        assert_eq!(fault.to_string().parse(), Ok(fault));
+    }
+}
+
+#[test]
+fn malformed_line_is_reported_with_its_text() {
+    for line in [
+        "",
+        "disk-eio",
+        "disk-eio 1 2",
+        "disk-eio 1 2 many",
+        "no-such-fault 1 2 3",
+    ] {
+        let error = line.parse::<Fault>();
+        assert_eq!(
+            error,
+            Err(ParseFaultError {
+                line: line.to_owned()
+            })
+        );
+    }
+}
--- /dev/null
+++ b/crates/fault-shim/src/files.rs
@@ -0,0 +1,172 @@
+//! Calls on files.
+
+use crate::interpose::{fail, next_function};
+use crate::state::{any_active, draw_up_to, is_in_failing_folder, should_inject};
+use libc::{c_char, c_int, c_void, mode_t, off64_t, size_t, ssize_t};
+use marblefall_fault_plan::FaultKind;
+
+/// Faults of changes of the folder.
+const DISK_FAULTS: &[FaultKind] = &[
+    FaultKind::DiskFull,
+    FaultKind::DiskError,
+    FaultKind::TornWriteAndKill,
+];
+
+/// Whether a descriptor is an open file in the folder that fails.
+fn is_file_in_failing_folder(file: c_int) -> bool {
+    if !any_active(DISK_FAULTS) {
+        return false;
+    }
+    let link = format!("/proc/self/fd/{file}\0");
+    let mut path = [0u8; 512];
+    // SAFETY: the link's name ends with a zero byte, and at most the buffer's length is written.
+    let len = unsafe {
+        libc::syscall(
+            libc::SYS_readlinkat,
+            libc::AT_FDCWD,
+            link.as_ptr(),
+            path.as_mut_ptr(),
+            path.len(),
+        )
+    };
+    len > 0 && is_in_failing_folder(&path[..len as usize])
+}
+
+/// The bytes of a path.
+///
+/// # Safety
+/// `path` ends with a zero byte.
+unsafe fn path_bytes<'a>(path: *const c_char) -> &'a [u8] {
+    // SAFETY: the caller guarantees that the path ends with a zero byte.
+    unsafe { std::ffi::CStr::from_ptr(path) }.to_bytes()
+}
+
+/// The error that is injected into a change of the folder, if one is.
+fn disk_error() -> Option<c_int> {
+    if should_inject(FaultKind::DiskFull) {
+        return Some(libc::ENOSPC);
+    }
+    should_inject(FaultKind::DiskError).then_some(libc::EIO)
+}
+
+type Write = unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t;
+
+/// # Safety
+/// As of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn write(file: c_int, buffer: *const c_void, len: size_t) -> ssize_t {
+    let next = next_function!(write: Write);
+    if !is_file_in_failing_folder(file) {
+        // SAFETY: the caller's arguments are passed on.
+        return unsafe { next(file, buffer, len) };
+    }
+    if len > 1 && should_inject(FaultKind::TornWriteAndKill) {
+        // SAFETY: a part of the caller's buffer is written; the process ends here.
+        unsafe {
+            next(
+                file,
+                buffer,
+                1 + draw_up_to(FaultKind::TornWriteAndKill, len - 2),
+            );
+            libc::kill(libc::getpid(), libc::SIGKILL);
+        }
+    }
+    let Some(error) = disk_error() else {
+        // SAFETY: the caller's arguments are passed on.
+        return unsafe { next(file, buffer, len) };
+    };
+    let kind = if error == libc::ENOSPC {
+        FaultKind::DiskFull
+    } else {
+        FaultKind::DiskError
+    };
+    // Part of it may be written, and the rest not.
+    let written = draw_up_to(kind, len.saturating_sub(1));
+    if written > 0 && written.is_multiple_of(2) {
+        // SAFETY: a part of the caller's buffer is written.
+        return unsafe { next(file, buffer, written) };
+    }
+    fail(error) as ssize_t
+}
+
+type Synchronise = unsafe extern "C" fn(c_int) -> c_int;
+
+/// # Safety
+/// As of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
+    if is_file_in_failing_folder(file) && should_inject(FaultKind::DiskError) {
+        return fail(libc::EIO);
+    }
+    let next = next_function!(fsync: Synchronise);
+    // SAFETY: the caller's argument is passed on.
+    unsafe { next(file) }
+}
+
+type Lock = unsafe extern "C" fn(c_int, c_int) -> c_int;
+
+/// # Safety
+/// As of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn flock(file: c_int, operation: c_int) -> c_int {
+    if operation & libc::LOCK_UN == 0 && should_inject(FaultKind::LockFails) {
+        return fail(libc::ENOLCK);
+    }
+    let next = next_function!(flock: Lock);
+    // SAFETY: the caller's arguments are passed on.
+    unsafe { next(file, operation) }
+}
+
+type Truncate = unsafe extern "C" fn(c_int, off64_t) -> c_int;
+
+/// # Safety
+/// As of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn ftruncate64(file: c_int, len: off64_t) -> c_int {
+    if is_file_in_failing_folder(file) && should_inject(FaultKind::DiskError) {
+        return fail(libc::EIO);
+    }
+    let next = next_function!(ftruncate64: Truncate);
+    // SAFETY: the caller's arguments are passed on.
+    unsafe { next(file, len) }
+}
+
+type Rename = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
+
+/// # Safety
+/// As of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
+    // SAFETY: the caller's paths end with zero bytes.
+    if any_active(DISK_FAULTS) && is_in_failing_folder(unsafe { path_bytes(to) }) {
+        if let Some(error) = disk_error() {
+            return fail(error);
+        }
+    }
+    let next = next_function!(rename: Rename);
+    // SAFETY: the caller's arguments are passed on.
+    unsafe { next(from, to) }
+}
+
+type Open = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
+
+/// # Safety
+/// As of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
+    // SAFETY: the caller's path ends with a zero byte.
+    let in_folder = || is_in_failing_folder(unsafe { path_bytes(path) });
+    if any_active(&[FaultKind::OpenNoFiles]) && in_folder() && should_inject(FaultKind::OpenNoFiles)
+    {
+        return fail(libc::ENFILE);
+    }
+    let is_new = flags & libc::O_CREAT != 0 && any_active(DISK_FAULTS) && in_folder();
+    if is_new {
+        if let Some(error) = disk_error() {
+            return fail(error);
+        }
+    }
+    let next = next_function!(open64: Open);
+    // SAFETY: the caller's arguments are passed on.
+    unsafe { next(path, flags, mode) }
+}
--- a/crates/fault-shim/src/state.rs
+++ b/crates/fault-shim/src/state.rs
@@ -1,16 +1,16 @@
-//! The plan of this process, its counts, and whether a call is struck.
+//! The plan of this process, its counts, and which calls fail.
 
 use marblefall_fault_plan::{
-    draw, Fault, FaultKind, COUNTS_LEN, COUNTS_VARIABLE, FOLDER_VARIABLE, PLAN_VARIABLE,
-    SEED_VARIABLE,
+    draw, Fault, FaultKind, COUNTS_LEN, COUNTS_VARIABLE, EVERY_CALL, FOLDER_VARIABLE,
+    PLAN_VARIABLE, SEED_VARIABLE,
 };
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// Two words for each kind: calls seen, calls struck.
+/// Two words for each kind: calls seen, and calls that a fault was injected into.
 type Counts = [AtomicU64; FaultKind::ALL.len() * 2];
 
-/// What the environment told.
+/// The plan of this process, as the environment gives it.
 pub(crate) struct State {
     faults: Vec<Fault>,
     seed: u64,
@@ -22,7 +22,7 @@
 static STATE: OnceLock<State> = OnceLock::new();
 
 thread_local! {
-    /// Set while the plan is read: the calls that this takes are not struck.
+    /// Set while the plan is read: no fault is injected into the calls that this takes.
     static READING: std::cell::Cell<bool> = const { std::cell::Cell::new(false) };
 }
 
@@ -40,35 +40,35 @@
     Some(state)
 }
 
-/// Whether a fault of this kind strikes the call at hand.
-pub(crate) fn strikes(kind: FaultKind) -> bool {
-    state().is_some_and(|state| state.strikes(kind))
+/// Whether a fault of this kind is injected into the current call, which then is counted.
+pub(crate) fn should_inject(kind: FaultKind) -> bool {
+    state().is_some_and(|state| state.should_inject(kind))
 }
 
-/// By how many milliseconds the wall clock is off.
+/// How many milliseconds the wall clock is off.
 pub(crate) fn wall_clock_offset_ms() -> i64 {
     state().map_or(0, State::wall_clock_offset_ms)
 }
 
 /// Whether a path is in the folder whose files fail.
-pub(crate) fn is_in_folder(path: &[u8]) -> bool {
+pub(crate) fn is_in_failing_folder(path: &[u8]) -> bool {
     state().is_some_and(|state| !state.folder.is_empty() && path.starts_with(&state.folder))
 }
 
-/// Whether any fault of these kinds is in force: asked before anything that costs a system call.
-pub(crate) fn any_in_force(kinds: &[FaultKind]) -> bool {
+/// Whether any fault of these kinds is active. Checked before anything that costs a system call.
+pub(crate) fn any_active(kinds: &[FaultKind]) -> bool {
     state().is_some_and(|state| {
         let now_ms = monotonic_ms();
         let mut faults = state.faults.iter();
-        faults.any(|fault| kinds.contains(&fault.kind) && fault.is_in_force(now_ms))
+        faults.any(|fault| kinds.contains(&fault.kind) && fault.is_active(now_ms))
     })
 }
 
-/// A draw for a call that is struck: how much of it is done.
-pub(crate) fn part(kind: FaultKind, of: usize) -> usize {
-    let Some(state) = state() else { return of };
-    let struck = state.counts[kind.index() * 2 + 1].load(Ordering::Relaxed);
-    draw(!state.seed, kind, struck) as usize % (of + 1)
+/// Draws how much of a call is done that a fault is injected into: at most `limit`.
+pub(crate) fn draw_up_to(kind: FaultKind, limit: usize) -> usize {
+    let Some(state) = state() else { return limit };
+    let injected = state.injected(kind).load(Ordering::Relaxed);
+    draw(!state.seed, kind, injected) as usize % (limit + 1)
 }
 
 impl State {
@@ -90,19 +90,30 @@
         }
     }
 
-    fn strikes(&self, kind: FaultKind) -> bool {
+    /// The counter of calls while a kind of fault was active.
+    fn seen(&self, kind: FaultKind) -> &AtomicU64 {
+        &self.counts[kind.index() * 2]
+    }
+
+    /// The counter of calls that a kind of fault was injected into.
+    fn injected(&self, kind: FaultKind) -> &AtomicU64 {
+        &self.counts[kind.index() * 2 + 1]
+    }
+
+    fn should_inject(&self, kind: FaultKind) -> bool {
         let now_ms = monotonic_ms();
         let fault = self
             .faults
             .iter()
-            .find(|fault| fault.kind == kind && fault.is_in_force(now_ms));
+            .find(|fault| fault.kind == kind && fault.is_active(now_ms));
         let Some(fault) = fault else { return false };
-        let ordinal = self.counts[kind.index() * 2].fetch_add(1, Ordering::Relaxed);
-        let is_struck = (draw(self.seed, kind, ordinal) % 1000) < fault.amount.max(0) as u64;
-        if is_struck {
-            self.counts[kind.index() * 2 + 1].fetch_add(1, Ordering::Relaxed);
+        let ordinal = self.seen(kind).fetch_add(1, Ordering::Relaxed);
+        let share = fault.amount.max(0) as u64;
+        let is_injected = draw(self.seed, kind, ordinal) % (EVERY_CALL as u64) < share;
+        if is_injected {
+            self.injected(kind).fetch_add(1, Ordering::Relaxed);
         }
-        is_struck
+        is_injected
     }
 
     fn wall_clock_offset_ms(&self) -> i64 {
@@ -111,17 +122,17 @@
         let mut stepped = self
             .faults
             .iter()
-            .filter(|fault| fault.kind == kind && fault.is_in_force(now_ms));
+            .filter(|fault| fault.kind == kind && fault.is_active(now_ms));
         let Some(fault) = stepped.next() else {
             return 0;
         };
-        self.counts[kind.index() * 2].fetch_add(1, Ordering::Relaxed);
-        self.counts[kind.index() * 2 + 1].fetch_add(1, Ordering::Relaxed);
+        self.seen(kind).fetch_add(1, Ordering::Relaxed);
+        self.injected(kind).fetch_add(1, Ordering::Relaxed);
         fault.amount
     }
 }
 
-/// The machine's monotonic clock, which is never struck.
+/// The machine's monotonic clock, into which no fault is injected.
 pub(crate) fn monotonic_ms() -> i64 {
     let mut now = libc::timespec {
         tv_sec: 0,
@@ -132,7 +143,7 @@
     now.tv_sec * 1000 + now.tv_nsec / 1_000_000
 }
 
-/// The counts, in the file that the environment names, or in memory where it names none.
+/// The counts, in the file that the environment names, or in memory if it names none.
 fn open_counts() -> &'static Counts {
     let mapped = std::env::var(COUNTS_VARIABLE).ok().and_then(map_counts);
     mapped.unwrap_or_else(|| {
@@ -144,8 +155,8 @@
 
 fn map_counts(path: String) -> Option<&'static Counts> {
     let path = std::ffi::CString::new(path).ok()?;
-    // SAFETY: the path is a string with its end; the file's mapping is as long as the counts, is never unmapped, and
-    // zeroed memory is a valid array of atomic words.
+    // SAFETY: the path ends with a zero byte; the file's mapping is as long as the counts and never unmapped; and zeroed
+    // memory is a valid array of atomic words.
     unsafe {
         let file = libc::syscall(
             libc::SYS_openat,
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -215,7 +215,7 @@
     let struck: Vec<String> = counts
         .iter()
         .filter(|(_, count)| count.seen > 0)
-        .map(|(kind, count)| format!("{} {}/{}", kind.name(), count.struck, count.seen))
+        .map(|(kind, count)| format!("{} {}/{}", kind.name(), count.injected, count.seen))
         .collect();
     println!("  struck/seen: {}", struck.join(", "));
     if !idle_faults.is_empty() {
--- a/crates/fault-soak/src/process.rs
+++ b/crates/fault-soak/src/process.rs
@@ -363,7 +363,7 @@
     }
 
     fn struck(&self, kind: FaultKind) -> u64 {
-        self.counts()[kind.index()].1.struck
+        self.counts()[kind.index()].1.injected
     }
 }
 
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -236,14 +236,14 @@
     for (kind, count) in keepers.iter().flat_map(Keeper::counts) {
         let all = counts.entry(kind).or_default();
         all.seen += count.seen;
-        all.struck += count.struck;
+        all.injected += count.injected;
     }
     let planned = schedule.all(|kind| match kind {
         TroubleKind::System(fault) => Some(fault.0),
         _ => None,
     });
     let mut idle_faults: Vec<&str> = planned
-        .filter(|(_, kind, _)| counts[kind].struck == 0)
+        .filter(|(_, kind, _)| counts[kind].injected == 0)
         .map(|(_, kind, _)| kind.name())
         .collect();
     idle_faults.dedup();
