--- /dev/null
+++ b/crates/process-experiment/src/experiment.rs
@@ -0,0 +1,91 @@
+//! Plays a schedule on a group of processes, and checks what was observed.
+
+mod changes;
+mod driver;
+
+use crate::invariants::{self, Violation};
+use crate::schedule::Schedule;
+use driver::Driver;
+use marblefall_process_harness::client::{ClientLoad, Clients};
+use marblefall_process_harness::destination::Destination;
+use marblefall_process_harness::group::{Group, GroupSettings};
+use marblefall_process_harness::HarnessError;
+use std::path::Path;
+use std::time::Duration;
+
+/// What came of a run.
+#[derive(Clone, Debug)]
+pub struct Report {
+    /// The violations, sorted by invariant.
+    pub violations: Vec<Violation>,
+    /// What was done when. After a violation also the last lines of the members' logs.
+    pub trace: Vec<String>,
+    /// Events in the members' histories.
+    pub events: usize,
+    /// Submissions of clients.
+    pub submissions: usize,
+    /// Submissions that clients repeated.
+    pub repeated_submissions: usize,
+    /// Changes that were applied.
+    pub changes: ChangeCounts,
+}
+
+/// How many changes of the policy had which outcome.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ChangeCounts {
+    /// Changes that operators applied.
+    pub applied: usize,
+    /// Those that operators were told to be in force.
+    pub in_force: usize,
+    /// Those that operators were told to be withdrawn.
+    pub withdrawn: usize,
+}
+
+/// Plays a schedule with a program in a folder.
+///
+/// # Errors
+/// The processes cannot be set up or observed. The run then is inconclusive.
+pub fn play(schedule: &Schedule, program: &Path, folder: &Path) -> Result<Report, HarnessError> {
+    let settings = &schedule.processes;
+    let destination = Destination::start(Duration::from_millis(settings.service_ms))?;
+    let mut group = Group::found(GroupSettings {
+        program: program.to_owned(),
+        folder: folder.to_owned(),
+        members: settings.members,
+        voters: settings.voters,
+        partition_policy: settings.partition_policy.clone(),
+        lease_ms: settings.lease_ms,
+        endpoints: destination.addresses.clone(),
+    })?;
+    group.start_all()?;
+    let load = ClientLoad {
+        addresses: group.event_addresses(),
+        clients: settings.clients,
+        pause: Duration::from_millis(settings.pause_ms),
+        run: schedule.seed,
+    };
+    let mut driver = Driver::new(group, schedule);
+    let clients = Clients::start(&load);
+    let finished = driver.play().and_then(|()| driver.recover());
+    let submissions = clients.stop();
+    let mut observation = driver.observe();
+    observation.calls = destination.calls();
+    observation.submissions = submissions;
+    if let Err(error) = finished {
+        driver.note_failure(&error);
+    }
+    let mut violations = invariants::check(&observation);
+    violations.sort_by_key(|violation| violation.invariant);
+    if !violations.is_empty() {
+        driver.note_logs();
+    }
+    let submissions = observation.submissions.iter();
+    Ok(Report {
+        violations,
+        changes: driver.change_counts(),
+        trace: driver.into_trace(),
+        events: observation.events.len(),
+        repeated_submissions: submissions.filter(|one| !one.is_final()).count(),
+        submissions: observation.submissions.len(),
+    })
+}
--- /dev/null
+++ b/crates/process-experiment/src/shrink/tests.rs
@@ -0,0 +1,51 @@
+//! Tests of shrinking.
+
+use super::*;
+use crate::schedule::{Action, ProcessSettings, Step};
+
+fn settings() -> ProcessSettings {
+    ProcessSettings {
+        members: 3,
+        voters: 3,
+        partition_policy: "stop".to_owned(),
+        lease_ms: 500,
+        seconds: 5.0,
+        clients: 1,
+        pause_ms: 1,
+        service_ms: 1,
+        change_interval_ms: 100,
+        fault_interval_ms: 100,
+        max_fault_ms: 100,
+        faults: Vec::new(),
+    }
+}
+
+fn step(at_ms: u64) -> Step {
+    Step {
+        at_ms,
+        action: Action::Suspend {
+            member: 0,
+            ms: at_ms,
+        },
+    }
+}
+
+#[test]
+fn schedule_shrinks_to_the_steps_of_the_violation() {
+    let schedule = Schedule {
+        seed: 1,
+        processes: settings(),
+        steps: (0..50).map(step).collect(),
+    };
+    // Two steps together violate it.
+    let violates = |schedule: &Schedule| {
+        let has = |at: u64| schedule.steps.iter().any(|step| step.at_ms == at);
+        if has(7) && has(31) {
+            vec![Invariant::SinglePolicy]
+        } else {
+            Vec::new()
+        }
+    };
+    let smallest = shrink(&schedule, Invariant::SinglePolicy, 500, violates);
+    assert_eq!(smallest.steps, [step(7), step(31)]);
+}
--- /dev/null
+++ b/crates/process-harness/src/group.rs
@@ -0,0 +1,289 @@
+//! A group of daemons as processes, with a proxy on every link between them.
+
+mod manifest;
+
+use crate::link_proxy::{self, Links};
+use crate::network::reserve_addresses;
+use crate::{run_command, wait_for, CommandOutput, HarnessError, Process};
+use serde_json::Value;
+use std::fs;
+use std::net::{SocketAddr, TcpStream};
+use std::path::PathBuf;
+use std::process::Command;
+
+/// Lines of each member's log that [`Group::recent_logs`] returns.
+const RECENT_LOG_LINES: usize = 40;
+
+/// What a group consists of.
+#[derive(Clone, Debug)]
+pub struct GroupSettings {
+    /// The program under test.
+    pub program: PathBuf,
+    /// The folder of its homes and histories, which is created anew.
+    pub folder: PathBuf,
+    /// How many daemons it has, each with one instance.
+    pub members: usize,
+    /// How many of them vote: the first ones.
+    pub voters: usize,
+    /// The partition policy, as the manifest has it: `stop` or `serve`.
+    pub partition_policy: String,
+    /// The duration of a lease in milliseconds.
+    pub lease_ms: u64,
+    /// Where the endpoints of both destinations listen.
+    pub endpoints: Vec<SocketAddr>,
+}
+
+/// A member of a group.
+struct Member {
+    /// Where it accepts events.
+    event_address: SocketAddr,
+    /// Where its transport listens.
+    link_address: SocketAddr,
+    /// Where other members reach its transport.
+    proxy_address: SocketAddr,
+    process: Option<Process>,
+    /// The logs of its processes that have ended.
+    ended_logs: String,
+}
+
+/// A group of daemons. Their processes are killed when it is dropped.
+pub struct Group {
+    /// What it consists of.
+    pub settings: GroupSettings,
+    /// The states of the links between its members.
+    pub links: Links,
+    members: Vec<Member>,
+    plans: usize,
+}
+
+/// The name of a member. Names sort like numbers.
+pub fn member_name(member: usize) -> String {
+    format!("m{member:02}")
+}
+
+impl Group {
+    /// Founds a group without starting it.
+    ///
+    /// # Errors
+    /// A folder or port cannot be had, or the program rejects the manifest.
+    pub fn found(settings: GroupSettings) -> Result<Group, HarnessError> {
+        // What an earlier run left there does not belong to this group.
+        let _ = fs::remove_dir_all(&settings.folder);
+        fs::create_dir_all(&settings.folder)
+            .map_err(HarnessError::io(settings.folder.display().to_string()))?;
+        let links = Links::default();
+        let mut link_addresses = reserve_addresses(2 * settings.members)?;
+        let event_addresses = link_addresses.split_off(settings.members);
+        let mut members = Vec::new();
+        for (number, (link_address, event_address)) in
+            link_addresses.into_iter().zip(event_addresses).enumerate()
+        {
+            members.push(Member {
+                event_address,
+                link_address,
+                proxy_address: link_proxy::start(number, link_address, &links)?,
+                process: None,
+                ended_logs: String::new(),
+            });
+        }
+        let mut group = Group {
+            settings,
+            links,
+            members,
+            plans: 0,
+        };
+        let manifest = group.manifest(&[]);
+        for member in 0..group.members.len() {
+            group.found_member(member, &manifest)?;
+        }
+        Ok(group)
+    }
+
+    /// Makes the empty home of a member part of the group.
+    ///
+    /// # Errors
+    /// The program rejects the manifest.
+    pub fn found_member(&mut self, member: usize, manifest: &str) -> Result<(), HarnessError> {
+        let plan = self.plan(member, manifest)?;
+        let (home, name) = (self.home(member), member_name(member));
+        self.run_successfully(&["apply", &plan, &home, "--member", &name])?;
+        Ok(())
+    }
+
+    /// How many members it has.
+    pub fn member_count(&self) -> usize {
+        self.members.len()
+    }
+
+    /// Where members accept events, by their numbers.
+    pub fn event_addresses(&self) -> Vec<SocketAddr> {
+        let members = self.members.iter();
+        members.map(|member| member.event_address).collect()
+    }
+
+    /// The home of a member.
+    pub fn home(&self, member: usize) -> String {
+        let home = self.settings.folder.join(member_name(member));
+        home.display().to_string()
+    }
+
+    /// Where the transport of a member listens, behind its proxy.
+    pub fn link_address(&self, member: usize) -> SocketAddr {
+        self.members[member].link_address
+    }
+
+    /// The file in which a member records what it does.
+    pub fn history_file(&self, member: usize) -> PathBuf {
+        self.settings.folder.join(format!("{member}.history"))
+    }
+
+    /// The file in which a voter stores its votes.
+    pub fn vote_file(&self, member: usize) -> PathBuf {
+        let home = self.settings.folder.join(member_name(member));
+        home.join("group/votes")
+    }
+
+    /// Starts the daemon of a member.
+    ///
+    /// # Errors
+    /// It cannot be started.
+    pub fn start(&mut self, member: usize) -> Result<(), HarnessError> {
+        let history = self.history_file(member).display().to_string();
+        let link = self.link_address(member).to_string();
+        let home = self.home(member);
+        let arguments = ["run", &home, "--history", &history, "--link", &link];
+        let process = Process::start(&self.settings.program, &arguments, &[])?;
+        self.members[member].process = Some(process);
+        Ok(())
+    }
+
+    /// Starts all daemons, and waits until all act under the first revision.
+    ///
+    /// # Errors
+    /// One cannot be started, or does not act in time.
+    pub fn start_all(&mut self) -> Result<(), HarnessError> {
+        for member in 0..self.members.len() {
+            self.start(member)?;
+        }
+        (0..self.members.len()).try_for_each(|member| self.wait_until_acting(member, 1))
+    }
+
+    /// Kills the daemon of a member, if it runs.
+    pub fn kill(&mut self, member: usize) {
+        let member = &mut self.members[member];
+        if let Some(process) = member.process.take() {
+            member.ended_logs.push_str(&process.log());
+        }
+    }
+
+    /// The process of a member, if it runs.
+    pub fn process(&self, member: usize) -> Option<&Process> {
+        self.members[member].process.as_ref()
+    }
+
+    /// The processes that run.
+    pub fn processes(&self) -> impl Iterator<Item = &Process> {
+        let members = self.members.iter();
+        members.filter_map(|member| member.process.as_ref())
+    }
+
+    /// The log of a member over all its incarnations.
+    pub fn log(&self, member: usize) -> String {
+        let member = &self.members[member];
+        let current = member.process.as_ref().map(Process::log);
+        format!("{}{}", member.ended_logs, current.unwrap_or_default())
+    }
+
+    /// The last lines of all logs.
+    pub fn recent_logs(&self) -> String {
+        let recent = |member: usize| {
+            let log = self.log(member);
+            let lines: Vec<&str> = log.lines().collect();
+            let first = lines.len().saturating_sub(RECENT_LOG_LINES);
+            format!(
+                "--- {}\n{}\n",
+                member_name(member),
+                lines[first..].join("\n")
+            )
+        };
+        (0..self.members.len()).map(recent).collect()
+    }
+
+    /// Runs a command of the program to its end.
+    ///
+    /// # Errors
+    /// The program cannot be started.
+    pub fn run(&self, arguments: &[&str]) -> Result<CommandOutput, HarnessError> {
+        run_command(Command::new(&self.settings.program).args(arguments))
+    }
+
+    fn run_successfully(&self, arguments: &[&str]) -> Result<CommandOutput, HarnessError> {
+        let output = self.run(arguments)?;
+        if output.is_success() {
+            Ok(output)
+        } else {
+            let output = output.text;
+            Err(HarnessError::CommandFailed { output })
+        }
+    }
+
+    /// Plans a change to a manifest at a member, and returns the path of the plan.
+    ///
+    /// # Errors
+    /// The program rejects the manifest.
+    pub fn plan(&mut self, member: usize, manifest: &str) -> Result<String, HarnessError> {
+        self.plans += 1;
+        let name = format!("change-{}.toml", self.plans);
+        let path = self.settings.folder.join(name);
+        fs::write(&path, manifest).map_err(HarnessError::io(path.display().to_string()))?;
+        let plan = path.with_extension("plan").display().to_string();
+        let (path, home) = (path.display().to_string(), self.home(member));
+        self.run_successfully(&["plan", &path, &home, "--out", &plan])?;
+        Ok(plan)
+    }
+
+    /// Plans a change to a manifest at a member, and applies it.
+    ///
+    /// # Errors
+    /// It cannot be planned.
+    pub fn change(&mut self, member: usize, manifest: &str) -> Result<CommandOutput, HarnessError> {
+        let plan = self.plan(member, manifest)?;
+        self.run(&["apply", &plan, &self.home(member)])
+    }
+
+    /// The status of the group, as the daemon of a member reports it; null where it does not.
+    pub fn status(&self, member: usize) -> Value {
+        self.report(member, "status")
+    }
+
+    /// The changes of the group and their outcomes, as the daemon of a member reports them; null where it does not.
+    pub fn change_history(&self, member: usize) -> Value {
+        self.report(member, "history")
+    }
+
+    fn report(&self, member: usize, command: &str) -> Value {
+        let home = self.home(member);
+        match self.run(&["group", command, &home, "--format", "json"]) {
+            Ok(output) if output.is_success() => {
+                serde_json::from_str(&output.text).unwrap_or_default()
+            }
+            _ => Value::Null,
+        }
+    }
+
+    /// Whether a member acts under a revision, and accepts connections of clients.
+    pub fn is_acting(&self, member: usize, revision: u64) -> bool {
+        let status = self.status(member);
+        let accepts = TcpStream::connect(self.members[member].event_address).is_ok();
+        status["revision"] == revision && status["standing"] == "acts" && accepts
+    }
+
+    /// Waits until a member acts under a revision.
+    ///
+    /// # Errors
+    /// It does not in time.
+    pub fn wait_until_acting(&self, member: usize, revision: u64) -> Result<(), HarnessError> {
+        let description = format!("{} under revision {revision}", member_name(member));
+        wait_for(&description, || self.is_acting(member, revision))
+    }
+}
--- /dev/null
+++ b/crates/process-harness/src/http.rs
@@ -0,0 +1,195 @@
+//! As much of HTTP/1.1 as stand-ins and clients need.
+
+use crate::headers;
+use std::io::{self, BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+
+/// A request or a response that was received.
+#[derive(Clone, Debug, Default)]
+pub struct Message {
+    /// The request line or the status line.
+    pub start_line: String,
+    /// The header fields in their order.
+    pub headers: Vec<(String, String)>,
+    /// The body.
+    pub body: Vec<u8>,
+    /// When its first byte could be read.
+    pub received_at: Option<Instant>,
+}
+
+impl Message {
+    /// Returns the value of a header field.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        let mut fields = self.headers.iter();
+        let field = fields.find(|(known, _)| known.eq_ignore_ascii_case(name));
+        field.map(|(_, value)| value.as_str())
+    }
+
+    /// Returns the status of a response, and 0 where there is none.
+    pub fn status(&self) -> u16 {
+        let code = self.start_line.split(' ').nth(1);
+        code.and_then(|code| code.parse().ok()).unwrap_or(0)
+    }
+
+    /// Reads one message, whose body has the length that its head declares; `None` where the connection ends first.
+    pub fn read(reader: &mut impl BufRead) -> Option<Message> {
+        reader.fill_buf().ok()?;
+        let received_at = Some(Instant::now());
+        let start_line = read_line(reader)?;
+        let mut headers = Vec::new();
+        loop {
+            let line = read_line(reader)?;
+            if line.is_empty() {
+                break;
+            }
+            let (name, value) = line.split_once(": ")?;
+            headers.push((name.to_owned(), value.to_owned()));
+        }
+        let mut message = Message {
+            start_line,
+            headers,
+            body: Vec::new(),
+            received_at,
+        };
+        let len = message.header(headers::CONTENT_LENGTH);
+        let len = len.and_then(|len| len.parse().ok()).unwrap_or(0);
+        message.body.resize(len, 0);
+        reader.read_exact(&mut message.body).ok()?;
+        Some(message)
+    }
+}
+
+fn read_line(reader: &mut impl BufRead) -> Option<String> {
+    let mut line = String::new();
+    let len = reader.read_line(&mut line).ok()?;
+    (len > 0).then(|| line.trim_end().to_owned())
+}
+
+/// A request to be sent.
+#[derive(Clone, Debug)]
+pub struct Request {
+    method: &'static str,
+    path: String,
+    headers: Vec<(String, String)>,
+    body: Vec<u8>,
+}
+
+impl Request {
+    /// A GET request.
+    pub fn get(path: &str) -> Request {
+        Request::new("GET", path)
+    }
+
+    /// A POST request without a body.
+    pub fn post(path: &str) -> Request {
+        Request::new("POST", path)
+    }
+
+    fn new(method: &'static str, path: &str) -> Request {
+        Request {
+            method,
+            path: path.to_owned(),
+            headers: Vec::new(),
+            body: Vec::new(),
+        }
+    }
+
+    /// Adds a header field.
+    #[must_use]
+    pub fn header(mut self, name: &str, value: &str) -> Request {
+        self.headers.push((name.to_owned(), value.to_owned()));
+        self
+    }
+
+    /// Sets the body.
+    #[must_use]
+    pub fn body(mut self, body: &[u8]) -> Request {
+        body.clone_into(&mut self.body);
+        self
+    }
+
+    /// Its bytes on the wire.
+    pub fn to_bytes(&self) -> Vec<u8> {
+        let mut head = format!(
+            "{} {} HTTP/1.1\r\nHost: marblefall\r\n",
+            self.method, self.path
+        );
+        for (name, value) in &self.headers {
+            head.push_str(&format!("{name}: {value}\r\n"));
+        }
+        if self.method == "POST" {
+            head.push_str(&format!(
+                "{}: {}\r\n",
+                headers::CONTENT_LENGTH,
+                self.body.len()
+            ));
+        }
+        head.push_str("\r\n");
+        [head.as_bytes(), &self.body].concat()
+    }
+
+    /// Sends it on a connection of its own; `None` where no response is received, or not within a timeout.
+    pub fn send(&self, address: SocketAddr, timeout: Duration) -> Option<Message> {
+        exchange(address, &self.to_bytes(), timeout)
+    }
+}
+
+/// Sends bytes on a connection of their own, and returns the response; `None` where none is received, or not within a
+/// timeout.
+pub fn exchange(address: SocketAddr, bytes: &[u8], timeout: Duration) -> Option<Message> {
+    let mut stream = TcpStream::connect_timeout(&address, timeout).ok()?;
+    stream.set_read_timeout(Some(timeout)).ok()?;
+    stream.write_all(bytes).ok()?;
+    Message::read(&mut BufReader::new(stream))
+}
+
+/// A status that has no body and declares no length.
+const NO_CONTENT: u16 = 204;
+
+/// Writes a response. `header_lines` are complete lines with their ends.
+///
+/// # Errors
+/// The connection is broken.
+pub fn write_response(
+    writer: &mut impl Write,
+    status: u16,
+    header_lines: &str,
+    body: &[u8],
+) -> io::Result<()> {
+    let length = if status == NO_CONTENT {
+        String::new()
+    } else {
+        format!("{}: {}\r\n", headers::CONTENT_LENGTH, body.len())
+    };
+    let head = format!("HTTP/1.1 {status} x\r\n{header_lines}{length}\r\n");
+    writer.write_all(&[head.as_bytes(), body].concat())
+}
+
+/// Writes the head of a response with a chunked body.
+///
+/// # Errors
+/// The connection is broken.
+pub fn start_chunked_response(writer: &mut impl Write) -> io::Result<()> {
+    writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+}
+
+/// Writes one chunk of a body.
+///
+/// # Errors
+/// The connection is broken.
+pub fn write_chunk(writer: &mut impl Write, bytes: &[u8]) -> io::Result<()> {
+    let length = format!("{:x}\r\n", bytes.len());
+    writer.write_all(&[length.as_bytes(), bytes, b"\r\n"].concat())
+}
+
+/// Whether an error says that nothing was read within the timeout of a socket.
+pub fn is_timeout(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+    )
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/process-harness/src/http/tests.rs
@@ -0,0 +1,35 @@
+//! Requests and responses over a connection.
+
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
+
+use super::*;
+use crate::server::{Reply, TestServer};
+use crate::WAIT_LIMIT;
+
+#[test]
+fn request_and_response_survive_the_wire() {
+    let server = TestServer::start(|_| Reply::retry_after(429, "1.5")).unwrap();
+    let request = Request::post("/api")
+        .header("X-Field", "value")
+        .body(b"a\0b");
+    let response = request.send(server.address, WAIT_LIMIT).unwrap();
+    assert_eq!(response.status(), 429);
+    assert_eq!(response.header("retry-after"), Some("1.5"));
+    let received = server.requests()[0].clone();
+    assert_eq!(received.start_line, "POST /api HTTP/1.1");
+    assert_eq!(received.header("x-field"), Some("value"));
+    assert_eq!(received.body, b"a\0b");
+}
+
+#[test]
+fn closed_connection_has_no_response() {
+    let server = TestServer::start(|_| Reply::Close).unwrap();
+    assert!(Request::get("/").send(server.address, WAIT_LIMIT).is_none());
+    assert_eq!(server.request_count(), 1);
+}
+
+#[test]
+fn message_without_its_whole_body_is_not_read() {
+    let mut bytes: &[u8] = b"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab";
+    assert!(Message::read(&mut bytes).is_none());
+}
--- /dev/null
+++ b/crates/process-harness/src/link_proxy.rs
@@ -0,0 +1,179 @@
+//! Proxies in front of the members of a group, which disturb what one member sends to another.
+
+use crate::{serve_connections, HarnessError};
+use futures_lite::future::block_on;
+use futures_lite::io::AssertAsync;
+use marblefall_control_plane::group::transport::{encode_frame, read_frame, Hello};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::thread;
+use std::time::Duration;
+
+/// How long a read waits before a proxy looks at the state of its link again.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay of each piece on a throttled link.
+const THROTTLE_DELAY: Duration = Duration::from_millis(10);
+const BUFFER_BYTES: usize = 4096;
+
+/// What a link does with what one member sends to another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum LinkState {
+    /// It forwards everything.
+    #[serde(rename = "passes")]
+    Open,
+    /// It accepts everything and forwards nothing, in either direction.
+    #[serde(rename = "swallows")]
+    Blackhole,
+    /// It closes connections, and accepts none.
+    #[serde(rename = "refuses")]
+    Refuse,
+    /// It delays each piece by this many milliseconds.
+    #[serde(rename = "delays")]
+    Delay(u64),
+    /// It delays each piece of this many bytes by a hundredth of a second.
+    #[serde(rename = "throttles")]
+    Throttle(usize),
+    /// It closes connections in the middle of a frame.
+    #[serde(rename = "cuts-frames")]
+    CutFrames,
+}
+
+/// The states of all links, by the numbers of the two members. A link that is not set is open.
+#[derive(Clone, Debug, Default)]
+pub struct Links {
+    states: Arc<Mutex<BTreeMap<(u32, u32), LinkState>>>,
+    forwarded_bytes: Arc<AtomicUsize>,
+}
+
+impl Links {
+    /// Sets the state of the link from one member to another.
+    pub fn set(&self, from: usize, to: usize, state: LinkState) {
+        self.states().insert((from as u32, to as u32), state);
+    }
+
+    /// Sets the links from some members to others, in this direction.
+    pub fn set_one_way(&self, from: &[usize], to: &[usize], state: LinkState) {
+        for from in from {
+            to.iter().for_each(|to| self.set(*from, *to, state));
+        }
+    }
+
+    /// Sets the links between some members and others, in both directions.
+    pub fn set_between(&self, some: &[usize], others: &[usize], state: LinkState) {
+        for one in some {
+            for other in others.iter().filter(|other| *other != one) {
+                self.set(*one, *other, state);
+                self.set(*other, *one, state);
+            }
+        }
+    }
+
+    /// Opens all links.
+    pub fn open_all(&self) {
+        self.states().clear();
+    }
+
+    /// Bytes forwarded until now.
+    pub fn forwarded_bytes(&self) -> usize {
+        self.forwarded_bytes.load(Ordering::SeqCst)
+    }
+
+    fn state(&self, from: Option<u32>, to: u32) -> LinkState {
+        let states = self.states();
+        from.and_then(|from| states.get(&(from, to)).copied())
+            .unwrap_or(LinkState::Open)
+    }
+
+    fn states(&self) -> MutexGuard<'_, BTreeMap<(u32, u32), LinkState>> {
+        self.states.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// Starts a proxy in front of a member. Returns the proxy's address.
+///
+/// # Errors
+/// No port is free.
+pub fn start(
+    member: usize,
+    member_address: SocketAddr,
+    links: &Links,
+) -> Result<SocketAddr, HarnessError> {
+    let links = links.clone();
+    serve_connections("a link proxy's port", move |stream| {
+        // A broken connection is opened again by the member that needs it.
+        let _ = forward(stream, member as u32, member_address, &links);
+    })
+}
+
+/// Forwards one connection. Its first frame names the member that opened it.
+fn forward(
+    mut client: TcpStream,
+    to: u32,
+    member_address: SocketAddr,
+    links: &Links,
+) -> io::Result<()> {
+    let hello = block_on(read_frame::<Hello>(&mut AssertAsync::new(&mut client)));
+    let hello = hello.map_err(|_| ErrorKind::InvalidData)?;
+    let from = hello.member().map(|member| member.0);
+    if links.state(from, to) == LinkState::Refuse {
+        return Ok(());
+    }
+    let mut server = TcpStream::connect(member_address)?;
+    server.set_nodelay(true)?;
+    client.set_nodelay(true)?;
+    if links.state(from, to) != LinkState::Blackhole {
+        server.write_all(&encode_frame(&hello))?;
+    }
+    let (server_reader, client_writer) = (server.try_clone()?, client.try_clone()?);
+    let response_links = links.clone();
+    thread::spawn(move || {
+        let state = || response_links.state(from, to);
+        copy(server_reader, client_writer, state, &response_links);
+    });
+    copy(client, server, || links.state(from, to), links);
+    Ok(())
+}
+
+fn copy(mut from: TcpStream, mut to: TcpStream, state: impl Fn() -> LinkState, links: &Links) {
+    // Either end may be gone already: then there is nothing left to copy or to close.
+    let _ = copy_until_closed(&mut from, &mut to, state, links);
+    let _ = from.shutdown(Shutdown::Both);
+    let _ = to.shutdown(Shutdown::Both);
+}
+
+fn copy_until_closed(
+    from: &mut TcpStream,
+    to: &mut TcpStream,
+    state: impl Fn() -> LinkState,
+    links: &Links,
+) -> io::Result<()> {
+    from.set_read_timeout(Some(POLL_INTERVAL))?;
+    let mut buffer = [0; BUFFER_BYTES];
+    loop {
+        let max_len = match state() {
+            LinkState::Refuse => return Ok(()),
+            LinkState::Throttle(max_len) => max_len.clamp(1, buffer.len()),
+            _ => buffer.len(),
+        };
+        let len = match from.read(&mut buffer[..max_len]) {
+            Ok(0) => return Ok(()),
+            Ok(len) => len,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => continue,
+            Err(error) => return Err(error),
+        };
+        match state() {
+            LinkState::Open => {}
+            LinkState::Blackhole => continue,
+            LinkState::Refuse => return Ok(()),
+            LinkState::Delay(ms) => thread::sleep(Duration::from_millis(ms)),
+            LinkState::Throttle(_) => thread::sleep(THROTTLE_DELAY),
+            LinkState::CutFrames => return to.write_all(&buffer[..len / 2]),
+        }
+        links.forwarded_bytes.fetch_add(len, Ordering::SeqCst);
+        to.write_all(&buffer[..len])?;
+    }
+}
--- /dev/null
+++ b/crates/process-harness/src/process/resources.rs
@@ -0,0 +1,52 @@
+//! The resources that a process uses, as `/proc` reports them.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// The unit in which `/proc` counts processor time: fixed for programs on Linux.
+const CLOCK_TICK: Duration = Duration::from_millis(10);
+/// Fields of `/proc/PID/stat` behind the program's name with the ticks in user mode and in the kernel.
+const TICK_FIELDS: [usize; 2] = [11, 12];
+
+/// The resources that a process uses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ResourceUsage {
+    /// Processor time since its start.
+    pub processor_time: Duration,
+    /// Resident memory in kilobytes.
+    pub resident_kb: u64,
+    /// Open file descriptors.
+    pub open_files: usize,
+}
+
+impl ResourceUsage {
+    /// The usage of a process; `None` where it has ended.
+    pub fn of_process(pid: u32) -> Option<ResourceUsage> {
+        let process = PathBuf::from(format!("/proc/{pid}"));
+        Some(ResourceUsage {
+            processor_time: processor_time(&process)?,
+            resident_kb: resident_kb(&process)?,
+            open_files: fs::read_dir(process.join("fd")).map_or(0, Iterator::count),
+        })
+    }
+}
+
+fn processor_time(process: &Path) -> Option<Duration> {
+    let stat = fs::read_to_string(process.join("stat")).ok()?;
+    let (_, after_name) = stat.rsplit_once(')')?;
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
+    let mut ticks = 0;
+    for index in TICK_FIELDS {
+        ticks += fields.get(index)?.parse::<u32>().ok()?;
+    }
+    Some(CLOCK_TICK * ticks)
+}
+
+fn resident_kb(process: &Path) -> Option<u64> {
+    let status = fs::read_to_string(process.join("status")).ok()?;
+    let resident = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
+    resident.split_whitespace().next()?.parse().ok()
+}
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -6,9 +6,10 @@
     reason = "this package is not yet written in the style of the others; see docs/ROADMAP.md"
 )]
 
-mod on_processes;
+mod process_experiment;
 
 use clap::{Parser, Subcommand};
+use marblefall_process_experiment::schedule::ProcessScenario;
 use marblefall_simulation::capacity::{capacity, Bears, Search};
 use marblefall_simulation::check::judge;
 use marblefall_simulation::compare::{variants, Comparison};
@@ -18,13 +19,12 @@
 use marblefall_simulation::figures::{measure, Figures};
 use marblefall_simulation::hunt::{self, Failing};
 use marblefall_simulation::report;
-use marblefall_simulation::rig::schedule::Form;
 use marblefall_simulation::scenario::{Draft, Scenario};
 use marblefall_simulation::simulation::in_service;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// A world around the courier in virtual time.
 ///
@@ -216,7 +216,10 @@
             processes,
             schedule,
             ..
-        } => on_processes::played(&what.scenario, seed, schedule.as_deref(), &processes),
+        } => {
+            process_experiment::play_schedule(&what.scenario, seed, schedule.as_deref(), &processes)
+                .map_err(|error| error.to_string())
+        }
         Command::Play {
             what,
             seed,
@@ -262,14 +265,16 @@
             on: On::Processes,
             processes,
             within,
-        } => on_processes::hunted(
-            &what.scenario,
+        } => process_experiment::Search {
+            scenario: &what.scenario,
             seeds,
-            shrink.as_deref(),
-            runs,
-            &processes,
-            within,
-        ),
+            time_limit: Duration::from_secs(within),
+            out: shrink.as_deref(),
+            max_shrink_runs: runs,
+            processes: &processes,
+        }
+        .run()
+        .map_err(|error| error.to_string()),
         Command::Hunt {
             what,
             seeds,
@@ -344,12 +349,12 @@
 fn checked(paths: &[PathBuf]) -> Result<bool, String> {
     let mut sound = true;
     for path in paths {
-        if on_processes::is_for(path) {
-            match Form::read(path) {
-                Ok(form) => println!("{}: sound: {}", path.display(), form.title),
-                Err(why) => {
+        if process_experiment::is_process_scenario(path) {
+            match ProcessScenario::read(path) {
+                Ok(scenario) => println!("{}: sound: {}", path.display(), scenario.title),
+                Err(error) => {
                     sound = false;
-                    eprintln!("{why}");
+                    eprintln!("{error}");
                 }
             }
             continue;
--- /dev/null
+++ b/crates/simulation/src/process_experiment.rs
@@ -0,0 +1,224 @@
+//! The commands of `marblefall-simulation` that play scenarios on processes.
+
+use super::Processes;
+use marblefall_process_experiment::experiment::{play, ChangeCounts, Report};
+use marblefall_process_experiment::invariants::Invariant;
+use marblefall_process_experiment::schedule::{ProcessScenario, ScenarioError, Schedule};
+use marblefall_process_experiment::shrink::shrink;
+use marblefall_process_harness::HarnessError;
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+
+/// Why a command on processes fails.
+#[derive(Debug, thiserror::Error)]
+pub enum ProcessExperimentError {
+    /// The scenario or the stored schedule cannot be used.
+    #[error(transparent)]
+    Scenario(#[from] ScenarioError),
+    /// The program under test was not found.
+    #[error("the program marblefall is not beside this one: say --program FILE")]
+    ProgramNotFound,
+    /// A run was inconclusive.
+    #[error(transparent)]
+    Harness(#[from] HarnessError),
+    /// A run of a search was inconclusive.
+    #[error("seed {seed}: {source}")]
+    Seed {
+        /// The seed.
+        seed: u64,
+        /// Why.
+        source: Box<ProcessExperimentError>,
+    },
+    /// A shrunk schedule cannot be encoded.
+    #[error(transparent)]
+    Encode(#[from] toml::ser::Error),
+    /// A shrunk schedule cannot be written.
+    #[error("{}: {source}", path.display())]
+    Write {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+}
+
+/// Whether a file is a scenario for processes.
+pub fn is_process_scenario(path: &Path) -> bool {
+    // A file that cannot be read is reported by whoever reads it as a scenario.
+    let text = fs::read_to_string(path).unwrap_or_default();
+    text.lines().any(|line| line.trim() == "[processes]")
+}
+
+impl Processes {
+    fn program(&self) -> Result<PathBuf, ProcessExperimentError> {
+        let beside = || Some(std::env::current_exe().ok()?.with_file_name("marblefall"));
+        let program = self.program.clone().or_else(beside);
+        program
+            .filter(|program| program.is_file())
+            .ok_or(ProcessExperimentError::ProgramNotFound)
+    }
+
+    /// Plays a schedule in a temporary folder, or in the folder that is kept.
+    fn play(&self, schedule: &Schedule) -> Result<Report, ProcessExperimentError> {
+        let temporary =
+            std::env::temp_dir().join(format!("marblefall-processes-{}", std::process::id()));
+        let folder = self.keep.as_ref().unwrap_or(&temporary);
+        let report = play(schedule, &self.program()?, folder);
+        if self.keep.is_none() {
+            // What cannot be removed stays in the machine's folder for temporary files.
+            let _ = fs::remove_dir_all(&temporary);
+        }
+        Ok(report?)
+    }
+}
+
+/// Plays a scenario's schedule for a seed, or a stored schedule, and prints what came of it. Returns whether all
+/// invariants hold.
+pub fn play_schedule(
+    path: &Path,
+    seed: u64,
+    stored: Option<&Path>,
+    processes: &Processes,
+) -> Result<bool, ProcessExperimentError> {
+    let scenario = ProcessScenario::read(path)?;
+    let schedule = match stored {
+        Some(stored) => Schedule::read(stored)?,
+        None => Schedule::draw(&scenario.processes, seed),
+    };
+    let report = processes.play(&schedule)?;
+    println!(
+        "{}\n\nseed {}, {} steps: {}",
+        scenario.title,
+        schedule.seed,
+        schedule.steps.len(),
+        summary(&report)
+    );
+    if report.violations.is_empty() {
+        println!("all invariants hold");
+        return Ok(true);
+    }
+    println!("\n{}\n", report.trace.join("\n"));
+    for violation in &report.violations {
+        println!("{violation}");
+    }
+    println!(
+        "\nto play it again: marblefall-simulation play {} --on processes --seed {}",
+        path.display(),
+        schedule.seed
+    );
+    Ok(false)
+}
+
+fn summary(report: &Report) -> String {
+    let ChangeCounts {
+        applied,
+        in_force,
+        withdrawn,
+    } = report.changes;
+    format!(
+        "{} acts, {} answers of which {} said to come again; {applied} changes applied, {in_force} told in force, \
+         {withdrawn} withdrawn",
+        report.events, report.submissions, report.repeated_submissions
+    )
+}
+
+/// A search for a seed whose schedule violates an invariant.
+pub struct Search<'a> {
+    /// The scenario.
+    pub scenario: &'a Path,
+    /// Seeds 1 to this are played.
+    pub seeds: u64,
+    /// No seed is begun after this time.
+    pub time_limit: Duration,
+    /// Where the shrunk schedule is written.
+    pub out: Option<&'a Path>,
+    /// Runs spent on shrinking, at most.
+    pub max_shrink_runs: u32,
+    /// The processes.
+    pub processes: &'a Processes,
+}
+
+/// What a search has played.
+#[derive(Default)]
+struct Totals {
+    seeds: u64,
+    steps: usize,
+    events: usize,
+    changes_in_force: usize,
+}
+
+impl Search<'_> {
+    /// Plays seeds one after the other until one violates an invariant, and shrinks its schedule. Returns whether none
+    /// does.
+    pub fn run(&self) -> Result<bool, ProcessExperimentError> {
+        let scenario = ProcessScenario::read(self.scenario)?;
+        let deadline = Instant::now() + self.time_limit;
+        let mut totals = Totals::default();
+        println!("{}", scenario.title);
+        for seed in (1..=self.seeds).take_while(|_| Instant::now() < deadline) {
+            let schedule = Schedule::draw(&scenario.processes, seed);
+            let report = self.processes.play(&schedule);
+            let report = report.map_err(|source| ProcessExperimentError::Seed {
+                seed,
+                source: Box::new(source),
+            })?;
+            totals.add(&schedule, &report);
+            if let Some(violation) = report.violations.first() {
+                println!("seed {seed}: {violation}");
+                self.shrink(&schedule, violation.invariant)?;
+                return Ok(false);
+            }
+        }
+        println!(
+            "{} seeds, {} steps, {} acts, {} changes told in force: all invariants hold",
+            totals.seeds, totals.steps, totals.events, totals.changes_in_force
+        );
+        Ok(true)
+    }
+
+    fn shrink(
+        &self,
+        schedule: &Schedule,
+        invariant: Invariant,
+    ) -> Result<(), ProcessExperimentError> {
+        let violated = |smaller: &Schedule| {
+            // A run that is inconclusive shows no violation.
+            let report = self.processes.play(smaller);
+            let violations = report.map(|report| report.violations).unwrap_or_default();
+            violations
+                .into_iter()
+                .map(|violation| violation.invariant)
+                .collect()
+        };
+        let smallest = shrink(schedule, invariant, self.max_shrink_runs, violated);
+        println!(
+            "{} steps of {} are left that still break it",
+            smallest.steps.len(),
+            schedule.steps.len()
+        );
+        let Some(path) = self.out else { return Ok(()) };
+        fs::write(path, toml::to_string(&smallest)?).map_err(|source| {
+            ProcessExperimentError::Write {
+                path: path.to_owned(),
+                source,
+            }
+        })?;
+        println!(
+            "play them: marblefall-simulation play {} --on processes --schedule {}",
+            self.scenario.display(),
+            path.display()
+        );
+        Ok(())
+    }
+}
+
+impl Totals {
+    fn add(&mut self, schedule: &Schedule, report: &Report) {
+        self.seeds += 1;
+        self.steps += schedule.steps.len();
+        self.events += report.events;
+        self.changes_in_force += report.changes.in_force;
+    }
+}
