--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -1,149 +1,170 @@
-//! Clients of a process: patient ones, whose requests are judged, and such that misbehave.
+//! The clients of a process: correct ones, whose requests are judged, and misbehaving ones.
 
 use crate::endpoint::DESTINATIONS;
-use crate::plan::{ClientTrouble, TroubleKind};
-use crate::record::{Class, Heard, Micros, Request, SharedRecord, MS};
+use crate::plan::{ClientFault, PlannedFaultKind};
+use crate::record::{Class, ClientResult, Request, SharedRecord};
 use crate::schedule::Schedule;
-use marblefall_simulation::rig::micros;
+use marblefall_process_harness::http::is_timeout;
+use marblefall_process_harness::platform::{PlatformMessage, SUBMIT_PATH};
+use marblefall_process_harness::{headers, monotonic_micros, Micros, MILLISECOND};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::ops::Range;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
-/// A request must have its answer within its time and half a second; a client waits a little longer.
-const PATIENCE: Duration = Duration::from_millis(3600);
-/// How long a message may be delivered, in milliseconds, at least and at most.
-const BUDGET_MS: std::ops::Range<i64> = 1500..3000;
-/// Pauses between two requests of a client, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 40..400;
-/// Part of its connections that a client keeps after an answer.
-const KEPT_PART: f64 = 0.8;
-/// How long the answer of a closed connection to bytes that came late takes on loopback, at most.
-const RESET_COMES_WITHIN: Duration = Duration::from_millis(5);
-/// Connections of a crowd.
-const CROWD: usize = 60;
+/// How long a client waits for a response: longer than the longest budget and the half second that a process may add.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3600);
+/// How long a message may take, in milliseconds.
+const BUDGET_MS: Range<i64> = 1500..3000;
+/// Pauses of a client between two requests, in milliseconds.
+const PAUSE_MS: Range<u64> = 40..400;
+/// Lengths of bodies, in bytes.
+const BODY_BYTES: Range<usize> = 0..400;
+/// Share of its connections that a client keeps open after a response.
+const REUSED_SHARE: f64 = 0.8;
+/// Share of requests that are sent in two parts.
+const SPLIT_SHARE: f64 = 0.2;
+/// Pauses between the two parts of a request, in milliseconds.
+const SPLIT_PAUSE_MS: Range<u64> = 1..30;
+/// How long a reset by a closed connection takes on loopback, at most.
+const MAX_RESET_DELAY: Duration = Duration::from_millis(5);
+/// The most connections that misbehaving clients keep open.
+const MAX_OPEN_CONNECTIONS: usize = 60;
+/// Pause between two misbehaving connections.
+const MISBEHAVIOUR_PAUSE: Duration = Duration::from_millis(15);
+/// How often misbehaving clients look at the plan.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Bytes of a connection that sends garbage.
+const GARBAGE: [u8; 3000] = [0xff; 3000];
 
 /// The clients of one process.
 #[derive(Clone)]
 pub struct Clients {
-    /// Which process.
+    /// The process.
     pub process: usize,
     /// How many processes there are.
     pub processes: usize,
     /// Where it listens.
     pub address: SocketAddr,
-    /// What goes wrong.
+    /// The faults.
     pub schedule: Schedule,
-    /// Where requests are written down.
+    /// Where requests are recorded.
     pub record: SharedRecord,
     /// Set once clients are to stop.
     pub stop: Arc<AtomicBool>,
 }
 
 impl Clients {
-    /// A patient client with a number of its own; runs until it is stopped.
-    pub fn run_patient(&self, number: u64) {
+    /// Runs a correct client with a number of its own until it is stopped.
+    pub fn run_correct(&self, number: u64) {
         let seed = self.schedule.plan().seed;
         let mut rng = Pcg64Mcg::new(u128::from(seed << 16 | number) << 8 | self.process as u128);
-        let mut kept: Option<TcpStream> = None;
+        let mut reusable_connection: Option<TcpStream> = None;
         let mut count = 0;
         while !self.stop.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(rng.random_range(PAUSE_MS)));
             count += 1;
             let id = format!("{}-{number}-{count}", self.process);
-            let stream = match kept.take() {
+            let stream = match reusable_connection.take() {
                 Some(stream) => stream,
-                None => match TcpStream::connect_timeout(&self.address, PATIENCE) {
+                None => match TcpStream::connect_timeout(&self.address, RESPONSE_TIMEOUT) {
                     Ok(stream) => stream,
+                    // A process that is restarting refuses connections.
                     Err(_) => continue,
                 },
             };
-            let keeps = rng.random_bool(KEPT_PART);
-            kept = self.hand_in(stream, &id, &mut rng).filter(|_| keeps);
+            let is_reused = rng.random_bool(REUSED_SHARE);
+            // A connection that breaks before the whole request was sent carries no request to judge.
+            let submitted = self.submit(stream, &id, &mut rng).ok().flatten();
+            reusable_connection = submitted.filter(|_| is_reused);
         }
     }
 
-    /// Sends one message and waits for its answer; returns the connection if it can be used again.
-    fn hand_in(&self, mut stream: TcpStream, id: &str, rng: &mut Pcg64Mcg) -> Option<TcpStream> {
+    /// Sends one message, and waits for its response. Returns the connection if it can be used again.
+    fn submit(
+        &self,
+        mut stream: TcpStream,
+        id: &str,
+        rng: &mut Pcg64Mcg,
+    ) -> io::Result<Option<TcpStream>> {
         let class = Class::ALL[rng.random_range(0..Class::ALL.len())];
         let destination = rng.random_range(0..DESTINATIONS);
         let budget_ms = rng.random_range(BUDGET_MS);
-        let bytes = request(id, class, destination, budget_ms, rng.random_range(0..400));
-        let began_at = micros();
-        stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
-        if rng.random_bool(0.2) {
-            // In two parts, as the network may have it.
-            let cut = rng.random_range(1..bytes.len());
-            stream.write_all(&bytes[..cut]).ok()?;
-            thread::sleep(Duration::from_millis(rng.random_range(1..30)));
-            stream.write_all(&bytes[cut..]).ok()?;
-        } else {
-            stream.write_all(&bytes).ok()?;
-        }
-        let sent_at = micros();
-        let (heard, keeps_open) = listen(&mut stream);
+        let body_len = rng.random_range(BODY_BYTES);
+        let bytes = request_bytes(id, class, destination, budget_ms, body_len);
+        let started_at = monotonic_micros();
+        stream.set_nodelay(true)?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+        send(&mut stream, &bytes, rng)?;
+        let sent_at = monotonic_micros();
+        let received = receive(&mut stream);
         self.record.lock().requests.push(Request {
             id: id.to_owned(),
             process: self.process,
             class,
             destination,
             sent_at,
-            expires_at: began_at + budget_ms as Micros * MS,
-            heard,
+            expires_at: started_at + budget_ms as Micros * MILLISECOND,
+            result: received.result,
+            ended_at: received.ended_at,
         });
-        keeps_open.then_some(stream)
+        Ok(received.keeps_open.then_some(stream))
     }
 
-    fn trouble(&self) -> Option<ClientTrouble> {
-        self.schedule.in_force(|trouble| match trouble.kind {
-            TroubleKind::Clients(kind) if trouble.target % self.processes == self.process => {
+    fn active_fault(&self) -> Option<ClientFault> {
+        self.schedule.active(|fault| match fault.kind {
+            PlannedFaultKind::Clients(kind) if fault.is_for(self.process, self.processes) => {
                 Some(kind)
             }
             _ => None,
         })
     }
 
-    /// Clients that misbehave when the plan has it; runs until it is stopped.
+    /// Runs clients that misbehave when the plan says so, until they are stopped.
     pub fn run_misbehaving(&self) {
-        let mut held: Vec<TcpStream> = Vec::new();
+        let mut open: Vec<TcpStream> = Vec::new();
         let mut count = 0;
         while !self.stop.load(Ordering::SeqCst) {
-            let Some(trouble) = self.trouble() else {
-                held.clear();
-                thread::sleep(Duration::from_millis(20));
+            let Some(fault) = self.active_fault() else {
+                open.clear();
+                thread::sleep(POLL_INTERVAL);
                 continue;
             };
             count += 1;
-            if held.len() > CROWD {
-                held.clear();
+            if open.len() > MAX_OPEN_CONNECTIONS {
+                open.clear();
             }
-            if let Ok(stream) = self.misbehave(trouble, count) {
-                held.extend(stream);
+            // Whatever the process does with the connection is allowed.
+            if let Ok(stream) = self.misbehave(fault, count) {
+                open.extend(stream);
             }
-            thread::sleep(Duration::from_millis(15));
+            thread::sleep(MISBEHAVIOUR_PAUSE);
         }
     }
 
-    fn misbehave(&self, trouble: ClientTrouble, count: u64) -> io::Result<Option<TcpStream>> {
-        let mut stream = TcpStream::connect_timeout(&self.address, PATIENCE)?;
-        match trouble {
-            ClientTrouble::Crowd => Ok(Some(stream)),
-            ClientTrouble::HalfRequests => {
-                stream.write_all(b"POST /api HTTP/1.1\r\nContent-Length: 50\r\n\r\nhalf")?;
+    /// Opens a connection and misbehaves on it. Returns it if it stays open.
+    fn misbehave(&self, fault: ClientFault, count: u64) -> io::Result<Option<TcpStream>> {
+        let mut stream = TcpStream::connect_timeout(&self.address, RESPONSE_TIMEOUT)?;
+        match fault {
+            ClientFault::SilentConnections => Ok(Some(stream)),
+            ClientFault::HalfRequests => {
+                let length = headers::CONTENT_LENGTH;
+                let half = format!("POST {SUBMIT_PATH} HTTP/1.1\r\n{length}: 50\r\n\r\nhalf");
+                stream.write_all(half.as_bytes())?;
                 Ok(Some(stream))
             }
-            ClientTrouble::Garbage => {
-                stream.write_all(&[0xff; 3000])?;
+            ClientFault::Garbage => {
+                stream.write_all(&GARBAGE)?;
                 Ok(None)
             }
-            ClientTrouble::LeaveEarly => {
+            ClientFault::LeaveEarly => {
                 let id = format!("left-{}-{count}", self.process);
-                stream.write_all(&request(&id, Class::Idempotent, 0, 2000, 10))?;
+                stream.write_all(&request_bytes(&id, Class::Idempotent, 0, 2000, 10))?;
                 thread::sleep(Duration::from_millis(count % 4));
                 Ok(None)
             }
@@ -151,57 +172,81 @@
     }
 }
 
-fn request(id: &str, class: Class, destination: usize, budget_ms: i64, len: usize) -> Vec<u8> {
-    let mut bytes = format!(
-        "POST /api HTTP/1.1\r\nHost: marblefall\r\nX-Call-Id: {id}\r\nX-Call-Class: {}\r\n\
-         X-Budget-Ms: {budget_ms}\r\nIdempotency-Key: key-{id}\r\nX-Envelope: dest={destination}\r\n\
-         Content-Length: {len}\r\n\r\n",
-        class.name()
-    )
-    .into_bytes();
-    bytes.extend(std::iter::repeat_n(b'x', len));
-    bytes
+fn request_bytes(
+    id: &str,
+    class: Class,
+    destination: usize,
+    budget_ms: i64,
+    body_len: usize,
+) -> Vec<u8> {
+    let message = PlatformMessage {
+        id,
+        class: class.name(),
+        budget_ms: &budget_ms.to_string(),
+        destination,
+        idempotency_key: &format!("key-{id}"),
+        body: &vec![b'x'; body_len],
+    };
+    message.to_request().to_bytes()
 }
 
-/// What a client hears, and whether its connection stays open.
-fn listen(stream: &mut TcpStream) -> (Heard, bool) {
-    let mut answer = Vec::new();
+/// Sends a request, sometimes in two parts, as a network may split it.
+fn send(stream: &mut TcpStream, bytes: &[u8], rng: &mut Pcg64Mcg) -> io::Result<()> {
+    if !rng.random_bool(SPLIT_SHARE) {
+        return stream.write_all(bytes);
+    }
+    let cut = rng.random_range(1..bytes.len());
+    stream.write_all(&bytes[..cut])?;
+    thread::sleep(Duration::from_millis(rng.random_range(SPLIT_PAUSE_MS)));
+    stream.write_all(&bytes[cut..])
+}
+
+/// What a client received.
+struct Received {
+    result: ClientResult,
+    ended_at: Micros,
+    /// Whether the connection can be used again.
+    keeps_open: bool,
+}
+
+fn receive(stream: &mut TcpStream) -> Received {
+    let mut response = Vec::new();
     let mut buffer = [0; 2048];
     loop {
         let read = stream.read(&mut buffer);
-        let at = micros();
+        let ended_at = monotonic_micros();
+        let without_response = |result| Received {
+            result,
+            ended_at,
+            keeps_open: false,
+        };
         match read {
-            Ok(0) if answer.is_empty() => return (closed_or_reset(stream, at), false),
-            Err(error) if answer.is_empty() && is_timeout(&error) => {
-                return (Heard::Silence { at }, false)
+            Ok(0) if response.is_empty() => return without_response(closed_or_reset(stream)),
+            Err(error) if response.is_empty() && is_timeout(&error) => {
+                return without_response(ClientResult::TimedOut)
             }
-            Err(_) if answer.is_empty() => return (Heard::Reset { at }, false),
-            Ok(0) | Err(_) => return (Heard::Closed { at }, false),
-            Ok(len) => answer.extend_from_slice(&buffer[..len]),
+            Err(_) if response.is_empty() => return without_response(ClientResult::Reset),
+            Ok(0) | Err(_) => return without_response(ClientResult::Closed),
+            Ok(len) => response.extend_from_slice(&buffer[..len]),
         }
-        let text = String::from_utf8_lossy(&answer);
+        let text = String::from_utf8_lossy(&response);
         if text.contains("\r\n\r\n") {
             let status = text.split(' ').nth(1).and_then(|code| code.parse().ok());
-            let keeps_open = !text.contains("Connection: close");
-            let status = status.unwrap_or(0);
-            return (Heard::Answer { status, at }, keeps_open);
+            return Received {
+                result: ClientResult::Response(status.unwrap_or(0)),
+                ended_at,
+                keeps_open: !text.contains("Connection: close"),
+            };
         }
     }
 }
 
-/// A connection that was closed before the request came answers it with a reset: then nothing of it was read, and the
-/// client would send it again. One that was closed after the request was read says nothing more.
-fn closed_or_reset(stream: &TcpStream, at: Micros) -> Heard {
-    thread::sleep(RESET_COMES_WITHIN);
+/// Tells the two ends of a connection apart. One that was closed before the request arrived is reset by it: nothing of
+/// the request was read, and a client may send it again. One that was closed after the request was read is not.
+fn closed_or_reset(stream: &TcpStream) -> ClientResult {
+    thread::sleep(MAX_RESET_DELAY);
     match stream.take_error() {
-        Ok(None) => Heard::Closed { at },
-        Ok(Some(_)) | Err(_) => Heard::Reset { at },
+        Ok(None) => ClientResult::Closed,
+        Ok(Some(_)) | Err(_) => ClientResult::Reset,
     }
 }
-
-fn is_timeout(error: &io::Error) -> bool {
-    matches!(
-        error.kind(),
-        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
-    )
-}
--- a/crates/fault-soak/src/endpoint.rs
+++ b/crates/fault-soak/src/endpoint.rs
@@ -1,210 +1,222 @@
-//! Endpoints of destinations: they execute calls, write down each, and do what the plan has them do.
+//! The endpoints of destinations: they execute calls, record each, and misbehave as the plan says.
 
-use crate::plan::{EndpointTrouble, TroubleKind};
-use crate::record::{Call, CallEnd, Micros, SharedRecord, MS};
+use crate::plan::{EndpointFault, PlannedFaultKind};
+use crate::record::{Call, CallResult, SharedRecord};
 use crate::schedule::Schedule;
-use marblefall_simulation::rig::http::Message;
-use marblefall_simulation::rig::micros;
-use std::io::{self, BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use marblefall_process_harness::http::{is_timeout, write_response, Message};
+use marblefall_process_harness::server::{self, Reply, RequestHandler};
+use marblefall_process_harness::{headers, monotonic_micros, HarnessError, Micros, MILLISECOND};
+use std::io;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::Duration;
 
 /// Destinations of a run.
 pub const DESTINATIONS: usize = 4;
-/// Endpoints of each.
-pub const ENDPOINTS_EACH: usize = 2;
-/// Calls a second that a destination takes from all processes together; the list says so.
+/// Endpoints of each destination.
+pub const ENDPOINTS_PER_DESTINATION: usize = 2;
+/// Endpoints of a run.
+pub const ENDPOINTS: usize = DESTINATIONS * ENDPOINTS_PER_DESTINATION;
+/// Calls per second that a destination takes from all processes together, as the endpoint list says.
 pub const RATE: f64 = 30.0;
-/// What a call over that is told to wait, in milliseconds.
-const OVER_RATE_WAIT_MS: i64 = 300;
+/// The span in which calls are counted against [`RATE`].
+const RATE_WINDOW: Micros = 1000 * MILLISECOND;
+/// Retry-After of a call above [`RATE`], in milliseconds.
+const RATE_RETRY_AFTER_MS: i64 = 300;
+/// The shortest Retry-After of an endpoint fault, in milliseconds.
+const MIN_RETRY_AFTER_MS: i64 = 200;
 /// How long a call takes.
-const SERVICE: Duration = Duration::from_millis(15);
-/// How long it takes at a slow endpoint.
-const SLOW_SERVICE: Duration = Duration::from_millis(700);
-/// How often a waiting endpoint looks whether its caller has gone.
-const POLL: Duration = Duration::from_millis(3);
-/// How long a read waits before the endpoint looks at the plan again.
-const READ_PATIENCE: Duration = Duration::from_millis(20);
-
-/// The number of the destination that an endpoint belongs to.
+const SERVICE_TIME: Duration = Duration::from_millis(15);
+/// How long a call takes at a slow endpoint.
+const SLOW_SERVICE_TIME: Duration = Duration::from_millis(700);
+/// How often an endpoint checks whether its caller has closed the connection.
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(3);
+/// How often an idle connection looks at the plan.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Returns the destination that an endpoint belongs to.
 pub fn destination_of(endpoint: usize) -> usize {
-    endpoint / ENDPOINTS_EACH
+    endpoint / ENDPOINTS_PER_DESTINATION
 }
 
 /// What all endpoints share.
 #[derive(Clone)]
-pub struct World {
-    /// What goes wrong.
-    pub schedule: Schedule,
-    /// Where calls are written down.
-    pub record: SharedRecord,
-    /// For each destination, when it took its last calls.
-    taken: Arc<Mutex<Vec<Vec<Micros>>>>,
+pub struct Destinations {
+    schedule: Schedule,
+    record: SharedRecord,
+    /// For each destination, when it accepted its last calls.
+    accepted_at: Arc<Mutex<Vec<Vec<Micros>>>>,
 }
 
-impl World {
-    /// A world in which nobody has called yet.
-    pub fn new(schedule: Schedule, record: SharedRecord) -> World {
-        World {
+impl Destinations {
+    /// Destinations that have accepted no calls.
+    pub fn new(schedule: Schedule, record: SharedRecord) -> Destinations {
+        Destinations {
             schedule,
             record,
-            taken: Arc::new(Mutex::new(vec![Vec::new(); DESTINATIONS])),
+            accepted_at: Arc::new(Mutex::new(vec![Vec::new(); DESTINATIONS])),
         }
     }
 
-    fn trouble(&self, endpoint: usize) -> Option<(EndpointTrouble, i64)> {
-        self.schedule.in_force(|trouble| match trouble.kind {
-            TroubleKind::Endpoint(kind)
-                if trouble.target % DESTINATIONS == destination_of(endpoint) =>
-            {
-                Some((kind, trouble.amount))
-            }
-            _ => None,
-        })
+    /// Starts an endpoint, and returns where it listens.
+    ///
+    /// # Errors
+    /// No port is free.
+    pub fn start_endpoint(&self, number: usize) -> Result<SocketAddr, HarnessError> {
+        let destinations = self.clone();
+        server::start(
+            "an endpoint's port",
+            Endpoint {
+                number,
+                destinations,
+            },
+        )
     }
 
-    /// Whether a destination takes one more call in this second.
-    fn takes_call(&self, endpoint: usize) -> bool {
-        let now = micros();
-        let mut all = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
-        let taken = &mut all[destination_of(endpoint)];
-        taken.retain(|at| now - at < 1000 * MS);
-        let has_room = (taken.len() as f64) < RATE;
-        if has_room {
-            taken.push(now);
+    /// Whether a destination accepts one more call now, which then is counted.
+    fn accept_call(&self, destination: usize) -> bool {
+        let now = monotonic_micros();
+        let mut all = self
+            .accepted_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let accepted_at = &mut all[destination];
+        accepted_at.retain(|at| now - at < RATE_WINDOW);
+        let is_accepted = (accepted_at.len() as f64) < RATE;
+        if is_accepted {
+            accepted_at.push(now);
         }
-        has_room
+        is_accepted
     }
 }
 
-/// Starts an endpoint; returns where it listens.
-///
-/// # Errors
-/// No port is free.
-pub fn start(endpoint: usize, world: &World) -> io::Result<SocketAddr> {
-    let listener = TcpListener::bind("127.0.0.1:0")?;
-    let address = listener.local_addr()?;
-    let world = world.clone();
-    thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
-            let world = world.clone();
-            thread::spawn(move || drop(serve(stream, endpoint, &world)));
-        }
-    });
-    Ok(address)
+/// One endpoint.
+#[derive(Clone)]
+struct Endpoint {
+    number: usize,
+    destinations: Destinations,
+}
+
+impl RequestHandler for Endpoint {
+    fn handle(&self, request: &Message) -> Reply {
+        let last_byte_at = monotonic_micros();
+        let reading = request.received_at.map(|at| at.elapsed());
+        let first_byte_at = last_byte_at - reading.unwrap_or_default().as_micros() as Micros;
+        let id = request.header(headers::CALL_ID).unwrap_or_default();
+        let (endpoint, id) = (self.clone(), id.to_owned());
+        Reply::Custom(Box::new(move |stream| {
+            let result = endpoint.execute(stream);
+            endpoint.destinations.record.lock().calls.push(Call {
+                id,
+                endpoint: endpoint.number,
+                first_byte_at,
+                last_byte_at,
+                ended_at: monotonic_micros(),
+                result,
+            });
+            match result {
+                CallResult::Response { .. } => Ok(()),
+                CallResult::Broken => Err(io::ErrorKind::ConnectionAborted.into()),
+            }
+        }))
+    }
+
+    fn poll_interval(&self) -> Option<Duration> {
+        Some(IDLE_POLL_INTERVAL)
+    }
+
+    fn is_down(&self) -> bool {
+        self.is_fault_active(EndpointFault::Down)
+    }
 }
 
 /// How a wait beside an open connection ended.
-enum Waited {
-    Over,
+enum WaitResult {
+    ConditionEnded,
     CallerGone,
 }
 
-fn serve(stream: TcpStream, endpoint: usize, world: &World) -> io::Result<()> {
-    stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(READ_PATIENCE))?;
-    let mut reader = BufReader::new(stream.try_clone()?);
-    let mut writer = stream;
-    loop {
-        if matches!(world.trouble(endpoint), Some((EndpointTrouble::Down, _))) {
-            return Ok(());
-        }
-        match reader.fill_buf() {
-            Ok([]) => return Ok(()),
-            Ok(_) => {}
-            Err(error) if is_timeout(&error) => continue,
-            Err(error) => return Err(error),
-        }
-        let first_byte_at = micros();
-        // A request may trickle in for long.
-        writer.set_read_timeout(Some(Duration::from_secs(10)))?;
-        let Some(message) = Message::read(&mut reader) else {
-            return Ok(());
-        };
-        writer.set_read_timeout(Some(READ_PATIENCE))?;
-        let last_byte_at = micros();
-        let end = execute(&mut writer, endpoint, world);
-        world.record.lock().calls.push(Call {
-            id: message.field("x-call-id").unwrap_or_default().to_owned(),
-            endpoint,
-            first_byte_at,
-            last_byte_at,
-            ended_at: micros(),
-            end,
-        });
-        if end == CallEnd::Broken {
-            return Ok(());
-        }
+impl Endpoint {
+    fn destination(&self) -> usize {
+        destination_of(self.number)
     }
-}
 
-fn is_timeout(error: &io::Error) -> bool {
-    matches!(
-        error.kind(),
-        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
-    )
-}
+    fn is_fault_active(&self, fault: EndpointFault) -> bool {
+        matches!(self.active_fault(), Some((active, _)) if active == fault)
+    }
+
+    /// The active fault of its destination, with its amount.
+    fn active_fault(&self) -> Option<(EndpointFault, i64)> {
+        self.destinations.schedule.active(|fault| match fault.kind {
+            PlannedFaultKind::Endpoint(kind) if fault.is_for(self.destination(), DESTINATIONS) => {
+                Some((kind, fault.amount))
+            }
+            _ => None,
+        })
+    }
 
-/// Does what is due with a call that was read.
-fn execute(stream: &mut TcpStream, endpoint: usize, world: &World) -> CallEnd {
-    match world.trouble(endpoint) {
-        Some((EndpointTrouble::Hangs, _)) => {
-            let hangs = || matches!(world.trouble(endpoint), Some((EndpointTrouble::Hangs, _)));
-            wait(stream, hangs);
-            CallEnd::Broken
+    /// Executes a call that was read.
+    fn execute(&self, stream: &mut TcpStream) -> CallResult {
+        match self.active_fault() {
+            Some((EndpointFault::Hang, _)) => {
+                wait_while(stream, || self.is_fault_active(EndpointFault::Hang));
+                CallResult::Broken
+            }
+            Some((EndpointFault::Down, _)) => CallResult::Broken,
+            Some((EndpointFault::InternalError, _)) => respond(stream, 500, None),
+            Some((EndpointFault::RejectAll, _)) => respond(stream, 503, None),
+            Some((EndpointFault::RetryAfter, amount_ms)) => {
+                respond(stream, 429, Some(amount_ms.max(MIN_RETRY_AFTER_MS)))
+            }
+            Some((EndpointFault::Slow, _)) => serve(stream, SLOW_SERVICE_TIME),
+            None if !self.destinations.accept_call(self.destination()) => {
+                respond(stream, 429, Some(RATE_RETRY_AFTER_MS))
+            }
+            None => serve(stream, SERVICE_TIME),
         }
-        Some((EndpointTrouble::Down, _)) => CallEnd::Broken,
-        Some((EndpointTrouble::Errors, _)) => answer(stream, 500, None),
-        Some((EndpointTrouble::Shut, _)) => answer(stream, 503, None),
-        Some((EndpointTrouble::Waits, wait_ms)) => answer(stream, 429, Some(wait_ms.max(200))),
-        Some((EndpointTrouble::Slow, _)) => served_within(stream, SLOW_SERVICE),
-        None if !world.takes_call(endpoint) => answer(stream, 429, Some(OVER_RATE_WAIT_MS)),
-        None => served_within(stream, SERVICE),
     }
 }
 
-fn served_within(stream: &mut TcpStream, service: Duration) -> CallEnd {
-    let until = micros() + service.as_micros() as Micros;
-    match wait(stream, || micros() < until) {
-        Waited::Over => answer(stream, 200, None),
-        Waited::CallerGone => CallEnd::Broken,
+fn serve(stream: &mut TcpStream, service_time: Duration) -> CallResult {
+    let until = monotonic_micros() + service_time.as_micros() as Micros;
+    match wait_while(stream, || monotonic_micros() < until) {
+        WaitResult::ConditionEnded => respond(stream, 200, None),
+        WaitResult::CallerGone => CallResult::Broken,
     }
 }
 
-/// Waits while something holds, or until the caller has gone.
-fn wait(stream: &TcpStream, holds: impl Fn() -> bool) -> Waited {
-    while holds() {
+/// Waits while a condition holds, or until the caller has closed the connection.
+fn wait_while(stream: &TcpStream, condition: impl Fn() -> bool) -> WaitResult {
+    while condition() {
         if is_closed(stream) {
-            return Waited::CallerGone;
+            return WaitResult::CallerGone;
         }
-        thread::sleep(POLL);
+        thread::sleep(CALLER_POLL_INTERVAL);
     }
-    Waited::Over
+    WaitResult::ConditionEnded
 }
 
 fn is_closed(stream: &TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return true;
     }
-    let closed = match stream.peek(&mut [0]) {
-        Ok(read) => read == 0,
+    let is_closed = match stream.peek(&mut [0]) {
+        Ok(len) => len == 0,
         Err(error) => !is_timeout(&error),
     };
-    stream.set_nonblocking(false).is_err() || closed
+    stream.set_nonblocking(false).is_err() || is_closed
 }
 
-fn answer(stream: &mut TcpStream, status: u16, retry_after_ms: Option<i64>) -> CallEnd {
-    let wait = retry_after_ms.map_or_else(String::new, |ms| {
-        format!("Retry-After: {:.3}\r\n", ms as f64 / 1000.0)
+fn respond(stream: &mut TcpStream, status: u16, retry_after_ms: Option<i64>) -> CallResult {
+    let header_line = retry_after_ms.map_or_else(String::new, |ms| {
+        format!("{}: {:.3}\r\n", headers::RETRY_AFTER, ms as f64 / 1000.0)
     });
-    let text = format!("HTTP/1.1 {status} x\r\n{wait}Content-Length: 0\r\n\r\n");
-    match stream.write_all(text.as_bytes()) {
-        Ok(()) => CallEnd::Answered {
+    match write_response(stream, status, &header_line, b"") {
+        Ok(()) => CallResult::Response {
             status,
             retry_after_ms,
         },
-        Err(_) => CallEnd::Broken,
+        Err(_) => CallResult::Broken,
     }
 }
--- /dev/null
+++ b/crates/fault-soak/src/oracle/outcomes.rs
@@ -0,0 +1,104 @@
+//! Every request that was read has its response, and every message that was accepted its final outcome, in time.
+
+use super::{Oracle, OBSERVATION_DELAY, SLACK};
+use crate::record::{ClientResult, ProcessEventKind, Request};
+use marblefall_process_harness::{Micros, MILLISECOND};
+use std::collections::HashMap;
+
+/// How long after its message has expired a response may still be sent.
+const RESPONSE_GRACE: Micros = 500 * MILLISECOND;
+/// How long after it has expired a message without an outcome counts as lost.
+const OUTCOME_GRACE: Micros = 300 * MILLISECOND;
+/// How long after a restart a process must be ready before outcomes are due.
+const RESTART_GRACE: Micros = 1500 * MILLISECOND;
+
+impl Oracle<'_> {
+    /// A request that was read is responded to within its time and half a second.
+    pub(super) fn check_responses(&mut self) {
+        for request in &self.record.requests {
+            let late_at = request.expires_at + RESPONSE_GRACE + OBSERVATION_DELAY;
+            let problem = match request.result {
+                ClientResult::Closed => "read, and closed with no answer",
+                ClientResult::TimedOut => "no answer",
+                ClientResult::Response(_) if request.ended_at > late_at => "answered too late",
+                ClientResult::Response(_) | ClientResult::Reset => continue,
+            };
+            let (sent_at, ended_at) = (request.sent_at, request.ended_at);
+            let is_excused = self.was_down(request.process, sent_at, ended_at)
+                || self.were_connections_broken(request.process, sent_at, ended_at);
+            if !is_excused {
+                let observed = format!(
+                    "{} at process {}: {problem}, sent at {} ms, ended at {} ms",
+                    request.id,
+                    request.process,
+                    self.ms(sent_at),
+                    self.ms(ended_at)
+                );
+                self.report("answer", observed);
+            }
+        }
+    }
+
+    /// A message that was accepted is delivered or ends by a notice, in time.
+    pub(super) fn check_outcomes(&mut self) {
+        let mut notified_at: HashMap<&str, Micros> = HashMap::new();
+        for notice in &self.record.notices {
+            notified_at.entry(&notice.id).or_insert(notice.received_at);
+        }
+        let accepted = self.record.requests.iter();
+        for request in accepted.filter(|request| request.is_accepted()) {
+            let notified_at = notified_at.get(request.id.as_str()).copied();
+            let outcome_at = self
+                .delivered_at(request)
+                .into_iter()
+                .chain(notified_at)
+                .min();
+            let due_at = self.outcome_due_at(request);
+            let problem = match outcome_at {
+                None => "no outcome".to_owned(),
+                Some(at) if at > due_at => format!("its outcome came at {} ms", self.ms(at)),
+                Some(_) => continue,
+            };
+            let observed = format!(
+                "{} ({:?}) at process {}: {problem}; sent at {} ms, due at {} ms",
+                request.id,
+                request.class,
+                request.process,
+                self.ms(request.sent_at),
+                self.ms(due_at)
+            );
+            self.report("outcome", observed);
+        }
+    }
+
+    fn delivered_at(&self, request: &Request) -> Option<Micros> {
+        let calls = self.calls_by_id.get(request.id.as_str())?;
+        let delivered = calls.iter().filter(|call| call.is_delivered());
+        delivered.map(|call| call.ended_at).min()
+    }
+
+    /// When a message without an outcome counts as lost: not while its process is between two incarnations.
+    fn outcome_due_at(&self, request: &Request) -> Micros {
+        let grace = OUTCOME_GRACE + SLACK + OBSERVATION_DELAY;
+        let mut due_at = request.expires_at + grace;
+        let mut down_since = None;
+        for (at, kind) in self.process_events(request.process) {
+            match kind {
+                ProcessEventKind::Terminated
+                | ProcessEventKind::Killed
+                | ProcessEventKind::Ended
+                | ProcessEventKind::Crashed => {
+                    down_since.get_or_insert(at);
+                }
+                ProcessEventKind::Ready => {
+                    let was_down = down_since.take();
+                    if was_down.is_some_and(|since| since <= due_at) {
+                        due_at = due_at.max(at + RESTART_GRACE + grace);
+                    }
+                }
+                ProcessEventKind::Started | ProcessEventKind::Suspended => {}
+            }
+        }
+        due_at
+    }
+}
--- /dev/null
+++ b/crates/fault-soak/src/oracle/retry_after.rs
@@ -0,0 +1,63 @@
+//! A process sends nothing to a destination within the Retry-After that the destination gave it.
+
+use super::{Oracle, SLACK};
+use crate::endpoint::destination_of;
+use crate::record::{Call, CallResult};
+use marblefall_process_harness::{Micros, MILLISECOND};
+use std::collections::BTreeMap;
+
+/// How long after a response with Retry-After calls may still arrive that were on their way.
+const CROSSING_GRACE: Micros = 100 * MILLISECOND;
+
+impl<'a> Oracle<'a> {
+    pub(super) fn check_retry_after(&mut self) {
+        for ((process, destination), calls) in self.calls_by_route() {
+            for rejected in &calls {
+                let CallResult::Response {
+                    retry_after_ms: Some(retry_after_ms),
+                    ..
+                } = rejected.result
+                else {
+                    continue;
+                };
+                let until = rejected.ended_at + retry_after_ms * MILLISECOND;
+                // A process that was down may not have read the response, and a restart ends the wait.
+                if self.was_down(process, rejected.ended_at, until) || self.was_disturbed(rejected)
+                {
+                    continue;
+                }
+                let from = rejected.ended_at + CROSSING_GRACE + SLACK;
+                let is_early = |call: &&&Call| {
+                    call.first_byte_at > from
+                        && call.last_byte_at < until - SLACK
+                        && !self.was_disturbed(call)
+                };
+                if let Some(call) = calls.iter().find(is_early) {
+                    let observed = format!(
+                        "{} to destination {destination} by process {process} at {} ms, told at {} ms to wait \
+                         {retry_after_ms} ms",
+                        call.id,
+                        self.ms(call.last_byte_at),
+                        self.ms(rejected.ended_at)
+                    );
+                    self.report("wait", observed);
+                }
+            }
+        }
+    }
+
+    /// The calls of each process to each destination, in the order in which they were read.
+    fn calls_by_route(&self) -> BTreeMap<(usize, usize), Vec<&'a Call>> {
+        let mut by_route: BTreeMap<(usize, usize), Vec<&Call>> = BTreeMap::new();
+        for call in &self.record.calls {
+            if let Some(request) = self.request_of(call) {
+                let route = (request.process, destination_of(call.endpoint));
+                by_route.entry(route).or_default().push(call);
+            }
+        }
+        for calls in by_route.values_mut() {
+            calls.sort_by_key(|call| call.last_byte_at);
+        }
+        by_route
+    }
+}
--- a/crates/fault-soak/src/plan.rs
+++ b/crates/fault-soak/src/plan.rs
@@ -1,50 +1,69 @@
-//! What goes wrong in a run, drawn from one seed: it can be printed, played again and shrunk.
+//! The faults of a run, drawn from one seed. A plan can be stored, played again and shrunk.
+
+mod draw;
 
 use marblefall_fault_plan::FaultKind;
-use rand::Rng;
-use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// Troubles for each second of a run: two or three of them overlap.
-const TROUBLES_PER_SECOND: f64 = 1.4;
-/// Nothing goes wrong before this, in milliseconds ...
-const FIRST_MS: u64 = 1500;
-/// ... nor begins in the last part of the run.
-const LAST_MS: u64 = 4000;
-/// An hour and a half a minute, by which the wall clock steps.
-const CLOCK_STEPS_MS: [i64; 4] = [3_600_000, -3_600_000, 30_000, -30_000];
-
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
-    /// A process is told to end, killed 3.7 s later if it runs on, and started 0.6 s after its end.
+pub enum PlannedFaultKind {
+    /// A process gets SIGTERM, SIGKILL if it has not ended 3.7 s later, and is restarted 0.6 s after its end.
     Terminate,
-    /// A process is killed and started 0.6 s later.
+    /// A process gets SIGKILL, and is restarted 0.6 s later.
     Kill,
-    /// A process is started beside the running one, which is then told to end.
+    /// A process is started beside the running one, which then gets SIGTERM.
     Replace,
-    /// A process is stopped for a tenth of a second.
-    HoldUp,
+    /// A process is suspended for a tenth of a second.
+    #[serde(alias = "hold-up")]
+    Suspend,
     /// A process reads its configuration again.
     Reload,
     /// System calls of a process fail.
     System(SystemFault),
-    /// A destination's endpoints do something else than serve.
-    Endpoint(EndpointTrouble),
+    /// The endpoints of a destination misbehave.
+    Endpoint(EndpointFault),
     /// What passes between the processes and an endpoint is disturbed.
-    Proxy(ProxyTrouble),
-    /// Discovery of a process is disturbed, or the list changes.
-    Discovery(DiscoveryTrouble),
+    Proxy(ProxyFault),
+    /// Discovery of a process fails, or the endpoint list changes.
+    Discovery(DiscoveryFault),
     /// Clients of a process misbehave.
-    Clients(ClientTrouble),
+    Clients(ClientFault),
+}
+
+impl PlannedFaultKind {
+    /// Whether it is carried out by a signal or a start of a process.
+    pub fn is_process_fault(self) -> bool {
+        matches!(
+            self,
+            PlannedFaultKind::Terminate
+                | PlannedFaultKind::Kill
+                | PlannedFaultKind::Replace
+                | PlannedFaultKind::Suspend
+                | PlannedFaultKind::Reload
+        )
+    }
+
+    /// The kind of system call fault, if it is one.
+    pub fn system_fault(self) -> Option<FaultKind> {
+        match self {
+            PlannedFaultKind::System(SystemFault(kind)) => Some(kind),
+            _ => None,
+        }
+    }
 }
 
-/// A fault of the shim.
+/// A fault of system calls, which the shim injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SystemFault(pub FaultKind);
 
+/// No fault of system calls has this name.
+#[derive(Debug, thiserror::Error)]
+#[error("no fault is called {0}")]
+pub struct UnknownFault(String);
+
 impl From<SystemFault> for String {
     fn from(fault: SystemFault) -> String {
         fault.0.name().to_owned()
@@ -52,256 +71,148 @@
 }
 
 impl TryFrom<String> for SystemFault {
-    type Error = String;
+    type Error = UnknownFault;
 
-    fn try_from(name: String) -> Result<SystemFault, String> {
-        let kind = FaultKind::ALL.iter().find(|kind| kind.name() == name);
-        kind.map(|kind| SystemFault(*kind))
-            .ok_or_else(|| format!("no fault is called {name}"))
+    fn try_from(name: String) -> Result<SystemFault, UnknownFault> {
+        match FaultKind::from_name(&name) {
+            Some(kind) => Ok(SystemFault(kind)),
+            None => Err(UnknownFault(name)),
+        }
     }
 }
 
-/// What a destination's endpoints do.
+/// How the endpoints of a destination misbehave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum EndpointTrouble {
-    /// They take calls and answer nothing.
-    Hangs,
-    /// They end each connection.
+pub enum EndpointFault {
+    /// Reads calls and never responds.
+    #[serde(alias = "hangs")]
+    Hang,
+    /// Closes each connection.
     Down,
-    /// They answer with 500.
-    Errors,
-    /// They turn all away with 503 and no wait.
-    Shut,
-    /// They turn all away with a wait of so many milliseconds.
-    Waits,
-    /// They take most of a second for each call.
+    /// Responds to every call with 500.
+    #[serde(alias = "errors")]
+    InternalError,
+    /// Rejects every call with 503 and no Retry-After.
+    #[serde(alias = "shut")]
+    RejectAll,
+    /// Rejects every call with 429 and a Retry-After of the fault's amount in milliseconds.
+    #[serde(alias = "waits")]
+    RetryAfter,
+    /// Takes most of a second for each call.
     Slow,
 }
 
-impl EndpointTrouble {
-    /// Whether it is an outage, after which they are cold.
+impl EndpointFault {
+    /// Whether it is an outage, after which the destination warms up.
     pub fn is_outage(self) -> bool {
-        !matches!(self, EndpointTrouble::Slow | EndpointTrouble::Waits)
+        !matches!(self, EndpointFault::Slow | EndpointFault::RetryAfter)
     }
 }
 
-/// What a proxy does.
+/// How a proxy disturbs connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ProxyTrouble {
-    /// Connections are reset as they come.
-    Refuses,
-    /// Nothing is passed on, and nothing ends.
-    Swallows,
-    /// Each piece waits for a tenth of a second.
-    Delays,
-    /// Half an answer is passed on, then the connection ends.
-    CutsAnswers,
-    /// The connection is reset once the request is passed on.
-    ResetsUnderRequests,
-    /// Connections that are idle for a moment are closed.
-    ClosesIdle,
-    /// Bytes pass one by one.
-    Trickles,
+pub enum ProxyFault {
+    /// Resets connections as they are opened.
+    #[serde(alias = "refuses")]
+    Refuse,
+    /// Forwards nothing, and closes nothing.
+    #[serde(alias = "swallows")]
+    Blackhole,
+    /// Delays each piece by a tenth of a second.
+    #[serde(alias = "delays")]
+    Delay,
+    /// Forwards half a response, then closes the connection.
+    #[serde(alias = "cuts-answers")]
+    CutResponses,
+    /// Resets the connection once a request was forwarded.
+    #[serde(alias = "resets-under-requests")]
+    ResetAfterRequest,
+    /// Closes connections that are idle for a moment.
+    #[serde(alias = "closes-idle")]
+    CloseIdle,
+    /// Forwards byte by byte.
+    #[serde(alias = "trickles")]
+    ByteByByte,
 }
 
-/// What discovery does.
+/// How discovery fails, or the endpoint list changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DiscoveryTrouble {
-    /// The agent says nothing and learns nothing.
+pub enum DiscoveryFault {
+    /// Discovery sends nothing.
     Down,
-    /// Watches that are open fall silent; new ones work.
+    /// Watches that are open fall silent for good; new ones work.
     SilentWatches,
     /// An endpoint drains, and serves again afterwards.
-    Drains,
+    #[serde(alias = "drains")]
+    DrainEndpoint,
     /// An endpoint leaves the list, and is listed again afterwards.
-    Removes,
+    #[serde(alias = "removes")]
+    RemoveEndpoint,
 }
 
-/// What clients do.
+/// How clients misbehave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ClientTrouble {
-    /// They open connections, send half a request and stay.
+pub enum ClientFault {
+    /// They send half a request and stay connected.
     HalfRequests,
-    /// They send a request and leave before the answer.
+    /// They send a request and close the connection before the response.
     LeaveEarly,
-    /// They open many connections at once and say nothing.
-    Crowd,
+    /// They open many connections and send nothing.
+    #[serde(alias = "crowd")]
+    SilentConnections,
     /// They send bytes that are no request.
     Garbage,
 }
 
-/// One trouble.
+/// One fault of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trouble {
-    /// When it begins, in milliseconds from the start of the run.
+pub struct PlannedFault {
+    /// When it begins, in milliseconds after the start of the run.
     pub from_ms: u64,
     /// How long it lasts, in milliseconds.
-    pub lasts_ms: u64,
-    /// Which process, endpoint or destination it strikes, counted round.
+    #[serde(rename = "lasts_ms")]
+    pub duration_ms: u64,
+    /// The process, endpoint or destination that it is injected into, modulo their number.
     pub target: usize,
-    /// Calls of a thousand that fail, or by how many milliseconds a clock steps.
+    /// How many calls of a thousand fail, or by how many milliseconds a clock is stepped.
     pub amount: i64,
     /// What it is.
-    pub kind: TroubleKind,
+    pub kind: PlannedFaultKind,
+}
+
+impl PlannedFault {
+    /// Whether it is injected into one of `count` targets.
+    pub fn is_for(&self, target: usize, count: usize) -> bool {
+        self.target % count == target
+    }
 }
 
-/// A run.
+/// The faults of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What everything is drawn from.
+    /// The seed of all random draws.
     pub seed: u64,
     /// How many processes run.
     pub processes: usize,
     /// How long clients send, in seconds.
     pub seconds: u64,
-    /// What goes wrong, in the order of time.
-    pub troubles: Vec<Trouble>,
+    /// The faults in the order of their times.
+    #[serde(alias = "troubles")]
+    pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
-    /// Draws a run.
-    pub fn draw(seed: u64, processes: usize, seconds: u64) -> Plan {
-        let mut rng = Pcg64Mcg::new(u128::from(seed) << 32 | 0x5eed);
-        let count = (seconds as f64 * TROUBLES_PER_SECOND) as usize;
-        let last_ms = (seconds * 1000).saturating_sub(LAST_MS).max(FIRST_MS + 1);
-        // An endpoint drains in each run: left to the draw, half of them had none.
-        let mut troubles = vec![Trouble {
-            kind: TroubleKind::Discovery(DiscoveryTrouble::Drains),
-            ..draw_trouble(&mut rng, last_ms)
-        }];
-        while troubles.len() < count {
-            let trouble = draw_trouble(&mut rng, last_ms);
-            troubles.extend(occasion(&trouble));
-            troubles.push(trouble);
-        }
-        troubles.sort_by_key(|trouble| trouble.from_ms);
-        Plan {
-            seed,
-            processes,
-            seconds,
-            troubles,
-        }
-    }
-
-    /// The plan without one of its troubles.
+    /// The plan without one of its faults.
     pub fn without(&self, index: usize) -> Plan {
         let mut plan = self.clone();
-        plan.troubles.remove(index);
+        plan.faults.remove(index);
         plan
     }
 }
 
-fn draw_trouble(rng: &mut Pcg64Mcg, last_ms: u64) -> Trouble {
-    let kind = draw_kind(rng);
-    let amount = match kind {
-        TroubleKind::System(SystemFault(FaultKind::WallClockStepped)) => {
-            CLOCK_STEPS_MS[rng.random_range(0..CLOCK_STEPS_MS.len())]
-        }
-        TroubleKind::System(SystemFault(FaultKind::TornWriteAndKill)) => 40,
-        // Few calls come to these.
-        TroubleKind::System(SystemFault(
-            FaultKind::ConnectNoAddress | FaultKind::ConnectUnreachable | FaultKind::LockFails,
-        )) => rng.random_range(700..1000),
-        TroubleKind::System(SystemFault(
-            FaultKind::ReceiveTimedOut | FaultKind::SendUnreachable,
-        )) => rng.random_range(30..90),
-        TroubleKind::System(SystemFault(FaultKind::DiskFull | FaultKind::DiskError)) => {
-            [300, 1000][rng.random_range(0..2)]
-        }
-        _ => rng.random_range(200..800),
-    };
-    let is_outage = matches!(kind, TroubleKind::Endpoint(trouble) if trouble.is_outage());
-    let lasts_ms = if is_outage {
-        rng.random_range(5000..8000)
-    } else if matches!(kind, TroubleKind::System(_)) {
-        rng.random_range(1200..4500)
-    } else {
-        rng.random_range(400..3500)
-    };
-    Trouble {
-        from_ms: rng.random_range(FIRST_MS..last_ms),
-        lasts_ms,
-        target: rng.random_range(0..1000),
-        amount,
-        kind,
-    }
-}
-
-/// What gives a fault an occasion to strike: files and locks are opened at a start and at a takeover, connections after a
-/// start.
-fn occasion(trouble: &Trouble) -> Option<Trouble> {
-    let TroubleKind::System(SystemFault(fault)) = trouble.kind else {
-        return None;
-    };
-    let kind = match fault {
-        FaultKind::OpenNoFiles if trouble.target.is_multiple_of(2) => TroubleKind::Replace,
-        FaultKind::LockFails => TroubleKind::Replace,
-        FaultKind::DiskFull
-        | FaultKind::DiskError
-        | FaultKind::SocketNoFiles
-        | FaultKind::SocketNoBuffers
-        | FaultKind::ConnectNoAddress
-        | FaultKind::ConnectUnreachable
-        | FaultKind::OpenNoFiles
-        | FaultKind::WallClockStepped => TroubleKind::Kill,
-        FaultKind::AcceptAborted
-        | FaultKind::AcceptNoFiles
-        | FaultKind::AcceptNoBuffers
-        | FaultKind::AcceptInterrupted => TroubleKind::Clients(ClientTrouble::LeaveEarly),
-        _ => return None,
-    };
-    // A process is back within its fault, and starts under it.
-    let from_ms = if kind == TroubleKind::Kill {
-        trouble.from_ms.saturating_sub(300)
-    } else {
-        trouble.from_ms
-    };
-    Some(Trouble {
-        from_ms,
-        kind,
-        ..*trouble
-    })
-}
-
-fn draw_kind(rng: &mut Pcg64Mcg) -> TroubleKind {
-    use {ClientTrouble as C, DiscoveryTrouble as D, EndpointTrouble as E, ProxyTrouble as P};
-    match rng.random_range(0..20) {
-        0..=1 => TroubleKind::Terminate,
-        2..=3 => TroubleKind::Kill,
-        4 => TroubleKind::Replace,
-        5 => TroubleKind::HoldUp,
-        6 => TroubleKind::Reload,
-        7..=11 => {
-            let index = rng.random_range(0..FaultKind::ALL.len());
-            TroubleKind::System(SystemFault(FaultKind::ALL[index]))
-        }
-        12..=13 => {
-            let all = [E::Hangs, E::Down, E::Errors, E::Shut, E::Waits, E::Slow];
-            TroubleKind::Endpoint(all[rng.random_range(0..all.len())])
-        }
-        14..=15 => {
-            let all = [
-                P::Refuses,
-                P::Swallows,
-                P::Delays,
-                P::CutsAnswers,
-                P::ResetsUnderRequests,
-                P::ClosesIdle,
-                P::Trickles,
-            ];
-            TroubleKind::Proxy(all[rng.random_range(0..all.len())])
-        }
-        16..=17 => {
-            let all = [D::Down, D::SilentWatches, D::Drains, D::Removes];
-            TroubleKind::Discovery(all[rng.random_range(0..all.len())])
-        }
-        _ => {
-            let all = [C::HalfRequests, C::LeaveEarly, C::Crowd, C::Garbage];
-            TroubleKind::Clients(all[rng.random_range(0..all.len())])
-        }
-    }
-}
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/fault-soak/src/plan/draw.rs
@@ -0,0 +1,174 @@
+//! Draws plans. The order of the random draws is part of what a seed means.
+
+use super::{
+    ClientFault, DiscoveryFault, EndpointFault, Plan, PlannedFault, PlannedFaultKind, ProxyFault,
+    SystemFault,
+};
+use marblefall_fault_plan::FaultKind;
+use rand::Rng;
+use rand_pcg::Pcg64Mcg;
+
+/// Faults for each second of a run: two or three of them overlap.
+const FAULTS_PER_SECOND: f64 = 1.4;
+/// Time before the first fault, in milliseconds.
+const FIRST_FAULT_MS: u64 = 1500;
+/// Time at the end of a run in which no fault begins, in milliseconds.
+const QUIET_END_MS: u64 = 4000;
+/// How far the wall clock may be stepped, in milliseconds: an hour, and half a minute.
+const CLOCK_STEPS_MS: [i64; 4] = [3_600_000, -3_600_000, 30_000, -30_000];
+/// Share of writes that are cut before the process is killed, of a thousand.
+const TORN_WRITE_SHARE: i64 = 40;
+/// Time by which a process is killed before a fault that its restart is to meet, in milliseconds.
+const KILL_LEAD_MS: u64 = 300;
+/// Exclusive upper bound of the drawn target numbers.
+const TARGETS: usize = 1000;
+
+impl Plan {
+    /// Draws a plan.
+    pub fn draw(seed: u64, processes: usize, seconds: u64) -> Plan {
+        let mut rng = Pcg64Mcg::new(u128::from(seed) << 32 | 0x5eed);
+        let count = (seconds as f64 * FAULTS_PER_SECOND) as usize;
+        let last_ms = (seconds * 1000)
+            .saturating_sub(QUIET_END_MS)
+            .max(FIRST_FAULT_MS + 1);
+        // Every plan drains an endpoint, which the draws alone would leave out of half of them.
+        let mut faults = vec![PlannedFault {
+            kind: PlannedFaultKind::Discovery(DiscoveryFault::DrainEndpoint),
+            ..draw_fault(&mut rng, last_ms)
+        }];
+        while faults.len() < count {
+            let fault = draw_fault(&mut rng, last_ms);
+            faults.extend(trigger(&fault));
+            faults.push(fault);
+        }
+        faults.sort_by_key(|fault| fault.from_ms);
+        Plan {
+            seed,
+            processes,
+            seconds,
+            faults,
+        }
+    }
+}
+
+fn draw_fault(rng: &mut Pcg64Mcg, last_ms: u64) -> PlannedFault {
+    let kind = draw_kind(rng);
+    let amount = draw_amount(rng, kind);
+    let duration_ms = draw_duration_ms(rng, kind);
+    PlannedFault {
+        from_ms: rng.random_range(FIRST_FAULT_MS..last_ms),
+        duration_ms,
+        target: rng.random_range(0..TARGETS),
+        amount,
+        kind,
+    }
+}
+
+fn draw_amount(rng: &mut Pcg64Mcg, kind: PlannedFaultKind) -> i64 {
+    match kind.system_fault() {
+        Some(FaultKind::WallClockStepped) => {
+            CLOCK_STEPS_MS[rng.random_range(0..CLOCK_STEPS_MS.len())]
+        }
+        Some(FaultKind::TornWriteAndKill) => TORN_WRITE_SHARE,
+        // Few calls meet these.
+        Some(
+            FaultKind::ConnectNoAddress | FaultKind::ConnectUnreachable | FaultKind::LockFails,
+        ) => rng.random_range(700..1000),
+        Some(FaultKind::ReceiveTimedOut | FaultKind::SendUnreachable) => rng.random_range(30..90),
+        Some(FaultKind::DiskFull | FaultKind::DiskError) => [300, 1000][rng.random_range(0..2)],
+        _ => rng.random_range(200..800),
+    }
+}
+
+fn draw_duration_ms(rng: &mut Pcg64Mcg, kind: PlannedFaultKind) -> u64 {
+    match kind {
+        PlannedFaultKind::Endpoint(fault) if fault.is_outage() => rng.random_range(5000..8000),
+        PlannedFaultKind::System(_) => rng.random_range(1200..4500),
+        _ => rng.random_range(400..3500),
+    }
+}
+
+/// A fault that leads to calls which another one can fail: files and locks are opened at a start and at a takeover,
+/// connections after a start.
+fn trigger(fault: &PlannedFault) -> Option<PlannedFault> {
+    let kind = match fault.kind.system_fault()? {
+        FaultKind::OpenNoFiles if fault.target.is_multiple_of(2) => PlannedFaultKind::Replace,
+        FaultKind::LockFails => PlannedFaultKind::Replace,
+        FaultKind::DiskFull
+        | FaultKind::DiskError
+        | FaultKind::SocketNoFiles
+        | FaultKind::SocketNoBuffers
+        | FaultKind::ConnectNoAddress
+        | FaultKind::ConnectUnreachable
+        | FaultKind::OpenNoFiles
+        | FaultKind::WallClockStepped => PlannedFaultKind::Kill,
+        FaultKind::AcceptAborted
+        | FaultKind::AcceptNoFiles
+        | FaultKind::AcceptNoBuffers
+        | FaultKind::AcceptInterrupted => PlannedFaultKind::Clients(ClientFault::LeaveEarly),
+        _ => return None,
+    };
+    // The process restarts within the fault.
+    let lead_ms = if kind == PlannedFaultKind::Kill {
+        KILL_LEAD_MS
+    } else {
+        0
+    };
+    Some(PlannedFault {
+        from_ms: fault.from_ms.saturating_sub(lead_ms),
+        kind,
+        ..*fault
+    })
+}
+
+fn draw_kind(rng: &mut Pcg64Mcg) -> PlannedFaultKind {
+    match rng.random_range(0..20) {
+        0..=1 => PlannedFaultKind::Terminate,
+        2..=3 => PlannedFaultKind::Kill,
+        4 => PlannedFaultKind::Replace,
+        5 => PlannedFaultKind::Suspend,
+        6 => PlannedFaultKind::Reload,
+        7..=11 => PlannedFaultKind::System(SystemFault(draw_one(rng, FaultKind::ALL))),
+        12..=13 => PlannedFaultKind::Endpoint(draw_one(rng, ENDPOINT_FAULTS)),
+        14..=15 => PlannedFaultKind::Proxy(draw_one(rng, PROXY_FAULTS)),
+        16..=17 => PlannedFaultKind::Discovery(draw_one(rng, DISCOVERY_FAULTS)),
+        _ => PlannedFaultKind::Clients(draw_one(rng, CLIENT_FAULTS)),
+    }
+}
+
+fn draw_one<T: Copy>(rng: &mut Pcg64Mcg, all: &[T]) -> T {
+    all[rng.random_range(0..all.len())]
+}
+
+const ENDPOINT_FAULTS: &[EndpointFault] = &[
+    EndpointFault::Hang,
+    EndpointFault::Down,
+    EndpointFault::InternalError,
+    EndpointFault::RejectAll,
+    EndpointFault::RetryAfter,
+    EndpointFault::Slow,
+];
+
+const PROXY_FAULTS: &[ProxyFault] = &[
+    ProxyFault::Refuse,
+    ProxyFault::Blackhole,
+    ProxyFault::Delay,
+    ProxyFault::CutResponses,
+    ProxyFault::ResetAfterRequest,
+    ProxyFault::CloseIdle,
+    ProxyFault::ByteByByte,
+];
+
+const DISCOVERY_FAULTS: &[DiscoveryFault] = &[
+    DiscoveryFault::Down,
+    DiscoveryFault::SilentWatches,
+    DiscoveryFault::DrainEndpoint,
+    DiscoveryFault::RemoveEndpoint,
+];
+
+const CLIENT_FAULTS: &[ClientFault] = &[
+    ClientFault::HalfRequests,
+    ClientFault::LeaveEarly,
+    ClientFault::SilentConnections,
+    ClientFault::Garbage,
+];
--- /dev/null
+++ b/crates/fault-soak/src/plan/tests.rs
@@ -0,0 +1,69 @@
+//! Tests of plans.
+
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
+
+use super::*;
+
+/// A plan as the program stored it before the kinds of faults were renamed.
+const OLD_PLAN: &str = r#"seed = 1
+processes = 4
+seconds = 8
+
+[[troubles]]
+from_ms = 1500
+lasts_ms = 700
+target = 3
+amount = 400
+kind = "hold-up"
+
+[[troubles]]
+from_ms = 1600
+lasts_ms = 700
+target = 3
+amount = 400
+
+[troubles.kind]
+endpoint = "shut"
+
+[[troubles]]
+from_ms = 1700
+lasts_ms = 700
+target = 3
+amount = 400
+
+[troubles.kind]
+proxy = "trickles"
+
+[[troubles]]
+from_ms = 1800
+lasts_ms = 700
+target = 3
+amount = 400
+
+[troubles.kind]
+system = "disk-eio"
+"#;
+
+#[test]
+fn plan_stored_by_an_earlier_version_is_read() {
+    let plan: Plan = toml::from_str(OLD_PLAN).unwrap();
+    let kinds: Vec<PlannedFaultKind> = plan.faults.iter().map(|fault| fault.kind).collect();
+    assert_eq!(
+        kinds,
+        [
+            PlannedFaultKind::Suspend,
+            PlannedFaultKind::Endpoint(EndpointFault::RejectAll),
+            PlannedFaultKind::Proxy(ProxyFault::ByteByByte),
+            PlannedFaultKind::System(SystemFault(FaultKind::DiskError)),
+        ]
+    );
+}
+
+#[test]
+fn plan_is_determined_by_its_seed_and_survives_storing() {
+    let plan = Plan::draw(7, 12, 20);
+    assert_eq!(plan, Plan::draw(7, 12, 20));
+    assert_ne!(plan.faults, Plan::draw(8, 12, 20).faults);
+    let text = toml::to_string(&plan).unwrap();
+    assert_eq!(toml::from_str::<Plan>(&text).unwrap(), plan);
+}
--- a/crates/fault-soak/src/process.rs
+++ b/crates/fault-soak/src/process.rs
@@ -1,390 +1,383 @@
-//! The keeper of one process: starts it, signals it as the plan has it, starts it again, and finds out how it ended.
+//! The owner of one process: it starts the process, injects the plan's signals, restarts it, and records how it ended.
 
-use crate::discovery::{entry, Phase};
-use crate::endpoint::RATE;
-use crate::plan::{SystemFault, TroubleKind};
-use crate::record::{Life, LifeEvent, Micros, SharedRecord, MS, WINDOW_MS};
+mod settings;
+
+use crate::discovery::list_entry;
+use crate::plan::{PlannedFault, PlannedFaultKind};
+use crate::record::{ProcessEvent, ProcessEventKind, SharedRecord};
 use crate::schedule::Schedule;
-use marblefall_fault_plan::{
-    read_counts, Count, Fault, FaultKind, COUNTS_VARIABLE, FOLDER_VARIABLE, PLAN_VARIABLE,
-    SEED_VARIABLE,
+use marblefall_fault_plan::{Count, Fault, FaultKind};
+use marblefall_process_harness::discovery::EndpointPhase;
+use marblefall_process_harness::fault_shim::FaultShim;
+use marblefall_process_harness::platform::{
+    is_ready, InstanceConfig, CONFIG_VARIABLE, LISTENING_MARKER, STATE_VARIABLE,
+};
+use marblefall_process_harness::{
+    monotonic_micros, HarnessError, Micros, Process, Signal, MILLISECOND,
 };
-use marblefall_simulation::rig::daemons::Daemon;
-use marblefall_simulation::rig::{micros, Fault as RigFault};
+use std::collections::VecDeque;
 use std::fs;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
-/// When a process that was told to end is killed.
-const KILL_AFTER: Micros = 3700 * MS;
-/// When it is started again after its end.
-const RESTART_AFTER: Duration = Duration::from_millis(600);
-/// What a process logs once it listens.
-const LISTENING: &str = "listens at ";
-/// A process that is started beside another must listen within this.
-const REPLACED_WITHIN: Micros = 10_000 * MS;
-/// How long a process is held up.
-const HOLD_UP: Duration = Duration::from_millis(100);
-const POLL: Duration = Duration::from_millis(5);
+/// Time between SIGTERM and SIGKILL.
+const SHUTDOWN_LIMIT: Micros = 3700 * MILLISECOND;
+/// Time between the end of a process and its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// Time in which a process that is started beside another must listen.
+const REPLACE_LIMIT: Micros = 10_000 * MILLISECOND;
+/// How long a process is suspended.
+const SUSPENSION: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a process may take to report whether it is ready.
+const READY_TIMEOUT: Duration = Duration::from_millis(200);
 /// Descriptors that a process may hold.
 const MAX_SOCKETS: usize = 256;
-/// Memory that it may take, in kilobytes.
+/// Memory of a process in its configuration.
+const MEMORY_MB: u32 = 64;
+/// Memory that a process may take, in kilobytes.
 const MAX_MEMORY_KB: u64 = 64 * 1024;
+/// Lines of the log that are reported of a crash.
+const CRASH_LOG_LINES: usize = 5;
 
-/// What keepers are made of.
+/// What the owner of a process needs.
 #[derive(Clone)]
-pub struct Keeper {
-    /// Which process.
+pub struct ProcessOwner {
+    /// The process.
     pub process: usize,
-    /// How many there are.
+    /// How many processes there are.
     pub processes: usize,
     /// The program under test.
     pub program: PathBuf,
     /// The shim that is preloaded into it.
-    pub shim: PathBuf,
-    /// A folder of the process's own.
+    pub shim: FaultShim,
+    /// The folder of the process.
     pub folder: PathBuf,
     /// Where it listens for clients.
     pub listen: SocketAddr,
-    /// Where its discovery agent is.
+    /// The address of its discovery.
     pub discovery: SocketAddr,
     /// Where the endpoints are reached.
     pub endpoints: Vec<SocketAddr>,
-    /// What goes wrong.
+    /// The faults.
     pub schedule: Schedule,
-    /// Where its life is written down.
+    /// Where events are recorded.
     pub record: SharedRecord,
     /// Set once the process is to end for good.
     pub stop: Arc<AtomicBool>,
 }
 
-/// A signal that the plan sends.
-struct DueSignal {
-    at: Micros,
-    kind: TroubleKind,
-}
-
-impl Keeper {
-    fn note(&self, what: Life) {
-        let event = LifeEvent {
-            process: self.process,
-            at: micros(),
-            what,
-        };
-        self.record.lock().lives.push(event);
+impl ProcessOwner {
+    /// The process's folder within the folder of a run.
+    pub fn folder_of(run_folder: &std::path::Path, process: usize) -> PathBuf {
+        run_folder.join(format!("n{process}"))
     }
 
-    fn complain(&self, what: &str) {
-        let text = format!("process {}: {what}", self.process);
-        self.record.lock().complaints.push(text);
+    /// The process's state folder.
+    pub fn state_folder(folder: &std::path::Path) -> PathBuf {
+        folder.join("state")
     }
 
     /// Writes the files that the process reads.
     ///
     /// # Errors
-    /// The folder cannot be written.
-    pub fn prepare(&self) -> Result<(), RigFault> {
-        let at = || RigFault::at(self.folder.display().to_string());
-        fs::create_dir_all(self.folder.join("state")).map_err(at())?;
-        fs::write(self.folder.join("config.json"), self.config()).map_err(at())?;
-        let faults: String = self
-            .system_faults()
-            .map(|fault| format!("{fault}\n"))
-            .collect();
-        fs::write(self.folder.join("shim.plan"), faults).map_err(at())
+    /// A file cannot be written.
+    pub fn prepare(&self) -> Result<(), HarnessError> {
+        let subject = || HarnessError::io(self.folder.display().to_string());
+        fs::create_dir_all(ProcessOwner::state_folder(&self.folder)).map_err(subject())?;
+        fs::write(self.config_path(), self.config().to_json()).map_err(subject())?;
+        self.shim.write_plan(&self.system_faults())
+    }
+
+    fn config_path(&self) -> PathBuf {
+        self.folder.join("config.json")
     }
 
-    fn system_faults(&self) -> impl Iterator<Item = Fault> + '_ {
-        let mine = self.schedule.all(|kind| match kind {
-            TroubleKind::System(SystemFault(kind)) => Some(*kind),
-            _ => None,
-        });
-        mine.filter(|(trouble, ..)| trouble.target % self.processes == self.process)
-            .map(|(trouble, kind, (from, until))| Fault {
-                kind,
-                from_ms: from / MS,
-                until_ms: until / MS,
-                amount: trouble.amount,
+    fn planned_faults(&self) -> impl Iterator<Item = &PlannedFault> + '_ {
+        let faults = self.schedule.plan().faults.iter();
+        faults.filter(|fault| fault.is_for(self.process, self.processes))
+    }
+
+    fn system_faults(&self) -> Vec<Fault> {
+        let system_fault = |fault: &PlannedFault| {
+            let interval = self.schedule.interval(fault);
+            Some(Fault {
+                kind: fault.kind.system_fault()?,
+                from_ms: interval.from / MILLISECOND,
+                until_ms: interval.until / MILLISECOND,
+                amount: fault.amount,
             })
+        };
+        self.planned_faults().filter_map(system_fault).collect()
+    }
+
+    fn config(&self) -> InstanceConfig {
+        let endpoints = self.endpoints.iter().enumerate();
+        InstanceConfig {
+            name: format!("n{}", self.process),
+            listen: self.listen,
+            discovery: self.discovery,
+            seed: format!("{:x}", self.shim_seed() + 1),
+            memory_mb: MEMORY_MB,
+            sockets: MAX_SOCKETS,
+            endpoints: endpoints
+                .map(|(endpoint, address)| list_entry(endpoint, *address, EndpointPhase::Serving))
+                .collect(),
+            settings: settings::settings(self.process, self.processes),
+        }
+    }
+
+    /// The seed of the shim's draws.
+    fn shim_seed(&self) -> u64 {
+        shim_seed(self.schedule.plan().seed, self.process)
+    }
+
+    fn record_event(&self, kind: ProcessEventKind) {
+        let event = ProcessEvent {
+            process: self.process,
+            at: monotonic_micros(),
+            kind,
+        };
+        self.record.lock().process_events.push(event);
     }
 
-    fn config(&self) -> String {
-        let members: Vec<String> = self
-            .endpoints
-            .iter()
-            .enumerate()
-            .map(|(endpoint, address)| entry(endpoint, *address, Phase::Serving))
-            .collect();
-        format!(
-            r#"{{"name":"n{process}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:x}",
-            "limits":{{"cores":1.0,"memory_mb":64,"sockets":{MAX_SOCKETS},"disk_mb":3}},
-            "known":{{"revision":41,"complete":true,"members":[{members}]}},"settings":{settings}}}"#,
-            process = self.process,
-            listen = self.listen,
-            discovery = self.discovery,
-            seed = self.schedule.plan().seed * 1000 + self.process as u64 + 1,
-            members = members.join(","),
-            settings = settings(self.process, self.processes),
-        )
+    fn report_problem(&self, problem: &str) {
+        let text = format!("process {}: {problem}", self.process);
+        self.record.lock().process_problems.push(text);
     }
 
-    fn start(&self) -> Result<Daemon, RigFault> {
-        let daemon = self.start_beside()?;
-        self.note(Life::Started);
-        Ok(daemon)
+    fn start(&self) -> Result<Process, HarnessError> {
+        let process = self.start_unrecorded()?;
+        self.record_event(ProcessEventKind::Started);
+        Ok(process)
     }
 
-    fn start_beside(&self) -> Result<Daemon, RigFault> {
-        let path = |name: &str| self.folder.join(name).display().to_string();
-        let seed = (self.schedule.plan().seed * 1000 + self.process as u64).to_string();
-        let env: Vec<(&str, String)> = vec![
-            ("RELAY_CONFIG", path("config.json")),
-            ("RELAY_STATE", path("state")),
-            ("LD_PRELOAD", self.shim.display().to_string()),
-            (PLAN_VARIABLE, path("shim.plan")),
-            (COUNTS_VARIABLE, path("shim.counts")),
-            (FOLDER_VARIABLE, path("state")),
-            (SEED_VARIABLE, seed),
+    fn start_unrecorded(&self) -> Result<Process, HarnessError> {
+        let config = self.config_path().display().to_string();
+        let state = ProcessOwner::state_folder(&self.folder);
+        let state = state.display().to_string();
+        let mut environment = vec![
+            (CONFIG_VARIABLE, config.as_str()),
+            (STATE_VARIABLE, state.as_str()),
         ];
-        let env: Vec<(&str, &str)> = env
-            .iter()
-            .map(|(name, value)| (*name, value.as_str()))
-            .collect();
-        Daemon::start(&self.program, &[], &env)
+        environment.extend(self.shim.environment());
+        Process::start(&self.program, &[], &environment)
     }
 
-    /// Keeps the process until it is to end for good.
+    /// Runs the process until it is to end for good.
     ///
     /// # Errors
-    /// It cannot be started.
-    pub fn run(self) -> Result<(), RigFault> {
+    /// It cannot be started or killed.
+    pub fn run(self) -> Result<(), HarnessError> {
         let mut due = self.due_signals();
-        let mut daemon = self.start()?;
-        let mut is_ready = false;
-        let mut logs = String::new();
+        let mut process = self.start()?;
+        let mut is_known_ready = false;
+        let mut ended_logs = String::new();
         while !self.stop.load(Ordering::SeqCst) {
-            thread::sleep(POLL);
-            if daemon.has_ended().is_some() {
-                self.note_unexpected_end(&daemon);
-                daemon = self.start_again(&daemon, &mut logs)?;
-                is_ready = false;
+            thread::sleep(POLL_INTERVAL);
+            if process.exit_status().is_some() {
+                self.record_unexpected_end(&process);
+                process = self.restart(&process, &mut ended_logs)?;
+                is_known_ready = false;
                 continue;
             }
-            if !is_ready && self.answers_ready() {
-                is_ready = true;
-                self.note(Life::Ready);
-            }
-            let is_due = due.first().is_some_and(|signal| signal.at <= micros());
-            if !is_due {
-                continue;
+            if !is_known_ready && is_ready(self.listen, READY_TIMEOUT) {
+                is_known_ready = true;
+                self.record_event(ProcessEventKind::Ready);
             }
-            let signal = due.remove(0);
-            if signal.kind == TroubleKind::Replace {
-                daemon = self.replace(daemon, &mut logs)?;
+            let is_due = |signal: &DueSignal| signal.at <= monotonic_micros();
+            let Some(signal) = due.pop_front_if_due(is_due) else {
                 continue;
-            }
-            if self.send(&signal.kind, &mut daemon)? {
-                daemon = self.start_again(&daemon, &mut logs)?;
-                is_ready = false;
+            };
+            if signal.kind == PlannedFaultKind::Replace {
+                process = self.replace(process, &mut ended_logs)?;
+            } else if self.inject(signal.kind, &mut process)? == AfterSignal::Ended {
+                process = self.restart(&process, &mut ended_logs)?;
+                is_known_ready = false;
             }
         }
-        self.look_at_resources(&daemon);
-        self.terminate(&mut daemon)?;
-        logs.push_str(&daemon.log());
-        self.look_at_logs(&logs);
+        self.check_resources(&process);
+        self.terminate(&mut process)?;
+        ended_logs.push_str(&process.log());
+        self.check_logs(&ended_logs);
         Ok(())
     }
 
-    fn due_signals(&self) -> Vec<DueSignal> {
-        let mine = self.schedule.plan().troubles.iter().filter(|trouble| {
-            let is_signal = matches!(
-                trouble.kind,
-                TroubleKind::Terminate
-                    | TroubleKind::Kill
-                    | TroubleKind::Replace
-                    | TroubleKind::HoldUp
-                    | TroubleKind::Reload
-            );
-            is_signal && trouble.target % self.processes == self.process
-        });
-        mine.map(|trouble| DueSignal {
-            at: self.schedule.span(trouble).0,
-            kind: trouble.kind,
-        })
-        .collect()
+    fn due_signals(&self) -> DueSignals {
+        let signals = self
+            .planned_faults()
+            .filter(|fault| fault.kind.is_process_fault())
+            .map(|fault| DueSignal {
+                at: self.schedule.interval(fault).from,
+                kind: fault.kind,
+            });
+        DueSignals(signals.collect())
     }
 
-    /// Sends a signal; returns whether the process has ended by it.
-    fn send(&self, kind: &TroubleKind, daemon: &mut Daemon) -> Result<bool, RigFault> {
+    /// Sends the signals of a fault.
+    fn inject(
+        &self,
+        kind: PlannedFaultKind,
+        process: &mut Process,
+    ) -> Result<AfterSignal, HarnessError> {
         match kind {
-            TroubleKind::Terminate => {
-                self.terminate(daemon)?;
-                Ok(true)
+            PlannedFaultKind::Terminate => {
+                self.terminate(process)?;
+                Ok(AfterSignal::Ended)
             }
-            TroubleKind::Kill => {
-                self.note(Life::Killed);
-                daemon.kill()?;
-                Ok(true)
+            PlannedFaultKind::Kill => {
+                self.record_event(ProcessEventKind::Killed);
+                process.kill()?;
+                Ok(AfterSignal::Ended)
             }
-            TroubleKind::HoldUp => {
-                self.note(Life::HeldUp);
-                daemon.signal("STOP");
-                thread::sleep(HOLD_UP);
-                daemon.signal("CONT");
-                Ok(false)
+            PlannedFaultKind::Suspend => {
+                self.record_event(ProcessEventKind::Suspended);
+                process.signal(Signal::STOP);
+                thread::sleep(SUSPENSION);
+                process.signal(Signal::CONT);
+                Ok(AfterSignal::Running)
             }
             _ => {
-                daemon.signal("HUP");
-                Ok(false)
+                process.signal(Signal::HUP);
+                Ok(AfterSignal::Running)
             }
         }
     }
 
-    /// Starts a process beside the running one, and tells that to end once the new one listens. Whatever crosses it, all
-    /// rules hold for both together.
-    fn replace(&self, mut old: Daemon, logs: &mut String) -> Result<Daemon, RigFault> {
-        let mut new = self.start_beside()?;
-        let give_up_at = micros() + REPLACED_WITHIN;
-        while !new.log().contains(LISTENING) {
-            thread::sleep(POLL);
-            if new.has_ended().is_some() || micros() >= give_up_at {
+    /// Starts a process beside the running one, and terminates that once the new one listens. Whatever happens meanwhile,
+    /// all rules hold for both together.
+    fn replace(&self, mut old: Process, logs: &mut String) -> Result<Process, HarnessError> {
+        let mut new = self.start_unrecorded()?;
+        let deadline = monotonic_micros() + REPLACE_LIMIT;
+        while !new.log().contains(LISTENING_MARKER) {
+            thread::sleep(POLL_INTERVAL);
+            if new.exit_status().is_some() || monotonic_micros() >= deadline {
                 // It never served anybody; the old one goes on.
-                self.note_unexpected_end(&new);
-                self.note(Life::Started);
+                self.record_unexpected_end(&new);
+                self.record_event(ProcessEventKind::Started);
                 logs.push_str(&new.log());
                 new.kill()?;
                 return Ok(old);
             }
         }
-        old.signal("TERM");
-        let kill_at = micros() + KILL_AFTER;
-        while old.has_ended().is_none() {
-            if micros() >= kill_at {
-                self.note(Life::Killed);
+        old.signal(Signal::TERM);
+        let kill_at = monotonic_micros() + SHUTDOWN_LIMIT;
+        while old.exit_status().is_none() {
+            if monotonic_micros() >= kill_at {
+                self.record_event(ProcessEventKind::Killed);
                 old.kill()?;
-                self.note(Life::Started);
-                self.note(Life::Ready);
+                self.record_event(ProcessEventKind::Started);
+                self.record_event(ProcessEventKind::Ready);
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         logs.push_str(&old.log());
         Ok(new)
     }
 
-    /// Tells the process to end, and kills it if it has not by its time.
-    fn terminate(&self, daemon: &mut Daemon) -> Result<(), RigFault> {
-        self.note(Life::Terminated);
-        daemon.signal("TERM");
-        let kill_at = micros() + KILL_AFTER;
+    /// Sends SIGTERM, and SIGKILL if the process has not ended in time.
+    fn terminate(&self, process: &mut Process) -> Result<(), HarnessError> {
+        self.record_event(ProcessEventKind::Terminated);
+        process.signal(Signal::TERM);
+        let kill_at = monotonic_micros() + SHUTDOWN_LIMIT;
         loop {
-            match daemon.has_ended() {
-                Some(true) => {
-                    self.note(Life::Ended);
+            match process.exit_status() {
+                Some(status) if status.success() => {
+                    self.record_event(ProcessEventKind::Ended);
                     return Ok(());
                 }
-                Some(false) => {
-                    self.note_unexpected_end(daemon);
+                Some(_) => {
+                    self.record_unexpected_end(process);
                     return Ok(());
                 }
-                None if micros() >= kill_at => {
-                    self.note(Life::Killed);
-                    return daemon.kill();
+                None if monotonic_micros() >= kill_at => {
+                    self.record_event(ProcessEventKind::Killed);
+                    return process.kill();
                 }
-                None => thread::sleep(POLL),
+                None => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    /// The shim kills a process in the middle of a write; any other end is a crash.
-    fn note_unexpected_end(&self, daemon: &Daemon) {
-        let is_torn = self.struck(FaultKind::TornWriteAndKill) > 0;
-        let log = daemon.log();
+    /// Records an end without a signal. The shim may have killed the process in the middle of a write; any other end is a
+    /// crash.
+    fn record_unexpected_end(&self, process: &Process) {
+        let is_torn = self.shim.injected(FaultKind::TornWriteAndKill) > 0;
+        let log = process.log();
         if is_torn && !log.contains("panicked") {
-            return self.note(Life::Killed);
+            return self.record_event(ProcessEventKind::Killed);
         }
-        self.note(Life::Crashed);
-        let tail: Vec<&str> = log.lines().rev().take(5).collect();
-        self.complain(&format!("crashed: {tail:?}"));
+        self.record_event(ProcessEventKind::Crashed);
+        let last_lines: Vec<&str> = log.lines().rev().take(CRASH_LOG_LINES).collect();
+        self.report_problem(&format!("crashed: {last_lines:?}"));
     }
 
-    fn start_again(&self, ended: &Daemon, logs: &mut String) -> Result<Daemon, RigFault> {
+    fn restart(&self, ended: &Process, logs: &mut String) -> Result<Process, HarnessError> {
         logs.push_str(&ended.log());
-        thread::sleep(RESTART_AFTER);
+        thread::sleep(RESTART_DELAY);
         self.start()
     }
 
-    fn answers_ready(&self) -> bool {
-        let Ok(mut stream) = TcpStream::connect_timeout(&self.listen, POLL) else {
-            return false;
+    fn check_resources(&self, process: &Process) {
+        // A process that has ended meanwhile uses none.
+        let Some(usage) = process.resource_usage() else {
+            return;
         };
-        let patience = Duration::from_millis(200);
-        let mut answer = [0; 64];
-        let asked = stream
-            .set_read_timeout(Some(patience))
-            .and_then(|()| stream.write_all(b"GET /ready HTTP/1.1\r\n\r\n"))
-            .and_then(|()| stream.read(&mut answer));
-        asked.is_ok_and(|len| answer[..len].starts_with(b"HTTP/1.1 200"))
-    }
-
-    fn look_at_resources(&self, daemon: &Daemon) {
-        let process = PathBuf::from(format!("/proc/{}", daemon.pid()));
-        let files = fs::read_dir(process.join("fd")).map_or(0, Iterator::count);
-        let status = fs::read_to_string(process.join("status")).unwrap_or_default();
-        let memory_kb = status
-            .lines()
-            .find_map(|line| line.strip_prefix("VmRSS:"))
-            .and_then(|rest| rest.split_whitespace().next()?.parse().ok())
-            .unwrap_or(0);
-        if files > MAX_SOCKETS {
-            self.complain(&format!("holds {files} descriptors"));
+        if usage.open_files > MAX_SOCKETS {
+            self.report_problem(&format!("holds {} descriptors", usage.open_files));
         }
-        if memory_kb > MAX_MEMORY_KB {
-            self.complain(&format!("takes {memory_kb} KB"));
+        if usage.resident_kb > MAX_MEMORY_KB {
+            self.report_problem(&format!("takes {} KB", usage.resident_kb));
         }
     }
 
-    fn look_at_logs(&self, logs: &str) {
+    fn check_logs(&self, logs: &str) {
+        // The log is kept for readers; the run does not depend on it.
         let _ = fs::write(self.folder.join("log"), logs);
         for line in logs.lines() {
             if line.contains("invariant-violated") || line.contains("panicked") {
-                self.complain(line);
+                self.report_problem(line);
             }
         }
     }
 
-    /// The counts of the process's shim, over all its lives.
-    pub fn counts(&self) -> Vec<(FaultKind, Count)> {
-        read_counts(&fs::read(self.folder.join("shim.counts")).unwrap_or_default())
+    /// The counts of the process's shim over all its incarnations.
+    pub fn shim_counts(&self) -> Vec<(FaultKind, Count)> {
+        self.shim.counts()
     }
+}
 
-    fn struck(&self, kind: FaultKind) -> u64 {
-        self.counts()[kind.index()].1.injected
-    }
+/// The seed of the draws of a process's shim.
+pub fn shim_seed(seed: u64, process: usize) -> u64 {
+    seed * 1000 + process as u64
 }
 
-fn settings(process: usize, processes: usize) -> String {
-    let class = |name: &str, effect: &str, importance: f64| {
-        format!(
-            r#"{{"dedup_scope":"all","effect":"{effect}","give_up_ms":3000.0,"importance":{importance},"late_value":0.2,
-            "name":"{name}","promise_ms":1000.0,"window_ms":{WINDOW_MS}.0}}"#
-        )
-    };
-    format!(
-        r#"{{"caps":{{"conn_idle_ms":5000.0,"dial_timeout_ms":800.0,"max_attempts":8,"max_open":40,
-        "max_retry_after_ms":3000.0,"may_cancel":true,"retry_after":true,"streams_per_conn":1}},
-        "classes":[{},{},{}],
-        "domain":{{"kind_apart":[false],"late":"line","per_call":[1],"toll":[0.0],"workers":9}},
-        "host_types":["clinic"],"my_number":{process},"peers_total":{processes},
-        "rules":{{"answer_slack_ms":20.0,"cold_from":0.27,"cold_ms":10000.0,"fall_multiple":1.5,
-        "stop_sending_within_ms":250.0,"tip_after_ms":2000.0}},
-        "tick_ms":5.0,"weights":"nominal","zones":["a"],"rate":{RATE}}}"#,
-        class("status", "pure", 1.0),
-        class("order", "token", 2.0),
-        class("payment", "side_effect", 4.0),
-    )
+/// Whether a process has ended by a signal.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AfterSignal {
+    Ended,
+    Running,
+}
+
+/// A signal of the plan.
+struct DueSignal {
+    at: Micros,
+    kind: PlannedFaultKind,
+}
+
+/// The signals of the plan that were not sent, in the order of their times.
+struct DueSignals(VecDeque<DueSignal>);
+
+impl DueSignals {
+    fn pop_front_if_due(&mut self, is_due: impl Fn(&DueSignal) -> bool) -> Option<DueSignal> {
+        if self.0.front().is_some_and(is_due) {
+            self.0.pop_front()
+        } else {
+            None
+        }
+    }
 }
--- a/crates/fault-soak/src/proxy.rs
+++ b/crates/fault-soak/src/proxy.rs
@@ -1,151 +1,148 @@
-//! The fault proxy: it stands before each endpoint at the address that the list names, and disturbs what passes.
+//! The fault proxy in front of each endpoint, at the address in the endpoint list: it disturbs what passes.
 
-use crate::plan::{ProxyTrouble, TroubleKind};
+use crate::endpoint::ENDPOINTS;
+use crate::plan::{PlannedFaultKind, ProxyFault};
 use crate::schedule::Schedule;
+use marblefall_process_harness::http::is_timeout;
+use marblefall_process_harness::{serve_connections, HarnessError};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{self, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// How long a read waits before the proxy looks at the plan again.
-const PATIENCE: Duration = Duration::from_millis(5);
-/// How long a delayed piece waits.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a piece is delayed.
 const DELAY: Duration = Duration::from_millis(100);
 /// How long a connection may be idle at a proxy that closes idle ones.
-const IDLE: Duration = Duration::from_millis(60);
-/// How long a byte takes that trickles.
-const TRICKLE: Duration = Duration::from_millis(1);
-const BUFFER: usize = 16 * 1024;
+const IDLE_TIMEOUT: Duration = Duration::from_millis(60);
+/// How long each byte is delayed that is forwarded by itself.
+const BYTE_DELAY: Duration = Duration::from_millis(1);
+/// Pause between a request and the reset that follows it.
+const RESET_DELAY: Duration = Duration::from_millis(5);
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The proxy before one endpoint.
+/// The proxy in front of one endpoint.
 #[derive(Clone)]
 struct Proxy {
     endpoint: usize,
-    endpoints: usize,
     target: SocketAddr,
     schedule: Schedule,
 }
 
-/// Starts a proxy before an endpoint; returns where it listens.
+/// Starts the proxy in front of an endpoint that listens at `target`. Returns where the proxy listens.
 ///
 /// # Errors
 /// No port is free.
 pub fn start(
     endpoint: usize,
-    endpoints: usize,
     target: SocketAddr,
     schedule: Schedule,
-) -> io::Result<SocketAddr> {
-    let listener = TcpListener::bind("127.0.0.1:0")?;
-    let address = listener.local_addr()?;
+) -> Result<SocketAddr, HarnessError> {
     let proxy = Proxy {
         endpoint,
-        endpoints,
         target,
         schedule,
     };
-    thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
-            let proxy = proxy.clone();
-            thread::spawn(move || drop(proxy.pass(stream)));
-        }
-    });
-    Ok(address)
+    serve_connections("a proxy's port", move |stream| {
+        // A broken connection is what the proxy is for.
+        let _ = proxy.forward(stream);
+    })
 }
 
-/// Which way bytes go.
+/// The direction of a copy.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToEndpoint,
     ToCaller,
 }
 
 impl Proxy {
-    fn trouble(&self) -> Option<ProxyTrouble> {
-        self.schedule.in_force(|trouble| match trouble.kind {
-            TroubleKind::Proxy(kind) if trouble.target % self.endpoints == self.endpoint => {
-                Some(kind)
-            }
+    fn active_fault(&self) -> Option<ProxyFault> {
+        self.schedule.active(|fault| match fault.kind {
+            PlannedFaultKind::Proxy(kind) if fault.is_for(self.endpoint, ENDPOINTS) => Some(kind),
             _ => None,
         })
     }
 
-    fn pass(&self, near: TcpStream) -> io::Result<()> {
-        if self.trouble() == Some(ProxyTrouble::Refuses) {
-            return reset(&near);
+    fn forward(&self, caller: TcpStream) -> io::Result<()> {
+        if self.active_fault() == Some(ProxyFault::Refuse) {
+            return reset(&caller);
         }
-        let far = TcpStream::connect(self.target)?;
-        near.set_nodelay(true)?;
-        far.set_nodelay(true)?;
-        let (near_again, far_again) = (near.try_clone()?, far.try_clone()?);
-        let back = self.clone();
-        thread::spawn(move || back.carry(far_again, near_again, Way::ToCaller));
-        self.carry(near, far, Way::ToEndpoint);
+        let endpoint = TcpStream::connect(self.target)?;
+        caller.set_nodelay(true)?;
+        endpoint.set_nodelay(true)?;
+        let (endpoint_reader, caller_writer) = (endpoint.try_clone()?, caller.try_clone()?);
+        let proxy = self.clone();
+        thread::spawn(move || proxy.copy(endpoint_reader, caller_writer, Direction::ToCaller));
+        self.copy(caller, endpoint, Direction::ToEndpoint);
         Ok(())
     }
 
-    fn carry(&self, mut from: TcpStream, mut to: TcpStream, way: Way) {
-        let _ = self.carry_on(&mut from, &mut to, way);
+    fn copy(&self, mut from: TcpStream, mut to: TcpStream, direction: Direction) {
+        // Either end may be gone already: then there is nothing left to copy or to close.
+        let _ = self.copy_until_closed(&mut from, &mut to, direction);
         let _ = from.shutdown(Shutdown::Both);
         let _ = to.shutdown(Shutdown::Both);
     }
 
-    fn carry_on(&self, from: &mut TcpStream, to: &mut TcpStream, way: Way) -> io::Result<()> {
-        from.set_read_timeout(Some(PATIENCE))?;
-        let mut buffer = [0; BUFFER];
+    fn copy_until_closed(
+        &self,
+        from: &mut TcpStream,
+        to: &mut TcpStream,
+        direction: Direction,
+    ) -> io::Result<()> {
+        from.set_read_timeout(Some(POLL_INTERVAL))?;
+        let mut buffer = [0; BUFFER_BYTES];
         let mut idle_since = Instant::now();
         loop {
-            let trouble = self.trouble();
-            if trouble == Some(ProxyTrouble::Refuses) {
-                return reset(if way == Way::ToEndpoint { from } else { to });
+            let fault = self.active_fault();
+            if fault == Some(ProxyFault::Refuse) {
+                return reset(match direction {
+                    Direction::ToEndpoint => from,
+                    Direction::ToCaller => to,
+                });
             }
-            let is_idle = way == Way::ToEndpoint && idle_since.elapsed() > IDLE;
-            if trouble == Some(ProxyTrouble::ClosesIdle) && is_idle {
+            let is_idle = direction == Direction::ToEndpoint && idle_since.elapsed() > IDLE_TIMEOUT;
+            if fault == Some(ProxyFault::CloseIdle) && is_idle {
                 return Ok(());
             }
             let len = match from.read(&mut buffer) {
                 Ok(0) => return Ok(()),
                 Ok(len) => len,
-                Err(error)
-                    if matches!(
-                        error.kind(),
-                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
-                    ) =>
-                {
-                    continue
-                }
+                Err(error) if is_timeout(&error) => continue,
                 Err(error) => return Err(error),
             };
             idle_since = Instant::now();
-            self.pass_on(&buffer[..len], from, to, way)?;
+            self.forward_piece(&buffer[..len], from, to, direction)?;
         }
     }
 
-    fn pass_on(
+    fn forward_piece(
         &self,
         bytes: &[u8],
         from: &mut TcpStream,
         to: &mut TcpStream,
-        way: Way,
+        direction: Direction,
     ) -> io::Result<()> {
-        match (self.trouble(), way) {
-            (Some(ProxyTrouble::Swallows), _) => Ok(()),
-            (Some(ProxyTrouble::Delays), _) => {
+        match (self.active_fault(), direction) {
+            (Some(ProxyFault::Blackhole), _) => Ok(()),
+            (Some(ProxyFault::Delay), _) => {
                 thread::sleep(DELAY);
                 to.write_all(bytes)
             }
-            (Some(ProxyTrouble::Trickles), _) => bytes.iter().try_for_each(|byte| {
-                thread::sleep(TRICKLE);
+            (Some(ProxyFault::ByteByByte), _) => bytes.iter().try_for_each(|byte| {
+                thread::sleep(BYTE_DELAY);
                 to.write_all(&[*byte])
             }),
-            (Some(ProxyTrouble::CutsAnswers), Way::ToCaller) => {
+            (Some(ProxyFault::CutResponses), Direction::ToCaller) => {
                 to.write_all(&bytes[..bytes.len() / 2])?;
                 Err(io::ErrorKind::ConnectionAborted.into())
             }
-            (Some(ProxyTrouble::ResetsUnderRequests), Way::ToEndpoint) => {
+            (Some(ProxyFault::ResetAfterRequest), Direction::ToEndpoint) => {
                 to.write_all(bytes)?;
-                thread::sleep(PATIENCE);
+                thread::sleep(RESET_DELAY);
                 reset(from)?;
                 Err(io::ErrorKind::ConnectionReset.into())
             }
--- a/crates/fault-soak/src/record.rs
+++ b/crates/fault-soak/src/record.rs
@@ -1,26 +1,22 @@
-//! What clients, endpoints, discovery and the processes' keeper saw, on the machine's monotonic clock.
+//! What clients, endpoints, discovery and the owner of the processes recorded, on the machine's monotonic clock.
 
+use crate::schedule::Interval;
+use marblefall_process_harness::Micros;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Microseconds of the machine's monotonic clock.
-pub type Micros = i64;
-
-/// One millisecond.
-pub const MS: Micros = 1000;
-
 /// A class of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// May be executed any number of times.
     Idempotent,
-    /// Dropped by its key when it is executed again within [`WINDOW_MS`].
+    /// A repeat within [`DEDUPLICATION_WINDOW_MS`] is dropped by its key.
     Keyed,
     /// Must not be executed twice.
     NonIdempotent,
 }
 
-/// How long endpoints know a key again.
-pub const WINDOW_MS: Micros = 4000;
+/// How long endpoints recognise a key, in milliseconds.
+pub const DEDUPLICATION_WINDOW_MS: i64 = 4000;
 
 impl Class {
     /// All classes.
@@ -36,31 +32,17 @@
     }
 }
 
-/// How a client's request ended for the client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// An answer came.
-    Answer {
-        /// Its status.
-        status: u16,
-        /// When.
-        at: Micros,
-    },
-    /// The connection was closed before any answer, in order: all that was sent had been read.
-    Closed {
-        /// When.
-        at: Micros,
-    },
-    /// The connection was reset before any answer.
-    Reset {
-        /// When.
-        at: Micros,
-    },
-    /// Nothing came for as long as the client waited.
-    Silence {
-        /// When it stopped to wait.
-        at: Micros,
-    },
+pub enum ClientResult {
+    /// A response with this status.
+    Response(u16),
+    /// The connection was closed in order before any response: the whole request had been read.
+    Closed,
+    /// The connection was reset before any response.
+    Reset,
+    /// Nothing was received until the client gave up.
+    TimedOut,
 }
 
 /// A request whose last byte was sent.
@@ -76,23 +58,32 @@
     pub destination: usize,
     /// When its last byte was sent.
     pub sent_at: Micros,
-    /// Until when it may be delivered.
+    /// When the message expires.
     pub expires_at: Micros,
     /// How it ended.
-    pub heard: Heard,
+    pub result: ClientResult,
+    /// When it ended.
+    pub ended_at: Micros,
+}
+
+impl Request {
+    /// Whether the message was accepted.
+    pub fn is_accepted(&self) -> bool {
+        matches!(self.result, ClientResult::Response(200 | 202))
+    }
 }
 
 /// How a call ended at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
-    /// It was answered.
-    Answered {
+pub enum CallResult {
+    /// The endpoint responded.
+    Response {
         /// The status.
         status: u16,
-        /// The wait that the answer asks for.
+        /// The response's Retry-After in milliseconds.
         retry_after_ms: Option<i64>,
     },
-    /// The connection ended first.
+    /// The connection ended before a response.
     Broken,
 }
 
@@ -103,14 +94,32 @@
     pub id: String,
     /// The endpoint.
     pub endpoint: usize,
-    /// When its first byte was there.
+    /// When its first byte was read.
     pub first_byte_at: Micros,
     /// When its last byte was read.
     pub last_byte_at: Micros,
     /// When it ended.
     pub ended_at: Micros,
-    /// How.
-    pub end: CallEnd,
+    /// How it ended.
+    pub result: CallResult,
+}
+
+impl Call {
+    /// Whether the message was delivered.
+    pub fn is_delivered(&self) -> bool {
+        matches!(self.result, CallResult::Response { status: 200, .. })
+    }
+
+    /// Whether the message may have been executed: always, unless the call was rejected.
+    pub fn is_possibly_executed(&self) -> bool {
+        !matches!(
+            self.result,
+            CallResult::Response {
+                status: 429 | 503,
+                ..
+            }
+        )
+    }
 }
 
 /// A notice of a final outcome.
@@ -118,96 +127,83 @@
 pub struct Notice {
     /// The message's id.
     pub id: String,
-    /// When it came.
-    pub at: Micros,
+    /// When it was received.
+    pub received_at: Micros,
 }
 
-/// A change of the list that says that an endpoint takes nothing new, or does again.
+/// A change of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// The endpoint.
+    /// The endpoint that changed.
     pub endpoint: usize,
-    /// Whether it takes new calls.
+    /// Whether it takes new calls since.
     pub is_active: bool,
-    /// When it was changed.
+    /// When it changed.
     pub at: Micros,
 }
 
-/// A time in which the agent of a process was down or its watches were silent.
-#[derive(Clone, Copy, Debug)]
-pub struct DiscoveryGap {
-    /// The process.
-    pub process: usize,
-    /// From when ...
-    pub from: Micros,
-    /// ... until when what changed is not told.
-    pub until: Micros,
-}
-
 /// What happened to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessEventKind {
     /// It was started.
     Started,
-    /// It answered that it is ready.
+    /// It reported that it is ready.
     Ready,
-    /// It was told to end.
+    /// It got SIGTERM.
     Terminated,
-    /// It was killed, by this program or by its own shim.
+    /// It was killed, by this program or by its shim.
     Killed,
-    /// It ended by itself after it was told to.
+    /// It ended by itself after SIGTERM.
     Ended,
-    /// It ended though nobody told it to.
+    /// It ended without a signal.
     Crashed,
-    /// It was stopped for a moment.
-    HeldUp,
+    /// It was suspended for a moment.
+    Suspended,
 }
 
-/// What happened to one process, and when.
+/// An event of a process.
 #[derive(Clone, Copy, Debug)]
-pub struct LifeEvent {
+pub struct ProcessEvent {
     /// The process.
     pub process: usize,
-    /// When.
+    /// When it happened.
     pub at: Micros,
-    /// What.
-    pub what: Life,
+    /// What happened.
+    pub kind: ProcessEventKind,
 }
 
-/// An outage of all endpoints of a destination.
+/// A time in which something held for a process, an endpoint or a destination.
 #[derive(Clone, Copy, Debug)]
-pub struct Outage {
-    /// The destination.
-    pub destination: usize,
-    /// When it began.
-    pub from: Micros,
-    /// When it ended.
-    pub until: Micros,
+pub struct Period {
+    /// The number of the process, endpoint or destination.
+    pub subject: usize,
+    /// When it held.
+    pub interval: Interval,
 }
 
-/// All that was seen.
+/// All that was recorded.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Requests.
+    /// Requests of clients.
     pub requests: Vec<Request>,
-    /// Calls.
+    /// Calls at endpoints.
     pub calls: Vec<Call>,
-    /// Notices.
+    /// Notices at discovery.
     pub notices: Vec<Notice>,
-    /// Changes of the list.
+    /// Changes of the endpoint list.
     pub list_changes: Vec<ListChange>,
-    /// Gaps of discovery.
-    pub gaps: Vec<DiscoveryGap>,
-    /// Lives of processes.
-    pub lives: Vec<LifeEvent>,
-    /// Outages.
-    pub outages: Vec<Outage>,
-    /// Times in which a proxy before an endpoint disturbed what passed.
-    pub disturbed: Vec<(usize, Micros, Micros)>,
+    /// Times in which discovery of a process was down or its watch was silent.
+    pub discovery_gaps: Vec<Period>,
+    /// Events of processes.
+    pub process_events: Vec<ProcessEvent>,
+    /// Outages of destinations.
+    pub outages: Vec<Period>,
+    /// Times in which a proxy disturbed connections to an endpoint.
+    pub disturbed_endpoints: Vec<Period>,
     /// Times in which the system broke connections of a process.
-    pub broken: Vec<(usize, Micros, Micros)>,
-    /// What was found in a process itself: violations that it counted, panics, resources.
-    pub complaints: Vec<String>,
+    pub broken_processes: Vec<Period>,
+    /// What was found in a process itself: violations that it counted, panics, use of resources.
+    pub process_problems: Vec<String>,
 }
 
 /// A record that many threads write to.
@@ -215,7 +211,7 @@
 pub struct SharedRecord(Arc<Mutex<Record>>);
 
 impl SharedRecord {
-    /// The record, for a moment.
+    /// Locks the record.
     pub fn lock(&self) -> MutexGuard<'_, Record> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -1,17 +1,19 @@
-//! One run: stand-ins, proxies, processes and clients, put together, played and judged.
+//! One run: endpoints, proxies, discoveries, processes and clients are put together, played and judged.
 
 use crate::client::Clients;
-use crate::discovery::{phase_of, Agent, Phase};
-use crate::endpoint::{self, World, DESTINATIONS, ENDPOINTS_EACH};
+use crate::discovery::{current_phase, ProcessDiscovery};
+use crate::endpoint::{Destinations, DESTINATIONS, ENDPOINTS};
 use crate::oracle::{Oracle, Violation};
-use crate::plan::{DiscoveryTrouble, Plan, SystemFault, TroubleKind};
-use crate::process::Keeper;
+use crate::plan::{DiscoveryFault, Plan, PlannedFault, PlannedFaultKind, SystemFault};
+use crate::process::{shim_seed, ProcessOwner};
 use crate::proxy;
-use crate::record::{DiscoveryGap, ListChange, Micros, Outage, Record, SharedRecord, MS};
-use crate::schedule::Schedule;
+use crate::record::{ListChange, Period, Record, SharedRecord};
+use crate::schedule::{Interval, Schedule};
 use marblefall_fault_plan::{Count, FaultKind};
-use marblefall_simulation::rig::daemons::ports;
-use marblefall_simulation::rig::{micros, Fault as RigFault};
+use marblefall_process_harness::discovery::{Discovery, EndpointPhase};
+use marblefall_process_harness::fault_shim::FaultShim;
+use marblefall_process_harness::network::reserve_addresses;
+use marblefall_process_harness::{monotonic_micros, HarnessError, Micros, MILLISECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,241 +22,243 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How long the processes have before the plan begins.
-const WARM_UP: Micros = 500 * MS;
-/// What is held after the last request has its outcome by then.
-const SETTLE: Duration = Duration::from_millis(6500);
-/// Patient clients of each process.
-const CLIENTS_EACH: u64 = 2;
-const POLL: Duration = Duration::from_millis(5);
+/// Time that the processes have before the plan starts.
+const WARM_UP: Micros = 500 * MILLISECOND;
+/// Time after the last request in which every message that is still pending gets its outcome.
+const SETTLING_TIME: Duration = Duration::from_millis(6500);
+/// Correct clients of each process.
+const CLIENTS_PER_PROCESS: u64 = 2;
+/// How often the endpoint list is compared with the one before.
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long after its fault a silent watch may still leave a process without a change.
+const SILENT_WATCH_GAP: Micros = 6000 * MILLISECOND;
 
-/// Where the programs and folders of a run are.
+/// The files of a run.
 #[derive(Clone, Debug)]
-pub struct Setting {
+pub struct RunFiles {
     /// The program under test.
     pub program: PathBuf,
     /// The shim.
     pub shim: PathBuf,
-    /// A folder of the run's own.
+    /// The folder of the run.
     pub folder: PathBuf,
 }
 
 /// What came of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Rules that were broken.
+    /// The rules that were broken.
     pub violations: Vec<Violation>,
-    /// Requests, calls and notices.
+    /// Requests of correct clients.
     pub requests: usize,
     /// Requests that were accepted.
     pub accepted: usize,
     /// Calls that endpoints read.
     pub calls: usize,
-    /// Notices.
+    /// Notices that discovery received.
     pub notices: usize,
-    /// How often each fault of the shim came and struck.
+    /// How often each fault of the shim could be injected, and was.
     pub counts: BTreeMap<FaultKind, Count>,
-    /// Faults that the plan had and that came to no call: they prove nothing.
+    /// Planned faults that were never injected: the run is inconclusive about them.
     pub idle_faults: Vec<&'static str>,
 }
 
-/// Plays a plan and judges it.
+/// Plays a plan, and judges what was recorded.
 ///
 /// # Errors
-/// The machine refuses a port, a folder or a process.
-pub fn play(plan: Plan, setting: &Setting) -> Result<Report, RigFault> {
-    let began_at = micros() + WARM_UP;
-    let schedule = Schedule::new(plan, began_at);
+/// A port, a folder or a process cannot be had.
+pub fn play(plan: Plan, files: &RunFiles) -> Result<Report, HarnessError> {
+    let schedule = Schedule::new(plan, monotonic_micros() + WARM_UP);
     let record = SharedRecord::default();
-    note_plan(&schedule, &record);
+    record_planned_periods(&schedule, &record);
     let endpoints = start_endpoints(&schedule, &record)?;
     let stop_clients = Arc::new(AtomicBool::new(false));
     let stop_processes = Arc::new(AtomicBool::new(false));
-    let keepers = keepers(setting, &schedule, &record, &endpoints, &stop_processes)?;
+    let owners = prepare_processes(files, &schedule, &record, &endpoints, &stop_processes)?;
     let mut clients = Vec::new();
-    let mut kept: Vec<JoinHandle<Result<(), RigFault>>> = Vec::new();
-    for keeper in &keepers {
-        let of_process = Clients {
-            process: keeper.process,
-            processes: keeper.processes,
-            address: keeper.listen,
-            schedule: schedule.clone(),
-            record: record.clone(),
-            stop: stop_clients.clone(),
-        };
-        clients.extend(start_clients(&of_process));
-        let keeper = keeper.clone();
-        kept.push(thread::spawn(move || keeper.run()));
+    let mut processes = Vec::new();
+    for owner in &owners {
+        clients.extend(start_clients(owner, &stop_clients));
+        let owner = owner.clone();
+        processes.push(thread::spawn(move || owner.run()));
     }
-    let lists = watch_list(&schedule, &record, endpoints.len(), &stop_clients);
+    let list_recorder = record_list_changes(&schedule, &record, &stop_clients);
     thread::sleep(Duration::from_secs(schedule.plan().seconds));
     stop_clients.store(true, Ordering::SeqCst);
     for client in clients {
-        let _ = client.join();
+        join(client);
     }
-    let _ = lists.join();
-    thread::sleep(SETTLE);
+    join(list_recorder);
+    thread::sleep(SETTLING_TIME);
     stop_processes.store(true, Ordering::SeqCst);
-    for keeper in kept {
-        if let Ok(ended) = keeper.join() {
-            ended?;
-        }
+    for process in processes {
+        join(process)?;
     }
-    let report = report(&schedule, &record.lock(), &keepers, began_at);
+    let report = report(&schedule, &record.lock(), &owners);
     Ok(report)
 }
 
+/// Waits for a thread. Its panic is a fault of this program and ends it.
+fn join<T>(thread: JoinHandle<T>) -> T {
+    thread
+        .join()
+        .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
+}
+
+/// Starts all endpoints. Returns the addresses of the proxies in front of them.
 fn start_endpoints(
     schedule: &Schedule,
     record: &SharedRecord,
-) -> Result<Vec<SocketAddr>, RigFault> {
-    let world = World::new(schedule.clone(), record.clone());
-    let count = DESTINATIONS * ENDPOINTS_EACH;
-    (0..count)
+) -> Result<Vec<SocketAddr>, HarnessError> {
+    let destinations = Destinations::new(schedule.clone(), record.clone());
+    (0..ENDPOINTS)
         .map(|endpoint| {
-            let target = endpoint::start(endpoint, &world)?;
-            proxy::start(endpoint, count, target, schedule.clone())
+            let target = destinations.start_endpoint(endpoint)?;
+            proxy::start(endpoint, target, schedule.clone())
         })
-        .collect::<Result<_, _>>()
-        .map_err(RigFault::at("an endpoint's port"))
+        .collect()
 }
 
-fn keepers(
-    setting: &Setting,
+fn prepare_processes(
+    files: &RunFiles,
     schedule: &Schedule,
     record: &SharedRecord,
     endpoints: &[SocketAddr],
     stop: &Arc<AtomicBool>,
-) -> Result<Vec<Keeper>, RigFault> {
-    let processes = schedule.plan().processes;
-    let listens = ports(processes)?;
-    let mut keepers = Vec::new();
-    for (process, listen) in listens.into_iter().enumerate() {
-        let agent = Agent {
+) -> Result<Vec<ProcessOwner>, HarnessError> {
+    let Plan {
+        seed, processes, ..
+    } = *schedule.plan();
+    let mut owners = Vec::new();
+    for (process, listen) in reserve_addresses(processes)?.into_iter().enumerate() {
+        let discovery = Discovery::start(Arc::new(ProcessDiscovery {
             process,
             processes,
             endpoints: endpoints.to_vec(),
             schedule: schedule.clone(),
             record: record.clone(),
-        };
-        let keeper = Keeper {
+        }))?;
+        let folder = ProcessOwner::folder_of(&files.folder, process);
+        let state = ProcessOwner::state_folder(&folder);
+        let owner = ProcessOwner {
             process,
             processes,
-            program: setting.program.clone(),
-            shim: setting.shim.clone(),
-            folder: setting.folder.join(format!("n{process}")),
+            program: files.program.clone(),
+            shim: FaultShim::new(&files.shim, &folder, "shim", &state)
+                .with_seed(shim_seed(seed, process)),
+            folder,
             listen,
-            discovery: agent.start().map_err(RigFault::at("an agent's port"))?,
+            discovery: discovery.address(),
             endpoints: endpoints.to_vec(),
             schedule: schedule.clone(),
             record: record.clone(),
-            stop: stop.clone(),
+            stop: Arc::clone(stop),
         };
-        keeper.prepare()?;
-        keepers.push(keeper);
+        owner.prepare()?;
+        owners.push(owner);
     }
-    Ok(keepers)
+    Ok(owners)
 }
 
-fn start_clients(clients: &Clients) -> Vec<JoinHandle<()>> {
+fn start_clients(owner: &ProcessOwner, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
+    let clients = Clients {
+        process: owner.process,
+        processes: owner.processes,
+        address: owner.listen,
+        schedule: owner.schedule.clone(),
+        record: owner.record.clone(),
+        stop: Arc::clone(stop),
+    };
     let misbehaving = clients.clone();
-    let mut started = vec![thread::spawn(move || misbehaving.run_misbehaving())];
-    for number in 0..CLIENTS_EACH {
-        let patient = clients.clone();
-        started.push(thread::spawn(move || patient.run_patient(number)));
+    let mut threads = vec![thread::spawn(move || misbehaving.run_misbehaving())];
+    for number in 0..CLIENTS_PER_PROCESS {
+        let correct = clients.clone();
+        threads.push(thread::spawn(move || correct.run_correct(number)));
     }
-    started
+    threads
 }
 
-/// Writes down when the list changes.
-fn watch_list(
+/// Records when the endpoint list changes.
+fn record_list_changes(
     schedule: &Schedule,
     record: &SharedRecord,
-    endpoints: usize,
     stop: &Arc<AtomicBool>,
 ) -> JoinHandle<()> {
-    let (schedule, record, stop) = (schedule.clone(), record.clone(), stop.clone());
+    let (schedule, record, stop) = (schedule.clone(), record.clone(), Arc::clone(stop));
     thread::spawn(move || {
-        let mut known = vec![Phase::Serving; endpoints];
+        let mut known = [EndpointPhase::Serving; ENDPOINTS];
         while !stop.load(Ordering::SeqCst) {
             for (endpoint, known) in known.iter_mut().enumerate() {
-                let phase = phase_of(&schedule, endpoint, endpoints);
+                let phase = current_phase(&schedule, endpoint);
                 if std::mem::replace(known, phase) != phase {
                     record.lock().list_changes.push(ListChange {
                         endpoint,
-                        is_active: phase == Phase::Serving,
-                        at: micros(),
+                        is_active: phase == EndpointPhase::Serving,
+                        at: monotonic_micros(),
                     });
                 }
             }
-            thread::sleep(POLL);
+            thread::sleep(LIST_POLL_INTERVAL);
         }
     })
 }
 
-/// Writes down what the plan itself says of outages, gaps of discovery and disturbed connections.
-fn note_plan(schedule: &Schedule, record: &SharedRecord) {
+/// Records the periods that follow from the plan alone.
+fn record_planned_periods(schedule: &Schedule, record: &SharedRecord) {
     let mut record = record.lock();
     let processes = schedule.plan().processes;
-    for trouble in &schedule.plan().troubles {
-        let (from, until) = schedule.span(trouble);
-        match trouble.kind {
-            TroubleKind::Endpoint(kind) if kind.is_outage() => record.outages.push(Outage {
-                destination: trouble.target % DESTINATIONS,
-                from,
-                until,
-            }),
-            TroubleKind::Discovery(
-                kind @ (DiscoveryTrouble::Down | DiscoveryTrouble::SilentWatches),
-            ) => {
-                // A silent watch stays silent: what it misses is told by the next one.
-                let is_down = kind == DiscoveryTrouble::Down;
-                let more = if is_down { 0 } else { 6000 * MS };
-                record.gaps.push(DiscoveryGap {
-                    process: trouble.target % processes,
-                    from,
-                    until: until + more,
+    for fault in &schedule.plan().faults {
+        let interval = schedule.interval(fault);
+        let period = |count: usize| Period {
+            subject: fault.target % count,
+            interval,
+        };
+        match fault.kind {
+            PlannedFaultKind::Endpoint(kind) if kind.is_outage() => {
+                record.outages.push(period(DESTINATIONS));
+            }
+            PlannedFaultKind::Discovery(DiscoveryFault::Down) => {
+                record.discovery_gaps.push(period(processes));
+            }
+            // A watch stays silent: what it misses is sent by the next one.
+            PlannedFaultKind::Discovery(DiscoveryFault::SilentWatches) => {
+                record.discovery_gaps.push(Period {
+                    interval: Interval {
+                        until: interval.until + SILENT_WATCH_GAP,
+                        ..interval
+                    },
+                    ..period(processes)
                 });
             }
-            TroubleKind::System(SystemFault(
+            PlannedFaultKind::System(SystemFault(
                 FaultKind::AcceptAborted | FaultKind::ReceiveTimedOut | FaultKind::SendUnreachable,
-            )) => record
-                .broken
-                .push((trouble.target % processes, from, until)),
-            TroubleKind::Proxy(_) => record.disturbed.push((
-                trouble.target % (DESTINATIONS * ENDPOINTS_EACH),
-                from,
-                until,
-            )),
+            )) => record.broken_processes.push(period(processes)),
+            PlannedFaultKind::Proxy(_) => record.disturbed_endpoints.push(period(ENDPOINTS)),
             _ => {}
         }
     }
 }
 
-fn report(schedule: &Schedule, record: &Record, keepers: &[Keeper], began_at: Micros) -> Report {
+fn report(schedule: &Schedule, record: &Record, owners: &[ProcessOwner]) -> Report {
     let mut counts: BTreeMap<FaultKind, Count> = BTreeMap::new();
-    for (kind, count) in keepers.iter().flat_map(Keeper::counts) {
-        let all = counts.entry(kind).or_default();
-        all.seen += count.seen;
-        all.injected += count.injected;
+    for (kind, count) in owners.iter().flat_map(ProcessOwner::shim_counts) {
+        let total = counts.entry(kind).or_default();
+        total.seen += count.seen;
+        total.injected += count.injected;
     }
-    let planned = schedule.all(|kind| match kind {
-        TroubleKind::System(fault) => Some(fault.0),
-        _ => None,
-    });
+    let planned = schedule.plan().faults.iter();
+    let planned = planned.filter_map(|fault: &PlannedFault| fault.kind.system_fault());
     let mut idle_faults: Vec<&str> = planned
-        .filter(|(_, kind, _)| counts[kind].injected == 0)
-        .map(|(_, kind, _)| kind.name())
+        .filter(|kind| counts[kind].injected == 0)
+        .map(FaultKind::name)
         .collect();
     idle_faults.dedup();
-    let accepted = record.requests.iter().filter(|request| {
-        matches!(
-            request.heard,
-            crate::record::Heard::Answer { status: 202, .. }
-        )
-    });
+    let accepted = record
+        .requests
+        .iter()
+        .filter(|request| request.result == crate::record::ClientResult::Response(202));
     Report {
-        violations: Oracle::judge(record, began_at),
+        violations: Oracle::judge(record, schedule.started_at()),
         requests: record.requests.len(),
         accepted: accepted.count(),
         calls: record.calls.len(),
--- a/crates/fault-soak/src/schedule.rs
+++ b/crates/fault-soak/src/schedule.rs
@@ -1,23 +1,43 @@
-//! Which trouble is in force at a moment, for whoever asks in the middle of a run.
+//! Which faults are active at a moment.
 
-use crate::plan::{Plan, Trouble, TroubleKind};
-use crate::record::{Micros, MS};
-use marblefall_simulation::rig::micros;
+use crate::plan::{Plan, PlannedFault, PlannedFaultKind};
+use marblefall_process_harness::{monotonic_micros, Micros, MILLISECOND};
 use std::sync::Arc;
 
-/// A plan with the moment at which it began.
+/// A plan with the time at which it starts.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     plan: Arc<Plan>,
-    began_at: Micros,
+    started_at: Micros,
+}
+
+/// A span of time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Interval {
+    /// Its start.
+    pub from: Micros,
+    /// Its end, which is not part of it.
+    pub until: Micros,
+}
+
+impl Interval {
+    /// Whether it contains a time.
+    pub fn contains(&self, at: Micros) -> bool {
+        (self.from..self.until).contains(&at)
+    }
+
+    /// Whether it and the span between two times, each extended by `margin`, have a moment in common.
+    pub fn overlaps(&self, from: Micros, until: Micros, margin: Micros) -> bool {
+        self.from - margin <= until && from <= self.until + margin
+    }
 }
 
 impl Schedule {
-    /// A plan that begins at a moment.
-    pub fn new(plan: Plan, began_at: Micros) -> Schedule {
+    /// A plan that starts at a time.
+    pub fn new(plan: Plan, started_at: Micros) -> Schedule {
         Schedule {
             plan: Arc::new(plan),
-            began_at,
+            started_at,
         }
     }
 
@@ -26,33 +46,35 @@
         &self.plan
     }
 
-    /// When a trouble begins, and when it ends.
-    pub fn span(&self, trouble: &Trouble) -> (Micros, Micros) {
-        let from = self.began_at + trouble.from_ms as Micros * MS;
-        (from, from + trouble.lasts_ms as Micros * MS)
-    }
-
-    /// The first trouble in force now of those that a question picks.
-    pub fn in_force<T>(&self, pick: impl Fn(&Trouble) -> Option<T>) -> Option<T> {
-        let now = micros();
-        self.plan.troubles.iter().find_map(|trouble| {
-            let (from, until) = self.span(trouble);
-            if (from..until).contains(&now) {
-                pick(trouble)
-            } else {
-                None
-            }
-        })
-    }
-
-    /// All troubles of a kind, with their spans.
-    pub fn all<'a, T: 'a>(
-        &'a self,
-        pick: impl Fn(&TroubleKind) -> Option<T> + 'a,
-    ) -> impl Iterator<Item = (&'a Trouble, T, (Micros, Micros))> + 'a {
-        self.plan.troubles.iter().filter_map(move |trouble| {
-            let picked = pick(&trouble.kind)?;
-            Some((trouble, picked, self.span(trouble)))
-        })
+    /// When the plan starts.
+    pub fn started_at(&self) -> Micros {
+        self.started_at
+    }
+
+    /// When a fault is active.
+    pub fn interval(&self, fault: &PlannedFault) -> Interval {
+        let from = self.started_at + fault.from_ms as Micros * MILLISECOND;
+        Interval {
+            from,
+            until: from + fault.duration_ms as Micros * MILLISECOND,
+        }
+    }
+
+    /// What `select` returns for the first active fault for which it returns something.
+    pub fn active<T>(&self, select: impl Fn(&PlannedFault) -> Option<T>) -> Option<T> {
+        let now = monotonic_micros();
+        let mut active = self
+            .plan
+            .faults
+            .iter()
+            .filter(|fault| self.interval(fault).contains(now));
+        active.find_map(select)
+    }
+
+    /// Whether a fault of this kind is active for one of `count` targets.
+    pub fn is_active(&self, kind: PlannedFaultKind, target: usize, count: usize) -> bool {
+        let found =
+            self.active(|fault| (fault.kind == kind && fault.is_for(target, count)).then_some(()));
+        found.is_some()
     }
 }
--- /dev/null
+++ b/crates/fault-soak/src/soak.rs
@@ -0,0 +1,234 @@
+//! Plays one plan after the other, prints what came of each, and keeps the plans that fail.
+
+use crate::arguments::Arguments;
+use crate::plan::Plan;
+use crate::run::{play, Report, RunFiles};
+use marblefall_process_harness::HarnessError;
+use std::fmt;
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// Why the soak cannot go on.
+#[derive(Debug, thiserror::Error)]
+pub enum SoakError {
+    /// A stored plan cannot be read.
+    #[error("{}: {source}", path.display())]
+    ReadPlan {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// A file is not a plan.
+    #[error("{}: {source}", path.display())]
+    ParsePlan {
+        /// The file.
+        path: PathBuf,
+        /// The line, and why.
+        source: Box<toml::de::Error>,
+    },
+    /// A plan cannot be encoded.
+    #[error(transparent)]
+    EncodePlan(#[from] toml::ser::Error),
+    /// A run is inconclusive.
+    #[error(transparent)]
+    Harness(#[from] HarnessError),
+    /// A program that the arguments name does not exist.
+    #[error("{}: no such file", .0.display())]
+    MissingFile(PathBuf),
+}
+
+/// How the runs ended.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Summary {
+    /// Runs in which all rules were kept and each planned fault was injected.
+    passed: usize,
+    /// Runs in which all rules were kept, but a planned fault was never injected.
+    inconclusive: usize,
+    /// Runs in which a rule was broken.
+    failed: usize,
+}
+
+impl Summary {
+    /// Whether all runs passed.
+    pub fn is_success(&self) -> bool {
+        self.inconclusive + self.failed == 0
+    }
+
+    fn add(&mut self, report: &Report) {
+        if !report.violations.is_empty() {
+            self.failed += 1;
+        } else if !report.idle_faults.is_empty() {
+            self.inconclusive += 1;
+        } else {
+            self.passed += 1;
+        }
+    }
+}
+
+impl fmt::Display for Summary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "{} runs passed, {} kept all rules with a fault that was never injected, {} broke a rule",
+            self.passed, self.inconclusive, self.failed
+        )
+    }
+}
+
+/// The runs that the arguments ask for.
+pub struct Soak {
+    arguments: Arguments,
+}
+
+impl Soak {
+    /// The runs that arguments ask for.
+    pub fn new(arguments: Arguments) -> Soak {
+        Soak { arguments }
+    }
+
+    /// Plays all plans.
+    ///
+    /// # Errors
+    /// A file is missing or wrong, or a run is inconclusive.
+    pub fn run(&self) -> Result<Summary, SoakError> {
+        for file in [&self.arguments.program, &self.arguments.shim] {
+            if !file.is_file() {
+                return Err(SoakError::MissingFile(file.clone()));
+            }
+        }
+        let mut summary = Summary::default();
+        for plan in self.plans()? {
+            let report = self.play(&plan)?;
+            print_report(&plan, &report);
+            summary.add(&report);
+            let Some(violation) = report.violations.first() else {
+                continue;
+            };
+            if self.arguments.shrink {
+                let rule = violation.rule;
+                let smallest = toml::to_string(&self.shrink(plan, rule)?)?;
+                println!("the least that still breaks \"{rule}\":\n{smallest}");
+                return Ok(summary);
+            }
+        }
+        Ok(summary)
+    }
+
+    fn plans(&self) -> Result<Vec<Plan>, SoakError> {
+        let Arguments {
+            seed,
+            seeds,
+            processes,
+            seconds,
+            ..
+        } = self.arguments;
+        match &self.arguments.plan {
+            Some(path) => Ok(vec![read_plan(path)?]),
+            None => Ok((seed..seed + seeds)
+                .map(|seed| Plan::draw(seed, processes as usize, seconds))
+                .collect()),
+        }
+    }
+
+    /// Plays a plan in a temporary folder. If it fails, the plan and the logs are kept.
+    fn play(&self, plan: &Plan) -> Result<Report, SoakError> {
+        let name = format!("seed-{}-{}", plan.seed, std::process::id());
+        let folder = std::env::temp_dir().join(format!("marblefall-soak-{name}"));
+        // What an earlier run left there does not belong to this one.
+        let _ = fs::remove_dir_all(&folder);
+        let files = RunFiles {
+            program: self.arguments.program.clone(),
+            shim: self.arguments.shim.clone(),
+            folder: folder.clone(),
+        };
+        let report = play(plan.clone(), &files)?;
+        if !report.violations.is_empty() {
+            let text = toml::to_string(plan)?;
+            let kept = self.arguments.keep.join(name);
+            if let Err(error) = keep_run(&folder, &kept, &text) {
+                eprintln!("{}: not kept: {error}", kept.display());
+            }
+        }
+        // What cannot be removed stays in the machine's folder for temporary files.
+        let _ = fs::remove_dir_all(&folder);
+        Ok(report)
+    }
+
+    /// Leaves out one fault after another without which a plan still breaks the rule.
+    fn shrink(&self, plan: Plan, rule: &str) -> Result<Plan, SoakError> {
+        let mut smallest = plan;
+        let mut index = 0;
+        while index < smallest.faults.len() {
+            let smaller = smallest.without(index);
+            let report = self.play(&smaller)?;
+            let fails = report.violations.iter().any(|found| found.rule == rule);
+            println!(
+                "without {:?}: {}",
+                smallest.faults[index].kind,
+                if fails { "still fails" } else { "passes" }
+            );
+            if fails {
+                smallest = smaller;
+            } else {
+                index += 1;
+            }
+        }
+        Ok(smallest)
+    }
+}
+
+fn read_plan(path: &Path) -> Result<Plan, SoakError> {
+    let text = fs::read_to_string(path).map_err(|source| SoakError::ReadPlan {
+        path: path.to_owned(),
+        source,
+    })?;
+    toml::from_str(&text).map_err(|source| SoakError::ParsePlan {
+        path: path.to_owned(),
+        source: Box::new(source),
+    })
+}
+
+/// Writes the plan of a run, and copies the logs of its processes.
+fn keep_run(folder: &Path, kept: &Path, plan: &str) -> io::Result<()> {
+    if kept.exists() {
+        fs::remove_dir_all(kept)?;
+    }
+    fs::create_dir_all(kept)?;
+    fs::write(kept.join("plan.toml"), plan)?;
+    for process in fs::read_dir(folder)? {
+        let process = process?;
+        let name = format!("{}.log", process.file_name().to_string_lossy());
+        fs::copy(process.path().join("log"), kept.join(name))?;
+    }
+    Ok(())
+}
+
+fn print_report(plan: &Plan, report: &Report) {
+    println!(
+        "seed {}: {} processes, {} faults; {} requests, {} accepted, {} calls, {} notices; {} violations",
+        plan.seed,
+        plan.processes,
+        plan.faults.len(),
+        report.requests,
+        report.accepted,
+        report.calls,
+        report.notices,
+        report.violations.len()
+    );
+    let injected: Vec<String> = report
+        .counts
+        .iter()
+        .filter(|(_, count)| count.seen > 0)
+        .map(|(kind, count)| format!("{} {}/{}", kind.name(), count.injected, count.seen))
+        .collect();
+    println!("  injected/seen: {}", injected.join(", "));
+    if !report.idle_faults.is_empty() {
+        let idle_faults = report.idle_faults.join(", ");
+        println!("  planned and never injected: {idle_faults}");
+    }
+    for violation in &report.violations {
+        println!("  {violation}");
+    }
+}
--- a/crates/fault-soak/tests/short_run.rs
+++ b/crates/fault-soak/tests/short_run.rs
@@ -33,7 +33,7 @@
     let said = String::from_utf8_lossy(&run.stdout);
     assert!(said.contains(" 0 broke a rule"), "{said}");
     let requests: usize = said
-        .split("troubles; ")
+        .split("faults; ")
         .nth(1)
         .and_then(|rest| rest.split(' ').next()?.parse().ok())
         .unwrap();
