--- a/crates/delivery/src/core/journal.rs
+++ b/crates/delivery/src/core/journal.rs
@@ -14,7 +14,7 @@
 pub use generation::Generation;
 pub use segment::{latest_generation, segment_numbers};
 
-use segment::{create, frame, path_of, HEADER_BYTES};
+use segment::{create, frame, path_of};
 use std::collections::VecDeque;
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -23,23 +23,40 @@
 /// File sizes count in whole blocks of this size, in bytes.
 const BLOCK_BYTES: u64 = 512;
 
+/// A segment of this incarnation, or one that it has taken over.
 struct Segment {
     number: u64,
     /// Its length in bytes.
     len: u64,
 }
 
+/// The segment that is written to.
+struct Head {
+    segment: Segment,
+    file: File,
+    /// Whether a failed write may have left a part of a record at the end. Nothing is appended to it, as a reader would
+    /// stop there.
+    is_torn: bool,
+}
+
+impl Head {
+    fn create(folder: &Path, number: u64) -> io::Result<Head> {
+        Ok(Head {
+            segment: Segment { number, len: 0 },
+            file: create(folder, number)?,
+            is_torn: false,
+        })
+    }
+}
+
 /// The log of one instance.
 pub struct Journal {
     folder: PathBuf,
     /// The length beyond which a new segment is begun, in bytes.
     segment_len: u64,
-    segments: VecDeque<Segment>,
-    /// The file of the last segment, to which records are appended.
-    head: File,
-    /// Whether a failed write may have left a part of a record at the head's end. Nothing is appended to it, as a reader
-    /// would stop there.
-    head_is_torn: bool,
+    /// All segments but the head, in ascending order.
+    closed: VecDeque<Segment>,
+    head: Head,
 }
 
 impl Journal {
@@ -49,17 +66,11 @@
     /// The folder or the segment cannot be created.
     pub fn begin(folder: &Path, segment_len: u64, generation: Generation) -> io::Result<Journal> {
         fs::create_dir_all(folder)?;
-        let head = create(folder, generation.first_segment())?;
-        let segments = VecDeque::from([Segment {
-            number: generation.first_segment(),
-            len: 0,
-        }]);
         Ok(Journal {
             folder: folder.to_owned(),
             segment_len,
-            segments,
-            head,
-            head_is_torn: false,
+            closed: VecDeque::new(),
+            head: Head::create(folder, generation.first_segment())?,
         })
     }
 
@@ -92,53 +103,47 @@
 
     /// The generation under which this log is written.
     fn generation(&self) -> Generation {
-        Generation::of(self.segments.back().map_or(0, |head| head.number))
+        Generation::of(self.head.segment.number)
     }
 
     /// The size of all segments on disk in bytes, in whole blocks.
     pub fn size(&self) -> u64 {
-        self.segments
+        self.closed
             .iter()
+            .chain([&self.head.segment])
             .map(|segment| segment.len.div_ceil(BLOCK_BYTES) * BLOCK_BYTES)
             .sum()
     }
 
     /// The number of the oldest segment, unless it is the head.
     pub fn oldest(&self) -> Option<u64> {
-        self.segments
-            .front()
-            .filter(|_| self.segments.len() > 1)
-            .map(|segment| segment.number)
+        self.closed.front().map(|segment| segment.number)
     }
 
     /// How many segments there are.
     pub fn segment_count(&self) -> usize {
-        self.segments.len()
+        self.closed.len() + 1
     }
 
     /// Appends a record, and returns the number of its segment.
     ///
     /// # Errors
     /// The record cannot be written; the log does not have it then.
-    ///
-    /// # Panics
-    /// Never: there is always a segment to write to.
     pub fn append(&mut self, payload: &[u8]) -> io::Result<u64> {
         self.repair_head()?;
-        let last = self.segments.back().expect("there is always a head");
-        if last.len > 0 && last.len + (HEADER_BYTES + payload.len()) as u64 > self.segment_len {
+        let record = frame(payload);
+        let head_len = self.head.segment.len;
+        if head_len > 0 && head_len + record.len() as u64 > self.segment_len {
             self.roll()?;
         }
-        let record = frame(payload);
-        if let Err(error) = self.head.write_all(&record) {
-            self.head_is_torn = true;
+        if let Err(error) = self.head.file.write_all(&record) {
+            self.head.is_torn = true;
             // If that fails as well, it is tried again before the next record.
             let _ = self.repair_head();
             return Err(error);
         }
-        let last = self.segments.back_mut().expect("there is always a head");
-        last.len += record.len() as u64;
-        Ok(last.number)
+        self.head.segment.len += record.len() as u64;
+        Ok(self.head.segment.number)
     }
 
     /// Begins another segment.
@@ -146,27 +151,25 @@
     /// # Errors
     /// The segment cannot be created.
     pub fn roll(&mut self) -> io::Result<()> {
-        let next = self.segments.back().map_or(1, |last| last.number + 1);
-        self.begin_segment(next)
+        self.begin_segment(self.head.segment.number + 1)
     }
 
     fn begin_segment(&mut self, number: u64) -> io::Result<()> {
-        self.head = create(&self.folder, number)?;
-        self.head_is_torn = false;
-        self.segments.push_back(Segment { number, len: 0 });
+        let head = Head::create(&self.folder, number)?;
+        let previous = std::mem::replace(&mut self.head, head);
+        self.closed.push_back(previous.segment);
         Ok(())
     }
 
     /// Truncates what a failed write left at the head's end, or begins another segment.
     fn repair_head(&mut self) -> io::Result<()> {
-        if !self.head_is_torn {
+        if !self.head.is_torn {
             return Ok(());
         }
-        let len = self.segments.back().map_or(0, |last| last.len);
-        if self.head.set_len(len).is_err() {
+        if self.head.file.set_len(self.head.segment.len).is_err() {
             return self.roll();
         }
-        self.head_is_torn = false;
+        self.head.is_torn = false;
         Ok(())
     }
 
@@ -177,7 +180,7 @@
     pub fn remove_oldest(&mut self) -> io::Result<()> {
         if let Some(number) = self.oldest() {
             fs::remove_file(path_of(&self.folder, number))?;
-            self.segments.pop_front();
+            self.closed.pop_front();
         }
         Ok(())
     }
--- a/crates/delivery/src/core/journal/adoption.rs
+++ b/crates/delivery/src/core/journal/adoption.rs
@@ -75,7 +75,7 @@
     /// Reads the segments that are not this incarnation's yet, up to the first that can never be read.
     fn read_unadopted(&self, numbers: &[u64]) -> io::Result<UnadoptedSegments> {
         let mut read = UnadoptedSegments::default();
-        let is_adopted = |number: u64| self.segments.iter().any(|own| own.number == number);
+        let is_adopted = |number: u64| self.closed.iter().any(|own| own.number == number);
         for &number in numbers.iter().filter(|number| !is_adopted(**number)) {
             match fs::read(path_of(&self.folder, number)) {
                 Ok(bytes) => read.segments.push(SegmentContent { number, bytes }),
@@ -139,7 +139,7 @@
         let keeps_invalid_end =
             valid_len < len && truncate(&self.folder, number, valid_len).is_err();
         let len = if keeps_invalid_end { len } else { valid_len };
-        let index = self.segments.partition_point(|own| own.number < number);
-        self.segments.insert(index, Segment { number, len });
+        let index = self.closed.partition_point(|own| own.number < number);
+        self.closed.insert(index, Segment { number, len });
     }
 }
