--- a/crates/delivery/src/clock.rs
+++ b/crates/delivery/src/clock.rs
@@ -95,7 +95,7 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(error),
     };
-    // Running processes have replaced a file that cannot be parsed.
+    // No running process has written a file that cannot be parsed.
     let record = serde_json::from_slice::<ClockRecord>(&bytes).ok();
     let of_this_boot = record.filter(|record| !boot_id.is_empty() && record.boot_id == boot_id);
     Ok(of_this_boot.map(|record| SteadyClock {
--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -259,7 +259,9 @@
             EngineEvent::Submitted(request, message) => self.submit(request, message, batch),
             EngineEvent::ClientGone(request) => self.client_gone(request, batch),
             EngineEvent::AttemptFinished(result) => self.attempt_finished(result, batch),
-            EngineEvent::NoticeAcknowledged(id) => self.forget(batch.now, id, batch.commands),
+            EngineEvent::NoticeAcknowledged(id) => {
+                self.remove_message(batch.now, id, batch.commands)
+            }
             EngineEvent::Shutdown { deadline, .. } => self.prepare_shutdown(deadline),
             EngineEvent::CheckPolicy(proposed, answer) => {
                 // The receiver may have been dropped.
@@ -287,10 +289,10 @@
 }
 
 /// Logs that the journal did not accept a record. The message continues in memory.
-fn log_journal_error(noted: std::io::Result<()>, commands: &mut Vec<EngineCommand>) {
-    if let Err(error) = noted {
+fn log_journal_error(journalled: std::io::Result<()>, commands: &mut Vec<EngineCommand>) {
+    if let Err(error) = journalled {
         commands.push(EngineCommand::Log(format!(
-            "the journal does not take a note: {error}"
+            "the journal does not accept a record: {error}"
         )));
     }
 }
--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -158,7 +158,7 @@
             .filter(|record| is_platform(&record.message));
         if record.is_some_and(|record| record.is_open()) {
             batch.scheduler_events.push(m::Event::Cancelled(id));
-            self.forget(batch.now, id, batch.commands);
+            self.remove_message(batch.now, id, batch.commands);
         }
     }
 
@@ -179,13 +179,13 @@
                 .find_map(|action| self.response_of_action(now, &submission, action));
             if let Some(response) = given_up {
                 // It was not accepted, so the response alone reports its outcome.
-                self.note_rejected(id, RejectReason::Scheduler);
+                self.record_rejection(id, RejectReason::Scheduler);
                 self.respond_all(id, response, commands);
                 continue;
             }
             if let Err(error) = self.journal_submission(submission, commands) {
                 commands.push(EngineCommand::Log(format!(
-                    "the journal does not take a message: {error}"
+                    "the journal does not accept a message: {error}"
                 )));
                 not_journalled.insert(id);
                 self.reject_unjournalled(id, commands);
@@ -219,12 +219,12 @@
 
     /// Rejects a submission that the journal did not accept.
     fn reject_unjournalled(&mut self, id: MessageId, commands: &mut Vec<EngineCommand>) {
-        self.note_rejected(id, RejectReason::NotJournalled);
+        self.record_rejection(id, RejectReason::NotJournalled);
         self.backlog.push(m::Event::Cancelled(id));
         self.respond_all(id, REJECTED, commands);
     }
 
-    fn note_rejected(&mut self, id: MessageId, reason: RejectReason) {
+    fn record_rejection(&mut self, id: MessageId, reason: RejectReason) {
         let requests = self.waiting_clients.get(&id).into_iter().flatten();
         self.rejections.extend(requests.map(|request| Rejection {
             request: *request,
--- a/crates/delivery/src/core/engine/actions.rs
+++ b/crates/delivery/src/core/engine/actions.rs
@@ -47,7 +47,7 @@
                 commands.push(EngineCommand::CloseIdleConnections(endpoint));
             }
             m::Action::Log(text) => commands.push(EngineCommand::Log(text)),
-            // No deployment here lets instances send health checks, and lists are pushed.
+            // Instances send no health checks, and endpoint lists are pushed to them.
             m::Action::HealthCheck(_) | m::Action::Subscribe => {}
         }
     }
--- a/crates/delivery/src/core/engine/attempts.rs
+++ b/crates/delivery/src/core/engine/attempts.rs
@@ -15,7 +15,7 @@
     pub(super) fn attempt_finished(&mut self, result: AttemptResult, batch: &mut Batch<'_>) {
         let id = result.message_id;
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.note_backoff(batch.now, id, result.outcome, batch.commands);
+        self.record_backoff(batch.now, id, result.outcome, batch.commands);
         if let Some(destination) = self.store.get(id).map(|record| record.message.destination) {
             self.use_destination(destination, batch);
         }
@@ -36,7 +36,7 @@
                 self.finish(batch.now, id, FinalOutcome::Delivered, batch.commands);
             }
             Disposition::Failed => self.finish(batch.now, id, FinalOutcome::Failed, batch.commands),
-            Disposition::Complete => self.forget(batch.now, id, batch.commands),
+            Disposition::Complete => self.remove_message(batch.now, id, batch.commands),
             Disposition::Undecided if was_unlisted => {
                 self.resume(batch.now, id, RecordedAttempt::Ended, batch.commands);
             }
@@ -123,7 +123,7 @@
     }
 
     /// Journals the backoff that a response requests. Called before anything else is done with the response.
-    pub(super) fn note_backoff(
+    pub(super) fn record_backoff(
         &mut self,
         now: Timestamp,
         id: MessageId,
@@ -146,7 +146,8 @@
         let name = attempt.endpoint.clone();
         let until_ms = now.unix_ms_after(retry_after);
         log_journal_error(
-            self.store.note_backoff(destination, name.clone(), until_ms),
+            self.store
+                .record_backoff(destination, name.clone(), until_ms),
             commands,
         );
         // The network has set the backoff already if the attempt was this incarnation's, but not otherwise.
--- a/crates/delivery/src/core/engine/endpoint_registry.rs
+++ b/crates/delivery/src/core/engine/endpoint_registry.rs
@@ -61,8 +61,8 @@
         self.destinations.contains(&id)
     }
 
-    /// Forgets that a destination has had an endpoint.
-    pub fn forget_destination(&mut self, id: m::DestinationId) {
+    /// Removes a destination, as one that has had no endpoint.
+    pub fn remove_destination(&mut self, id: m::DestinationId) {
         self.destinations.remove(&id);
     }
 
--- a/crates/delivery/src/core/engine/endpoints.rs
+++ b/crates/delivery/src/core/engine/endpoints.rs
@@ -107,7 +107,7 @@
             .all(|endpoint| endpoint.status == m::EndpointStatus::Removed);
         self.update_endpoints(endpoints, batch);
         if all_removed {
-            self.endpoints.forget_destination(id);
+            self.endpoints.remove_destination(id);
         }
     }
 
@@ -143,7 +143,7 @@
                 continue;
             };
             self.active_destinations.deactivate(id, record);
-            self.endpoints.forget_destination(id);
+            self.endpoints.remove_destination(id);
             for endpoint in endpoints {
                 self.endpoints.remove(endpoint, commands);
             }
--- a/crates/delivery/src/core/engine/final_outcome.rs
+++ b/crates/delivery/src/core/engine/final_outcome.rs
@@ -103,12 +103,12 @@
                 outcome,
             });
         } else if from_platform {
-            self.forget(now, id, commands);
+            self.remove_message(now, id, commands);
         }
     }
 
     /// Removes a message for which no notice is pending.
-    pub(super) fn forget(
+    pub(super) fn remove_message(
         &mut self,
         now: Timestamp,
         id: MessageId,
@@ -123,6 +123,6 @@
             self.recent_completions
                 .insert(now.monotonic, &record.message.identity);
         }
-        log_journal_error(self.store.forget(id), commands);
+        log_journal_error(self.store.remove(id), commands);
     }
 }
--- a/crates/delivery/src/core/engine/passive.rs
+++ b/crates/delivery/src/core/engine/passive.rs
@@ -36,7 +36,7 @@
             EngineEvent::Submitted(request, message) => self.submit(request, message, batch),
             EngineEvent::AttemptFinished(result) => {
                 self.in_flight = self.in_flight.saturating_sub(1);
-                self.note_backoff(batch.now, result.message_id, result.outcome, batch.commands);
+                self.record_backoff(batch.now, result.message_id, result.outcome, batch.commands);
                 self.report_attempt(batch.now, &result, batch.commands);
             }
             EngineEvent::ClientGone(request) => self.remove_waiting_client(request),
--- a/crates/delivery/src/core/journal_record.rs
+++ b/crates/delivery/src/core/journal_record.rs
@@ -37,7 +37,7 @@
         retain_until_ms: i64,
     },
     /// The message is no longer needed.
-    Forgotten,
+    Removed,
     /// The message has another identity as well.
     Alias(Vec<u8>),
     /// An endpoint requested a backoff. About no message.
@@ -54,7 +54,7 @@
     pub(super) const ATTEMPT_STARTED: u8 = 1;
     pub(super) const ATTEMPT_FINISHED: u8 = 2;
     pub(super) const FINISHED: u8 = 3;
-    pub(super) const FORGOTTEN: u8 = 5;
+    pub(super) const REMOVED: u8 = 5;
     pub(super) const ALIAS: u8 = 6;
     pub(super) const BACKOFF: u8 = 7;
     pub(super) const ATTEMPT_REPORTED: u8 = 8;
@@ -68,7 +68,7 @@
             messages.insert(id, record);
             return;
         }
-        // The full record of a message that was over may have been removed with an older segment.
+        // The full record of a finished message may have been removed with an older segment.
         let Some(record) = messages.get_mut(&id) else {
             return;
         };
@@ -86,7 +86,7 @@
             }
             JournalRecord::Alias(identity) => record.aliases.push(identity),
             JournalRecord::AttemptReported(report) => apply_report(id, &report, messages),
-            JournalRecord::Forgotten => {
+            JournalRecord::Removed => {
                 messages.remove(&id);
             }
             JournalRecord::Message(_) | JournalRecord::Backoff(_) | JournalRecord::Route(_) => {}
@@ -114,8 +114,8 @@
                 encoder.byte(variant::FINISHED).outcome(*outcome);
                 encoder.notice(*notice).number(*retain_until_ms);
             }
-            JournalRecord::Forgotten => {
-                encoder.byte(variant::FORGOTTEN);
+            JournalRecord::Removed => {
+                encoder.byte(variant::REMOVED);
             }
             JournalRecord::Alias(identity) => {
                 encoder.byte(variant::ALIAS).bytes(identity);
@@ -141,7 +141,7 @@
                 notice: decoder.notice()?,
                 retain_until_ms: decoder.number()?,
             },
-            variant::FORGOTTEN => JournalRecord::Forgotten,
+            variant::REMOVED => JournalRecord::Removed,
             variant::ALIAS => JournalRecord::Alias(decoder.bytes()?),
             variant::BACKOFF => JournalRecord::Backoff(decode_backoff(&mut decoder)?),
             variant::ATTEMPT_REPORTED => {
--- a/crates/delivery/src/core/message_store.rs
+++ b/crates/delivery/src/core/message_store.rs
@@ -236,12 +236,12 @@
     ///
     /// # Errors
     /// The journal is full or cannot be written. This incarnation has removed it all the same.
-    pub fn forget(&mut self, id: MessageId) -> io::Result<()> {
+    pub fn remove(&mut self, id: MessageId) -> io::Result<()> {
         if !self.messages.contains_key(&id) {
             return Ok(());
         }
         self.unindex(id);
-        self.update(id, JournalRecord::Forgotten)
+        self.update(id, JournalRecord::Removed)
     }
 
     /// Removes the finished messages whose retention has ended, and the oldest ones beyond `max_retained` of them or beyond
@@ -257,7 +257,7 @@
             if retain_until_ms > now_ms && !too_many && !too_large {
                 break;
             }
-            self.forget(id)?;
+            self.remove(id)?;
         }
         Ok(())
     }
--- a/crates/delivery/src/core/message_store/hot_restart.rs
+++ b/crates/delivery/src/core/message_store/hot_restart.rs
@@ -132,7 +132,7 @@
             self.index(id);
         }
         let in_flight = self.settle_in_flight(found, some_are_running);
-        self.note_backoffs_again(replayed.backoffs);
+        self.record_backoffs_again(replayed.backoffs);
         let routes = replayed.routes;
         read.map(|()| Recovered { routes, in_flight })
     }
@@ -147,10 +147,10 @@
 
     /// Journals the backoffs of predecessors as this incarnation's, so that the next one need not know when this one
     /// started.
-    fn note_backoffs_again(&mut self, backoffs: BTreeMap<(DestinationId, String), i64>) {
+    fn record_backoffs_again(&mut self, backoffs: BTreeMap<(DestinationId, String), i64>) {
         for ((destination, endpoint), until_ms) in backoffs {
             // A backoff that is not journalled is in force for this incarnation alone, and a restart ends a backoff.
-            let _ = self.note_backoff(destination, endpoint, until_ms);
+            let _ = self.record_backoff(destination, endpoint, until_ms);
         }
     }
 
@@ -314,7 +314,7 @@
     ///
     /// # Errors
     /// The journal is full or cannot be written. It is in force for this incarnation all the same.
-    pub fn note_backoff(
+    pub fn record_backoff(
         &mut self,
         destination: DestinationId,
         endpoint: String,
--- a/crates/delivery/src/core/message_store/journalling.rs
+++ b/crates/delivery/src/core/message_store/journalling.rs
@@ -48,7 +48,7 @@
     pub(super) fn journal_full_record(&mut self, id: MessageId) -> io::Result<()> {
         let stored = self.messages.get(&id).cloned();
         let is_stored = stored.is_some();
-        let record = stored.map_or(JournalRecord::Forgotten, JournalRecord::Message);
+        let record = stored.map_or(JournalRecord::Removed, JournalRecord::Message);
         let segment = self.write(&record.encode(id, &self.class_names))?;
         if is_stored {
             self.segments.insert(id, segment);
--- a/crates/delivery/src/hot_restart/driver.rs
+++ b/crates/delivery/src/hot_restart/driver.rs
@@ -48,7 +48,7 @@
 /// The folder cannot be read, or a mark cannot be written because of a transient error.
 pub fn announce(incarnation: &mut Incarnation) -> io::Result<Option<RunningPredecessors>> {
     let predecessors = incarnation.running_predecessors()?;
-    incarnation.forget_exited();
+    incarnation.release_exited();
     for predecessor in &predecessors {
         let generation = predecessor.generation;
         match incarnation.announce(generation) {
@@ -119,7 +119,7 @@
                 Err(error) => log_line!(code = "state-folder-unreadable", "{error}"),
             }
             if takeover.is_active() {
-                self.incarnation.borrow_mut().forget_exited();
+                self.incarnation.borrow_mut().release_exited();
                 if followed.is_empty() {
                     return;
                 }
@@ -256,7 +256,7 @@
                 "a standby process has exited; its messages are adopted"
             );
             let _ = engine.try_send(EngineEvent::StandbyExited(generation));
-            incarnation.forget_exited();
+            incarnation.release_exited();
         }
         Ok(None) => {}
         Err(error) => log_line!(code = "standby-not-adopted", "{error}"),
--- a/crates/delivery/src/hot_restart/incarnation.rs
+++ b/crates/delivery/src/hot_restart/incarnation.rs
@@ -86,7 +86,7 @@
     }
 
     /// The earlier incarnations that are running, the latest first. The locks of those that have exited are held until
-    /// [`Incarnation::forget_exited`].
+    /// [`Incarnation::release_exited`].
     ///
     /// # Errors
     /// The folder or a lock file cannot be read.
@@ -117,8 +117,8 @@
         self.exited.iter().any(|(exited, _)| *exited == generation)
     }
 
-    /// Removes the lock files of exited incarnations, once this one has their messages.
-    pub fn forget_exited(&mut self) {
+    /// Removes the lock files of exited incarnations and releases their locks, once this one has their messages.
+    pub fn release_exited(&mut self) {
         for (generation, _lock) in self.exited.drain(..) {
             // The file is removed while it is locked. If it remains, the next incarnation finds it unlocked.
             let _ = std::fs::remove_file(lock_path(&self.folder, generation));
--- a/crates/delivery/src/hot_restart/incarnation/tests.rs
+++ b/crates/delivery/src/hot_restart/incarnation/tests.rs
@@ -30,7 +30,7 @@
     drop(first);
     assert_eq!(second.running_predecessors().unwrap(), []);
     assert!(second.has_exited(predecessor.generation));
-    second.forget_exited();
+    second.release_exited();
     assert_eq!(lock_generations(&folder).unwrap(), [second.generation()]);
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -84,7 +84,7 @@
     drop(standby);
     let claimed = first.claim_after_exited_standbys().unwrap().unwrap();
     assert!(claimed > standby_generation);
-    first.forget_exited();
+    first.release_exited();
     assert_eq!(lock_generations(&folder).unwrap(), [claimed]);
     let mut next = Incarnation::claim(&folder).unwrap();
     assert_eq!(next.running_predecessors().unwrap()[0].generation, claimed);
@@ -115,7 +115,7 @@
     );
     drop(unnumbered);
     assert_eq!(incarnation.running_predecessors().unwrap(), []);
-    incarnation.forget_exited();
+    incarnation.release_exited();
     assert!(!folder.join(UNNUMBERED_LOCK).exists());
     assert!(!folder.join(UNNUMBERED_SUCCESSOR).exists());
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/delivery/src/instance/assembly.rs
+++ b/crates/delivery/src/instance/assembly.rs
@@ -66,7 +66,7 @@
     let (senders, receivers) = channels();
     let mut assembly = Assembly::new(&config, claimed.incarnation, clock, senders, tasks);
     assembly.predecessors = claimed.predecessors;
-    // The platform provides a complete list, and its disk is small.
+    // Without a destination table, the platform provides a complete list, and its disk is small.
     let writes_snapshots = matches!(config.endpoints, EngineEvent::DestinationTableReplaced(_));
     assembly.send_priority(config.endpoints);
     assembly.start_connection_expiry();
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -8,7 +8,7 @@
 use crate::core::engine::{EngineEvent, EngineSettings};
 use crate::frontend::platform::PlatformFrontend;
 use crate::log_line;
-use crate::net::discovery::{ListWatch, NameIndex};
+use crate::net::discovery::{EndpointList, ListWatch, NameIndex};
 use crate::net::listener;
 use crate::net::spawner::Spawner;
 use crate::system_error::is_transient;
@@ -57,38 +57,28 @@
     let listen = parse_address(&config.listen)?;
     let discovery = config.discovery_address()?;
     let settings = config.settings;
-    let names = NameIndex {
-        kinds: settings.kinds.clone(),
-        zones: settings.zones.clone(),
-    };
+    let limits = &settings.limits;
+    let connect_timeout = ms_or_default(limits.connect_timeout_ms, DEFAULT_CONNECT_TIMEOUT_MS);
+    let idle_timeout = ms_or_default(limits.idle_timeout_ms, DEFAULT_IDLE_TIMEOUT_MS);
     let class_names: Vec<String> = settings
         .classes
         .iter()
         .map(|class| class.name.clone())
         .collect();
-    let since_revision = config.last_list.as_ref().map_or(0, |list| list.revision);
-    let endpoints = match config.last_list {
-        Some(list) => list.into_event(&names),
-        None => EngineEvent::EndpointsReplaced(Vec::new()),
-    };
-    let limits = &settings.limits;
-    let connect_timeout = ms_or_default(limits.connect_timeout_ms, DEFAULT_CONNECT_TIMEOUT_MS);
-    let idle_timeout = ms_or_default(limits.idle_timeout_ms, DEFAULT_IDLE_TIMEOUT_MS);
+    let watch = list_watch(&settings, config.last_list.as_ref());
+    let endpoints = configured_endpoints(config.last_list, &watch.names);
     let engine = engine_settings(settings, &config.seed);
-    let requires_key = engine.scheduler.classes.iter().map(requires_key).collect();
+    let frontend = PlatformFrontend {
+        class_names: class_names.clone(),
+        requires_key: engine.scheduler.classes.iter().map(requires_key).collect(),
+        destinations_by_number: None,
+    };
     let admin_listener = bind_admin(config.admin_listen.as_deref())?;
     let platform = PlatformFrontendConfig {
         listener: bind_clients(listen)?,
-        frontend: PlatformFrontend {
-            class_names: class_names.clone(),
-            requires_key,
-            destinations_by_number: None,
-        },
+        frontend,
         discovery,
-        watch: Some(ListWatch {
-            names,
-            since_revision,
-        }),
+        watch: Some(watch),
     };
     Ok(InstanceConfig {
         name: config.name,
@@ -109,6 +99,25 @@
     })
 }
 
+/// The watch of the endpoint list, from the last list on.
+fn list_watch(settings: &InstanceSettings, last_list: Option<&EndpointList>) -> ListWatch {
+    ListWatch {
+        names: NameIndex {
+            kinds: settings.kinds.clone(),
+            zones: settings.zones.clone(),
+        },
+        since_revision: last_list.map_or(0, |list| list.revision),
+    }
+}
+
+/// The event with the endpoints of the last list.
+fn configured_endpoints(last_list: Option<EndpointList>, names: &NameIndex) -> EngineEvent {
+    match last_list {
+        Some(list) => list.into_event(names),
+        None => EngineEvent::EndpointsReplaced(Vec::new()),
+    }
+}
+
 /// The engine's settings. The platform's messages are not retained once they have finished.
 fn engine_settings(settings: InstanceSettings, seed: &str) -> EngineSettings {
     let scheduler = settings.scheduler_settings();
--- a/crates/delivery/tests/journal.rs
+++ b/crates/delivery/tests/journal.rs
@@ -81,7 +81,7 @@
             assert!(store
                 .finish(id, FinalOutcome::Failed, NoticeState::Pending, 0)
                 .unwrap());
-            store.forget(id).unwrap();
+            store.remove(id).unwrap();
         }
         assert!(used() <= disk, "{} bytes after {n}", used());
     }
--- a/crates/delivery/tests/journal_replay.rs
+++ b/crates/delivery/tests/journal_replay.rs
@@ -73,7 +73,7 @@
                 store
                     .finish(id, FinalOutcome::Delivered, NoticeState::NotRequired, 0)
                     .unwrap();
-                store.forget(id).unwrap();
+                store.remove(id).unwrap();
                 open.swap_remove(index);
             }
             1..=10 => store.attempt_finished(id, Execution::Possible).unwrap(),
