--- a/crates/delivery/src/core/engine/recovery.rs
+++ b/crates/delivery/src/core/engine/recovery.rs
@@ -50,9 +50,12 @@
                 .endpoint
                 .as_ref()
                 .map(|name| self.endpoints.id_of(name));
-            let state = route.state.map_times(|at| now.monotonic_of_unix_micros(at));
-            self.backlog
-                .push(m::Event::RouteRestored(route.destination, endpoint, state));
+            let known = m::KnownRoute {
+                destination: route.destination,
+                endpoint,
+                record: route.state.map_times(|at| now.monotonic_of_unix_micros(at)),
+            };
+            self.backlog.push(m::Event::RouteRestored(known));
         }
     }
 
@@ -62,8 +65,11 @@
             let until = now.monotonic_of(until_ms);
             let route = self.route(destination, endpoint);
             commands.push(EngineCommand::SetBackoff(route, until));
-            self.backlog
-                .push(m::Event::BackoffNotified(destination, endpoint, until));
+            self.backlog.push(m::Event::BackoffNotified {
+                destination,
+                endpoint,
+                until,
+            });
         }
     }
 
@@ -111,10 +117,12 @@
     /// The states of routes, with Unix times.
     pub(super) fn route_records(&self, now: Timestamp) -> Vec<RouteRecord> {
         let known = self.scheduler.route_records(now.monotonic).into_iter();
-        let records = known.map(|(destination, endpoint, state)| RouteRecord {
-            destination,
-            endpoint: endpoint.and_then(|id| self.endpoints.name_of(id).cloned()),
-            state: state.map_times(|at| now.unix_micros_of(at)),
+        let records = known.map(|route| RouteRecord {
+            destination: route.destination,
+            endpoint: route
+                .endpoint
+                .and_then(|id| self.endpoints.name_of(id).cloned()),
+            state: route.record.map_times(|at| now.unix_micros_of(at)),
         });
         records.collect()
     }
