--- a/crates/scheduler/src/interface/attempt.rs
+++ b/crates/scheduler/src/interface/attempt.rs
@@ -37,6 +37,12 @@
             Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent
         )
     }
+
+    /// Whether the receiver may still be executing the message.
+    pub(crate) fn may_still_run(self) -> bool {
+        let has_response = matches!(self, Outcome::Delivered | Outcome::Error);
+        !has_response && !self.proves_not_executed()
+    }
 }
 
 /// The state of a route's rate limit as a response reports it; late and approximate.
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -23,7 +23,7 @@
 //! - [`silence`]: routes that may have been out of service without being ejected;
 //! - [`health_checks`]: which ejected routes are sent a health check;
 //! - [`latency`]: the latency to expect of a route;
-//! - [`call_outcome`]: which of these learn from the outcome of a call.
+//! - [`call_outcome`]: what the outcome of a call changes.
 //!
 //! How a message ends without a delivery:
 //!
--- a/crates/scheduler/src/policy/call_outcome.rs
+++ b/crates/scheduler/src/policy/call_outcome.rs
@@ -1,28 +1,15 @@
 //! What the outcome of a call or health check changes: the health of its endpoint and route, their limits and
 //! latencies.
 
-use crate::interface::{EndpointId, Outcome, Span, Time};
+use crate::interface::{Outcome, Span, Time};
 use crate::scheduler::Scheduler;
-use crate::state::RouteId;
+use crate::state::{EndedCall, RouteId};
 
 /// The least rate of a rate limiter, in calls per second of all instances together: no route may be starved.
 const MIN_LIMITED_RATE: f64 = 1.2;
 
-/// A call or health check that has ended.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct EndedCall {
-    /// Where it was sent.
-    pub endpoint: EndpointId,
-    /// When it was sent.
-    pub sent: Time,
-    /// How long it was in flight; `None` for a health check.
-    pub duration: Option<Span>,
-    /// How it ended.
-    pub outcome: Outcome,
-}
-
 impl Scheduler {
-    /// Learns from the outcome of a call or health check.
+    /// Updates the health, limits and latencies of an endpoint and its route after a call or health check.
     pub(crate) fn observe_outcome(&mut self, now: Time, call: &EndedCall) {
         let Some(endpoint) = self.endpoints.get(&call.endpoint) else {
             return;
--- a/crates/scheduler/src/policy/capacity.rs
+++ b/crates/scheduler/src/policy/capacity.rs
@@ -15,19 +15,18 @@
         if !self.admits_concurrent_call(now, route) {
             return None;
         }
-        let past = Time(i64::MIN);
         let hold = self.rejection_holds.get(&route.destination);
         let limits = [
             now,
-            route.backoff_until.unwrap_or(past),
-            hold.map_or(past, |hold| hold.until()),
+            route.backoff_until.unwrap_or(Time::MIN),
+            hold.map_or(Time::MIN, |hold| hold.until()),
             self.ramp_permits_at(now, route),
             self.rate_share(route)
-                .map_or(past, |rate| route.rate_share.next_call_at(now, rate)),
+                .map_or(Time::MIN, |rate| route.rate_share.next_call_at(now, rate)),
             route
                 .rate_limiter
                 .as_ref()
-                .map_or(past, |limiter| limiter.next_call_at(now)),
+                .map_or(Time::MIN, |limiter| limiter.next_call_at(now)),
         ];
         limits.into_iter().max()
     }
--- a/crates/scheduler/src/policy/concurrency.rs
+++ b/crates/scheduler/src/policy/concurrency.rs
@@ -26,8 +26,8 @@
 impl Scheduler {
     /// Whether a route may have one more call in flight.
     pub(super) fn admits_concurrent_call(&self, now: Time, route: &Route) -> bool {
-        let slots = self.settings.limits.max_in_flight as f64;
-        let max_failing = ((slots * MAX_FAILING_FRACTION) as usize).max(1);
+        let max_in_flight = self.settings.limits.max_in_flight as f64;
+        let max_failing = ((max_in_flight * MAX_FAILING_FRACTION) as usize).max(1);
         if self.is_failing(now, route) && self.failing_calls(now) >= max_failing {
             return false;
         }
@@ -36,7 +36,7 @@
         }
         let has_answered = route.mean_latency.ms().is_some();
         let max_calls = if has_answered {
-            (slots * MAX_ROUTE_FRACTION).ceil()
+            (max_in_flight * MAX_ROUTE_FRACTION).ceil()
         } else {
             MAX_FIRST_CALLS
         };
--- a/crates/scheduler/src/policy/endpoint_choice.rs
+++ b/crates/scheduler/src/policy/endpoint_choice.rs
@@ -1,17 +1,17 @@
 //! Which endpoint of a destination receives a call: the one where it costs least.
 //!
 //! The cost is the expected latency, with additions for calls in flight, a new connection and a zone's fee.
-//! Endpoints that failed lately come last. Each instance has seeded preferences of its own, in proportion to
-//! the advertised rates, so that instances with the same information don't all choose the same endpoint.
+//! Endpoints that failed recently come last. Each instance has seeded preferences of its own, in proportion
+//! to the advertised rates, so that instances with the same information don't all choose the same endpoint.
 //! Where the list gives weights, the weighted round robin replaces the cost.
 
 use crate::interface::{DestinationId, EndpointId, EndpointStatus, Time};
 use crate::scheduler::Scheduler;
 use crate::state::{Endpoint, Message, Route};
 
-/// Cost factor of an endpoint that failed lately.
+/// Cost factor of an endpoint that failed recently.
 const FAILED_COST_FACTOR: f64 = 1000.0;
-/// Addition to the virtual finish time of an endpoint that failed lately, for each unit of its cost factor
+/// Addition to the virtual finish time of an endpoint that failed recently, for each unit of its cost factor
 /// above 1.
 const FAILED_FINISH_TIME: f64 = 1e9;
 /// Weight of a zone's fee against latency.
@@ -24,8 +24,10 @@
 const MIN_PREFERENCE: f64 = 0.03;
 /// The least exponent of an instance's preference on a separate route.
 const MIN_SEPARATE_PREFERENCE: f64 = 0.15;
-/// Bounds of the seeded number that a preference is drawn from.
-const PREFERENCE_DRAW_BOUNDS: (f64, f64) = (0.02, 0.98);
+/// The least random number that a preference is derived from.
+const MIN_PREFERENCE_FRACTION: f64 = 0.02;
+/// The largest random number that a preference is derived from.
+const MAX_PREFERENCE_FRACTION: f64 = 0.98;
 /// The least advertised rate in a preference, in calls per second.
 const MIN_PREFERENCE_RATE: f64 = 0.01;
 
@@ -87,7 +89,7 @@
             let fee = self.settings.zone_fees.get(endpoint.zone.0);
             cost *= 1.0 + FEE_WEIGHT * fee.copied().unwrap_or(0.0);
         }
-        let failure_factor = if endpoint.has_failed_lately(now) {
+        let failure_factor = if endpoint.has_failed_recently(now) {
             FAILED_COST_FACTOR
         } else {
             1.0
@@ -102,14 +104,16 @@
     /// Cost factor by this instance's preference: an exponential random variable over the advertised rate, so
     /// that each endpoint is preferred by a share of the instances in proportion to its rate.
     fn preference(&self, id: EndpointId, endpoint: &Endpoint, route: &Route) -> f64 {
-        let (low, high) = PREFERENCE_DRAW_BOUNDS;
-        let draw = -self.seeded_fraction(u64::from(id.0)).clamp(low, high).ln();
+        let fraction = self
+            .seeded_fraction(u64::from(id.0))
+            .clamp(MIN_PREFERENCE_FRACTION, MAX_PREFERENCE_FRACTION);
+        let variable = -fraction.ln();
         let min_exponent = if endpoint.route.endpoint.is_some() {
             MIN_SEPARATE_PREFERENCE
         } else {
             MIN_PREFERENCE
         };
         let exponent = self.unseen_load().max(min_exponent);
-        (draw / route.advertised_rate.max(MIN_PREFERENCE_RATE)).powf(exponent)
+        (variable / route.advertised_rate.max(MIN_PREFERENCE_RATE)).powf(exponent)
     }
 }
--- a/crates/scheduler/src/policy/give_up.rs
+++ b/crates/scheduler/src/policy/give_up.rs
@@ -27,7 +27,7 @@
                 let closed_until = if guaranteed { backoff_until } else { opens_at };
                 let opens_too_late = message.first_possible_execution.is_none()
                     && closed_until > Some(message.deadline);
-                opens_too_late || self.hopeless_at(message, fastest) <= now
+                opens_too_late || self.undeliverable_at(message, fastest) <= now
             };
             // Messages without an attempt become undeliverable in the order of their deadlines.
             let untried = queue.untried.iter().map(|(_, id)| *id);
@@ -49,8 +49,8 @@
         !is_new && message.first_possible_execution.is_none() && now < guaranteed_until
     }
 
-    /// Earliest time at which a route of a destination opens; `None` if that depends on the outcome of a
-    /// call.
+    /// Earliest time at which a route of a destination opens; `None` while the outcome of a call may open one
+    /// sooner.
     fn opens_at(&self, now: Time, id: DestinationId) -> Option<Time> {
         let routes = self.active_routes(id);
         let opens = routes.map(|route| self.next_call_at(now, route));
@@ -59,15 +59,14 @@
 
     /// When a pending message becomes undeliverable: too late for the fastest call, at the end of its
     /// idempotency key's window, or with all attempts used.
-    pub(crate) fn hopeless_at(&self, message: &Message, fastest: Span) -> Time {
-        let past = Time(i64::MIN);
+    pub(crate) fn undeliverable_at(&self, message: &Message, fastest: Span) -> Time {
         if message.attempts >= self.settings.limits.max_attempts {
-            return past;
+            return Time::MIN;
         }
         let too_late = message.deadline - fastest;
         let idempotency = self.settings.classes[message.class.0].idempotency;
         match (idempotency, message.first_possible_execution) {
-            (Idempotency::NonIdempotent, Some(_)) => past,
+            (Idempotency::NonIdempotent, Some(_)) => Time::MIN,
             (Idempotency::IdempotencyKey { window, .. }, Some((first_sent, _))) => {
                 too_late.min(first_sent + window)
             }
--- a/crates/scheduler/src/policy/rejection_hold.rs
+++ b/crates/scheduler/src/policy/rejection_hold.rs
@@ -2,16 +2,14 @@
 //! quota.
 
 use crate::interface::{Span, Time};
-use crate::rejection_hold::{RejectedCall, RejectionHold};
+use crate::rejection_hold::{RejectedCall, RejectionHold, MS_PER_S};
 use crate::scheduler::Scheduler;
 use crate::state::RouteId;
 
 /// Share of the quota below which the next call is likely to be rejected.
 const LOW_QUOTA: f64 = 0.3;
 /// Shift of the hold count that separates its random numbers from those of other purposes.
-const HOLD_DRAW_SHIFT: u32 = 20;
-/// Milliseconds in a second, as a float.
-const MS_PER_S: f64 = 1000.0;
+const HOLD_PURPOSE_SHIFT: u32 = 20;
 
 impl Scheduler {
     /// Holds a destination back after one of its routes rejected a call.
@@ -56,6 +54,6 @@
 
     /// Random number for the next hold, in 0..1.
     fn hold_jitter(&self) -> f64 {
-        self.seeded_fraction(self.hold_count << HOLD_DRAW_SHIFT)
+        self.seeded_fraction(self.hold_count << HOLD_PURPOSE_SHIFT)
     }
 }
--- a/crates/scheduler/src/rate_limiter.rs
+++ b/crates/scheduler/src/rate_limiter.rs
@@ -54,8 +54,6 @@
 const RESTRAINING_USE: f64 = 0.5;
 /// The shortest time over which a rate is measured, in seconds.
 const MIN_MEASUREMENT_S: f64 = 1e-3;
-/// Milliseconds in a second, as a float.
-const MS_PER_S: f64 = 1000.0;
 
 /// What an instance that sees the whole load knows of a route's limit.
 #[derive(Clone, Copy, Debug)]
@@ -67,6 +65,28 @@
     pub headroom: f64,
 }
 
+/// A call that was accepted.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AcceptedCall {
+    /// When it was sent.
+    pub sent: Time,
+    /// Seconds since the last success before it.
+    pub since_last_s: f64,
+    /// Whether its route is ejected.
+    pub route_is_ejected: bool,
+}
+
+/// A call that was rejected.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RejectedCall {
+    /// When it was sent.
+    pub sent: Time,
+    /// Send time of the latest call that was accepted.
+    pub last_accepted_sent: Option<Time>,
+    /// The least rate that the limiter may set.
+    pub min_rate: f64,
+}
+
 /// The rate limiter of one instance towards one route. Rates are in calls per second.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimiter {
@@ -152,7 +172,7 @@
     /// Earliest time of the next call.
     pub fn next_call_at(&self, now: Time) -> Time {
         let missing = 1.0 - ROUNDING_TOLERANCE - self.tokens(now);
-        now + Span::from_ms(missing.max(0.0) / self.rate * MS_PER_S)
+        now + Span::from_secs(missing.max(0.0) / self.rate)
     }
 
     /// Records a call that is sent.
@@ -171,49 +191,36 @@
             .max(EVEN_SHARE_FACTOR * CUT_FACTOR * even_share * limit);
     }
 
-    /// Records that a call sent at `sent` was accepted, `since_last_s` seconds after the one before. Returns whether
-    /// the limiter is still needed.
-    pub fn accepted(
-        &mut self,
-        now: Time,
-        sent: Time,
-        since_last_s: f64,
-        ejected: bool,
-        view: Option<LimitView>,
-    ) -> bool {
+    /// Records an accepted call. Returns whether the limiter is still needed.
+    pub fn accepted(&mut self, now: Time, call: AcceptedCall, view: Option<LimitView>) -> bool {
         self.refill(now, 0.0, BURST_CALLS);
-        if !ejected && now - self.last_rejection > Span(QUIET_TIME.0 * (1 + self.cuts)) {
-            self.full_rate *= 1.0 + QUIET_GROWTH_PER_S * since_last_s.min(MAX_GROWTH_GAP_S);
+        let is_quiet = now - self.last_rejection > Span(QUIET_TIME.0 * (1 + self.cuts));
+        if is_quiet && !call.route_is_ejected {
+            let gap_s = call.since_last_s.min(MAX_GROWTH_GAP_S);
+            self.full_rate *= 1.0 + QUIET_GROWTH_PER_S * gap_s;
         }
         self.rate =
             (self.rate + INCREASE_FRACTION * self.full_rate).min(MAX_RATE_FACTOR * self.full_rate);
         if let Some(view) = view {
-            self.measure(now, sent, false, view);
+            self.measure(now, call.sent, false, view);
         }
         now - self.last_rejection <= RETENTION
     }
 
-    /// Records that a call sent at `sent` was rejected; `last_accepted` is the send time of the last accepted one.
-    /// The rate stays at or above `min_rate`.
-    pub fn rejected(
-        &mut self,
-        now: Time,
-        sent: Time,
-        last_accepted: Option<Time>,
-        min_rate: f64,
-        view: Option<LimitView>,
-    ) {
+    /// Records a rejected call.
+    pub fn rejected(&mut self, now: Time, call: RejectedCall, view: Option<LimitView>) {
         self.refill(now, 0.0, 0.0);
         // While no call is accepted, further cuts would only leave the rate at its minimum for when the route opens.
-        if sent > self.last_rejection && last_accepted >= Some(self.last_rejection) {
+        let accepts_calls = call.last_accepted_sent >= Some(self.last_rejection);
+        if call.sent > self.last_rejection && accepts_calls {
             if matches!(self.measurement.phase, Phase::Regulated) {
-                self.rate = (self.rate * CUT_FACTOR).max(min_rate);
+                self.rate = (self.rate * CUT_FACTOR).max(call.min_rate);
                 self.cuts += 1;
             }
             self.last_rejection = now;
         }
         if let Some(view) = view {
-            self.measure(now, sent, true, view);
+            self.measure(now, call.sent, true, view);
         }
     }
 
--- a/crates/scheduler/src/rate_share.rs
+++ b/crates/scheduler/src/rate_share.rs
@@ -11,8 +11,6 @@
 const BUCKET_DEPTH: f64 = 6.0;
 /// Tolerance for rounding errors, in calls.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// Milliseconds in a second, as a float.
-const MS_PER_S: f64 = 1000.0;
 
 /// The tokens that are in use.
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,7 +36,7 @@
     /// Earliest time of the next call, with the share in calls per second.
     pub fn next_call_at(&self, now: Time, rate: f64) -> Time {
         let missing = self.used(now, rate) + 1.0 - BUCKET_DEPTH;
-        now + Span::from_ms((missing - ROUNDING_TOLERANCE).max(0.0) / rate * MS_PER_S)
+        now + Span::from_secs((missing - ROUNDING_TOLERANCE).max(0.0) / rate)
     }
 
     fn used(&self, now: Time, rate: f64) -> f64 {
--- a/crates/scheduler/src/recovery_ramp.rs
+++ b/crates/scheduler/src/recovery_ramp.rs
@@ -25,8 +25,6 @@
 const MIN_RAMP_DURATION_MS: f64 = 1.0;
 /// Mean of the jitter.
 const MEAN_JITTER: f64 = 0.5;
-/// A time before any other.
-const PAST: Time = Time(i64::MIN);
 
 /// Health of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -213,7 +211,7 @@
     ) -> Time {
         let rules = settings.rules;
         let (recovering_for, min_budget) = match self.health {
-            RouteHealth::Healthy => return PAST,
+            RouteHealth::Healthy => return Time::MIN,
             RouteHealth::Ejected(_) => (Span::ZERO, MIN_EJECTED_BUDGET),
             RouteHealth::Recovering(since) => (now - since, MIN_RECOVERING_BUDGET),
         };
@@ -242,7 +240,7 @@
     /// Earliest time at which a window of this length holds fewer sends than `max_calls`.
     fn next_in_window(&self, max_calls: usize, window: Span) -> Time {
         let index = self.sends.len().checked_sub(max_calls);
-        index.map_or(PAST, |index| self.sends[index] + window)
+        index.map_or(Time::MIN, |index| self.sends[index] + window)
     }
 
     /// Earliest time of the next half-open trial call, or of the next call to a recovering route with a budget below
@@ -259,10 +257,15 @@
         let interval =
             (rules.overload_window.ms() / budget).clamp(MIN_TRIAL_INTERVAL_MS, max_interval);
         let after_backoff = Span::from_ms(interval * capacity.jitter * settings.unseen_load);
-        let backoff_over = capacity.backoff_until.map_or(PAST, |at| at + after_backoff);
+        let backoff_over = capacity
+            .backoff_until
+            .map_or(Time::MIN, |at| at + after_backoff);
         let jitter = settings.unseen_load * (capacity.jitter - MEAN_JITTER);
         let since_last = Span::from_ms(interval * (1.0 + jitter));
-        let after_last = self.sends.back().map_or(PAST, |last| *last + since_last);
+        let after_last = self
+            .sends
+            .back()
+            .map_or(Time::MIN, |last| *last + since_last);
         let at = after_last.max(backoff_over);
         match self.health {
             // Early in the ramp the interval is long, but the end of the ramp ends the wait.
--- a/crates/scheduler/src/rejection_hold.rs
+++ b/crates/scheduler/src/rejection_hold.rs
@@ -15,7 +15,7 @@
 /// The least random factor of a hold; the largest is 1 more.
 const MIN_JITTER_FACTOR: f64 = 0.5;
 /// Milliseconds in a second, as a float.
-const MS_PER_S: f64 = 1000.0;
+pub(crate) const MS_PER_S: f64 = 1000.0;
 
 /// One rejected call.
 #[derive(Clone, Copy, Debug)]
--- a/crates/scheduler/src/scheduler/calls.rs
+++ b/crates/scheduler/src/scheduler/calls.rs
@@ -2,11 +2,10 @@
 
 use super::Scheduler;
 use crate::interface::{
-    Action, AttemptNumber, EndpointId, MessageId, Outcome, RateLimitReport, Span, Time,
+    Action, AttemptNumber, EndpointId, MessageId, OrderingKey, Outcome, RateLimitReport, Span, Time,
 };
 use crate::pending_queue::Tried;
-use crate::policy::call_outcome::EndedCall;
-use crate::state::{Attempt, MessageState};
+use crate::state::{Attempt, CallId, EndedCall, MessageState};
 
 /// The end of an attempt.
 pub(super) struct AttemptEnd {
@@ -18,7 +17,7 @@
 }
 
 impl Scheduler {
-    /// Handles the end of an attempt. Health and limits learn from a call once, with its last attempt.
+    /// Handles the end of an attempt. A call changes health and limits once, with its last attempt.
     pub(super) fn attempt_finished(
         &mut self,
         now: Time,
@@ -58,25 +57,15 @@
     /// Closes an attempt; returns it if its whole call has ended with it.
     fn close_attempt(&mut self, now: Time, end: &AttemptEnd) -> Option<Attempt> {
         let message = self.messages.get_mut(&end.message)?;
-        let state = message.state;
-        let attempt = state.attempt()?;
-        message.state = MessageState::Pending;
-        let possibly_executed = !end.outcome.proves_not_executed();
-        if possibly_executed && message.first_possible_execution.is_none() {
-            message.first_possible_execution = Some((attempt.sent, attempt.endpoint));
+        let has_outcome = end.is_final || matches!(message.state, MessageState::Finished(_));
+        let attempt = message.end_attempt(end.outcome)?;
+        let (destination, deadline) = (message.destination, message.deadline);
+        if let (Some(key), true) = (message.ordering_key, end.outcome.may_still_run()) {
+            self.pause_ordering(now, key);
         }
-        let has_response = matches!(end.outcome, Outcome::Delivered | Outcome::Error);
-        let may_be_running = possibly_executed && !has_response;
-        let queue = message
-            .ordering_key
-            .and_then(|key| self.ordering_queues.get_mut(&key));
-        if let (Some(queue), true) = (queue, may_be_running) {
-            queue.paused_until = now + self.settings.rules.ordering_pause;
-        }
-        if end.is_final || matches!(state, MessageState::Finished(_)) {
+        if has_outcome {
             self.finish(end.message);
         } else {
-            let (destination, deadline) = (message.destination, message.deadline);
             self.pending
                 .insert(destination, deadline, end.message, Tried::Yes);
         }
@@ -88,13 +77,27 @@
             let route = self.endpoints[&attempt.endpoint].route;
             self.route_mut(route).back_off(now + wait);
         }
-        let call = self.calls.get_mut(&attempt.call)?;
+        self.close_call(attempt.call).then_some(attempt)
+    }
+
+    /// Closes one attempt of a call; returns whether it was the last one.
+    fn close_call(&mut self, id: CallId) -> bool {
+        let Some(call) = self.calls.get_mut(&id) else {
+            return false;
+        };
         call.open_attempts -= 1;
-        if call.open_attempts > 0 {
-            return None;
+        let is_over = call.open_attempts == 0;
+        if is_over {
+            self.calls.remove(&id);
+        }
+        is_over
+    }
+
+    /// Pauses an ordering key after an attempt that may still be running.
+    fn pause_ordering(&mut self, now: Time, key: OrderingKey) {
+        if let Some(queue) = self.ordering_queues.get_mut(&key) {
+            queue.paused_until = now + self.settings.rules.ordering_pause;
         }
-        self.calls.remove(&attempt.call);
-        Some(attempt)
     }
 
     /// Records the end of a call at its endpoint and route.
--- a/crates/scheduler/src/scheduler/messages.rs
+++ b/crates/scheduler/src/scheduler/messages.rs
@@ -32,16 +32,10 @@
         }
         let in_flight = prior.and_then(|prior| self.adopt_attempt(prior.in_flight?));
         let state = in_flight.map_or(MessageState::Pending, MessageState::InFlight);
-        if let Some(known) = self.messages.get(&new.message) {
-            self.pending
-                .remove(known.destination, known.deadline, new.message);
-        }
+        self.forget_resubmitted(new.message);
         if in_flight.is_none() {
-            let tried = if attempts > 0 || first_possible_execution.is_some() {
-                Tried::Yes
-            } else {
-                Tried::No
-            };
+            let has_attempt = attempts > 0 || first_possible_execution.is_some();
+            let tried = if has_attempt { Tried::Yes } else { Tried::No };
             self.pending
                 .insert(new.destination, new.deadline, new.message, tried);
         }
@@ -69,6 +63,13 @@
         }
     }
 
+    /// Removes the earlier submission of a message from the pending ones: its deadline may differ.
+    fn forget_resubmitted(&mut self, id: MessageId) {
+        if let Some(known) = self.messages.get(&id) {
+            self.pending.remove(known.destination, known.deadline, id);
+        }
+    }
+
     fn join_ordering_queue(&mut self, key: Option<OrderingKey>, id: MessageId) {
         if let Some(key) = key {
             let queue = self.ordering_queues.entry(key).or_default();
--- a/crates/scheduler/src/scheduler/timer.rs
+++ b/crates/scheduler/src/scheduler/timer.rs
@@ -32,19 +32,19 @@
     /// When something can change without an event.
     fn next_change(&self, now: Time) -> Option<Time> {
         let mut times: Vec<Time> = self.subscription.retry_at().into_iter().collect();
-        self.extend_with_hopeless_times(&mut times);
+        self.extend_with_undeliverable_times(&mut times);
         self.extend_with_ordering_times(now, &mut times);
         self.extend_with_next_calls(now, &mut times);
         times.into_iter().min()
     }
 
     /// When pending messages become undeliverable.
-    fn extend_with_hopeless_times(&self, times: &mut Vec<Time>) {
+    fn extend_with_undeliverable_times(&self, times: &mut Vec<Time>) {
         for (destination, queue) in self.pending.by_destination() {
             let fastest = self.fastest_latency(destination);
             let first_untried = queue.untried.first().map(|(_, id)| id);
             let candidates = first_untried.into_iter().chain(&queue.tried);
-            times.extend(candidates.map(|id| self.hopeless_at(&self.messages[id], fastest)));
+            times.extend(candidates.map(|id| self.undeliverable_at(&self.messages[id], fastest)));
         }
     }
 
--- a/crates/scheduler/src/state/endpoint.rs
+++ b/crates/scheduler/src/state/endpoint.rs
@@ -88,8 +88,8 @@
         cap.is_some_and(|cap| self.in_flight >= cap.calls)
     }
 
-    /// Whether the endpoint has failed lately and not answered since.
-    pub fn has_failed_lately(&self, now: Time) -> bool {
+    /// Whether the endpoint has failed recently and not answered since.
+    pub fn has_failed_recently(&self, now: Time) -> bool {
         self.failed_at.is_some_and(|at| now - at < FAILURE_MEMORY)
     }
 
--- a/crates/scheduler/src/state/message.rs
+++ b/crates/scheduler/src/state/message.rs
@@ -1,7 +1,7 @@
 //! State of one message and its attempt in flight.
 
 use super::CallId;
-use crate::interface::{ClassId, DestinationId, EndpointId, MessageId, OrderingKey, Time};
+use crate::interface::{ClassId, DestinationId, EndpointId, MessageId, OrderingKey, Outcome, Time};
 use std::collections::VecDeque;
 
 /// A message without a final outcome, or one whose attempt has not ended.
@@ -21,6 +21,19 @@
     pub first_possible_execution: Option<(Time, EndpointId)>,
 }
 
+impl Message {
+    /// Ends the attempt in flight, so that the message is pending again; `None` if there is no such attempt.
+    pub fn end_attempt(&mut self, outcome: Outcome) -> Option<Attempt> {
+        let attempt = self.state.attempt()?;
+        self.state = MessageState::Pending;
+        if !outcome.proves_not_executed() {
+            self.first_possible_execution
+                .get_or_insert((attempt.sent, attempt.endpoint));
+        }
+        Some(attempt)
+    }
+}
+
 /// Where a message stands.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum MessageState {
--- a/crates/scheduler/src/state/route.rs
+++ b/crates/scheduler/src/state/route.rs
@@ -5,7 +5,7 @@
 use crate::failure_detector::FailureDetector;
 use crate::interface::{DestinationId, EndpointId, Span, Time};
 use crate::mean_latency::MeanLatency;
-use crate::rate_limiter::{LimitView, RateLimiter};
+use crate::rate_limiter::{AcceptedCall, LimitView, RateLimiter, RejectedCall};
 use crate::rate_share::RateShare;
 use crate::recovery_ramp::RecoveryRamp;
 use std::fmt;
@@ -113,28 +113,34 @@
     ) {
         self.consecutive_timeouts = 0;
         self.failures.succeeded(sent);
-        let since_last_s = self.baseline_rate.seconds_since_update(now);
+        let call = AcceptedCall {
+            sent,
+            since_last_s: self.baseline_rate.seconds_since_update(now),
+            route_is_ejected: self.ramp.is_ejected(),
+        };
         self.baseline_rate
             .succeeded(now, self.ramp.is_settled(now, ramp_duration));
-        let ejected = self.ramp.is_ejected();
         self.rate_limiter
-            .take_if(|limiter| !limiter.accepted(now, sent, since_last_s, ejected, view));
+            .take_if(|limiter| !limiter.accepted(now, call, view));
     }
 
     /// Records a rejection. The rate limiter's rate stays at or above `min_rate`, in calls per second.
     pub fn rejected(&mut self, now: Time, sent: Time, min_rate: f64, view: Option<LimitView>) {
         self.failures.rejected(now, sent);
-        let last_accepted = self.failures.last_success_sent();
-        match &mut self.rate_limiter {
-            None => {
-                let rate = self.recent_send_rate(now).max(min_rate);
-                self.rate_limiter = Some(RateLimiter::new(now, rate, view));
-            }
-            Some(limiter) => limiter.rejected(now, sent, last_accepted, min_rate, view),
+        let call = RejectedCall {
+            sent,
+            last_accepted_sent: self.failures.last_success_sent(),
+            min_rate,
+        };
+        if let Some(limiter) = &mut self.rate_limiter {
+            limiter.rejected(now, call, view);
+        } else {
+            let rate = self.recent_send_rate(now).max(min_rate);
+            self.rate_limiter = Some(RateLimiter::new(now, rate, view));
         }
     }
 
-    /// Calls per second that were sent lately.
+    /// Calls per second in the recent window.
     fn recent_send_rate(&self, now: Time) -> f64 {
         let recent = self.ramp.recent_sends(now, RECENT_WINDOW);
         recent.count as f64 / recent.age_of_first.max(MIN_RECENT_WINDOW).secs()
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! Test support: settings, a scheduler with a clock, and readers of its actions.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
+pub mod fleet;
 pub mod scenario;
 
 use marblefall_scheduler::*;
--- a/crates/scheduler/tests/many_instances.rs
+++ b/crates/scheduler/tests/many_instances.rs
@@ -2,82 +2,13 @@
 
 mod common;
 
+use common::fleet::*;
 use common::*;
 use marblefall_scheduler::*;
 use std::collections::BTreeMap;
 
-const INSTANCES: usize = 200;
-/// Seed of the first instance; the others follow.
-const FIRST_SEED: u64 = 1000;
 const STEP_MS: f64 = 50.0;
 
-fn fleet_settings() -> Settings {
-    let mut set = settings();
-    (set.instances, set.limits.max_in_flight, set.rate_hints) =
-        (INSTANCES, 3, RateHints::Approximate);
-    set
-}
-
-/// Instances with a seed each and the same endpoint list.
-struct Fleet {
-    instances: Vec<Scheduler>,
-    attempts: BTreeMap<(usize, MessageId), u32>,
-    last_message: u64,
-}
-
-/// An attempt that an instance sent.
-struct SentAttempt {
-    message: MessageId,
-    attempt: u32,
-    endpoint: EndpointId,
-}
-
-impl Fleet {
-    fn new(set: &Settings, endpoints: &[EndpointUpdate]) -> Fleet {
-        let mut instances: Vec<Scheduler> = (0..INSTANCES)
-            .map(|n| Scheduler::new(set.clone(), FIRST_SEED + n as u64))
-            .collect();
-        for instance in &mut instances {
-            let list = Event::EndpointsReplaced(endpoints.to_vec());
-            instance.handle(Time(0), &[list], &mut Vec::new());
-        }
-        Fleet {
-            instances,
-            attempts: BTreeMap::new(),
-            last_message: 0,
-        }
-    }
-
-    fn message(&mut self, now: Time) -> Event {
-        self.last_message += 1;
-        Event::Accepted(NewMessage {
-            message: MessageId(self.last_message),
-            class: ClassId(0),
-            tenant: None,
-            ordering_key: None,
-            deadline: now + Span::from_ms(DEADLINE_MS),
-            destination: DestinationId(0),
-        })
-    }
-
-    /// Handles a batch of events at one instance.
-    fn handle(&mut self, instance: usize, now: Time, events: &[Event]) -> Vec<SentAttempt> {
-        let mut actions = Vec::new();
-        self.instances[instance].handle(now, events, &mut actions);
-        let numbered = sends(&actions).into_iter().map(|(message, endpoint)| {
-            let next = self.attempts.entry((instance, message)).or_default();
-            let attempt = *next;
-            *next += 1;
-            SentAttempt {
-                message,
-                attempt,
-                endpoint,
-            }
-        });
-        numbered.collect()
-    }
-}
-
 /// A call to the destination, and its outcome.
 #[derive(Clone, Copy)]
 struct CallRecord {
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,7 +1,7 @@
 //! Hosts the instances: turns lines into events and actions into lines. It takes no decisions.
 //!
-//! A batch starts with a line that has its time and ends with a line of its own. Each instance that is named in it handles
-//! its events at the end, in the order in which the instances were first named.
+//! A batch starts with a line that has its time and ends with a line of its own. Each instance that is named in it
+//! handles its events at the end, in the order in which the instances were first named.
 
 use crate::error::InputError;
 use crate::instance::Instance;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire as types: the lines of the input and of the output. The wire's own names stand in the `rename`
-//! attributes here and nowhere else.
+//! The simulator's wire as types: the lines of the input and of the output. The wire's own names stand in the
+//! `rename` attributes here and nowhere else.
 
 use marblefall_settings::InstanceSettings;
 use serde::{Deserialize, Serialize};
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -15,6 +15,9 @@
 pub struct Span(pub i64);
 
 impl Time {
+    /// The earliest point in time: before any that a clock gives.
+    pub const MIN: Time = Time(i64::MIN);
+
     /// The point in time `ms` milliseconds after the clock's zero, rounded to a microsecond.
     pub fn from_ms(ms: f64) -> Time {
         Time((ms * 1000.0).round() as i64)
@@ -35,6 +38,11 @@
         Span((ms * 1000.0).round() as i64)
     }
 
+    /// A span of `secs` seconds, rounded to a microsecond.
+    pub fn from_secs(secs: f64) -> Span {
+        Span::from_ms(secs * 1000.0)
+    }
+
     /// Length in milliseconds.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1000.0
