--- a/crates/cli/src/group/status.rs
+++ b/crates/cli/src/group/status.rs
@@ -1,6 +1,6 @@
 //! The status of a group, as it is printed.
 
-use super::connection::Connection;
+use super::connection::{Connection, Contact};
 use marblefall_control_plane::group::transport::{LocalStatus, OperatorResponse};
 use marblefall_coordination::identifiers::Revision;
 use marblefall_coordination::node::{ChangePhase, GroupStatus, MemberStatus, PendingStatus, Reply};
@@ -60,7 +60,7 @@
     match &local.last_leader {
         Some(leader) => println!(
             "nobody leads just now; {} did, heard {} ms ago",
-            leader.name, leader.heard_ms_ago
+            leader.name, leader.contact_ms_ago
         ),
         None => println!("nobody leads just now, and nobody did since this daemon started"),
     }
@@ -75,7 +75,7 @@
     if let Some(pending) = &status.pending {
         println!(
             "open: a change by {}, {}; waits for: {}",
-            pending.author.by,
+            pending.author.name,
             phase_name(pending.phase),
             connection.names(&pending.awaited)
         );
@@ -88,13 +88,13 @@
 fn member_text(connection: &Connection, member: &MemberStatus, committed: Revision) -> String {
     let applied = member.applied;
     let revision = applied.map_or("-".to_owned(), |revision| revision.0.to_string());
-    let heard = member.since_last_request;
-    let heard = heard.map_or("never".to_owned(), |micros| {
+    let contact = member.since_last_request;
+    let contact = contact.map_or("never".to_owned(), |micros| {
         format!("{} ms ago", micros / 1000)
     });
     let votes = if member.votes { ", votes" } else { "" };
     format!(
-        "{}: {}, revision {revision}, heard {heard}{votes}",
+        "{}: {}, revision {revision}, heard {contact}{votes}",
         connection.name(member.member),
         member_state(connection, member, committed)
     )
@@ -105,10 +105,10 @@
     member: &MemberStatus,
     committed: Revision,
 ) -> &'static str {
-    match (member.excluded, connection.is_heard(member)) {
+    match (member.excluded, connection.contact(member)) {
         (true, _) => "stopped",
-        (_, None) => "not heard",
-        (_, Some(false)) => "cut off",
+        (_, Contact::Never) => "not heard",
+        (_, Contact::Lost) => "cut off",
         _ if member.applied != Some(committed) => "behind",
         _ => "in step",
     }
@@ -149,7 +149,7 @@
     let awaited = pending.awaited.iter();
     let awaited: Vec<String> = awaited.map(|member| connection.name(*member)).collect();
     json!({
-        "by": pending.author.by,
+        "by": pending.author.name,
         "stage": phase_name(pending.phase),
         "waits_for": awaited,
     })
