--- a/crates/simulation/benches/speed.rs
+++ b/crates/simulation/benches/speed.rs
@@ -4,10 +4,10 @@
 #![allow(missing_docs)]
 
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
-use marblefall_simulation::check::Watch;
+use marblefall_simulation::invariants::Watch;
+use marblefall_simulation::metrics::Tally;
 use marblefall_simulation::scenario::Scenario;
 use marblefall_simulation::simulation::{in_service, play};
-use marblefall_simulation::tally::Tally;
 
 const CALM: &str = r#"
 seconds = 10
--- a/crates/simulation/fuzz/fuzz_targets/curve.rs
+++ b/crates/simulation/fuzz/fuzz_targets/rate_expression.rs
@@ -1,2 +1,2 @@
 #![no_main]
-libfuzzer_sys::fuzz_target!(|bytes: &[u8]| marblefall_simulation::bodies::curve(bytes));
+libfuzzer_sys::fuzz_target!(|bytes: &[u8]| marblefall_simulation::fuzz_targets::rate_expression(bytes));
--- a/crates/simulation/src/capacity.rs
+++ b/crates/simulation/src/capacity_search.rs
@@ -1,6 +1,6 @@
 //! How much load a scenario bears: by bisection, the multiple of its loads at which a class begins to miss its deadline.
 
-use crate::figures::measure;
+use crate::metrics::measure;
 use crate::scenario::{Draft, Unfit};
 use crate::simulation::in_service;
 use rayon::prelude::*;
--- a/crates/simulation/src/wires.rs
+++ b/crates/simulation/src/connections.rs
@@ -1,7 +1,7 @@
 //! Connections between couriers and partners, as couriers keep them: used again last first, retired before the time that
 //! couriers are told, limited by the endpoint, and closed by it without a word.
 
-use crate::partner::Wire;
+use crate::destination::Wire;
 use marblefall_scheduler::{Span, Time};
 use std::collections::HashMap;
 
--- a/crates/simulation/src/partner.rs
+++ b/crates/simulation/src/destination.rs
@@ -3,7 +3,7 @@
 //! No I/O and no clock. What becomes of a call is settled when it comes: outages are known beforehand, and queues are
 //! served in order.
 
-use crate::draw::Service;
+use crate::distribution::Service;
 use marblefall_scheduler::{Outcome, Span, Time};
 use rand::Rng;
 use std::collections::VecDeque;
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -3,7 +3,7 @@
 //! A folder holds one line for each cell, written when it is done. A cell is played again only if what it was played
 //! from has changed: the scenario as its seed has it, the values set, or the program.
 
-use crate::figures::{measure, Figures};
+use crate::metrics::{measure, Figures};
 use crate::scenario::{line, Draft, Scenario};
 use crate::simulation::in_service;
 use indicatif::{ProgressBar, ProgressStyle};
--- a/crates/simulation/src/bodies.rs
+++ b/crates/simulation/src/fuzz_targets.rs
@@ -1,6 +1,6 @@
 //! What fuzzing does with bytes: each reader takes them without a panic, and what it accepts keeps its word.
 
-use crate::curve::Curve;
+use crate::rate_expression::Curve;
 use crate::scenario::Scenario;
 use crate::trace;
 
@@ -19,7 +19,7 @@
 }
 
 /// A curve: its values can be used as rates.
-pub fn curve(bytes: &[u8]) {
+pub fn rate_expression(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
     };
--- a/crates/simulation/src/check.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,7 +1,7 @@
 //! Whether a run kept the rules, judged by what is seen from outside alone.
 
+use crate::observation::{End, Seen};
 use crate::scenario::Scenario;
-use crate::seen::{End, Seen};
 use crate::simulation::{play, Make};
 use marblefall_scheduler::{EndpointStatus, Idempotency, Outcome, Span, Time};
 use std::collections::HashMap;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -14,23 +14,22 @@
     reason = "this package is not yet written in the style of the others; see docs/ROADMAP.md"
 )]
 
-pub mod bodies;
-pub mod capacity;
-pub mod chart;
-pub mod check;
+pub mod capacity_search;
 pub mod compare;
-pub mod cored;
-pub mod curve;
-pub mod doubles;
-pub mod draw;
+pub mod connections;
+pub mod core_driver;
+pub mod destination;
+pub mod distribution;
 pub mod experiment;
-pub mod figures;
-pub mod hunt;
-pub mod partner;
+pub mod fuzz_targets;
+pub mod invariants;
+pub mod metrics;
+pub mod mutants;
+pub mod observation;
+pub mod plot;
+pub mod rate_expression;
 pub mod report;
 pub mod scenario;
-pub mod seen;
+pub mod seed_search;
 pub mod simulation;
-pub mod tally;
 pub mod trace;
-pub mod wires;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -10,16 +10,16 @@
 
 use clap::{Parser, Subcommand};
 use marblefall_process_experiment::schedule::ProcessScenario;
-use marblefall_simulation::capacity::{capacity, Bears, Search};
-use marblefall_simulation::check::judge;
+use marblefall_simulation::capacity_search::{capacity, Bears, Search};
 use marblefall_simulation::compare::{variants, Comparison};
-use marblefall_simulation::cored::Cores;
-use marblefall_simulation::doubles::Fault;
+use marblefall_simulation::core_driver::Cores;
 use marblefall_simulation::experiment::{self, Experiment};
-use marblefall_simulation::figures::{measure, Figures};
-use marblefall_simulation::hunt::{self, Failing};
+use marblefall_simulation::invariants::judge;
+use marblefall_simulation::metrics::{measure, Figures};
+use marblefall_simulation::mutants::Fault;
 use marblefall_simulation::report;
 use marblefall_simulation::scenario::{Draft, Scenario};
+use marblefall_simulation::seed_search::{self, Failing};
 use marblefall_simulation::simulation::in_service;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -481,8 +481,8 @@
 
 fn hunted(what: &What, seeds: u64, into: Option<&Path>, runs: u32) -> Result<bool, String> {
     let draft = what.draft()?;
-    let found =
-        hunt::hunt(&draft, 1..=seeds.max(1), &in_service).map_err(|unfit| unfit.to_string())?;
+    let found = seed_search::hunt(&draft, 1..=seeds.max(1), &in_service)
+        .map_err(|unfit| unfit.to_string())?;
     println!("{:>6} {:>8}  first breach", "seed", "kept");
     for prey in found.iter().take(10) {
         let breach = prey.figures.first_breach.as_deref().unwrap_or("-");
@@ -496,8 +496,8 @@
         let failing = worst
             .broke
             .map_or(Failing::KeepsUnder(tenth + 1e-9), Failing::Breaks);
-        let shrunk = hunt::shrink(&draft, worst.seed, failing, runs, &in_service);
-        fs::write(path, hunt::text(&shrunk)?)
+        let shrunk = seed_search::shrink(&draft, worst.seed, failing, runs, &in_service);
+        fs::write(path, seed_search::text(&shrunk)?)
             .map_err(|error| format!("{}: {error}", path.display()))?;
         println!(
             "{}: fails with seed {}, found in {} runs",
--- a/crates/simulation/src/tally.rs
+++ b/crates/simulation/src/metrics.rs
@@ -1,7 +1,11 @@
 //! What came of a run, in figures: ends and times by class, arrivals by partner over time.
 
+mod summary;
+
+pub use summary::{measure, ClassFigures, Figures};
+
+use crate::observation::{End, Seen};
 use crate::scenario::Scenario;
-use crate::seen::{End, Seen};
 use hdrhistogram::serialization::interval_log::{IntervalLogWriterBuilder, Tag};
 use hdrhistogram::serialization::V2Serializer;
 use hdrhistogram::Histogram;
@@ -94,7 +98,7 @@
             earned: 0.0,
             took_us: Histogram::new_with_bounds(1, LONGEST_US, 3).expect("the bounds are sound"),
         };
-        let came = |partner: &crate::partner::Partner| Came {
+        let came = |partner: &crate::destination::Partner| Came {
             partner: partner.name.clone(),
             calls: vec![],
             delivered: vec![],
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/metrics/summary.rs
@@ -1,9 +1,9 @@
 //! A run in few figures: what experiments keep of each.
 
-use crate::check::{Verdict, Watch};
+use super::{Ends, Tally};
+use crate::invariants::{Verdict, Watch};
 use crate::scenario::Scenario;
 use crate::simulation::{play, Make};
-use crate::tally::{Ends, Tally};
 use serde::{Deserialize, Serialize};
 
 /// What came of one class.
--- a/crates/simulation/src/doubles.rs
+++ b/crates/simulation/src/mutants.rs
@@ -1,7 +1,7 @@
 //! Couriers with a fault each, to see that the checkers find it. A rule that no double can break would be a rule that
 //! nobody checks.
 
-use crate::check::Rule;
+use crate::invariants::Rule;
 use crate::simulation::Node;
 use marblefall_scheduler::{
     Action, EndpointStatus, Event, Idempotency, Outcome, Scheduler, Settings, Span, Time,
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,13 +1,13 @@
 //! Pages: what a play or an experiment came to, as one file of HTML that needs nothing else.
 
-use crate::chart::{dots, lines, mark, stroke, Dots, Line};
-use crate::check::Verdict;
 use crate::compare::{variants, Comparison, Difference};
+use crate::destination::{Partner, Trouble};
 use crate::experiment::{self, Record};
-use crate::figures::{ClassFigures, Figures};
-use crate::partner::{Partner, Trouble};
+use crate::invariants::Verdict;
+use crate::metrics::Tally;
+use crate::metrics::{ClassFigures, Figures};
+use crate::plot::{dots, lines, mark, stroke, Dots, Line};
 use crate::scenario::Scenario;
-use crate::tally::Tally;
 use marblefall_scheduler::EndpointStatus;
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 use serde::{Deserialize, Serialize};
@@ -65,8 +65,8 @@
     }
 }
 
-fn partner_run(like: &Partner, came: &crate::tally::Came) -> PartnerRun {
-    let span = |outage: &crate::partner::Outage| {
+fn partner_run(like: &Partner, came: &crate::metrics::Came) -> PartnerRun {
+    let span = |outage: &crate::destination::Outage| {
         (
             outage.from.ms() / 1000.0,
             outage.until.ms() / 1000.0,
@@ -91,7 +91,7 @@
 impl Run {
     /// A play that was counted and judged.
     pub fn of(scenario: &Scenario, seed: u64, tally: &Tally, verdict: &Verdict) -> Run {
-        let quantiles = |ends: &crate::tally::Ends| {
+        let quantiles = |ends: &crate::metrics::Ends| {
             let steps = [0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999];
             let at = |part: &f64| (*part, ends.took_us.value_at_quantile(*part) as f64 / 1000.0);
             (ends.class.clone(), steps.iter().map(at).collect())
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -10,8 +10,8 @@
 
 pub(crate) use source::line;
 
-use crate::curve::Curve;
-use crate::partner::Partner;
+use crate::destination::Partner;
+use crate::rate_expression::Curve;
 use marblefall_scheduler as m;
 use marblefall_scheduler::{EndpointStatus, Span, Time};
 use source::{read_alone, set_value, Source};
--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -6,9 +6,9 @@
     TroubleForm,
 };
 use super::{Arrivals, Class, Crash, Load, Network, News, Scenario, Unfit, LONGEST_S};
-use crate::curve::Curve;
-use crate::draw::{Service, Shape};
-use crate::partner::{Cold, Limit, Outage, Partner, Trouble, Wire};
+use crate::destination::{Cold, Limit, Outage, Partner, Trouble, Wire};
+use crate::distribution::{Service, Shape};
+use crate::rate_expression::Curve;
 use crate::trace;
 use marblefall_scheduler as m;
 use marblefall_scheduler::{EndpointStatus, Span, Time};
--- a/crates/simulation/src/hunt.rs
+++ b/crates/simulation/src/seed_search.rs
@@ -1,7 +1,7 @@
 //! Looks for the seeds on which couriers do worst, and shrinks a scenario to the least that still fails.
 
-use crate::check::Rule;
-use crate::figures::{measure, Figures};
+use crate::invariants::Rule;
+use crate::metrics::{measure, Figures};
 use crate::scenario::{Draft, Unfit};
 use crate::simulation::{Life, Make, Node};
 use rayon::prelude::*;
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -8,13 +8,13 @@
 
 mod attempts;
 mod clients;
-mod couriers;
 mod event_queue;
+mod instances;
 
-use crate::partner::Running;
+use crate::connections::Wires;
+use crate::destination::Running;
+use crate::observation::Seen;
 use crate::scenario::Scenario;
-use crate::seen::Seen;
-use crate::wires::Wires;
 use event_queue::{EventQueue, SimulationEvent, Submission};
 use marblefall_scheduler::{
     Action, EndpointId, EndpointStatus, Event, Scheduler, Settings, Span, Time,
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -2,9 +2,9 @@
 
 use super::event_queue::{SimulationEvent, Submission, TravellingAttempt};
 use super::Simulation;
-use crate::partner::Fate;
-use crate::seen::{End, Seen};
-use crate::wires::Found;
+use crate::connections::Found;
+use crate::destination::Fate;
+use crate::observation::{End, Seen};
 use marblefall_scheduler::{
     AttemptNumber, EndpointId, Event, MessageId, Outcome, RateLimitReport, Span, Time,
 };
--- a/crates/simulation/src/simulation/clients.rs
+++ b/crates/simulation/src/simulation/clients.rs
@@ -1,10 +1,10 @@
 //! Clients: when their messages come, and to which courier they hand them in.
 
-use super::couriers::new_message;
 use super::event_queue::{SimulationEvent, Submission};
+use super::instances::new_message;
 use super::{Message, Simulation};
+use crate::observation::Seen;
 use crate::scenario::{Arrivals, Load};
-use crate::seen::Seen;
 use marblefall_scheduler::{Event, Span, Time};
 use rand::Rng;
 use rand_distr::Exp1;
--- a/crates/simulation/src/simulation/couriers.rs
+++ b/crates/simulation/src/simulation/instances.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::SimulationEvent;
 use super::{Life, Message, Simulation};
-use crate::seen::{End, Seen};
+use crate::observation::{End, Seen};
 use marblefall_scheduler::{
     Action, ClassId, DestinationId, EndpointId, EndpointUpdate, Event, KindId, MessageId,
     NewMessage, PriorAttempts, Span, ZoneId,
--- a/crates/simulation/tests/cored.rs
+++ b/crates/simulation/tests/core_driver.rs
@@ -2,9 +2,9 @@
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
-use marblefall_simulation::check::{judge, Rule};
-use marblefall_simulation::cored::Cores;
-use marblefall_simulation::figures::{measure, Figures};
+use marblefall_simulation::core_driver::Cores;
+use marblefall_simulation::invariants::{judge, Rule};
+use marblefall_simulation::metrics::{measure, Figures};
 use marblefall_simulation::scenario::Scenario;
 use marblefall_simulation::simulation::{in_service, Life};
 use std::collections::HashSet;
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -3,15 +3,15 @@
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
-use marblefall_simulation::capacity::{capacity, Bears, Search};
-use marblefall_simulation::check::{judge, Rule};
+use marblefall_simulation::capacity_search::{capacity, Bears, Search};
 use marblefall_simulation::compare::{Comparison, Difference};
-use marblefall_simulation::doubles::Fault;
 use marblefall_simulation::experiment::{self, Experiment, Record};
-use marblefall_simulation::figures::{measure, Figures};
-use marblefall_simulation::hunt::{hunt, shrink, text, Failing};
+use marblefall_simulation::invariants::{judge, Rule};
+use marblefall_simulation::metrics::{measure, Figures};
+use marblefall_simulation::mutants::Fault;
 use marblefall_simulation::report::{of_folder, Run};
 use marblefall_simulation::scenario::{Draft, Scenario};
+use marblefall_simulation::seed_search::{hunt, shrink, text, Failing};
 use marblefall_simulation::simulation::{in_service, Life};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
--- a/crates/simulation/tests/theory.rs
+++ b/crates/simulation/tests/queueing_theory.rs
@@ -1,8 +1,8 @@
 //! The model against what is known of queues and limits.
 
 use marblefall_scheduler::{Outcome, Span, Time};
-use marblefall_simulation::draw::{Service, Shape};
-use marblefall_simulation::partner::{Limit, Partner, Running};
+use marblefall_simulation::destination::{Limit, Partner, Running};
+use marblefall_simulation::distribution::{Service, Shape};
 use rand::{Rng, SeedableRng};
 use rand_distr::Exp1;
 use rand_pcg::Pcg64;
--- a/crates/simulation/tests/worlds.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -4,16 +4,16 @@
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use marblefall_scheduler::{Outcome, Span, Time};
-use marblefall_simulation::bodies;
-use marblefall_simulation::check::{judge, Watch};
-use marblefall_simulation::curve::Curve;
-use marblefall_simulation::doubles::Fault;
-use marblefall_simulation::partner::Wire;
+use marblefall_simulation::connections::{Found, Wires};
+use marblefall_simulation::destination::Wire;
+use marblefall_simulation::fuzz_targets;
+use marblefall_simulation::invariants::{judge, Watch};
+use marblefall_simulation::metrics::Tally;
+use marblefall_simulation::mutants::Fault;
+use marblefall_simulation::observation::Seen;
+use marblefall_simulation::rate_expression::Curve;
 use marblefall_simulation::scenario::Scenario;
-use marblefall_simulation::seen::Seen;
 use marblefall_simulation::simulation::{in_service, play};
-use marblefall_simulation::tally::Tally;
-use marblefall_simulation::wires::{Found, Wires};
 use quickcheck::{Arbitrary, Gen};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -318,9 +318,9 @@
         let with = Vec::<u8>::arbitrary(&mut gen);
         let bytes = [&text.as_bytes()[..from], &with, &text.as_bytes()[to..]].concat();
         refused += usize::from(Scenario::parse(&String::from_utf8_lossy(&bytes), &[], 1).is_err());
-        bodies::scenario(&bytes);
-        bodies::curve(&with);
-        bodies::trace(&[b"at_s\n1.5\n", with.as_slice(), b"\n0.5,a\n"].concat());
+        fuzz_targets::scenario(&bytes);
+        fuzz_targets::rate_expression(&with);
+        fuzz_targets::trace(&[b"at_s\n1.5\n", with.as_slice(), b"\n0.5,a\n"].concat());
     }
     assert!((1500..2990).contains(&refused), "{refused} refused");
     let expressions = [
@@ -335,7 +335,7 @@
             usize::arbitrary(&mut gen) % text.len(),
             usize::arbitrary(&mut gen) % text.len(),
         );
-        bodies::curve(&[&text[..from], &text[other..]].concat());
+        fuzz_targets::rate_expression(&[&text[..from], &text[other..]].concat());
     }
 }
 
