--- a/crates/simulation/benches/speed.rs
+++ b/crates/simulation/benches/speed.rs
@@ -1,15 +1,13 @@
-//! How fast the model plays: `cargo bench -p marblefall-lab`.
+//! Speed of the simulation: `cargo bench -p marblefall-simulation`.
 
-// The macros write items without docs.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "the macros write items without docs")]
 
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
-use marblefall_simulation::invariants::Watch;
-use marblefall_simulation::metrics::Tally;
+use marblefall_simulation::metrics::measure;
 use marblefall_simulation::scenario::Scenario;
-use marblefall_simulation::simulation::{in_service, play};
+use marblefall_simulation::simulation::{play, production_node};
 
-const CALM: &str = r#"
+const CALM_SCENARIO: &str = r#"
 seconds = 10
 [couriers]
 count = 3
@@ -26,24 +24,20 @@
 rate = 5000
 "#;
 
-fn speed(bench: &mut Criterion) {
-    let scenario = Scenario::parse(CALM, &[], 1).expect("it is sound");
-    let messages = play(&scenario, 1, &in_service, &mut |_, _| {}).messages;
-    let mut group = bench.benchmark_group("a hundred partners, 5,000 messages a second");
+fn speed(criterion: &mut Criterion) {
+    let scenario = Scenario::parse(CALM_SCENARIO, &[], 1).expect("the scenario is valid");
+    let messages = play(&scenario, 1, &production_node, &mut |_, _| {}).messages;
+    let mut group = criterion.benchmark_group("100 destinations, 5,000 messages per second");
     group
         .throughput(Throughput::Elements(messages))
         .sample_size(10);
-    group.bench_function("played", |bench| {
-        bench.iter(|| play(&scenario, 1, &in_service, &mut |_, _| {}))
+    group.bench_function("played", |bencher| {
+        bencher.iter(|| play(&scenario, 1, &production_node, &mut |_, _| {}));
     });
-    group.bench_function("played, counted and judged", |bench| {
-        bench.iter(|| {
-            let (mut watch, mut tally) = (Watch::new(&scenario), Tally::new(&scenario));
-            let played = play(&scenario, 1, &in_service, &mut |at, seen| {
-                watch.see(at, seen);
-                tally.see(at, seen);
-            });
-            assert!(watch.close(played.over).is_clean());
+    group.bench_function("played, measured and checked", |bencher| {
+        bencher.iter(|| {
+            let (_, verdict) = measure(&scenario, 1, &production_node);
+            assert!(verdict.is_clean());
         });
     });
     group.finish();
--- a/crates/simulation/src/capacity_search.rs
+++ b/crates/simulation/src/capacity_search.rs
@@ -1,110 +1,184 @@
-//! How much load a scenario bears: by bisection, the multiple of its loads at which a class begins to miss its deadline.
+//! Searches the capacity of a scenario: by bisection, the factor of its loads at which a class begins to miss its
+//! deadline.
 
 use crate::metrics::measure;
-use crate::scenario::{Draft, Unfit};
-use crate::simulation::in_service;
+use crate::scenario::{Draft, ScenarioError};
+use crate::simulation::production_node;
 use rayon::prelude::*;
 use std::collections::BTreeMap;
 
-/// Where the search looks, and what counts as kept.
+/// Where to search, and which share of the messages must be delivered.
 #[derive(Clone, Copy, Debug)]
-pub struct Search {
-    /// The least multiple of the scenario's loads.
-    pub least: f64,
-    /// The greatest.
-    pub most: f64,
-    /// Part of what clients bring of a class that must be delivered before its deadline.
-    pub part: f64,
-    /// Seeds 1 to this are played at each multiple.
+pub struct CapacitySearch {
+    /// The least factor of the scenario's loads.
+    pub min_factor: f64,
+    /// The greatest factor.
+    pub max_factor: f64,
+    /// Share of the offered messages of a class that must be delivered.
+    pub required_share: f64,
+    /// Each factor is played with the seeds 1 to this.
     pub seeds: u64,
-    /// Each step halves what is left, on a logarithmic scale.
+    /// Number of bisections, on a logarithmic scale.
     pub steps: u32,
 }
 
-/// What a class bears.
+/// The factor of the loads that a class sustains.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Bears {
-    /// Not even the least.
-    Less,
-    /// Up to this multiple, and not this one.
+pub enum Capacity {
+    /// Less than the least factor.
+    Below,
+    /// The first factor, and not the second.
     Between(f64, f64),
-    /// All that was tried.
-    More,
+    /// The greatest factor.
+    Above,
 }
 
-/// Of each class the part delivered, and messages a second that clients brought.
-type Parts = BTreeMap<String, (f64, f64)>;
+/// The capacity of one class.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ClassCapacity {
+    /// The factor that it sustains.
+    pub capacity: Capacity,
+    /// Messages per second offered at that factor.
+    pub offered_rate: f64,
+}
 
-fn parts(draft: &Draft, times: f64, seeds: u64) -> Result<Parts, Unfit> {
-    let draft = draft.clone().set(&[format!("load_times={times:.6}")])?;
-    let runs: Result<Vec<_>, Unfit> = (1..=seeds)
-        .into_par_iter()
-        .map(|seed| {
-            let scenario = draft.scenario(seed)?;
-            Ok((measure(&scenario, seed, &in_service).0, scenario.seconds))
-        })
-        .collect();
-    let mut sums: BTreeMap<String, (u64, u64, f64)> = BTreeMap::new();
-    for (tally, seconds) in runs? {
-        for class in tally.classes.iter().filter(|class| class.offered > 0) {
-            let sum = sums.entry(class.class.clone()).or_default();
-            *sum = (
-                sum.0 + class.delivered,
-                sum.1 + class.offered,
-                sum.2 + seconds,
-            );
-        }
-    }
-    let part = |(delivered, offered, seconds)| {
-        (delivered as f64 / offered as f64, offered as f64 / seconds)
-    };
-    Ok(sums
-        .into_iter()
-        .map(|(class, sum)| (class, part(sum)))
-        .collect())
+/// The deliveries of one class at one factor.
+#[derive(Clone, Copy, Debug)]
+struct ClassDelivery {
+    delivered_share: f64,
+    /// Messages per second.
+    offered_rate: f64,
+}
+
+type Deliveries = BTreeMap<String, ClassDelivery>;
+
+/// Sums over the seeds of one factor.
+#[derive(Default)]
+struct ClassSum {
+    delivered: u64,
+    offered: u64,
+    seconds: f64,
 }
 
-/// For each class what it bears, and how many messages a second of it that is.
+/// For each class its capacity.
 ///
 /// # Errors
-/// Of the scenario.
-pub fn capacity(draft: &Draft, search: Search) -> Result<BTreeMap<String, (Bears, f64)>, Unfit> {
-    let mut known: BTreeMap<u64, Parts> = BTreeMap::new();
-    let mut at = |times: f64| -> Result<Parts, Unfit> {
-        if let Some(parts) = known.get(&times.to_bits()) {
-            return Ok(parts.clone());
-        }
-        let found = parts(draft, times, search.seeds)?;
-        known.insert(times.to_bits(), found.clone());
-        Ok(found)
+/// If the draft is not a valid scenario for every seed.
+pub fn capacity(
+    draft: &Draft,
+    search: CapacitySearch,
+) -> Result<BTreeMap<String, ClassCapacity>, ScenarioError> {
+    let mut measurements = Measurements {
+        draft,
+        seeds: search.seeds,
+        by_factor: BTreeMap::new(),
     };
-    let mut found = BTreeMap::new();
-    let (least, most) = (at(search.least)?, at(search.most)?);
-    let keeps = |parts: &Parts, class: &str| {
-        parts
+    let at_min = measurements.at(search.min_factor)?;
+    let at_max = measurements.at(search.max_factor)?;
+    let mut capacities = BTreeMap::new();
+    for (class, lowest) in &at_min {
+        let capacity = if !search.is_sustained(&at_min, class) {
+            ClassCapacity {
+                capacity: Capacity::Below,
+                offered_rate: lowest.offered_rate,
+            }
+        } else if search.is_sustained(&at_max, class) {
+            ClassCapacity {
+                capacity: Capacity::Above,
+                offered_rate: at_max[class].offered_rate,
+            }
+        } else {
+            search.bisect(&mut measurements, class, lowest.offered_rate)?
+        };
+        capacities.insert(class.clone(), capacity);
+    }
+    Ok(capacities)
+}
+
+impl CapacitySearch {
+    /// Whether a class is delivered as required. A class without messages is.
+    fn is_sustained(&self, deliveries: &Deliveries, class: &str) -> bool {
+        deliveries
             .get(class)
-            .is_none_or(|(part, _)| *part >= search.part)
-    };
-    for (class, (_, rate)) in &least {
-        if !keeps(&least, class) {
-            found.insert(class.clone(), (Bears::Less, *rate));
-            continue;
-        }
-        if keeps(&most, class) {
-            found.insert(class.clone(), (Bears::More, most[class].1));
-            continue;
-        }
-        let (mut low, mut high, mut borne) = (search.least, search.most, *rate);
-        for _ in 0..search.steps {
+            .is_none_or(|delivery| delivery.delivered_share >= self.required_share)
+    }
+
+    fn bisect(
+        &self,
+        measurements: &mut Measurements<'_>,
+        class: &str,
+        lowest_rate: f64,
+    ) -> Result<ClassCapacity, ScenarioError> {
+        let mut low = self.min_factor;
+        let mut high = self.max_factor;
+        let mut offered_rate = lowest_rate;
+        for _ in 0..self.steps {
             let middle = (low * high).sqrt();
-            let parts = at(middle)?;
-            if keeps(&parts, class) {
-                (low, borne) = (middle, parts.get(class).map_or(borne, |(_, rate)| *rate));
+            let deliveries = measurements.at(middle)?;
+            if self.is_sustained(&deliveries, class) {
+                low = middle;
+                let delivery = deliveries.get(class);
+                offered_rate = delivery.map_or(offered_rate, |delivery| delivery.offered_rate);
             } else {
                 high = middle;
             }
         }
-        found.insert(class.clone(), (Bears::Between(low, high), borne));
+        Ok(ClassCapacity {
+            capacity: Capacity::Between(low, high),
+            offered_rate,
+        })
+    }
+}
+
+/// The deliveries at each factor that was played.
+struct Measurements<'d> {
+    draft: &'d Draft,
+    seeds: u64,
+    /// By the bits of the factor.
+    by_factor: BTreeMap<u64, Deliveries>,
+}
+
+impl Measurements<'_> {
+    fn at(&mut self, factor: f64) -> Result<Deliveries, ScenarioError> {
+        if let Some(known) = self.by_factor.get(&factor.to_bits()) {
+            return Ok(known.clone());
+        }
+        let deliveries = self.play(factor)?;
+        self.by_factor.insert(factor.to_bits(), deliveries.clone());
+        Ok(deliveries)
+    }
+
+    fn play(&self, factor: f64) -> Result<Deliveries, ScenarioError> {
+        let draft = self.draft.clone();
+        let draft = draft.set(&[format!("load_times={factor:.6}")])?;
+        let runs: Result<Vec<_>, ScenarioError> = (1..=self.seeds)
+            .into_par_iter()
+            .map(|seed| {
+                let scenario = draft.scenario(seed)?;
+                let (metrics, _) = measure(&scenario, seed, &production_node);
+                Ok((metrics, scenario.seconds))
+            })
+            .collect();
+        let mut sums: BTreeMap<String, ClassSum> = BTreeMap::new();
+        for (metrics, seconds) in runs? {
+            let offered = metrics
+                .classes
+                .iter()
+                .filter(|class| class.counts.offered > 0);
+            for class in offered {
+                let sum = sums.entry(class.class.clone()).or_default();
+                sum.delivered += class.counts.delivered;
+                sum.offered += class.counts.offered;
+                sum.seconds += seconds;
+            }
+        }
+        let deliveries = sums.into_iter().map(|(class, sum)| {
+            let delivery = ClassDelivery {
+                delivered_share: sum.delivered as f64 / sum.offered as f64,
+                offered_rate: sum.offered as f64 / sum.seconds,
+            };
+            (class, delivery)
+        });
+        Ok(deliveries.collect())
     }
-    Ok(found)
 }
--- a/crates/simulation/src/compare.rs
+++ b/crates/simulation/src/compare.rs
@@ -1,40 +1,40 @@
-//! Paired comparison: the same scenarios and seeds under two variants, and whether they differ.
+//! Paired comparison of two variants on the same scenarios and seeds.
 //!
-//! Runs differ far more from seed to seed than between two variants, so what counts is the difference within each pair.
-//! Its mean has an interval by the bootstrap; a difference is named only where the interval leaves zero out. Where many
-//! scenarios are looked at, one of twenty would do so by chance: intervals are widened for their number (Bonferroni).
+//! Runs differ far more between seeds than between variants, so the difference within each pair counts. The mean of the
+//! differences has a bootstrap interval; it is significant if the interval excludes zero. Intervals are widened for the
+//! number of scenarios compared (Bonferroni).
 
-use crate::experiment::Record;
+use crate::experiment::CellResult;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Samples drawn for an interval: its ends are the 10th from either side where 25 scenarios are compared.
+/// Bootstrap samples for an interval.
 const SAMPLES: usize = 10_000;
-/// One comparison in so many that shows a difference where there is none.
-const ONE_IN: f64 = 20.0;
-/// With fewer pairs the bootstrap's intervals are too narrow to be believed.
-const LEAST_PAIRS: usize = 6;
+/// One set of comparisons in this many shows a difference where there is none.
+const FALSE_POSITIVE_ONE_IN: f64 = 20.0;
+/// With fewer pairs, bootstrap intervals are too narrow.
+const MIN_PAIRS: usize = 6;
 
-/// The mean of some paired differences.
+/// The mean of paired differences with its interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Difference {
-    /// Pairs.
+    /// Number of pairs.
     pub pairs: usize,
     /// The mean.
     pub mean: f64,
-    /// The mean lies above this ...
+    /// Lower end of the interval.
     pub low: f64,
-    /// ... and below this.
+    /// Upper end of the interval.
     pub high: f64,
 }
 
 impl Difference {
-    /// Of paired differences, one of `looks` that are made together.
-    pub fn of(pairs: &[f64], looks: usize) -> Difference {
-        let count = pairs.len();
-        if count == 0 {
+    /// The mean of differences, as one of `comparisons` that are made together.
+    pub fn of(differences: &[f64], comparisons: usize) -> Difference {
+        let pairs = differences.len();
+        if pairs == 0 {
             return Difference {
                 pairs: 0,
                 mean: 0.0,
@@ -42,75 +42,87 @@
                 high: f64::INFINITY,
             };
         }
-        let mean = pairs.iter().sum::<f64>() / count as f64;
-        // The same pairs always have the same interval.
-        let mut rng = Pcg64::seed_from_u64(count as u64);
-        let mut means: Vec<f64> = (0..SAMPLES)
-            .map(|_| {
-                (0..count)
-                    .map(|_| pairs[rng.random_range(0..count)])
-                    .sum::<f64>()
-                    / count as f64
-            })
-            .collect();
-        means.sort_by(f64::total_cmp);
-        let tail = (SAMPLES as f64 / ONE_IN / looks.max(1) as f64 / 2.0) as usize;
+        let means = bootstrap_means(differences);
+        let tail =
+            (SAMPLES as f64 / FALSE_POSITIVE_ONE_IN / comparisons.max(1) as f64 / 2.0) as usize;
         Difference {
-            pairs: count,
-            mean,
+            pairs,
+            mean: differences.iter().sum::<f64>() / pairs as f64,
             low: means[tail],
             high: means[SAMPLES - 1 - tail],
         }
     }
 
-    /// Whether there is one.
-    pub fn is_one(&self) -> bool {
-        self.pairs >= LEAST_PAIRS && (self.low > 0.0 || self.high < 0.0)
+    /// Whether there are enough pairs and the interval excludes zero.
+    pub fn is_significant(&self) -> bool {
+        self.pairs >= MIN_PAIRS && (self.low > 0.0 || self.high < 0.0)
     }
 }
 
-/// Two variants side by side.
+/// The means of bootstrap samples, in order. The same number of differences takes the same draws.
+fn bootstrap_means(differences: &[f64]) -> Vec<f64> {
+    let count = differences.len();
+    let mut rng = Pcg64::seed_from_u64(count as u64);
+    let mut sample_mean = |_| {
+        let drawn = (0..count).map(|_| differences[rng.random_range(0..count)]);
+        drawn.sum::<f64>() / count as f64
+    };
+    let mut means: Vec<f64> = (0..SAMPLES).map(&mut sample_mean).collect();
+    means.sort_by(f64::total_cmp);
+    means
+}
+
+/// Runs with violations under each variant.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ViolatingRuns {
+    /// Under the first.
+    pub base: usize,
+    /// Under the second.
+    pub with: usize,
+}
+
+/// A comparison of two variants.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// For each scenario what the second keeps more than the first.
-    pub kept: BTreeMap<String, Difference>,
-    /// Over all scenarios.
-    pub all: Difference,
-    /// Runs that broke a rule under the first and under the second.
-    pub broken: (usize, usize),
+    /// For each scenario, how much more of the value the second variant delivers.
+    pub by_scenario: BTreeMap<String, Difference>,
+    /// The same over all scenarios.
+    pub overall: Difference,
+    /// Runs with violations.
+    pub violating_runs: ViolatingRuns,
 }
 
 impl Comparison {
-    /// Of records with the same scenarios and seeds; what only one of them has is left out.
-    pub fn of(base: &[Record], with: &[Record]) -> Comparison {
-        let key = |record: &Record| (record.scenario.clone(), record.seed);
-        let first: BTreeMap<_, _> = base
+    /// Compares results with the same scenario and seed; results without a counterpart are left out.
+    pub fn of(base: &[CellResult], with: &[CellResult]) -> Comparison {
+        let key = |result: &CellResult| (result.scenario.clone(), result.seed);
+        let base_summaries: BTreeMap<_, _> = base
             .iter()
-            .map(|record| (key(record), &record.figures))
+            .map(|result| (key(result), &result.summary))
             .collect();
-        let mut pairs: BTreeMap<String, Vec<f64>> = BTreeMap::new();
-        let mut broken = (0, 0);
-        for record in with {
-            let Some(before) = first.get(&key(record)) else {
+        let mut differences: BTreeMap<String, Vec<f64>> = BTreeMap::new();
+        let mut violating_runs = ViolatingRuns::default();
+        for result in with {
+            let Some(before) = base_summaries.get(&key(result)) else {
                 continue;
             };
-            pairs
-                .entry(record.scenario.clone())
+            let after = &result.summary;
+            differences
+                .entry(result.scenario.clone())
                 .or_default()
-                .push(record.figures.kept - before.kept);
-            broken.0 += usize::from(before.breaches > 0);
-            broken.1 += usize::from(record.figures.breaches > 0);
+                .push(after.delivered_value_share - before.delivered_value_share);
+            violating_runs.base += usize::from(before.violations > 0);
+            violating_runs.with += usize::from(after.violations > 0);
         }
-        let every: Vec<f64> = pairs.values().flatten().copied().collect();
-        let looks = pairs.len();
-        let kept = pairs
+        let all: Vec<f64> = differences.values().flatten().copied().collect();
+        let comparisons = differences.len();
+        let by_scenario = differences
             .into_iter()
-            .map(|(name, pairs)| (name, Difference::of(&pairs, looks)))
-            .collect();
+            .map(|(name, differences)| (name, Difference::of(&differences, comparisons)));
         Comparison {
-            kept,
-            all: Difference::of(&every, 1),
-            broken,
+            by_scenario: by_scenario.collect(),
+            overall: Difference::of(&all, 1),
+            violating_runs,
         }
     }
 }
@@ -120,44 +132,41 @@
         writeln!(
             f,
             "{:<20} {:>5} {:>9} {:>9} {:>9}",
-            "worth kept", "pairs", "change", "from", "to"
+            "value delivered", "pairs", "change", "from", "to"
         )?;
-        let all = ("all of them".to_owned(), self.all);
-        for (name, change) in self
-            .kept
-            .iter()
-            .map(|(name, one)| (name.clone(), *one))
-            .chain([all])
-        {
-            let word = match (change.is_one(), change.mean > 0.0) {
-                (true, true) => "more",
-                (true, false) => "less",
-                (false, _) if change.pairs < LEAST_PAIRS => "too few pairs",
-                (false, _) => "",
-            };
-            let Difference {
-                pairs,
-                mean,
-                low,
-                high,
-            } = change;
-            writeln!(
-                f,
-                "{name:<20} {pairs:>5} {mean:>+9.4} {low:>+9.4} {high:>+9.4}  {word}"
-            )?;
+        for (name, change) in &self.by_scenario {
+            write_row(f, name, change)?;
         }
+        write_row(f, "all of them", &self.overall)?;
         write!(
             f,
-            "runs that broke a rule: {} before, {} after",
-            self.broken.0, self.broken.1
+            "runs with violations: {} before, {} after",
+            self.violating_runs.base, self.violating_runs.with
         )
     }
 }
 
-/// The variants of some records.
-pub fn variants(records: &[Record]) -> BTreeSet<&str> {
-    records
-        .iter()
-        .map(|record| record.variant.as_str())
-        .collect()
+fn write_row(f: &mut fmt::Formatter<'_>, name: &str, change: &Difference) -> fmt::Result {
+    let verdict = match (change.is_significant(), change.mean > 0.0) {
+        (true, true) => "more",
+        (true, false) => "less",
+        (false, _) if change.pairs < MIN_PAIRS => "too few pairs",
+        (false, _) => "",
+    };
+    let Difference {
+        pairs,
+        mean,
+        low,
+        high,
+    } = change;
+    writeln!(
+        f,
+        "{name:<20} {pairs:>5} {mean:>+9.4} {low:>+9.4} {high:>+9.4}  {verdict}"
+    )
+}
+
+/// The names of the variants of some results.
+pub fn variants(results: &[CellResult]) -> BTreeSet<&str> {
+    let names = results.iter().map(|result| result.variant.as_str());
+    names.collect()
 }
--- a/crates/simulation/src/connections.rs
+++ b/crates/simulation/src/connections.rs
@@ -1,95 +1,121 @@
-//! Connections between couriers and partners, as couriers keep them: used again last first, retired before the time that
-//! couriers are told, limited by the endpoint, and closed by it without a word.
+//! Connections between instances and endpoints.
+//!
+//! Instances reuse the connection that became idle last, and retire idle ones before the idle timeout in their settings.
+//! Endpoints limit how many they accept, and may close idle ones without notice.
 
-use crate::destination::Wire;
+use crate::destination::ConnectionPolicy;
 use marblefall_scheduler::{Span, Time};
 use std::collections::HashMap;
 
-/// Couriers give an idle connection up at this part of the time that they are told.
-const RETIRED_PART: f64 = 0.85;
+/// Instances retire an idle connection after this share of the idle timeout in their settings.
+const RETIREMENT_SHARE: f64 = 0.85;
 
-/// What a leg finds.
+/// Which connection an attempt gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
-    /// A connection that is kept.
-    Kept,
-    /// One that its endpoint has closed meanwhile: it breaks as it is used.
-    Closed,
-    /// None, so one is opened.
+pub enum Acquired {
+    /// An idle connection that is still open.
+    Reused,
+    /// An idle connection that its endpoint has closed: the attempt fails as it uses it.
+    Stale,
+    /// A new connection.
     New,
-    /// None, and the endpoint takes no more.
-    NoRoom,
+    /// None: the endpoint accepts no further connection.
+    LimitReached,
+}
+
+/// What happens to a connection when its attempt ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Release {
+    /// It stays open and idle: the response was received completely.
+    Reusable,
+    /// It is closed.
+    Closed,
 }
 
-/// The connections of all couriers.
+/// The connections of all instances.
 #[derive(Debug, Default)]
-pub struct Wires {
-    /// By courier and endpoint since when each that is kept has been idle, the longest first.
+pub struct ConnectionPool {
+    /// By instance and endpoint, since when each idle connection has been idle, oldest first.
     idle: HashMap<(usize, u32), Vec<Time>>,
-    /// Legs out, by endpoint.
-    busy: HashMap<u32, usize>,
-    /// So long couriers are told that an idle connection lasts.
-    told: Span,
+    /// Connections with an attempt in flight, by endpoint.
+    in_use: HashMap<u32, usize>,
+    /// The idle timeout in the instances' settings.
+    idle_timeout: Span,
 }
 
-impl Wires {
-    /// None yet.
-    pub fn new(told: Span) -> Wires {
-        Wires {
-            told,
-            ..Wires::default()
+impl ConnectionPool {
+    /// A pool without connections.
+    pub fn new(idle_timeout: Span) -> ConnectionPool {
+        ConnectionPool {
+            idle_timeout,
+            ..ConnectionPool::default()
         }
     }
 
-    /// A leg goes out: takes a connection or opens one. What is not taken has no leg on it.
-    pub fn take(&mut self, now: Time, courier: usize, endpoint: u32, wire: &Wire) -> Found {
-        let retired = Span((self.told.0 as f64 * RETIRED_PART) as i64);
-        let idle = self.idle.entry((courier, endpoint)).or_default();
-        idle.retain(|since| now - *since < retired);
-        let lives = |since: &Time| wire.idle_close.is_none_or(|after| now - *since < after);
-        let found = match idle.pop() {
-            Some(since) if lives(&since) => Found::Kept,
-            Some(_) => return Found::Closed,
+    /// Takes or opens a connection for an attempt. Only [`Acquired::Reused`] and [`Acquired::New`] must be released.
+    pub fn acquire(
+        &mut self,
+        now: Time,
+        instance: usize,
+        endpoint: u32,
+        policy: &ConnectionPolicy,
+    ) -> Acquired {
+        let retired_after = Span((self.idle_timeout.0 as f64 * RETIREMENT_SHARE) as i64);
+        let idle = self.idle.entry((instance, endpoint)).or_default();
+        idle.retain(|since| now - *since < retired_after);
+        let acquired = match idle.pop() {
+            Some(since) if is_open(policy, now, since) => Acquired::Reused,
+            Some(_) => return Acquired::Stale,
             None => {
-                let kept = self
-                    .idle
-                    .iter()
-                    .filter(|((_, at), _)| *at == endpoint)
-                    .map(|(_, idle)| idle);
-                let open =
-                    kept.flatten().filter(|since| lives(since)).count() + self.busy(endpoint);
-                if wire.most.is_some_and(|most| open >= most) {
-                    return Found::NoRoom;
+                let open = self.open(now, endpoint, policy);
+                if policy.max_open.is_some_and(|max| open >= max) {
+                    return Acquired::LimitReached;
                 }
-                Found::New
+                Acquired::New
             }
         };
-        *self.busy.entry(endpoint).or_default() += 1;
-        found
+        *self.in_use.entry(endpoint).or_default() += 1;
+        acquired
     }
 
-    /// Legs out to an endpoint.
-    pub fn busy(&self, endpoint: u32) -> usize {
-        self.busy.get(&endpoint).copied().unwrap_or(0)
+    /// Connections that an endpoint holds open, idle ones included.
+    fn open(&self, now: Time, endpoint: u32, policy: &ConnectionPolicy) -> usize {
+        let to_endpoint = self.idle.iter().filter(|((_, to), _)| *to == endpoint);
+        let idle = to_endpoint
+            .flat_map(|(_, idle)| idle)
+            .filter(|since| is_open(policy, now, **since))
+            .count();
+        idle + self.in_use(endpoint)
     }
 
-    /// A leg has ended; its connection stays if its answer came whole.
-    pub fn give_back(&mut self, now: Time, courier: usize, endpoint: u32, whole: bool) {
-        if let Some(busy) = self.busy.get_mut(&endpoint) {
-            *busy = busy.saturating_sub(1);
+    /// Connections to an endpoint with an attempt in flight.
+    pub fn in_use(&self, endpoint: u32) -> usize {
+        self.in_use.get(&endpoint).copied().unwrap_or(0)
+    }
+
+    /// Returns the connection of an attempt that ended.
+    pub fn release(&mut self, now: Time, instance: usize, endpoint: u32, release: Release) {
+        if let Some(in_use) = self.in_use.get_mut(&endpoint) {
+            *in_use = in_use.saturating_sub(1);
         }
-        if whole {
-            self.idle.entry((courier, endpoint)).or_default().push(now);
+        if release == Release::Reusable {
+            self.idle.entry((instance, endpoint)).or_default().push(now);
         }
     }
 
-    /// A courier closes its idle connections to an endpoint.
-    pub fn close_idle(&mut self, courier: usize, endpoint: u32) {
-        self.idle.remove(&(courier, endpoint));
+    /// Closes an instance's idle connections to an endpoint.
+    pub fn close_idle(&mut self, instance: usize, endpoint: u32) {
+        self.idle.remove(&(instance, endpoint));
     }
 
-    /// A courier is gone; its legs are given back one by one.
-    pub fn died(&mut self, courier: usize) {
-        self.idle.retain(|(whose, _), _| *whose != courier);
+    /// Closes all idle connections of an instance that crashed. Those in use are released one by one.
+    pub fn remove_instance(&mut self, instance: usize) {
+        self.idle.retain(|(owner, _), _| *owner != instance);
     }
 }
+
+fn is_open(policy: &ConnectionPolicy, now: Time, idle_since: Time) -> bool {
+    policy
+        .idle_close
+        .is_none_or(|after| now - idle_since < after)
+}
--- a/crates/simulation/src/core_driver.rs
+++ b/crates/simulation/src/core_driver.rs
@@ -1,7 +1,9 @@
-//! The courier's core in the place of the bare decision module: engine, ledger and a journal on disk, which its next life
-//! opens again. What the world says of an earlier life is not listened to: the journal must know.
+//! Runs the core of the product as a node of the simulation: engine, message store and a journal on disk, which the next
+//! incarnation opens again.
+//!
+//! Messages that the simulation resumes after a crash are ignored: the journal has to know them.
 
-use crate::simulation::{Life, Node};
+use crate::simulation::{Incarnation, Node};
 use marblefall_delivery::core::endpoint::ListedEndpoint;
 use marblefall_delivery::core::engine::{
     AttemptRequest, AttemptResult, Engine, EngineCommand, EngineEvent, EngineSettings,
@@ -11,7 +13,7 @@
     Disposition, FinalOutcome, Message, Origin, RequestId, SubmitResponse, Timestamp,
 };
 use marblefall_scheduler::{
-    Action, EndpointId, EndpointUpdate, Event, Idempotency, MessageClass, MessageId, Settings,
+    Action, EndpointId, EndpointUpdate, Event, Idempotency, MessageClass, MessageId, NewMessage,
     Span, Time,
 };
 use std::collections::{HashMap, HashSet};
@@ -19,347 +21,365 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Virtual time counts from here on the Unix clock, in ms.
+/// Unix time at the start of virtual time, in ms.
 const EPOCH_MS: i64 = 1_700_000_000_000;
-/// A process is so old when it is first asked anything.
-const STARTED: Span = Span(1_000_000);
-/// What a message's content weighs in the journal, in bytes.
-const BODY: usize = 200;
-/// Steps that one batch leads to at most: what became clear only while it was carried out.
-const STEPS: usize = 8;
+/// Monotonic time of a process when it handles its first event.
+const INITIAL_UPTIME: Span = Span(1_000_000);
+/// Size of a message's body, in bytes.
+const BODY_BYTES: usize = 200;
+/// Steps of the engine per batch of events: executing commands yields further events.
+const MAX_STEPS_PER_BATCH: usize = 8;
 
-/// The folders of some couriers, removed when the run is over.
+/// Creates nodes that run the core, each with a journal in a folder of its own. The folders are removed on drop.
 #[derive(Debug)]
-pub struct Cores {
+pub struct CoreNodes {
     root: PathBuf,
-    disk: u64,
+    max_disk_bytes: u64,
 }
 
-impl Cores {
-    /// Folders for one run, which may hold so many bytes each.
+impl CoreNodes {
+    /// Creates the folders of one run; each journal may occupy this many bytes on disk.
     ///
     /// # Errors
-    /// Of the disk.
-    pub fn new(disk: u64) -> io::Result<Cores> {
-        static NEXT: AtomicU64 = AtomicU64::new(0);
-        let own = format!(
-            "marblefall-lab-cores-{}-{}",
+    /// If the folder cannot be created.
+    pub fn new(max_disk_bytes: u64) -> io::Result<CoreNodes> {
+        static NEXT_RUN: AtomicU64 = AtomicU64::new(0);
+        let name = format!(
+            "marblefall-simulation-core-{}-{}",
             std::process::id(),
-            NEXT.fetch_add(1, Ordering::Relaxed)
+            NEXT_RUN.fetch_add(1, Ordering::Relaxed)
         );
-        let root = std::env::temp_dir().join(own);
+        let root = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&root)?;
-        Ok(Cores { root, disk })
+        Ok(CoreNodes {
+            root,
+            max_disk_bytes,
+        })
     }
 
-    /// Where a courier keeps what outlasts its process.
-    pub fn folder(&self, courier: usize) -> PathBuf {
-        self.root.join(courier.to_string())
+    /// The folder of an instance's journal.
+    pub fn folder(&self, instance: usize) -> PathBuf {
+        self.root.join(instance.to_string())
     }
 
-    /// The node of one life.
-    pub fn node(&self, life: Life) -> Box<dyn Node> {
-        let (folder, disk) = (self.folder(life.courier), self.disk);
-        Box::new(Seat {
-            folder,
-            disk,
-            life,
-            running: None,
+    /// Creates the node of an incarnation.
+    pub fn node(&self, incarnation: Incarnation) -> Box<dyn Node> {
+        Box::new(CoreNode {
+            folder: self.folder(incarnation.instance),
+            max_disk_bytes: self.max_disk_bytes,
+            incarnation,
+            core: None,
         })
     }
 }
 
-impl Drop for Cores {
+impl Drop for CoreNodes {
     fn drop(&mut self) {
+        // What cannot be removed stays in the system's folder for temporary files.
         let _ = std::fs::remove_dir_all(&self.root);
     }
 }
 
-struct Seat {
+/// A node that opens its core with the first event, as only that brings the time.
+struct CoreNode {
     folder: PathBuf,
-    disk: u64,
-    life: Life,
-    running: Option<Running>,
+    max_disk_bytes: u64,
+    incarnation: Incarnation,
+    core: Option<RunningCore>,
 }
 
-struct Running {
-    engine: Engine,
-    /// Of each class whether its receivers drop repeats by key.
-    keyed: Vec<bool>,
-    born: Time,
-    /// The world's endpoints by the engine's numbers for them.
-    hosts: HashMap<EndpointId, EndpointId>,
-    /// Legs out: the engine's numbers of the message and of the leg.
-    legs: HashMap<MessageId, (MessageId, u32)>,
-    /// Hand-ins that were told that they are taken on; their end comes as a notice.
-    taken: HashSet<u64>,
-    orders: Vec<EngineCommand>,
-    armed: Option<Time>,
-    tokens: u64,
+impl Node for CoreNode {
+    fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
+        if self.core.is_none() {
+            match RunningCore::open(&self.folder, self.max_disk_bytes, &self.incarnation, now) {
+                Ok(core) => self.core = Some(core),
+                // The invariant checker reports the messages that are lost.
+                Err(error) => {
+                    let text = format!("{}: {error}", self.folder.display());
+                    return actions.push(Action::Log(text));
+                }
+            }
+        }
+        if let Some(core) = &mut self.core {
+            core.handle(now, events, actions);
+        }
+    }
 }
 
-fn setup(settings: Settings, seed: u64) -> EngineSettings {
-    EngineSettings {
-        retention_ms: vec![0; settings.classes.len()],
-        scheduler: settings,
-        seed,
-        max_retained: 0,
-    }
+/// The engine's identity of an attempt.
+#[derive(Clone, Copy)]
+struct EngineAttempt {
+    message_id: MessageId,
+    attempt: u32,
 }
 
-impl Running {
-    fn open(folder: &Path, disk: u64, life: &Life, now: Time) -> io::Result<Running> {
-        let classes = (0..life.settings.classes.len())
-            .map(|class| class.to_string())
-            .collect();
-        let store = MessageStore::open(folder, disk, classes)?;
-        let mut orders = Vec::new();
+/// An open core and the translation between its identities and those of the simulation.
+struct RunningCore {
+    engine: Engine,
+    /// By class, whether its messages carry an idempotency key.
+    has_idempotency_key: Vec<bool>,
+    started_at: Time,
+    /// The simulation's endpoints by the engine's.
+    endpoints: HashMap<EndpointId, EndpointId>,
+    /// The last attempt of each message of the simulation.
+    attempts: HashMap<MessageId, EngineAttempt>,
+    /// Submissions that were accepted: their final outcome arrives as a notice.
+    accepted: HashSet<RequestId>,
+    commands: Vec<EngineCommand>,
+    /// When the last timer that was set fires.
+    timer_at: Option<Time>,
+    last_timer: u64,
+}
+
+impl RunningCore {
+    fn open(
+        folder: &Path,
+        max_disk_bytes: u64,
+        incarnation: &Incarnation,
+        now: Time,
+    ) -> io::Result<RunningCore> {
+        let classes = &incarnation.settings.classes;
+        let class_names = (0..classes.len()).map(|class| class.to_string()).collect();
+        let store = MessageStore::open(folder, max_disk_bytes, class_names)?;
+        let mut commands = Vec::new();
         let engine = Engine::new(
-            setup(life.settings.clone(), life.seed),
+            engine_settings(incarnation),
             store,
-            stamp(now, now),
-            &mut orders,
+            timestamp(now, now),
+            &mut commands,
         );
-        let (hosts, legs, taken) = Default::default();
-        let is_keyed =
-            |class: &MessageClass| matches!(class.idempotency, Idempotency::IdempotencyKey { .. });
-        let keyed = life.settings.classes.iter().map(is_keyed).collect();
-        Ok(Running {
+        Ok(RunningCore {
             engine,
-            keyed,
-            born: now,
-            hosts,
-            legs,
-            taken,
-            orders,
-            armed: None,
-            tokens: 0,
+            has_idempotency_key: classes.iter().map(has_idempotency_key).collect(),
+            started_at: now,
+            endpoints: HashMap::new(),
+            attempts: HashMap::new(),
+            accepted: HashSet::new(),
+            commands,
+            timer_at: None,
+            last_timer: 0,
         })
     }
 
-    fn input(&self, event: &Event) -> Option<EngineEvent> {
-        Some(match event {
-            Event::Accepted(handed) => {
-                let identity = handed.message.0.to_le_bytes().to_vec();
-                let keyed = self.keyed.get(handed.class.0).copied().unwrap_or(false);
-                let message = Message {
-                    origin: Origin::Platform,
-                    idempotency_key: keyed.then(|| identity.clone()),
-                    identity,
-                    class: handed.class,
-                    destination: handed.destination,
-                    expires_ms: EPOCH_MS + handed.deadline.0.div_euclid(1000),
-                    attributes: Vec::new(),
-                    body: vec![b'x'; BODY],
-                };
-                EngineEvent::Submitted(RequestId(handed.message.0), message)
+    fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
+        let mut batch: Vec<EngineEvent> = events
+            .iter()
+            .filter_map(|event| self.engine_event(event))
+            .collect();
+        for step in 0..MAX_STEPS_PER_BATCH {
+            // An engine requires a later time for each batch.
+            let at = timestamp(self.started_at, now + Span(step as i64));
+            self.engine.step(at, batch, &mut self.commands);
+            batch = self.execute_commands(actions);
+            if batch.is_empty() && !self.engine.has_backlog() {
+                break;
             }
+        }
+        self.set_timer(now, actions);
+    }
+
+    /// Translates an event of the simulation. A step without an event lets the engine look at the time.
+    fn engine_event(&self, event: &Event) -> Option<EngineEvent> {
+        match event {
+            Event::Accepted(submitted) => Some(EngineEvent::Submitted(
+                RequestId(submitted.message.0),
+                self.engine_message(submitted),
+            )),
             Event::AttemptFinished {
                 message,
                 outcome,
-                duration: took,
-                rate_limit: report,
+                duration,
+                rate_limit,
                 ..
             } => {
-                let (seq, copy) = *self.legs.get(message)?;
-                EngineEvent::AttemptFinished(AttemptResult {
-                    message_id: seq,
-                    attempt: copy,
+                let attempt = self.attempts.get(message)?;
+                Some(EngineEvent::AttemptFinished(AttemptResult {
+                    message_id: attempt.message_id,
+                    attempt: attempt.attempt,
                     outcome: *outcome,
-                    duration: *took,
+                    duration: *duration,
                     disposition: Disposition::Undecided,
-                    rate_limit: *report,
-                })
-            }
-            Event::EndpointsReplaced(entries) => {
-                EngineEvent::EndpointsReplaced(entries.iter().map(host).collect())
+                    rate_limit: *rate_limit,
+                }))
             }
-            Event::EndpointsUpdated(entries) => {
-                EngineEvent::EndpointsUpdated(entries.iter().map(host).collect())
-            }
-            // The journal knows; a step without an input looks at the time.
+            Event::EndpointsReplaced(list) => Some(EngineEvent::EndpointsReplaced(
+                list.iter().map(listed_endpoint).collect(),
+            )),
+            Event::EndpointsUpdated(updates) => Some(EngineEvent::EndpointsUpdated(
+                updates.iter().map(listed_endpoint).collect(),
+            )),
             Event::Resumed(..)
             | Event::TimerFired(_)
             | Event::Cancelled(_)
             | Event::HealthChecked { .. }
             | Event::RouteRestored(..)
             | Event::BackoffNotified { .. }
-            | Event::EndpointListFailed => return None,
-        })
+            | Event::EndpointListFailed => None,
+        }
     }
 
-    /// Does what the engine orders; gives what it is to be told of that.
-    fn carry_out(&mut self, actions: &mut Vec<Action>) -> Vec<EngineEvent> {
-        let mut told = Vec::new();
-        for order in std::mem::take(&mut self.orders) {
-            match order {
-                EngineCommand::Respond(ticket, SubmitResponse::Accepted) => {
-                    self.taken.insert(ticket.0);
-                }
-                EngineCommand::Respond(
-                    ticket,
-                    SubmitResponse::Rejected {
-                        retry_after_ms: after_ms,
-                    },
-                ) => {
-                    let retry_in = Span::from_ms(after_ms as f64);
-                    actions.push(Action::Reject {
-                        message: MessageId(ticket.0),
-                        retry_after: retry_in,
-                    });
-                }
-                EngineCommand::Respond(ticket, SubmitResponse::Finished(_))
-                    if self.taken.remove(&ticket.0) => {}
-                EngineCommand::Respond(
-                    ticket,
-                    SubmitResponse::Finished(_) | SubmitResponse::Conflict,
-                ) => {
-                    actions.push(Action::Fail(MessageId(ticket.0)));
-                }
-                EngineCommand::StartAttempt(AttemptRequest {
-                    message_id: seq,
-                    attempt: copy,
-                    endpoint: host,
-                    message,
-                    timeout_at: cut_at,
-                    ..
-                }) => {
-                    let message = id_of(&message);
-                    self.legs.insert(message, (seq, copy));
-                    let endpoint = self.hosts.get(&host).copied().unwrap_or(host);
-                    actions.push(Action::Send {
-                        message,
-                        endpoint,
-                        timeout_at: self.world(cut_at),
-                    });
+    fn engine_message(&self, submitted: &NewMessage) -> Message {
+        let identity = submitted.message.0.to_le_bytes().to_vec();
+        let has_key = self.has_idempotency_key.get(submitted.class.0);
+        let has_key = has_key.copied().unwrap_or(false);
+        Message {
+            origin: Origin::Platform,
+            idempotency_key: has_key.then(|| identity.clone()),
+            identity,
+            class: submitted.class,
+            destination: submitted.destination,
+            expires_ms: EPOCH_MS + submitted.deadline.0.div_euclid(1000),
+            attributes: Vec::new(),
+            body: vec![b'x'; BODY_BYTES],
+        }
+    }
+
+    /// Executes the engine's commands. Returns the events that result.
+    fn execute_commands(&mut self, actions: &mut Vec<Action>) -> Vec<EngineEvent> {
+        let mut events = Vec::new();
+        for command in std::mem::take(&mut self.commands) {
+            match command {
+                EngineCommand::Respond(request, response) => {
+                    actions.extend(self.respond(request, &response));
                 }
+                EngineCommand::StartAttempt(attempt) => actions.push(self.start_attempt(&attempt)),
                 EngineCommand::SendNotice {
-                    message_id: seq,
+                    message_id,
                     message,
-                    outcome: end,
+                    outcome,
                 } => {
-                    let message = id_of(&message);
-                    match end {
-                        FinalOutcome::Delivered => {}
-                        FinalOutcome::Returned {
-                            retry_after_ms: after_ms,
-                        } => {
-                            let retry_in = Span::from_ms(after_ms as f64);
-                            actions.push(Action::Reject {
-                                message,
-                                retry_after: retry_in,
-                            });
-                        }
-                        FinalOutcome::Failed | FinalOutcome::Expired => {
-                            actions.push(Action::Fail(message))
-                        }
-                    }
-                    told.push(EngineEvent::NoticeAcknowledged(seq));
+                    actions.extend(final_action(simulation_message(&message), &outcome));
+                    events.push(EngineEvent::NoticeAcknowledged(message_id));
                 }
-                EngineCommand::EndpointListed(id, host) => {
-                    let number = host.name.parse().map_or(id, EndpointId);
-                    self.hosts.insert(id, number);
+                EngineCommand::EndpointListed(id, endpoint) => {
+                    let number = endpoint.name.parse().map_or(id, EndpointId);
+                    self.endpoints.insert(id, number);
                 }
-                EngineCommand::CloseIdleConnections(host) => {
-                    actions.extend(
-                        self.hosts
-                            .get(&host)
-                            .map(|endpoint| Action::CloseIdleConnections(*endpoint)),
-                    );
+                EngineCommand::CloseIdleConnections(endpoint) => {
+                    let endpoint = self.endpoints.get(&endpoint).copied();
+                    actions.extend(endpoint.map(Action::CloseIdleConnections));
                 }
-                // A fault of the program, which a run must not survive.
+                // A defect of the core, which ends the run.
                 EngineCommand::RuleViolated(rule, id) => {
-                    panic!("{rule} would have been broken at message {}", id.0)
+                    panic!("{rule} would have been violated at message {}", id.0)
                 }
                 EngineCommand::Log(text) => actions.push(Action::Log(text)),
-                // Nothing is called off under the lab's settings, and numbers of hosts are not used again.
+                // The settings allow no cancellation, identities of endpoints are not reused, and incarnations of an
+                // instance do not overlap.
                 EngineCommand::CancelAttempt(_)
                 | EngineCommand::MessageFinished(_)
-                | EngineCommand::EndpointRemoved(_) => {}
-                // No two lives of a courier run beside each other here.
-                EngineCommand::TookOver(_)
+                | EngineCommand::EndpointRemoved(_)
+                | EngineCommand::TookOver(_)
                 | EngineCommand::HandedOver
                 | EngineCommand::PolicyInForce(_)
                 | EngineCommand::SetBackoff(..) => {}
             }
         }
-        told
+        events
     }
 
-    fn world(&self, at: Time) -> Time {
-        at - STARTED + (self.born - Time(0))
+    /// The action that a response to a submission leads to, if any.
+    fn respond(&mut self, request: RequestId, response: &SubmitResponse) -> Option<Action> {
+        let message = MessageId(request.0);
+        match response {
+            SubmitResponse::Accepted => {
+                self.accepted.insert(request);
+                None
+            }
+            SubmitResponse::Rejected { retry_after_ms } => Some(Action::Reject {
+                message,
+                retry_after: Span::from_ms(*retry_after_ms as f64),
+            }),
+            SubmitResponse::Finished(_) if self.accepted.remove(&request) => None,
+            SubmitResponse::Finished(_) | SubmitResponse::Conflict => Some(Action::Fail(message)),
+        }
+    }
+
+    fn start_attempt(&mut self, request: &AttemptRequest) -> Action {
+        let message = simulation_message(&request.message);
+        let attempt = EngineAttempt {
+            message_id: request.message_id,
+            attempt: request.attempt,
+        };
+        self.attempts.insert(message, attempt);
+        let endpoint = self.endpoints.get(&request.endpoint).copied();
+        Action::Send {
+            message,
+            endpoint: endpoint.unwrap_or(request.endpoint),
+            timeout_at: self.virtual_time(request.timeout_at),
+        }
+    }
+
+    /// Sets a timer for the engine's next wake-up, unless an earlier one is pending.
+    fn set_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.timer_at = self.timer_at.filter(|at| *at > now);
+        let wake = self.engine.next_wake();
+        let wake = wake.map(|at| self.virtual_time(at).max(now + Span(1)));
+        let pending = self.timer_at;
+        if let Some(at) = wake.filter(|at| pending.is_none_or(|pending| *at < pending)) {
+            self.last_timer += 1;
+            self.timer_at = Some(at);
+            actions.push(Action::SetTimer {
+                at,
+                token: self.last_timer,
+            });
+        }
+    }
+
+    /// The virtual time of a monotonic time of this process.
+    fn virtual_time(&self, at: Time) -> Time {
+        at - INITIAL_UPTIME + (self.started_at - Time(0))
     }
 }
 
-/// The moment of the world as a process born at one knows it.
-fn stamp(born: Time, now: Time) -> Timestamp {
+fn engine_settings(incarnation: &Incarnation) -> EngineSettings {
+    EngineSettings {
+        retention_ms: vec![0; incarnation.settings.classes.len()],
+        scheduler: incarnation.settings.clone(),
+        seed: incarnation.seed,
+        max_retained: 0,
+    }
+}
+
+fn has_idempotency_key(class: &MessageClass) -> bool {
+    matches!(class.idempotency, Idempotency::IdempotencyKey { .. })
+}
+
+/// A virtual time as a process sees it that was started at another one.
+fn timestamp(started_at: Time, now: Time) -> Timestamp {
     Timestamp {
-        monotonic: Time((now - born).0) + STARTED,
+        monotonic: Time((now - started_at).0) + INITIAL_UPTIME,
         unix_ms: EPOCH_MS + now.0.div_euclid(1000),
     }
 }
 
-fn id_of(message: &Message) -> MessageId {
+/// The simulation's identity of a message, which is the message's identity.
+fn simulation_message(message: &Message) -> MessageId {
     let bytes = message.identity.as_slice().try_into().unwrap_or_default();
     MessageId(u64::from_le_bytes(bytes))
 }
 
-fn host(entry: &EndpointUpdate) -> ListedEndpoint {
-    ListedEndpoint {
-        name: entry.endpoint.0.to_string(),
-        address: String::new(),
-        destination: entry.destination,
-        kind: entry.kind,
-        zone: entry.zone,
-        status: entry.status,
-        advertised_rate: entry.advertised_rate,
-        weight: entry.weight,
+/// The action that ends a message for its client. A delivery ends it with the attempt.
+fn final_action(message: MessageId, outcome: &FinalOutcome) -> Option<Action> {
+    match outcome {
+        FinalOutcome::Delivered => None,
+        FinalOutcome::Returned { retry_after_ms } => Some(Action::Reject {
+            message,
+            retry_after: Span::from_ms(*retry_after_ms as f64),
+        }),
+        FinalOutcome::Failed | FinalOutcome::Expired => Some(Action::Fail(message)),
     }
 }
 
-impl Node for Seat {
-    fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
-        if self.running.is_none() {
-            match Running::open(&self.folder, self.disk, &self.life, now) {
-                Ok(running) => self.running = Some(running),
-                // Whatever it owes is then lost, and the checkers say so.
-                Err(error) => {
-                    return actions.push(Action::Log(format!("{}: {error}", self.folder.display())))
-                }
-            }
-        }
-        let Some(running) = &mut self.running else {
-            return;
-        };
-        let mut inputs: Vec<EngineEvent> = events
-            .iter()
-            .filter_map(|event| running.input(event))
-            .collect();
-        for step in 0..STEPS {
-            // No two batches of an engine bear the same time.
-            let at = now + Span(step as i64);
-            running
-                .engine
-                .step(stamp(running.born, at), inputs, &mut running.orders);
-            inputs = running.carry_out(actions);
-            if inputs.is_empty() && !running.engine.has_backlog() {
-                break;
-            }
-        }
-        let wake = running
-            .engine
-            .next_wake()
-            .map(|at| running.world(at).max(now + Span(1)));
-        let armed = running.armed.filter(|armed| *armed > now);
-        if let Some(at) = wake.filter(|at| armed.is_none_or(|armed| *at < armed)) {
-            running.tokens += 1;
-            running.armed = Some(at);
-            actions.push(Action::SetTimer {
-                at,
-                token: running.tokens,
-            });
-        } else {
-            running.armed = armed;
-        }
+fn listed_endpoint(update: &EndpointUpdate) -> ListedEndpoint {
+    ListedEndpoint {
+        name: update.endpoint.0.to_string(),
+        address: String::new(),
+        destination: update.destination,
+        kind: update.kind,
+        zone: update.zone,
+        status: update.status,
+        advertised_rate: update.advertised_rate,
+        weight: update.weight,
     }
 }
--- a/crates/simulation/src/destination.rs
+++ b/crates/simulation/src/destination.rs
@@ -1,332 +1,405 @@
-//! A partner: its endpoints with their queues, its limit, its outages, and how it comes back from them.
+//! A simulated destination: endpoints with their queues, a rate limit, outages, and the recovery after them.
 //!
-//! No I/O and no clock. What becomes of a call is settled when it comes: outages are known beforehand, and queues are
-//! served in order.
+//! The outcome of a call is decided when it arrives: outages are known in advance, and queues are served in order. There
+//! is no I/O and no clock.
 
-use crate::distribution::Service;
+use crate::distribution::ServiceTime;
 use marblefall_scheduler::{Outcome, Span, Time};
 use rand::Rng;
 use std::collections::VecDeque;
 
-/// A limit on the calls of all couriers together.
+/// Tolerance for the sum of fractions of a token.
+const TOKEN_TOLERANCE: f64 = 1e-9;
+/// Calls above the overload limit that a recovering destination tolerates: calls of several instances may coincide.
+const COINCIDING_CALLS: f64 = 2.0;
+/// Lower bound of divisors, in s.
+const MIN_DURATION_S: f64 = 1e-6;
+
+/// A limit on the calls of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Limit {
-    /// Tokens that come at a rate a second, up to a burst.
-    Rate {
-        /// Tokens a second.
+pub enum RateLimit {
+    /// A token bucket, full at the start.
+    TokenBucket {
+        /// Tokens per second.
         rate: f64,
-        /// The most there are.
+        /// Capacity of the bucket.
         burst: f64,
     },
-    /// So many calls in each window; the next begins with the first call after one has ended.
-    Window {
-        /// Calls in one.
+    /// Fixed windows; the next one starts with the first call after the last one has ended.
+    FixedWindow {
+        /// Calls per window.
         calls: u32,
-        /// Its length.
+        /// Length of a window.
         length: Span,
     },
 }
 
-/// What goes wrong in an outage.
+/// How calls fail during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// No connection.
-    Refuse,
-    /// Connections break.
-    Reset,
-    /// No answer ever comes.
-    Hang,
+pub enum OutageKind {
+    /// Connections are refused.
+    RefuseConnections,
+    /// Connections are reset.
+    ResetConnections,
+    /// No call is ever answered.
+    Blackhole,
     /// Calls are answered with an error.
-    Fail,
-    /// All calls are turned away, with the wait told if the partner tells waits.
-    Shut,
+    ReturnErrors,
+    /// Every call is rejected, with Retry-After if the destination sends one.
+    RejectAll,
 }
 
-/// An outage.
+/// A period in which calls fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outage {
-    /// What goes wrong.
-    pub trouble: Trouble,
-    /// From when on.
+    /// How calls fail.
+    pub kind: OutageKind,
+    /// Its start.
     pub from: Time,
-    /// Until when.
+    /// Its end.
     pub until: Time,
-    /// For which part of the calls.
-    pub part: f64,
+    /// Share of the calls that fail.
+    pub share: f64,
+}
+
+impl Outage {
+    /// Whether it concerns every call.
+    pub fn is_total(&self) -> bool {
+        self.share >= 1.0
+    }
+
+    fn is_active(&self, now: Time) -> bool {
+        self.from <= now && now < self.until
+    }
 }
 
-/// How it takes load once an outage is over.
+/// How capacity returns after an outage, and what overloads a recovering destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
-    /// The part of its capacity with which it begins.
-    pub from: f64,
-    /// How long until it has all of it, from its first call on.
-    pub length: Span,
-    /// More than this multiple of what it can do ...
-    pub multiple: f64,
-    /// ... over this, and it falls ...
-    pub over: Span,
-    /// ... for so long.
-    pub stays_down: Span,
+pub struct WarmUp {
+    /// Share of the capacity that is available at first.
+    pub initial_capacity: f64,
+    /// Time from the first call until the full capacity is available.
+    pub duration: Span,
+    /// Multiple of the available capacity above which the destination is overloaded.
+    pub overload_factor: f64,
+    /// Time over which calls are counted for that.
+    pub overload_window: Span,
+    /// How long an overloaded destination refuses connections.
+    pub overload_downtime: Span,
 }
 
-/// How a partner deals with connections.
+/// How a destination treats connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wire {
-    /// So many an endpoint holds; more are refused.
-    pub most: Option<usize>,
-    /// It closes one that was idle for so long, without a word.
+pub struct ConnectionPolicy {
+    /// Connections that an endpoint accepts; no limit if `None`.
+    pub max_open: Option<usize>,
+    /// Idle time after which it closes a connection without notice; never if `None`.
     pub idle_close: Option<Span>,
-    /// A new one takes so long to come up, beside the ways.
+    /// Time to establish a connection, beside the network's delay.
     pub connect: Span,
 }
 
-/// What a partner is like.
+/// A destination as the scenario describes it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Partner {
+pub struct Destination {
     /// Its name.
     pub name: String,
-    /// How many endpoints it has.
+    /// Number of its endpoints.
     pub endpoints: usize,
     /// How long a call takes.
-    pub service: Service,
-    /// Calls that an endpoint works on at once.
+    pub service_time: ServiceTime,
+    /// Calls that an endpoint processes concurrently.
     pub servers: usize,
-    /// Calls that may wait for that at an endpoint; more are turned away.
+    /// Calls that may wait at an endpoint; further ones are rejected.
     pub queue: usize,
-    /// Its limit, if it has one.
-    pub limit: Option<Limit>,
-    /// Whether what is turned away is told how long to wait.
-    pub tells_wait: bool,
-    /// Whether a call that is turned away counts against the limit.
-    pub counts_refused: bool,
-    /// Part of the calls that is turned away by chance.
-    pub refuses: f64,
+    /// Its rate limit, if any.
+    pub limit: Option<RateLimit>,
+    /// Whether rejections carry Retry-After.
+    pub sends_retry_after: bool,
+    /// Whether rejected calls count against the rate limit.
+    pub counts_rejected: bool,
+    /// Share of the calls that is rejected at random.
+    pub rejection_rate: f64,
     /// Its outages.
     pub outages: Vec<Outage>,
-    /// How it comes back from them.
-    pub cold: Option<Cold>,
-    /// Calls a second as the list has them; none if it says nothing.
-    pub listed: Option<f64>,
-    /// How it deals with connections; none if they are without limit or cost.
-    pub wire: Option<Wire>,
+    /// How it recovers from them; at once and without risk if `None`.
+    pub warm_up: Option<WarmUp>,
+    /// Calls per second that the endpoint list advertises, if it does.
+    pub advertised_rate: Option<f64>,
+    /// How it treats connections; without limit and cost if `None`.
+    pub connection_policy: Option<ConnectionPolicy>,
 }
 
-impl Partner {
-    /// Calls a second that it can take when it is warm.
+impl Destination {
+    /// Calls per second that it can process when it is warmed up.
     pub fn capacity(&self) -> f64 {
-        let served =
-            (self.endpoints * self.servers) as f64 / (self.service.mean_ms / 1000.0).max(1e-6);
+        let served = (self.endpoints * self.servers) as f64
+            / (self.service_time.mean_ms / 1000.0).max(MIN_DURATION_S);
         match self.limit {
-            Some(Limit::Rate { rate, .. }) => served.min(rate),
-            Some(Limit::Window { calls, length }) => {
-                served.min(f64::from(calls) / length.secs().max(1e-6))
+            Some(RateLimit::TokenBucket { rate, .. }) => served.min(rate),
+            Some(RateLimit::FixedWindow { calls, length }) => {
+                served.min(f64::from(calls) / length.secs().max(MIN_DURATION_S))
             }
             None => served,
         }
     }
 }
 
-/// What becomes of a call.
+/// What happens to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fate {
-    /// How it ends for its courier, and when the answer leaves; `None` if none ever does.
-    pub answer: Option<(Time, Outcome)>,
-    /// Whether the call pushed the partner over.
-    pub fell: bool,
+pub enum CallResult {
+    /// It is answered.
+    Answered {
+        /// When the answer is sent.
+        at: Time,
+        /// How the call ends for its instance.
+        outcome: Outcome,
+    },
+    /// It is never answered.
+    Unanswered,
+    /// It is refused, as it overloaded the recovering destination.
+    Overloaded {
+        /// When.
+        at: Time,
+    },
+}
+
+impl CallResult {
+    /// When the answer is sent, and how the call ends for its instance; `None` if it is never answered.
+    pub fn answer(self) -> Option<(Time, Outcome)> {
+        match self {
+            CallResult::Answered { at, outcome } => Some((at, outcome)),
+            CallResult::Unanswered => None,
+            CallResult::Overloaded { at } => Some((at, Outcome::ConnectFailed)),
+        }
+    }
+
+    fn at(at: Time, outcome: Outcome) -> CallResult {
+        CallResult::Answered { at, outcome }
+    }
+}
+
+/// The servers and the queue of an endpoint.
+#[derive(Clone, Debug)]
+struct EndpointState {
+    /// When each server is free.
+    free_at: Vec<Time>,
+    /// When each waiting call will start.
+    waiting: VecDeque<Time>,
 }
 
-impl Fate {
-    fn at(time: Time, outcome: Outcome) -> Fate {
-        Fate {
-            answer: Some((time, outcome)),
-            fell: false,
+impl EndpointState {
+    /// Reserves the server that is free first. Returns when it starts, or `None` if the queue is full.
+    fn reserve(&mut self, now: Time, work: Span, max_waiting: usize) -> Option<Time> {
+        while self.waiting.front().is_some_and(|starts| *starts <= now) {
+            self.waiting.pop_front();
+        }
+        let free_at = self
+            .free_at
+            .iter_mut()
+            .min()
+            .expect("an endpoint has a server");
+        let starts = (*free_at).max(now);
+        if starts > now {
+            if self.waiting.len() >= max_waiting {
+                return None;
+            }
+            self.waiting.push_back(starts);
         }
+        *free_at = starts + work;
+        Some(starts)
     }
 }
 
-/// A partner as it runs.
+/// A fixed window of the rate limit.
+#[derive(Clone, Copy, Debug)]
+struct QuotaWindow {
+    started: Time,
+    calls: u32,
+}
+
+/// The state of a destination during a run.
 #[derive(Debug)]
-pub struct Running {
-    like: Partner,
-    /// For each endpoint when each of its servers is free, and when the calls that wait will begin.
-    servers: Vec<(Vec<Time>, VecDeque<Time>)>,
+pub struct DestinationState {
+    spec: Destination,
+    endpoints: Vec<EndpointState>,
     tokens: f64,
-    filled: Time,
-    window: Option<(Time, u32)>,
-    /// When it took its first call after its last outage.
-    back: Option<Time>,
-    fallen: Option<Time>,
-    /// Calls that came within the span that its fall is judged by.
-    came: VecDeque<Time>,
+    refilled_at: Time,
+    window: Option<QuotaWindow>,
+    /// When the first call after the last outage arrived.
+    recovering_since: Option<Time>,
+    overloaded_until: Option<Time>,
+    /// Arrivals within the overload window.
+    recent_calls: VecDeque<Time>,
 }
 
-impl Running {
-    /// One that has not been called yet.
-    pub fn new(like: &Partner) -> Running {
-        let tokens = if let Some(Limit::Rate { burst, .. }) = like.limit {
-            burst
-        } else {
-            0.0
+impl DestinationState {
+    /// A destination that has received no call.
+    pub fn new(spec: &Destination) -> DestinationState {
+        let tokens = match spec.limit {
+            Some(RateLimit::TokenBucket { burst, .. }) => burst,
+            Some(RateLimit::FixedWindow { .. }) | None => 0.0,
         };
-        let idle = (vec![Time(0); like.servers.max(1)], VecDeque::new());
-        Running {
-            servers: vec![idle; like.endpoints],
-            like: like.clone(),
+        let idle = EndpointState {
+            free_at: vec![Time(0); spec.servers.max(1)],
+            waiting: VecDeque::new(),
+        };
+        DestinationState {
+            endpoints: vec![idle; spec.endpoints],
+            spec: spec.clone(),
             tokens,
-            filled: Time(0),
+            refilled_at: Time(0),
             window: None,
-            back: None,
-            fallen: None,
-            came: VecDeque::new(),
+            recovering_since: None,
+            overloaded_until: None,
+            recent_calls: VecDeque::new(),
         }
     }
 
-    /// What becomes of a call that comes to one of its endpoints.
-    pub fn take(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> Fate {
-        if self.fallen.is_some_and(|until| now < until) {
-            return Fate::at(now, Outcome::ConnectFailed);
-        }
-        let struck = self
-            .like
-            .outages
-            .iter()
-            .find(|outage| outage.from <= now && now < outage.until)
-            .copied();
-        if let Some(outage) =
-            struck.filter(|outage| outage.part >= 1.0 || rng.random::<f64>() < outage.part)
-        {
-            self.back = None;
-            return match outage.trouble {
-                Trouble::Refuse => Fate::at(now, Outcome::ConnectFailed),
-                Trouble::Reset => Fate::at(now, Outcome::Reset),
-                Trouble::Hang => Fate {
-                    answer: None,
-                    fell: false,
-                },
-                Trouble::Fail => Fate::at(now + self.work(rng), Outcome::Error),
-                Trouble::Shut => Fate::at(now, self.away(outage.until - now)),
-            };
+    /// Receives a call at one of its endpoints.
+    ///
+    /// # Panics
+    /// If the destination has no endpoint of that index.
+    pub fn receive(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> CallResult {
+        if self.overloaded_until.is_some_and(|until| now < until) {
+            return CallResult::at(now, Outcome::ConnectFailed);
         }
-        if self.topples(now) {
-            return Fate {
-                answer: Some((now, Outcome::ConnectFailed)),
-                fell: true,
-            };
+        if let Some(outage) = self.outage(now, rng) {
+            self.recovering_since = None;
+            return self.fail(now, &outage, rng);
         }
-        if self.like.refuses > 0.0 && rng.random::<f64>() < self.like.refuses {
-            return Fate::at(now, Outcome::Rejected { retry_after: None });
+        if self.overloads(now) {
+            return CallResult::Overloaded { at: now };
         }
-        if let Some(wait) = self.limited(now) {
-            return Fate::at(now, self.away(wait));
+        let rate = self.spec.rejection_rate;
+        if rate > 0.0 && rng.random::<f64>() < rate {
+            return CallResult::at(now, Outcome::Rejected { retry_after: None });
         }
-        let work = self.work(rng);
-        let (servers, waiting) = &mut self.servers[endpoint];
-        while waiting.front().is_some_and(|begins| *begins <= now) {
-            waiting.pop_front();
+        if let Some(wait) = self.reserve_quota(now) {
+            return CallResult::at(now, self.rejection(wait));
         }
-        let free = servers.iter_mut().min().expect("an endpoint has a server");
-        let begins = (*free).max(now);
-        if begins > now && waiting.len() >= self.like.queue {
-            return Fate::at(now, Outcome::Rejected { retry_after: None });
-        }
-        if begins > now {
-            waiting.push_back(begins);
+        self.process(now, endpoint, rng)
+    }
+
+    /// The outage that concerns a call that arrives now.
+    fn outage(&self, now: Time, rng: &mut impl Rng) -> Option<Outage> {
+        let mut outages = self.spec.outages.iter();
+        let active = outages.find(|outage| outage.is_active(now)).copied();
+        active.filter(|outage| outage.is_total() || rng.random::<f64>() < outage.share)
+    }
+
+    fn fail(&self, now: Time, outage: &Outage, rng: &mut impl Rng) -> CallResult {
+        match outage.kind {
+            OutageKind::RefuseConnections => CallResult::at(now, Outcome::ConnectFailed),
+            OutageKind::ResetConnections => CallResult::at(now, Outcome::Reset),
+            OutageKind::Blackhole => CallResult::Unanswered,
+            OutageKind::ReturnErrors => CallResult::at(now + self.work(rng), Outcome::Error),
+            OutageKind::RejectAll => CallResult::at(now, self.rejection(outage.until - now)),
         }
-        let done = begins + work;
-        *free = done;
-        // Whatever breaks connections or hangs breaks what it is at work on.
-        let broken = self
-            .like
-            .outages
-            .iter()
-            .filter(|outage| outage.part >= 1.0 && outage.trouble != Trouble::Shut);
-        match broken
-            .filter(|outage| outage.from > now && outage.from < done)
-            .map(|outage| outage.from)
-            .min()
-        {
-            Some(at) => Fate::at(at, Outcome::Reset),
-            None => Fate::at(done, Outcome::Delivered),
+    }
+
+    /// Processes an admitted call.
+    fn process(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> CallResult {
+        let work = self.work(rng);
+        let Some(starts) = self.endpoints[endpoint].reserve(now, work, self.spec.queue) else {
+            return CallResult::at(now, Outcome::Rejected { retry_after: None });
+        };
+        let done = starts + work;
+        match self.interruption(now, done) {
+            Some(at) => CallResult::at(at, Outcome::Reset),
+            None => CallResult::at(done, Outcome::Delivered),
         }
     }
 
+    /// When an outage breaks the calls in progress. A destination that rejects all calls still finishes those.
+    fn interruption(&self, now: Time, done: Time) -> Option<Time> {
+        let interrupting = self.spec.outages.iter().filter(|outage| {
+            outage.is_total()
+                && outage.kind != OutageKind::RejectAll
+                && outage.from > now
+                && outage.from < done
+        });
+        interrupting.map(|outage| outage.from).min()
+    }
+
     fn work(&self, rng: &mut impl Rng) -> Span {
-        Span::from_ms(self.like.service.draw(rng))
+        Span::from_ms(self.spec.service_time.sample(rng))
     }
 
-    fn away(&self, wait: Span) -> Outcome {
+    fn rejection(&self, wait: Span) -> Outcome {
         Outcome::Rejected {
-            retry_after: Some(wait).filter(|wait| self.like.tells_wait && wait.0 > 0),
+            retry_after: Some(wait).filter(|wait| self.spec.sends_retry_after && wait.0 > 0),
         }
     }
 
-    /// How long a call must wait for its limit, if at all; else the call is counted.
-    fn limited(&mut self, now: Time) -> Option<Span> {
-        match self.like.limit? {
-            Limit::Rate { rate, burst } => {
-                self.tokens = (self.tokens + (now - self.filled).secs() * rate).min(burst);
-                self.filled = now;
-                // A hair less will do: tokens are sums of parts.
-                if self.tokens >= 1.0 - 1e-9 {
-                    self.tokens -= 1.0;
-                    return None;
-                }
-                // Up to the next microsecond, or the call that keeps to it would come a hair too early.
-                let wait = Span(((1.0 - self.tokens) / rate * 1e6).ceil() as i64);
-                if self.like.counts_refused {
-                    self.tokens = (self.tokens - 1.0).max(-burst);
-                }
-                Some(wait)
-            }
-            Limit::Window { calls, length } => {
-                let (began, taken) = match self.window {
-                    Some((began, taken)) if now - began < length => (began, taken),
-                    _ => (now, 0),
-                };
-                let full = taken >= calls;
-                let counted = if full && !self.like.counts_refused {
-                    taken
-                } else {
-                    taken.saturating_add(1)
-                };
-                self.window = Some((began, counted));
-                full.then(|| (began + length) - now)
-            }
+    /// Counts a call against the rate limit. Returns how long the limit is exhausted if it rejects the call.
+    fn reserve_quota(&mut self, now: Time) -> Option<Span> {
+        match self.spec.limit? {
+            RateLimit::TokenBucket { rate, burst } => self.take_token(now, rate, burst),
+            RateLimit::FixedWindow { calls, length } => self.count_in_window(now, calls, length),
+        }
+    }
+
+    fn take_token(&mut self, now: Time, rate: f64, burst: f64) -> Option<Span> {
+        self.tokens = (self.tokens + (now - self.refilled_at).secs() * rate).min(burst);
+        self.refilled_at = now;
+        if self.tokens >= 1.0 - TOKEN_TOLERANCE {
+            self.tokens -= 1.0;
+            return None;
+        }
+        // Rounded up to a microsecond, so that a call that observes it finds a token.
+        let wait = Span(((1.0 - self.tokens) / rate * 1e6).ceil() as i64);
+        if self.spec.counts_rejected {
+            self.tokens = (self.tokens - 1.0).max(-burst);
         }
+        Some(wait)
     }
 
-    /// Counts a call after an outage, and says whether it is the one too many.
-    fn topples(&mut self, now: Time) -> bool {
-        let Some(cold) = self.like.cold else {
+    fn count_in_window(&mut self, now: Time, max_calls: u32, length: Span) -> Option<Span> {
+        let current = self.window.filter(|window| now - window.started < length);
+        let mut window = current.unwrap_or(QuotaWindow {
+            started: now,
+            calls: 0,
+        });
+        let is_full = window.calls >= max_calls;
+        if !is_full || self.spec.counts_rejected {
+            window.calls = window.calls.saturating_add(1);
+        }
+        self.window = Some(window);
+        is_full.then(|| (window.started + length) - now)
+    }
+
+    /// Counts a call after an outage. Returns whether it overloads the recovering destination.
+    fn overloads(&mut self, now: Time) -> bool {
+        let Some(warm_up) = self.spec.warm_up else {
             return false;
         };
-        if !self
-            .like
-            .outages
-            .iter()
-            .any(|outage| outage.part >= 1.0 && outage.until <= now)
-        {
+        let mut outages = self.spec.outages.iter();
+        if !outages.any(|outage| outage.is_total() && outage.until <= now) {
             return false;
         }
-        let first = *self.back.get_or_insert(now);
-        while self
-            .came
-            .front()
-            .is_some_and(|came| now - *came >= cold.over)
-        {
-            self.came.pop_front();
+        let since = *self.recovering_since.get_or_insert(now);
+        self.count_recent_call(now, warm_up.overload_window);
+        let warmed_up =
+            ((now - since).secs() / warm_up.duration.secs().max(MIN_DURATION_S)).min(1.0);
+        let capacity = self.spec.capacity()
+            * (warm_up.initial_capacity + (1.0 - warm_up.initial_capacity) * warmed_up);
+        let max_calls =
+            warm_up.overload_factor * capacity * warm_up.overload_window.secs() + COINCIDING_CALLS;
+        let is_overloaded = self.recent_calls.len() as f64 > max_calls;
+        if is_overloaded {
+            self.overloaded_until = Some(now + warm_up.overload_downtime);
+            self.recovering_since = None;
+            self.recent_calls.clear();
         }
-        self.came.push_back(now);
-        let warm = ((now - first).secs() / cold.length.secs().max(1e-6)).min(1.0);
-        let can = self.like.capacity() * (cold.from + (1.0 - cold.from) * warm);
-        // Two more than the rule says: single calls of several couriers may meet.
-        let falls = self.came.len() as f64 > cold.multiple * can * cold.over.secs() + 2.0;
-        if falls {
-            self.fallen = Some(now + cold.stays_down);
-            self.back = None;
-            self.came.clear();
+        is_overloaded
+    }
+
+    fn count_recent_call(&mut self, now: Time, window: Span) {
+        let is_old = |arrived: &Time| now - *arrived >= window;
+        while self.recent_calls.front().is_some_and(is_old) {
+            self.recent_calls.pop_front();
         }
-        falls
+        self.recent_calls.push_back(now);
     }
 }
--- a/crates/simulation/src/fuzz_targets.rs
+++ b/crates/simulation/src/fuzz_targets.rs
@@ -1,10 +1,16 @@
-//! What fuzzing does with bytes: each reader takes them without a panic, and what it accepts keeps its word.
+//! The bodies of the fuzz targets: a reader accepts any bytes without a panic, and what it accepts is usable.
 
-use crate::rate_expression::Curve;
+use crate::rate_expression::RateExpression;
 use crate::scenario::Scenario;
 use crate::trace;
 
-/// A scenario's text: read twice, it is the same.
+/// Times at which a rate expression is evaluated, in s.
+const EVALUATED_AT_S: [f64; 4] = [0.0, 0.5, 59.9, 1e5];
+
+/// Reads a scenario. The same text gives the same scenario.
+///
+/// # Panics
+/// If it does not.
 pub fn scenario(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
@@ -18,20 +24,26 @@
     }
 }
 
-/// A curve: its values can be used as rates.
+/// Parses a rate expression. Its values are numbers.
+///
+/// # Panics
+/// If one is not.
 pub fn rate_expression(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
     };
-    if let Ok(curve) = Curve::parse(text) {
-        for at in [0.0, 0.5, 59.9, 1e5] {
-            let value = curve.at(at);
+    if let Ok(rate) = RateExpression::parse(text) {
+        for at in EVALUATED_AT_S {
+            let value = rate.at(at);
             assert!(!value.is_nan(), "{text}: {value} at {at}");
         }
     }
 }
 
-/// A trace: its times are in order.
+/// Parses a trace. Its times are in order.
+///
+/// # Panics
+/// If they are not.
 pub fn trace(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,361 +1,407 @@
-//! Whether a run kept the rules, judged by what is seen from outside alone.
+//! Checks a run against the delivery invariants, from its observations alone.
 
-use crate::observation::{End, Seen};
-use crate::scenario::Scenario;
-use crate::simulation::{play, Make};
+use crate::observation::{FinalOutcome, Observation};
+use crate::scenario::{EndpointLocation, Scenario};
+use crate::simulation::{play, NodeFactory};
 use marblefall_scheduler::{EndpointStatus, Idempotency, Outcome, Span, Time};
 use std::collections::HashMap;
 use std::fmt;
 
-/// A rule.
+/// An invariant of every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
-    /// One end for each message that was taken on.
-    OneEnd,
-    /// Every message that was taken on has an end by its deadline, also over a courier's death.
-    NothingLost,
-    /// One leg of a message out at a time.
-    OneLeg,
-    /// Repeats only as the class permits.
-    Repeats,
-    /// Nothing to a partner before a wait is over that it told this courier.
-    ToldWaits,
-    /// Nothing new to an endpoint that the list took away, 250 ms later.
-    Drains,
-    /// No returning partner pushed over.
-    Toppling,
+pub enum Invariant {
+    /// Every accepted message ends exactly once for its client.
+    SingleFinalOutcome,
+    /// Every accepted message ends by its deadline, also across crashes of its instance.
+    NoMessageLost,
+    /// A message has at most one attempt in flight.
+    SingleAttemptInFlight,
+    /// A message is retried only as its class permits.
+    RetriesPermitted,
+    /// No attempt is sent to a destination before the Retry-After that it sent to this instance has passed.
+    RetryAfterObserved,
+    /// No attempt arrives at an endpoint that left the endpoint list more than [`LIST_PROPAGATION_TIME`] ago.
+    DrainingObserved,
+    /// No recovering destination is overloaded.
+    NoRecoveryOverload,
 }
 
-impl fmt::Display for Rule {
+impl fmt::Display for Invariant {
+    /// Writes what its violation means.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Rule::OneEnd => "one end for each message",
-            Rule::NothingLost => "nothing lost",
-            Rule::OneLeg => "one leg out at a time",
-            Rule::Repeats => "repeats as the class permits",
-            Rule::ToldWaits => "told waits kept",
-            Rule::Drains => "drains kept",
-            Rule::Toppling => "no returning partner pushed over",
+            Invariant::SingleFinalOutcome => "more than one final outcome, or an attempt after it",
+            Invariant::NoMessageLost => "message lost or delivered after its deadline",
+            Invariant::SingleAttemptInFlight => "more than one attempt in flight",
+            Invariant::RetriesPermitted => "retry not permitted by the class",
+            Invariant::RetryAfterObserved => "Retry-After not observed",
+            Invariant::DrainingObserved => "attempt to an endpoint that is not listed as active",
+            Invariant::NoRecoveryOverload => "recovering destination overloaded",
         })
     }
 }
 
-/// A rule that was broken, and how it came to it.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
-    /// The rule.
-    pub rule: Rule,
-    /// When.
+pub struct Violation {
+    /// The invariant.
+    pub invariant: Invariant,
+    /// When it was violated.
     pub at: Time,
     /// What happened.
-    pub what: String,
-    /// What was seen of the message until then.
-    pub trace: Vec<(Time, Seen)>,
+    pub description: String,
+    /// The first observations of the message concerned.
+    pub trace: Vec<(Time, Observation)>,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let secs = |at: Time| at.ms() / 1000.0;
         write!(
             f,
             "{:.6} s: {}: {}",
-            self.at.ms() / 1000.0,
-            self.rule,
-            self.what
+            secs(self.at),
+            self.invariant,
+            self.description
         )?;
-        for (at, seen) in &self.trace {
-            write!(f, "\n    {:.6} s: {seen:?}", at.ms() / 1000.0)?;
+        for (at, observation) in &self.trace {
+            write!(f, "\n    {:.6} s: {observation:?}", secs(*at))?;
         }
         Ok(())
     }
 }
 
-/// How long a list's news may take until nothing new comes any more.
-const GRACE: Span = Span(250_000);
-/// An end may come so long after the deadline: the leg that is cut there has to end first.
-const SLACK: Span = Span(1_000_000);
-/// Breaches that are kept whole; of further ones only the number is.
-const KEPT: usize = 20;
-/// Events that are kept of a message.
-const TRACE: usize = 40;
+/// The result of checking a run.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Verdict {
+    /// The first violations.
+    pub violations: Vec<Violation>,
+    /// The number of all violations.
+    pub count: u64,
+}
+
+impl Verdict {
+    /// Whether all invariants hold.
+    pub fn is_clean(&self) -> bool {
+        self.count == 0
+    }
+}
+
+/// Time in which a change of the endpoint list reaches every instance and the attempts sent before have arrived.
+pub const LIST_PROPAGATION_TIME: Span = Span(250_000);
+/// A message may end this long after its deadline: the attempt that is in flight then has to end first.
+const DEADLINE_TOLERANCE: Span = Span(1_000_000);
+/// Violations that are recorded with their trace; further ones are only counted.
+const MAX_RECORDED_VIOLATIONS: usize = 20;
+/// Observations that are recorded per message.
+const MAX_TRACE_LENGTH: usize = 40;
 
-struct Open {
-    courier: usize,
+/// An accepted message that has not ended, or has an attempt in flight.
+struct OpenMessage {
+    instance: usize,
     class: usize,
     expires: Time,
-    /// Where a leg is out, and since when.
-    out: Option<(u32, Time)>,
-    /// When the first leg was sent that may have run.
-    ran: Option<Time>,
-    ended: bool,
-    trace: Vec<(Time, Seen)>,
+    in_flight: Option<AttemptInFlight>,
+    /// When the first attempt was sent that may have been executed.
+    first_possible_execution: Option<Time>,
+    has_ended: bool,
+    trace: Vec<(Time, Observation)>,
+}
+
+#[derive(Clone, Copy)]
+struct AttemptInFlight {
+    endpoint: u32,
+    sent_at: Time,
 }
 
-/// Watches a run.
-pub struct Watch<'s> {
+/// Checks the observations of a run as they occur.
+pub struct InvariantChecker<'s> {
     scenario: &'s Scenario,
-    places: Vec<(usize, usize)>,
-    open: HashMap<u64, Open>,
-    /// Waits that a partner told a courier.
-    waits: HashMap<(usize, usize), Time>,
-    /// Since when the list has had an endpoint taken away.
-    away: HashMap<u32, Time>,
-    broken: Vec<Breach>,
+    endpoint_locations: Vec<EndpointLocation>,
+    messages: HashMap<u64, OpenMessage>,
+    /// By instance and destination, until when the destination asked for no further attempt.
+    retry_not_before: HashMap<(usize, usize), Time>,
+    /// Since when an endpoint is not listed as active.
+    unlisted_since: HashMap<u32, Time>,
+    violations: Vec<Violation>,
     count: u64,
 }
 
-impl<'s> Watch<'s> {
-    /// One that has seen nothing.
-    pub fn new(scenario: &'s Scenario) -> Watch<'s> {
-        Watch {
+impl<'s> InvariantChecker<'s> {
+    /// A checker that has seen no observation.
+    pub fn new(scenario: &'s Scenario) -> InvariantChecker<'s> {
+        InvariantChecker {
             scenario,
-            places: scenario.places(),
-            open: HashMap::new(),
-            waits: HashMap::new(),
-            away: HashMap::new(),
-            broken: Vec::new(),
+            endpoint_locations: scenario.endpoint_locations(),
+            messages: HashMap::new(),
+            retry_not_before: HashMap::new(),
+            unlisted_since: HashMap::new(),
+            violations: Vec::new(),
             count: 0,
         }
     }
 
-    fn breach(&mut self, rule: Rule, at: Time, message: Option<u64>, what: String) {
-        self.count += 1;
-        if self.broken.len() < KEPT {
-            let trace = message
-                .and_then(|id| self.open.get(&id))
-                .map_or_else(Vec::new, |open| open.trace.clone());
-            self.broken.push(Breach {
-                rule,
-                at,
-                what,
-                trace,
-            });
-        }
-    }
-
-    /// Takes what was seen, in its order.
-    pub fn see(&mut self, at: Time, seen: &Seen) {
-        if let Some(open) = seen.message().and_then(|id| self.open.get_mut(&id)) {
-            if open.trace.len() < TRACE {
-                open.trace.push((at, *seen));
-            }
-        }
-        match *seen {
-            Seen::TakenOn {
+    /// Checks an observation. Observations are passed in their order.
+    pub fn observe(&mut self, at: Time, observation: &Observation) {
+        self.record_trace(at, observation);
+        match *observation {
+            Observation::Accepted {
                 message,
-                courier,
+                instance,
                 class,
                 expires,
                 ..
             } => {
-                let trace = vec![(at, *seen)];
-                let open = Open {
-                    courier,
+                let accepted = OpenMessage {
+                    instance,
                     class,
                     expires,
-                    out: None,
-                    ran: None,
-                    ended: false,
-                    trace,
+                    in_flight: None,
+                    first_possible_execution: None,
+                    has_ended: false,
+                    trace: vec![(at, *observation)],
                 };
-                self.open.insert(message, open);
+                self.messages.insert(message, accepted);
+            }
+            Observation::Finished { message, outcome } => {
+                self.message_finished(at, message, outcome);
             }
-            Seen::Ended { message, end } => self.ended(at, message, end),
-            Seen::Sent {
+            Observation::AttemptSent {
                 message,
-                courier,
+                instance,
                 endpoint,
-            } => self.sent(at, message, courier, endpoint),
-            Seen::Came { message, endpoint } => {
-                if let Some(since) = self
-                    .away
-                    .get(&endpoint)
-                    .filter(|since| at - **since > GRACE)
-                {
-                    let late = (at - *since).ms();
-                    let what = format!("message {message} came to endpoint {endpoint} {late:.0} ms after the list took it away");
-                    self.breach(Rule::Drains, at, Some(message), what);
-                }
+            } => self.attempt_sent(at, message, instance, endpoint),
+            Observation::AttemptArrived { message, endpoint } => {
+                self.attempt_arrived(at, message, endpoint);
             }
-            Seen::Closed {
+            Observation::AttemptEnded {
                 message,
-                courier,
+                instance,
                 endpoint,
                 outcome,
             } => {
-                self.closed(at, message, courier, endpoint, outcome);
+                self.record_retry_after(at, instance, endpoint, outcome);
+                self.attempt_ended(message, outcome);
             }
-            Seen::Listed { endpoint, listing } => {
-                if listing == EndpointStatus::Active {
-                    self.away.remove(&endpoint);
-                } else {
-                    self.away.entry(endpoint).or_insert(at);
-                }
+            Observation::EndpointListed { endpoint, status } => {
+                self.endpoint_listed(at, endpoint, status);
             }
-            Seen::Fell { partner } => {
-                let what = format!("{} fell", self.scenario.partners[partner].name);
-                self.breach(Rule::Toppling, at, None, what);
+            Observation::RecoveryOverloaded { destination } => {
+                let name = &self.scenario.destinations[destination].name;
+                let description = format!("{name} failed again");
+                self.violated(Invariant::NoRecoveryOverload, at, None, description);
             }
-            Seen::Died { courier } => {
-                // Its legs are over for it, and may have run; a told wait ends with the process.
-                for open in self
-                    .open
-                    .values_mut()
-                    .filter(|open| open.courier == courier)
-                {
-                    if let Some((_, sent)) = open.out.take() {
-                        open.ran.get_or_insert(sent);
-                    }
-                }
-                self.open
-                    .retain(|_, open| open.courier != courier || !open.ended);
-                self.waits.retain(|(told, _), _| *told != courier);
-            }
-            Seen::Began { .. } => {}
+            Observation::InstanceCrashed { instance } => self.instance_crashed(instance),
+            Observation::InstanceRestarted { .. } => {}
         }
     }
 
-    fn ended(&mut self, at: Time, message: u64, end: End) {
-        match self.open.get_mut(&message) {
-            Some(open) if !open.ended => {
-                open.ended = true;
-                let late = at - open.expires;
-                if late > SLACK && end == End::Delivered {
-                    let what = format!(
-                        "message {message} was delivered {:.0} ms after its deadline",
-                        late.ms()
-                    );
-                    self.breach(Rule::NothingLost, at, Some(message), what);
-                }
-                // Kept while a leg is out, whose end still counts; a second end shows as one of what is unknown.
-                if self
-                    .open
-                    .get(&message)
-                    .is_some_and(|open| open.out.is_none())
-                {
-                    self.open.remove(&message);
-                }
-            }
-            _ => {
-                let what =
-                    format!("message {message} ended once more, or was never taken on: {end:?}");
-                self.breach(Rule::OneEnd, at, Some(message), what);
-            }
+    /// Ends the check: messages that should have ended by now were lost.
+    pub fn finish(mut self, at: Time) -> Verdict {
+        let is_lost =
+            |open: &OpenMessage| !open.has_ended && open.expires + DEADLINE_TOLERANCE < at;
+        let lost = self.messages.iter().filter(|(_, open)| is_lost(open));
+        let mut lost: Vec<u64> = lost.map(|(message, _)| *message).collect();
+        lost.sort_unstable();
+        for message in lost {
+            let description = format!("message {message} has no final outcome");
+            self.violated(Invariant::NoMessageLost, at, Some(message), description);
+        }
+        Verdict {
+            violations: self.violations,
+            count: self.count,
         }
     }
 
-    fn sent(&mut self, at: Time, message: u64, courier: usize, endpoint: u32) {
-        let partner = self.places[endpoint as usize].0;
-        if let Some(until) = self
-            .waits
-            .get(&(courier, partner))
-            .filter(|until| at < **until)
-        {
-            let early = (*until - at).ms();
-            let what = format!(
-                "message {message} went out {early:.3} ms before the wait was over that was told"
+    fn violated(
+        &mut self,
+        invariant: Invariant,
+        at: Time,
+        message: Option<u64>,
+        description: String,
+    ) {
+        self.count += 1;
+        if self.violations.len() >= MAX_RECORDED_VIOLATIONS {
+            return;
+        }
+        let open = message.and_then(|message| self.messages.get(&message));
+        self.violations.push(Violation {
+            invariant,
+            at,
+            description,
+            trace: open.map_or_else(Vec::new, |open| open.trace.clone()),
+        });
+    }
+
+    fn record_trace(&mut self, at: Time, observation: &Observation) {
+        let message = observation.message();
+        let Some(open) = message.and_then(|message| self.messages.get_mut(&message)) else {
+            return;
+        };
+        if open.trace.len() < MAX_TRACE_LENGTH {
+            open.trace.push((at, *observation));
+        }
+    }
+
+    fn message_finished(&mut self, at: Time, message: u64, outcome: FinalOutcome) {
+        let open = self.messages.get_mut(&message);
+        let Some(open) = open.filter(|open| !open.has_ended) else {
+            let description =
+                format!("message {message} ended again, or was never accepted: {outcome:?}");
+            return self.violated(
+                Invariant::SingleFinalOutcome,
+                at,
+                Some(message),
+                description,
+            );
+        };
+        open.has_ended = true;
+        let has_attempt_in_flight = open.in_flight.is_some();
+        let late = at - open.expires;
+        if late > DEADLINE_TOLERANCE && outcome == FinalOutcome::Delivered {
+            let description = format!(
+                "message {message} was delivered {:.0} ms after its deadline",
+                late.ms()
             );
-            self.breach(Rule::ToldWaits, at, Some(message), what);
+            self.violated(Invariant::NoMessageLost, at, Some(message), description);
         }
-        let Some(open) = self.open.get_mut(&message) else {
-            let what = format!("a leg of message {message}, which is over or was never taken on");
-            return self.breach(Rule::OneEnd, at, None, what);
+        if !has_attempt_in_flight {
+            self.messages.remove(&message);
+        }
+    }
+
+    fn attempt_sent(&mut self, at: Time, message: u64, instance: usize, endpoint: u32) {
+        self.check_retry_after(at, message, instance, endpoint);
+        let Some(open) = self.messages.get_mut(&message) else {
+            let description =
+                format!("an attempt of message {message}, which has ended or was never accepted");
+            return self.violated(Invariant::SingleFinalOutcome, at, None, description);
         };
-        if let Some((other, since)) = open.out.replace((endpoint, at)) {
-            let what = format!(
-                "a leg of message {message} while another is out since {:.6} s to endpoint {other}",
-                since.ms() / 1000.0
+        let sent = AttemptInFlight {
+            endpoint,
+            sent_at: at,
+        };
+        if let Some(other) = open.in_flight.replace(sent) {
+            let description = format!(
+                "an attempt of message {message} while another one is in flight to endpoint {} since {:.6} s",
+                other.endpoint,
+                other.sent_at.ms() / 1000.0
+            );
+            return self.violated(
+                Invariant::SingleAttemptInFlight,
+                at,
+                Some(message),
+                description,
             );
-            return self.breach(Rule::OneLeg, at, Some(message), what);
         }
-        let repeat = open.ran.map(|ran| at - ran);
-        let why = match (self.scenario.classes[open.class].class.idempotency, repeat) {
-            (Idempotency::NonIdempotent, Some(_)) => {
-                "is of a class that is never repeated".to_owned()
-            }
-            (Idempotency::IdempotencyKey { window, .. }, Some(age)) if age >= window => {
-                format!(
-                    "first went out {:.1} s ago, and its key is known for {:.1} s",
-                    age.secs(),
-                    window.secs()
-                )
-            }
-            _ => return,
+        let age = open.first_possible_execution.map(|first| at - first);
+        let idempotency = self.scenario.classes[open.class].class.idempotency;
+        if let Some(reason) = age.and_then(|age| forbidden_retry(idempotency, age)) {
+            let description = format!("message {message} was sent again, but {reason}");
+            self.violated(Invariant::RetriesPermitted, at, Some(message), description);
+        }
+    }
+
+    fn check_retry_after(&mut self, at: Time, message: u64, instance: usize, endpoint: u32) {
+        let destination = self.endpoint_locations[endpoint as usize].destination;
+        let Some(until) = self.retry_not_before.get(&(instance, destination)) else {
+            return;
         };
-        self.breach(
-            Rule::Repeats,
-            at,
-            Some(message),
-            format!("message {message} went out again, though it {why}"),
-        );
+        if at < *until {
+            let early = (*until - at).ms();
+            let description =
+                format!("message {message} was sent {early:.3} ms before Retry-After had passed");
+            self.violated(
+                Invariant::RetryAfterObserved,
+                at,
+                Some(message),
+                description,
+            );
+        }
+    }
+
+    fn attempt_arrived(&mut self, at: Time, message: u64, endpoint: u32) {
+        let Some(since) = self.unlisted_since.get(&endpoint) else {
+            return;
+        };
+        let late = at - *since;
+        if late > LIST_PROPAGATION_TIME {
+            let description = format!(
+                "message {message} arrived at endpoint {endpoint} {:.0} ms after it left the list",
+                late.ms()
+            );
+            self.violated(Invariant::DrainingObserved, at, Some(message), description);
+        }
     }
 
-    fn closed(&mut self, at: Time, message: u64, courier: usize, endpoint: u32, outcome: Outcome) {
-        if let Outcome::Rejected {
+    fn record_retry_after(&mut self, at: Time, instance: usize, endpoint: u32, outcome: Outcome) {
+        let Outcome::Rejected {
             retry_after: Some(wait),
         } = outcome
-        {
-            let until = self
-                .waits
-                .entry((courier, self.places[endpoint as usize].0))
-                .or_insert(at);
-            *until = (*until).max(at + wait);
-        }
-        let Some(open) = self.open.get_mut(&message) else {
+        else {
             return;
         };
-        if let Some((_, sent)) = open.out.take() {
+        let destination = self.endpoint_locations[endpoint as usize].destination;
+        let key = (instance, destination);
+        let until = self.retry_not_before.entry(key).or_insert(at);
+        *until = (*until).max(at + wait);
+    }
+
+    fn attempt_ended(&mut self, message: u64, outcome: Outcome) {
+        let Some(open) = self.messages.get_mut(&message) else {
+            return;
+        };
+        if let Some(attempt) = open.in_flight.take() {
             if !outcome.proves_not_executed() {
-                open.ran.get_or_insert(sent);
+                open.first_possible_execution.get_or_insert(attempt.sent_at);
             }
         }
-        if open.ended {
-            self.open.remove(&message);
+        if open.has_ended {
+            self.messages.remove(&message);
         }
     }
 
-    /// The run is over: what is still open was lost.
-    pub fn close(mut self, at: Time) -> Verdict {
-        let mut lost: Vec<u64> = self
-            .open
-            .iter()
-            .filter(|(_, open)| !open.ended && open.expires + SLACK < at)
-            .map(|(id, _)| *id)
-            .collect();
-        lost.sort_unstable();
-        for message in lost {
-            self.breach(
-                Rule::NothingLost,
-                at,
-                Some(message),
-                format!("message {message} never ended"),
-            );
-        }
-        Verdict {
-            breaches: self.broken,
-            count: self.count,
+    fn endpoint_listed(&mut self, at: Time, endpoint: u32, status: EndpointStatus) {
+        if status == EndpointStatus::Active {
+            self.unlisted_since.remove(&endpoint);
+        } else {
+            self.unlisted_since.entry(endpoint).or_insert(at);
         }
     }
-}
 
-/// Plays a scenario and judges it.
-pub fn judge(scenario: &Scenario, seed: u64, make: Make<'_>) -> Verdict {
-    let mut watch = Watch::new(scenario);
-    let played = play(scenario, seed, make, &mut |at, seen| watch.see(at, seen));
-    watch.close(played.over)
+    /// The attempts of an instance that crashed may have been executed. A Retry-After does not survive the crash.
+    fn instance_crashed(&mut self, instance: usize) {
+        let messages = self.messages.values_mut();
+        for open in messages.filter(|open| open.instance == instance) {
+            if let Some(attempt) = open.in_flight.take() {
+                open.first_possible_execution.get_or_insert(attempt.sent_at);
+            }
+        }
+        self.messages
+            .retain(|_, open| open.instance != instance || !open.has_ended);
+        self.retry_not_before
+            .retain(|(of_instance, _), _| *of_instance != instance);
+    }
 }
 
-/// What was found.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Verdict {
-    /// The first breaches.
-    pub breaches: Vec<Breach>,
-    /// How many there are in all.
-    pub count: u64,
+/// Why a message may not be retried at this time after its first possible execution, if it may not.
+fn forbidden_retry(idempotency: Idempotency, age: Span) -> Option<String> {
+    match idempotency {
+        Idempotency::NonIdempotent => Some("its class is not idempotent".to_owned()),
+        Idempotency::IdempotencyKey { window, .. } if age >= window => Some(format!(
+            "it was first sent {:.1} s ago, and its idempotency key is valid for {:.1} s",
+            age.secs(),
+            window.secs()
+        )),
+        Idempotency::IdempotencyKey { .. } | Idempotency::Idempotent => None,
+    }
 }
 
-impl Verdict {
-    /// Whether all rules were kept.
-    pub fn is_clean(&self) -> bool {
-        self.count == 0
-    }
+/// Plays a scenario and checks its invariants.
+pub fn check_run(scenario: &Scenario, seed: u64, make_node: NodeFactory<'_>) -> Verdict {
+    let mut checker = InvariantChecker::new(scenario);
+    let totals = play(scenario, seed, make_node, &mut |at, observation| {
+        checker.observe(at, observation);
+    });
+    checker.finish(totals.ended_at)
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,18 +1,13 @@
-//! The lab: a world around the courier in virtual time.
+//! Simulation of instances, clients and destinations in virtual time.
 //!
-//! A [`scenario`] says what partners there are, what clients bring and what goes wrong. [`simulation`] plays it from one
-//! seed with the decision module that serves, by its real interface; [`check`] watches from outside whether a rule is
-//! broken, and [`tally`] counts what came of it. The same scenario and seed give the same bytes.
+//! A [`scenario`] describes destinations, the load of clients, and the faults. [`simulation`] plays it from one seed with
+//! the scheduler of the product, through its own interface, or with the whole core ([`core_driver`]). [`invariants`]
+//! checks the run and [`metrics`] measures it, both from its [`observation`]s alone. The same scenario and seed give the
+//! same bytes.
+//!
+//! [`experiment`], [`compare`], [`capacity_search`] and [`seed_search`] play many runs; [`report`] makes pages of them.
 
 #![forbid(unsafe_code)]
-#![allow(
-    clippy::missing_panics_doc,
-    reason = "this package is not yet written in the style of the others; see docs/ROADMAP.md"
-)]
-#![allow(
-    clippy::too_many_lines,
-    reason = "this package is not yet written in the style of the others; see docs/ROADMAP.md"
-)]
 
 pub mod capacity_search;
 pub mod compare;
--- a/crates/simulation/src/metrics/summary.rs
+++ b/crates/simulation/src/metrics/summary.rs
@@ -1,100 +1,83 @@
-//! A run in few figures: what experiments keep of each.
+//! The summary of a run that experiments keep.
 
-use super::{Ends, Tally};
-use crate::invariants::{Verdict, Watch};
+use super::{ClassCounts, ClassMetrics, Metrics, P50, P99};
+use crate::invariants::{InvariantChecker, Verdict};
 use crate::scenario::Scenario;
-use crate::simulation::{play, Make};
+use crate::simulation::{play, NodeFactory};
 use serde::{Deserialize, Serialize};
 
-/// What came of one class.
+/// Summary of one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ClassFigures {
+pub struct ClassSummary {
     /// Its name.
     pub class: String,
-    /// Messages that clients brought.
-    pub offered: u64,
-    /// Messages taken on, those that were brought again counted again.
-    pub taken: u64,
-    /// Delivered.
-    pub delivered: u64,
-    /// Delivered within the time wanted.
-    pub in_time: u64,
-    /// Turned away.
-    pub refused: u64,
-    /// Failed.
-    pub failed: u64,
-    /// Legs.
-    pub legs: u64,
-    /// Median of the times to delivery, in ms.
+    /// Counts of its messages.
+    #[serde(flatten)]
+    pub counts: ClassCounts,
+    /// Median of the delivery times, in ms.
     pub p50_ms: f64,
-    /// 99 % of them are below, in ms.
+    /// 99th percentile of the delivery times, in ms.
     pub p99_ms: f64,
 }
 
-impl ClassFigures {
-    fn of(ends: &Ends) -> ClassFigures {
-        let ms = |quantile| ends.took_us.value_at_quantile(quantile) as f64 / 1000.0;
-        ClassFigures {
-            class: ends.class.clone(),
-            offered: ends.offered,
-            taken: ends.taken,
-            delivered: ends.delivered,
-            in_time: ends.in_time,
-            refused: ends.refused,
-            failed: ends.failed,
-            legs: ends.legs,
-            p50_ms: ms(0.5),
-            p99_ms: ms(0.99),
+impl ClassSummary {
+    fn of(metrics: &ClassMetrics) -> ClassSummary {
+        ClassSummary {
+            class: metrics.class.clone(),
+            counts: metrics.counts,
+            p50_ms: metrics.delivery_time_ms(P50),
+            p99_ms: metrics.delivery_time_ms(P99),
         }
     }
-
-    /// The part of what clients brought that was delivered.
-    pub fn delivered_part(&self) -> f64 {
-        self.delivered as f64 / self.offered.max(1) as f64
-    }
 }
 
-/// What came of a run.
+/// Summary of a run. Stored records name some fields by their older names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
-    /// Worth of what was delivered, as a part of the worth of all that clients brought.
-    pub kept: f64,
-    /// Messages taken on.
+pub struct Summary {
+    /// Value of the messages delivered as a share of the value of all that were offered.
+    #[serde(rename = "kept")]
+    pub delivered_value_share: f64,
+    /// Messages accepted.
     pub messages: u64,
-    /// Legs begun.
-    pub legs: u64,
-    /// Breaches of rules.
-    pub breaches: u64,
-    /// The first of them.
-    pub first_breach: Option<String>,
+    /// Attempts started.
+    #[serde(rename = "legs")]
+    pub attempts: u64,
+    /// Number of violations.
+    #[serde(rename = "breaches")]
+    pub violations: u64,
+    /// The first violation.
+    #[serde(rename = "first_breach")]
+    pub first_violation: Option<String>,
     /// By class, in the order of the scenario.
-    pub classes: Vec<ClassFigures>,
+    pub classes: Vec<ClassSummary>,
 }
 
-impl Figures {
-    /// Of a run that was counted and judged.
-    pub fn of(tally: &Tally, verdict: &Verdict) -> Figures {
-        let classes: Vec<ClassFigures> = tally.classes.iter().map(ClassFigures::of).collect();
-        Figures {
-            kept: tally.kept(),
-            messages: classes.iter().map(|class| class.taken).sum(),
-            legs: classes.iter().map(|class| class.legs).sum(),
-            breaches: verdict.count,
-            first_breach: verdict
-                .breaches
-                .first()
-                .map(|breach| breach.to_string().lines().next().unwrap_or("").to_owned()),
+impl Summary {
+    /// The summary of a run.
+    pub fn of(metrics: &Metrics, verdict: &Verdict) -> Summary {
+        let classes: Vec<ClassSummary> = metrics.classes.iter().map(ClassSummary::of).collect();
+        let first_violation = verdict.violations.first().map(|violation| {
+            let text = violation.to_string();
+            text.lines().next().unwrap_or("").to_owned()
+        });
+        Summary {
+            delivered_value_share: metrics.delivered_value_share(),
+            messages: classes.iter().map(|class| class.counts.accepted).sum(),
+            attempts: classes.iter().map(|class| class.counts.attempts).sum(),
+            violations: verdict.count,
+            first_violation,
             classes,
         }
     }
 }
 
-/// Plays, counts and judges a scenario.
-pub fn measure(scenario: &Scenario, seed: u64, make: Make<'_>) -> (Tally, Verdict) {
-    let (mut watch, mut tally) = (Watch::new(scenario), Tally::new(scenario));
-    let played = play(scenario, seed, make, &mut |at, seen| {
-        watch.see(at, seen);
-        tally.see(at, seen);
+/// Plays a scenario, collects its metrics and checks its invariants.
+pub fn measure(scenario: &Scenario, seed: u64, make_node: NodeFactory<'_>) -> (Metrics, Verdict) {
+    let mut checker = InvariantChecker::new(scenario);
+    let mut metrics = Metrics::new(scenario);
+    let totals = play(scenario, seed, make_node, &mut |at, observation| {
+        checker.observe(at, observation);
+        metrics.observe(at, observation);
     });
-    (tally, watch.close(played.over))
+    (metrics, checker.finish(totals.ended_at))
 }
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -1,171 +1,197 @@
-//! Couriers with a fault each, to see that the checkers find it. A rule that no double can break would be a rule that
-//! nobody checks.
+//! Mutants of the scheduler, with one defect each, to test the invariant checker: every invariant is violated by at least
+//! one mutant.
 
-use crate::invariants::Rule;
+use crate::invariants::Invariant;
 use crate::simulation::Node;
 use marblefall_scheduler::{
-    Action, EndpointStatus, Event, Idempotency, Outcome, Scheduler, Settings, Span, Time,
+    Action, EndpointStatus, Event, Idempotency, MessageId, Outcome, Scheduler, Settings, Span, Time,
 };
 use std::collections::BTreeMap;
 
-/// A fault.
+/// [`Mutation::DuplicatesAttempts`] duplicates one attempt in this many.
+const DUPLICATED_ATTEMPTS: u64 = 100;
+/// [`Mutation::DropsFinalOutcomes`] drops one final outcome in this many.
+const DROPPED_OUTCOMES: u64 = 10;
+/// A deduplication window that never ends.
+const ENDLESS_WINDOW: Span = Span(i64::MAX / 4);
+/// An overload factor that no load exceeds.
+const ENDLESS_OVERLOAD_FACTOR: f64 = 1000.0;
+
+/// A defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Told waits are not heard.
-    ForgetsWaits,
-    /// Every hundredth leg goes out twice.
-    SendsTwice,
-    /// What the last life took on is not taken up.
-    LosesOnRestart,
-    /// What the list takes away is not heard.
-    IgnoresDrains,
-    /// Whoever is turned away is told so twice.
-    EndsTwice,
-    /// Every tenth client that is turned away is not told.
-    SwallowsEnds,
-    /// A leg that broke is taken for one that never ran.
-    TakesBrokenForUnsent,
-    /// The next life does not know that a leg may have run.
-    ForgetsLegsOnRestart,
-    /// What comes back is sent all there is.
-    KnowsNoRamp,
-    /// Keys are taken to be dropped for ever.
-    ForgetsWindows,
+pub enum Mutation {
+    /// Retry-After is ignored.
+    IgnoresRetryAfter,
+    /// Some attempts are sent twice.
+    DuplicatesAttempts,
+    /// Messages of an earlier incarnation are not resumed.
+    LosesMessagesOnRestart,
+    /// Every endpoint is taken as active.
+    IgnoresDraining,
+    /// Every rejection is reported twice.
+    FinishesTwice,
+    /// Some rejections and failures are not reported.
+    DropsFinalOutcomes,
+    /// An attempt that timed out or was reset is taken as not executed.
+    TreatsResetAsNotExecuted,
+    /// After a restart, earlier attempts are taken as not executed.
+    ForgetsAttemptsOnRestart,
+    /// A recovering destination receives the full load at once.
+    IgnoresRecoveryRamp,
+    /// Idempotency keys are taken as valid for ever.
+    IgnoresDeduplicationWindow,
 }
 
-impl Fault {
-    /// All of them.
-    pub const ALL: [Fault; 10] = [
-        Fault::ForgetsWaits,
-        Fault::SendsTwice,
-        Fault::LosesOnRestart,
-        Fault::IgnoresDrains,
-        Fault::EndsTwice,
-        Fault::SwallowsEnds,
-        Fault::TakesBrokenForUnsent,
-        Fault::ForgetsLegsOnRestart,
-        Fault::KnowsNoRamp,
-        Fault::ForgetsWindows,
+impl Mutation {
+    /// All mutations.
+    pub const ALL: [Mutation; 10] = [
+        Mutation::IgnoresRetryAfter,
+        Mutation::DuplicatesAttempts,
+        Mutation::LosesMessagesOnRestart,
+        Mutation::IgnoresDraining,
+        Mutation::FinishesTwice,
+        Mutation::DropsFinalOutcomes,
+        Mutation::TreatsResetAsNotExecuted,
+        Mutation::ForgetsAttemptsOnRestart,
+        Mutation::IgnoresRecoveryRamp,
+        Mutation::IgnoresDeduplicationWindow,
     ];
 
-    /// The rule whose checker must find it.
-    pub fn breaks(self) -> Rule {
+    /// The invariant that it violates.
+    pub fn violates(self) -> Invariant {
         match self {
-            Fault::ForgetsWaits => Rule::ToldWaits,
-            Fault::SendsTwice => Rule::OneLeg,
-            Fault::LosesOnRestart | Fault::SwallowsEnds => Rule::NothingLost,
-            Fault::IgnoresDrains => Rule::Drains,
-            Fault::EndsTwice => Rule::OneEnd,
-            Fault::TakesBrokenForUnsent | Fault::ForgetsLegsOnRestart | Fault::ForgetsWindows => {
-                Rule::Repeats
+            Mutation::IgnoresRetryAfter => Invariant::RetryAfterObserved,
+            Mutation::DuplicatesAttempts => Invariant::SingleAttemptInFlight,
+            Mutation::LosesMessagesOnRestart | Mutation::DropsFinalOutcomes => {
+                Invariant::NoMessageLost
             }
-            Fault::KnowsNoRamp => Rule::Toppling,
+            Mutation::IgnoresDraining => Invariant::DrainingObserved,
+            Mutation::FinishesTwice => Invariant::SingleFinalOutcome,
+            Mutation::TreatsResetAsNotExecuted
+            | Mutation::ForgetsAttemptsOnRestart
+            | Mutation::IgnoresDeduplicationWindow => Invariant::RetriesPermitted,
+            Mutation::IgnoresRecoveryRamp => Invariant::NoRecoveryOverload,
         }
     }
 
-    /// A courier with it.
-    pub fn courier(self, mut settings: Settings, seed: u64) -> Box<dyn Node> {
+    /// A node with this defect.
+    pub fn node(self, mut settings: Settings, seed: u64) -> Box<dyn Node> {
+        self.change_settings(&mut settings);
+        Box::new(Mutant {
+            mutation: self,
+            scheduler: Scheduler::new(settings, seed),
+            attempts: 0,
+            final_outcomes: 0,
+            duplicates_in_flight: BTreeMap::new(),
+        })
+    }
+
+    fn change_settings(self, settings: &mut Settings) {
         match self {
-            Fault::KnowsNoRamp => {
-                (settings.rules.ramp_start, settings.rules.overload_factor) = (1.0, 1000.0);
+            Mutation::IgnoresRecoveryRamp => {
+                settings.rules.ramp_start = 1.0;
+                settings.rules.overload_factor = ENDLESS_OVERLOAD_FACTOR;
             }
-            Fault::ForgetsWindows => {
+            Mutation::IgnoresDeduplicationWindow => {
                 for class in &mut settings.classes {
                     if let Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
-                        *window = Span(i64::MAX / 4);
+                        *window = ENDLESS_WINDOW;
                     }
                 }
             }
             _ => {}
         }
-        Box::new(Double {
-            fault: self,
-            inner: Scheduler::new(settings, seed),
-            legs: 0,
-            refused: 0,
-            legs_of: BTreeMap::new(),
-        })
     }
 }
 
-struct Double {
-    fault: Fault,
-    inner: Scheduler,
-    legs: u64,
-    refused: u64,
-    /// Legs of each message that the courier itself does not know of.
-    legs_of: BTreeMap<u64, u32>,
+/// A scheduler whose events and actions are changed on their way.
+struct Mutant {
+    mutation: Mutation,
+    scheduler: Scheduler,
+    attempts: u64,
+    final_outcomes: u64,
+    /// Duplicates in flight of each message, which the scheduler does not know.
+    duplicates_in_flight: BTreeMap<MessageId, u32>,
 }
 
-impl Double {
-    fn hears(&mut self, event: &Event) -> Option<Event> {
+impl Mutant {
+    /// The event as the scheduler receives it, if it does.
+    fn change_event(&mut self, event: &Event) -> Option<Event> {
         let mut event = event.clone();
-        match (&mut event, self.fault) {
+        match (&mut event, self.mutation) {
             (
                 Event::AttemptFinished {
-                    outcome: Outcome::Rejected { retry_after: wait },
+                    outcome: Outcome::Rejected { retry_after },
                     ..
                 },
-                Fault::ForgetsWaits,
-            ) => *wait = None,
-            (Event::AttemptFinished { outcome, .. }, Fault::TakesBrokenForUnsent)
+                Mutation::IgnoresRetryAfter,
+            ) => *retry_after = None,
+            (Event::AttemptFinished { outcome, .. }, Mutation::TreatsResetAsNotExecuted)
                 if matches!(outcome, Outcome::TimedOut | Outcome::Reset) =>
             {
                 *outcome = Outcome::ConnectFailed;
             }
-            (Event::Resumed(..), Fault::LosesOnRestart) => return None,
-            (Event::Resumed(_, past), Fault::ForgetsLegsOnRestart) => {
-                past.first_possible_execution = None
+            (Event::AttemptFinished { message, .. }, Mutation::DuplicatesAttempts)
+                if self.is_duplicate(*message) =>
+            {
+                return None;
             }
-            (Event::EndpointsUpdated(entries), Fault::IgnoresDrains) => {
-                entries
-                    .iter_mut()
-                    .for_each(|entry| entry.status = EndpointStatus::Active);
+            (Event::Resumed(..), Mutation::LosesMessagesOnRestart) => return None,
+            (Event::Resumed(_, prior), Mutation::ForgetsAttemptsOnRestart) => {
+                prior.first_possible_execution = None;
             }
-            (Event::AttemptFinished { message, .. }, Fault::SendsTwice) => {
-                // The double's own leg ends unheard.
-                if let Some(unknown) = self
-                    .legs_of
-                    .get_mut(&message.0)
-                    .filter(|unknown| **unknown > 0)
-                {
-                    *unknown -= 1;
-                    return None;
+            (Event::EndpointsUpdated(updates), Mutation::IgnoresDraining) => {
+                for update in updates {
+                    update.status = EndpointStatus::Active;
                 }
             }
             _ => {}
         }
         Some(event)
     }
+
+    /// Whether an attempt of a message that ended counts as a duplicate, which is in flight no more.
+    fn is_duplicate(&mut self, message: MessageId) -> bool {
+        let in_flight = self.duplicates_in_flight.get_mut(&message);
+        let Some(duplicates) = in_flight.filter(|duplicates| **duplicates > 0) else {
+            return false;
+        };
+        *duplicates -= 1;
+        true
+    }
+
+    /// How often an action of the scheduler is executed.
+    fn repetitions(&mut self, action: &Action) -> usize {
+        match (action, self.mutation) {
+            (Action::Send { message, .. }, Mutation::DuplicatesAttempts) => {
+                self.attempts += 1;
+                if !self.attempts.is_multiple_of(DUPLICATED_ATTEMPTS) {
+                    return 1;
+                }
+                *self.duplicates_in_flight.entry(*message).or_default() += 1;
+                2
+            }
+            (Action::Reject { .. }, Mutation::FinishesTwice) => 2,
+            (Action::Reject { .. } | Action::Fail(_), Mutation::DropsFinalOutcomes) => {
+                self.final_outcomes += 1;
+                usize::from(!self.final_outcomes.is_multiple_of(DROPPED_OUTCOMES))
+            }
+            _ => 1,
+        }
+    }
 }
 
-impl Node for Double {
+impl Node for Mutant {
     fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
-        let heard: Vec<Event> = events
+        let changed: Vec<Event> = events
             .iter()
-            .filter_map(|event| self.hears(event))
+            .filter_map(|event| self.change_event(event))
             .collect();
-        let mut said = Vec::new();
-        self.inner.handle(now, &heard, &mut said);
-        for action in said {
-            match (&action, self.fault) {
-                (Action::Send { message, .. }, Fault::SendsTwice) => {
-                    self.legs += 1;
-                    if self.legs.is_multiple_of(100) {
-                        *self.legs_of.entry(message.0).or_default() += 1;
-                        actions.push(action.clone());
-                    }
-                }
-                (Action::Reject { .. }, Fault::EndsTwice) => actions.push(action.clone()),
-                (Action::Reject { .. } | Action::Fail(_), Fault::SwallowsEnds) => {
-                    self.refused += 1;
-                    if self.refused.is_multiple_of(10) {
-                        continue;
-                    }
-                }
-                _ => {}
-            }
-            actions.push(action);
+        let mut scheduled = Vec::new();
+        self.scheduler.handle(now, &changed, &mut scheduled);
+        for action in scheduled {
+            let repetitions = self.repetitions(&action);
+            actions.extend(std::iter::repeat_n(action, repetitions));
         }
     }
 }
--- a/crates/simulation/src/observation.rs
+++ b/crates/simulation/src/observation.rs
@@ -1,109 +1,111 @@
-//! What can be seen of a run from outside the couriers: what clients and partners know, what the list says, and when a
-//! courier died. Checkers and counts know nothing else.
+//! Events of a run that are visible outside the instances: to clients, to destinations, in the endpoint list, and in the
+//! life cycle of instances. Invariants and metrics are computed from these alone.
 
 use marblefall_scheduler::{EndpointStatus, Outcome, Span, Time};
 
 /// How a message ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
+pub enum FinalOutcome {
     /// Delivered.
     Delivered,
-    /// Turned away; it may be handed in again after this.
-    Refused(Span),
-    /// Failed for good.
+    /// Rejected; the client may submit it again after this time.
+    Rejected(Span),
+    /// Failed permanently.
     Failed,
 }
 
-/// One thing that was seen.
+/// One visible event. Classes, destinations and instances are indices into the scenario; endpoints are counted over all
+/// destinations.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
-    /// A courier took a message on.
-    TakenOn {
+pub enum Observation {
+    /// An instance accepted a message.
+    Accepted {
         /// The message.
         message: u64,
-        /// Who took it.
-        courier: usize,
+        /// The instance that accepted it.
+        instance: usize,
         /// Its class.
         class: usize,
-        /// Whom it is for.
-        partner: usize,
-        /// When its client meant to hand it in.
-        meant: Time,
-        /// Until when it may be delivered.
+        /// Its destination.
+        destination: usize,
+        /// When the client first intended to submit it.
+        intended_at: Time,
+        /// Its deadline.
         expires: Time,
-        /// Whether its client hands it in for the first time.
-        first: bool,
+        /// Whether this is the client's first submission of it.
+        is_first_submission: bool,
     },
-    /// A message ended.
-    Ended {
+    /// The client learned how a message ended.
+    Finished {
         /// The message.
         message: u64,
-        /// How.
-        end: End,
+        /// Its outcome.
+        outcome: FinalOutcome,
     },
-    /// A courier began a leg.
-    Sent {
+    /// An instance started an attempt.
+    AttemptSent {
         /// The message.
         message: u64,
-        /// Who began it.
-        courier: usize,
-        /// Where to.
+        /// The instance that started it.
+        instance: usize,
+        /// The endpoint it is sent to.
         endpoint: u32,
     },
-    /// A leg's first byte came to an endpoint.
-    Came {
+    /// The first byte of an attempt arrived at its endpoint.
+    AttemptArrived {
         /// The message.
         message: u64,
-        /// Where.
+        /// The endpoint.
         endpoint: u32,
     },
-    /// A leg ended for its courier.
-    Closed {
+    /// An attempt ended for the instance that started it.
+    AttemptEnded {
         /// The message.
         message: u64,
-        /// Whose leg.
-        courier: usize,
-        /// Where it had gone.
+        /// The instance that started the attempt.
+        instance: usize,
+        /// The endpoint it was sent to.
         endpoint: u32,
-        /// How.
+        /// Its outcome.
         outcome: Outcome,
     },
-    /// The list of endpoints said something new of one.
-    Listed {
+    /// The status of an endpoint changed in the endpoint list.
+    EndpointListed {
         /// The endpoint.
         endpoint: u32,
-        /// What.
-        listing: EndpointStatus,
+        /// Its new status.
+        status: EndpointStatus,
     },
-    /// A partner that was being eased back was pushed over.
-    Fell {
-        /// The partner.
-        partner: usize,
+    /// A destination failed again because it received too many calls while it recovered.
+    RecoveryOverloaded {
+        /// The destination.
+        destination: usize,
     },
-    /// A courier died.
-    Died {
-        /// Which.
-        courier: usize,
+    /// An instance crashed.
+    InstanceCrashed {
+        /// The instance.
+        instance: usize,
     },
-    /// It began its next life.
-    Began {
-        /// Which.
-        courier: usize,
+    /// An instance started its next incarnation.
+    InstanceRestarted {
+        /// The instance.
+        instance: usize,
     },
 }
 
-impl Seen {
-    /// The message that it is about.
+impl Observation {
+    /// The message that it concerns, if it concerns one.
     pub fn message(&self) -> Option<u64> {
         match self {
-            Seen::TakenOn { message, .. }
-            | Seen::Ended { message, .. }
-            | Seen::Sent { message, .. }
-            | Seen::Came { message, .. }
-            | Seen::Closed { message, .. } => Some(*message),
-            Seen::Listed { .. } | Seen::Fell { .. } | Seen::Died { .. } | Seen::Began { .. } => {
-                None
-            }
+            Observation::Accepted { message, .. }
+            | Observation::Finished { message, .. }
+            | Observation::AttemptSent { message, .. }
+            | Observation::AttemptArrived { message, .. }
+            | Observation::AttemptEnded { message, .. } => Some(*message),
+            Observation::EndpointListed { .. }
+            | Observation::RecoveryOverloaded { .. }
+            | Observation::InstanceCrashed { .. }
+            | Observation::InstanceRestarted { .. } => None,
         }
     }
 }
--- a/crates/simulation/src/plot.rs
+++ b/crates/simulation/src/plot.rs
@@ -1,13 +1,19 @@
-//! Charts as SVG for a page: lines over time, and means with their intervals.
+//! Plots as SVG: lines over one axis, and means with their intervals.
 //!
-//! Colours are those of Okabe and Ito, which people of all kinds of colour vision tell apart, and lines also differ by
-//! their dashes, so that they do in print.
+//! The colours are those of Okabe and Ito, which can be told apart with every kind of colour vision. Lines also differ by
+//! their dashes and intervals by their markers, so that they do in print.
 
+use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 use plotters::series::DashedLineSeries;
 use std::error::Error;
 
-type Done<T> = Result<T, Box<dyn Error>>;
+/// Why a plot cannot be drawn.
+#[derive(Debug, thiserror::Error)]
+#[error("a plot cannot be drawn")]
+pub struct PlotError(#[source] Box<dyn Error + Send + Sync>);
+
+type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
 const COLOURS: [RGBColor; 6] = [
     RGBColor(0, 114, 178),
@@ -17,169 +23,293 @@
     RGBColor(230, 159, 0),
     RGBColor(86, 180, 233),
 ];
-/// Lengths of a dash and of the gap behind it; the first line is drawn through.
-const DASHES: [(u32, u32); 6] = [(0, 0), (8, 4), (3, 3), (12, 3), (5, 8), (2, 6)];
-const BAND: RGBColor = RGBColor(225, 225, 225);
-
-/// How the line with a number is drawn, for a legend: its colour and its dashes as SVG has them.
-pub fn stroke(number: usize) -> (String, String) {
-    let RGBColor(red, green, blue) = COLOURS[number % COLOURS.len()];
-    let (dash, gap) = DASHES[number % DASHES.len()];
-    let dashes = if dash == 0 {
-        "none".to_owned()
-    } else {
-        format!("{dash} {gap}")
-    };
-    (format!("rgb({red},{green},{blue})"), dashes)
+/// The colour of the grid and of shaded spans.
+const GREY: RGBColor = RGBColor(225, 225, 225);
+
+/// The dashes of a line, in pixels.
+#[derive(Clone, Copy)]
+struct Dashes {
+    length: u32,
+    gap: u32,
+}
+
+impl Dashes {
+    const fn new(length: u32, gap: u32) -> Dashes {
+        Dashes { length, gap }
+    }
+
+    fn is_solid(self) -> bool {
+        self.length == 0
+    }
+}
+
+const DASHES: [Dashes; 6] = [
+    Dashes::new(0, 0),
+    Dashes::new(8, 4),
+    Dashes::new(3, 3),
+    Dashes::new(12, 3),
+    Dashes::new(5, 8),
+    Dashes::new(2, 6),
+];
+/// The text of each marker, in the order of [`draw_markers`].
+const MARKERS: [&str; 3] = ["●", "▲", "✕"];
+const FONT: (&str, u32) = ("sans-serif", 12);
+const MARGIN_PX: u32 = 8;
+const X_LABELS_PX: u32 = 34;
+const LINE_WIDTH_PX: u32 = 2;
+/// Factor by which the vertical axis exceeds the greatest value.
+const HEADROOM: f64 = 1.08;
+/// Least length of an axis.
+const MIN_AXIS: f64 = 1e-9;
+/// Width of an interval plot, in pixels.
+const INTERVAL_PLOT_WIDTH_PX: u32 = 880;
+/// Height of an interval plot without rows, in pixels.
+const INTERVAL_PLOT_BASE_PX: u32 = 90;
+/// Height of one of its rows, in pixels.
+const ROW_PX: u32 = 26;
+/// Vertical distance of the intervals of one row.
+const SERIES_DISTANCE: f64 = 0.16;
+
+/// Colour and dashes of a line, as SVG attributes.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Stroke {
+    /// The value of `stroke`.
+    pub colour: String,
+    /// The value of `stroke-dasharray`.
+    pub dashes: String,
+}
+
+/// The stroke of the line with an index, for a legend.
+pub fn stroke(index: usize) -> Stroke {
+    let RGBColor(red, green, blue) = COLOURS[index % COLOURS.len()];
+    let dashes = DASHES[index % DASHES.len()];
+    Stroke {
+        colour: format!("rgb({red},{green},{blue})"),
+        dashes: if dashes.is_solid() {
+            "none".to_owned()
+        } else {
+            format!("{} {}", dashes.length, dashes.gap)
+        },
+    }
 }
 
-/// How the mark of the variant with a number looks in text.
-pub fn mark(number: usize) -> &'static str {
-    ["●", "▲", "✕"][number % 3]
+/// The marker of the series with an index, as text.
+pub fn marker(index: usize) -> &'static str {
+    MARKERS[index % MARKERS.len()]
 }
 
 /// A line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// What it shows.
+    /// Its name in the legend.
     pub name: String,
     /// Its points.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Lines over one axis; `bands` are spans of it that are shaded.
-///
-/// # Errors
-/// Of the drawing.
-pub fn lines(
-    labels: (&str, &str),
-    size: (u32, u32),
-    bands: &[(f64, f64)],
-    all: &[Line],
-) -> Done<String> {
-    let points = || all.iter().flat_map(|line| &line.points);
-    let most_x = points().map(|point| point.0).fold(1e-9, f64::max);
-    let most_y = points().map(|point| point.1).fold(1e-9, f64::max) * 1.08;
-    let mut text = String::new();
-    {
-        let area = SVGBackend::with_string(&mut text, size).into_drawing_area();
+/// A span of the horizontal axis.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShadedSpan {
+    /// Its start.
+    pub from: f64,
+    /// Its end.
+    pub until: f64,
+}
+
+/// Lines over one axis.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LinePlot<'a> {
+    /// Label of the horizontal axis.
+    pub x_label: &'a str,
+    /// Label of the vertical axis.
+    pub y_label: &'a str,
+    /// Width in pixels.
+    pub width_px: u32,
+    /// Height in pixels.
+    pub height_px: u32,
+    /// Shaded spans of the horizontal axis.
+    pub shaded: Vec<ShadedSpan>,
+    /// The lines.
+    pub lines: Vec<Line>,
+}
+
+impl LinePlot<'_> {
+    /// The plot as SVG.
+    ///
+    /// # Errors
+    /// If it cannot be drawn.
+    pub fn svg(&self) -> Result<String, PlotError> {
+        let mut svg = String::new();
+        self.draw(&mut svg)
+            .map_err(|error| PlotError(error.to_string().into()))?;
+        Ok(svg)
+    }
+
+    fn draw(&self, svg: &mut String) -> Result<(), Box<dyn Error>> {
+        let points = || self.lines.iter().flat_map(|line| &line.points);
+        let max_x = points().map(|point| point.0).fold(MIN_AXIS, f64::max);
+        let max_y = points().map(|point| point.1).fold(MIN_AXIS, f64::max) * HEADROOM;
+        let size = (self.width_px, self.height_px);
+        let area = SVGBackend::with_string(svg, size).into_drawing_area();
         let mut chart = ChartBuilder::on(&area)
-            .margin(8)
-            .x_label_area_size(34)
+            .margin(MARGIN_PX)
+            .x_label_area_size(X_LABELS_PX)
             .y_label_area_size(52)
-            .build_cartesian_2d(0.0..most_x, 0.0..most_y)?;
+            .build_cartesian_2d(0.0..max_x, 0.0..max_y)?;
         chart
             .configure_mesh()
             .disable_x_mesh()
             .light_line_style(TRANSPARENT)
-            .bold_line_style(BAND)
-            .x_desc(labels.0)
-            .y_desc(labels.1)
-            .label_style(("sans-serif", 12))
+            .bold_line_style(GREY)
+            .x_desc(self.x_label)
+            .y_desc(self.y_label)
+            .label_style(FONT)
             .draw()?;
         chart.draw_series(
-            bands
+            self.shaded
                 .iter()
-                .map(|(from, to)| Rectangle::new([(*from, 0.0), (*to, most_y)], BAND.filled())),
+                .map(|span| Rectangle::new([(span.from, 0.0), (span.until, max_y)], GREY.filled())),
         )?;
-        for (number, line) in all.iter().enumerate() {
-            let (colour, (dash, gap)) = (
-                COLOURS[number % COLOURS.len()],
-                DASHES[number % DASHES.len()],
-            );
-            let style = colour.stroke_width(2);
-            let points = line.points.iter().copied();
-            if dash == 0 {
-                chart.draw_series(LineSeries::new(points, style))?;
-            } else {
-                chart.draw_series(DashedLineSeries::new(points, dash, gap, style))?;
-            }
+        for (index, line) in self.lines.iter().enumerate() {
+            draw_line(&mut chart, index, line)?;
         }
         area.present()?;
+        Ok(())
     }
-    Ok(text)
 }
 
-/// Means with their intervals, a row for each name and a mark for each variant.
+fn draw_line(chart: &mut Chart<'_, '_>, index: usize, line: &Line) -> Result<(), Box<dyn Error>> {
+    let style = COLOURS[index % COLOURS.len()].stroke_width(LINE_WIDTH_PX);
+    let dashes = DASHES[index % DASHES.len()];
+    let points = line.points.iter().copied();
+    if dashes.is_solid() {
+        chart.draw_series(LineSeries::new(points, style))?;
+    } else {
+        let series = DashedLineSeries::new(points, dashes.length, dashes.gap, style);
+        chart.draw_series(series)?;
+    }
+    Ok(())
+}
+
+/// A mean with its interval.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Interval {
+    /// The mean.
+    pub mean: f64,
+    /// Lower end.
+    pub low: f64,
+    /// Upper end.
+    pub high: f64,
+}
+
+/// The intervals of one variant.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Dots {
-    /// The variant.
-    pub variant: String,
-    /// For each row its mean and the ends of its interval; none where there is none.
-    pub rows: Vec<Option<(f64, f64, f64)>>,
+pub struct IntervalSeries {
+    /// Its interval in each row, if it has one there.
+    pub rows: Vec<Option<Interval>>,
 }
 
-/// Draws them.
-///
-/// # Errors
-/// Of the drawing.
-pub fn dots(label: &str, names: &[String], all: &[Dots]) -> Done<String> {
-    let values = || all.iter().flat_map(|one| &one.rows).flatten();
-    let least = values().map(|value| value.1).fold(f64::INFINITY, f64::min);
-    let most = values()
-        .map(|value| value.2)
-        .fold(f64::NEG_INFINITY, f64::max);
-    let room = (most - least).max(0.01) * 0.05;
-    let rows = names.len() as f64;
-    let mut text = String::new();
-    {
-        let size = (880, 90 + 26 * names.len() as u32);
-        let area = SVGBackend::with_string(&mut text, size).into_drawing_area();
+/// Means with their intervals: a row for each name, a marker for each variant.
+#[derive(Clone, Debug, PartialEq)]
+pub struct IntervalPlot<'a> {
+    /// Label of the horizontal axis.
+    pub x_label: &'a str,
+    /// Names of the rows, from top to bottom.
+    pub row_names: Vec<String>,
+    /// The variants.
+    pub series: Vec<IntervalSeries>,
+}
+
+impl IntervalPlot<'_> {
+    /// The plot as SVG.
+    ///
+    /// # Errors
+    /// If it cannot be drawn.
+    pub fn svg(&self) -> Result<String, PlotError> {
+        let mut svg = String::new();
+        self.draw(&mut svg)
+            .map_err(|error| PlotError(error.to_string().into()))?;
+        Ok(svg)
+    }
+
+    fn draw(&self, svg: &mut String) -> Result<(), Box<dyn Error>> {
+        let intervals = || self.series.iter().flat_map(|series| &series.rows).flatten();
+        let min = intervals().map(|one| one.low).fold(f64::INFINITY, f64::min);
+        let max = intervals()
+            .map(|one| one.high)
+            .fold(f64::NEG_INFINITY, f64::max);
+        let margin = (max - min).max(0.01) * 0.05;
+        let rows = self.row_names.len();
+        let height_px = INTERVAL_PLOT_BASE_PX + ROW_PX * rows as u32;
+        let size = (INTERVAL_PLOT_WIDTH_PX, height_px);
+        let area = SVGBackend::with_string(svg, size).into_drawing_area();
         let mut chart = ChartBuilder::on(&area)
-            .margin(8)
-            .x_label_area_size(34)
+            .margin(MARGIN_PX)
+            .x_label_area_size(X_LABELS_PX)
             .y_label_area_size(130)
-            .build_cartesian_2d(least - room..most + room, -0.5..rows - 0.5)?;
-        let name = |at: &f64| {
-            let place = at.round();
-            let whole = (at - place).abs() < 1e-6 && place >= 0.0;
-            whole
-                .then(|| names.get((rows - 1.0 - place) as usize).cloned())
-                .flatten()
-                .unwrap_or_default()
-        };
+            .build_cartesian_2d(min - margin..max + margin, -0.5..rows as f64 - 0.5)?;
         chart
             .configure_mesh()
             .light_line_style(TRANSPARENT)
-            .bold_line_style(BAND)
-            .x_desc(label)
-            .y_labels(names.len() * 2 + 1)
-            .y_label_formatter(&name)
-            .label_style(("sans-serif", 12))
+            .bold_line_style(GREY)
+            .x_desc(self.x_label)
+            .y_labels(rows * 2 + 1)
+            .y_label_formatter(&|y| self.row_name(*y))
+            .label_style(FONT)
             .draw()?;
-        for (number, one) in all.iter().enumerate() {
-            let colour = COLOURS[number % COLOURS.len()];
-            let shift = 0.16 * (number as f64 - (all.len() as f64 - 1.0) / 2.0);
-            let at = |row: usize| rows - 1.0 - row as f64 - shift;
-            let found = || {
-                one.rows
-                    .iter()
-                    .enumerate()
-                    .filter_map(|(row, value)| Some((row, (*value)?)))
-            };
-            chart.draw_series(found().map(|(row, (_, low, high))| {
-                PathElement::new([(low, at(row)), (high, at(row))], colour.stroke_width(2))
-            }))?;
-            // Marks differ by shape as well.
-            let place = |(row, (mean, ..)): (usize, (f64, f64, f64))| (mean, at(row));
-            match number % 3 {
-                0 => {
-                    let marks = found().map(|one| Circle::new(place(one), 4, colour.filled()));
-                    chart.draw_series(marks)?;
-                }
-                1 => {
-                    let marks =
-                        found().map(|one| TriangleMarker::new(place(one), 5, colour.filled()));
-                    chart.draw_series(marks)?;
-                }
-                _ => {
-                    let marks =
-                        found().map(|one| Cross::new(place(one), 4, colour.stroke_width(2)));
-                    chart.draw_series(marks)?;
-                }
-            }
+        for index in 0..self.series.len() {
+            self.draw_series(&mut chart, index)?;
         }
         area.present()?;
+        Ok(())
+    }
+
+    /// The name of the row at a position of the vertical axis; empty between rows.
+    fn row_name(&self, y: f64) -> String {
+        let position = y.round();
+        if (y - position).abs() >= 1e-6 || position < 0.0 {
+            return String::new();
+        }
+        let row = self.row_names.len() as f64 - 1.0 - position;
+        let name = self.row_names.get(row as usize);
+        name.cloned().unwrap_or_default()
+    }
+
+    fn draw_series(&self, chart: &mut Chart<'_, '_>, index: usize) -> Result<(), Box<dyn Error>> {
+        let colour = COLOURS[index % COLOURS.len()];
+        let shift = SERIES_DISTANCE * (index as f64 - (self.series.len() as f64 - 1.0) / 2.0);
+        let y = |row: usize| self.row_names.len() as f64 - 1.0 - row as f64 - shift;
+        let rows = self.series[index].rows.iter().enumerate();
+        let intervals: Vec<(f64, Interval)> = rows
+            .filter_map(|(row, interval)| Some((y(row), (*interval)?)))
+            .collect();
+        chart.draw_series(intervals.iter().map(|(y, interval)| {
+            let ends = [(interval.low, *y), (interval.high, *y)];
+            PathElement::new(ends, colour.stroke_width(LINE_WIDTH_PX))
+        }))?;
+        let means = intervals.iter().map(|(y, interval)| (interval.mean, *y));
+        draw_markers(chart, index, means)
+    }
+}
+
+/// Draws the markers of a series. Series also differ by the shape of their markers.
+fn draw_markers(
+    chart: &mut Chart<'_, '_>,
+    index: usize,
+    positions: impl Iterator<Item = (f64, f64)>,
+) -> Result<(), Box<dyn Error>> {
+    let colour = COLOURS[index % COLOURS.len()];
+    match index % MARKERS.len() {
+        0 => {
+            chart.draw_series(positions.map(|at| Circle::new(at, 4, colour.filled())))?;
+        }
+        1 => {
+            chart.draw_series(positions.map(|at| TriangleMarker::new(at, 5, colour.filled())))?;
+        }
+        _ => {
+            let style = colour.stroke_width(LINE_WIDTH_PX);
+            chart.draw_series(positions.map(|at| Cross::new(at, 4, style)))?;
+        }
     }
-    Ok(text)
+    Ok(())
 }
--- a/crates/simulation/src/process_experiment.rs
+++ b/crates/simulation/src/process_experiment.rs
@@ -1,6 +1,6 @@
 //! The commands of `marblefall-simulation` that play scenarios on processes.
 
-use super::Processes;
+use crate::arguments::ProcessArguments;
 use marblefall_process_experiment::experiment::{play, ChangeCounts, Report};
 use marblefall_process_experiment::invariants::Invariant;
 use marblefall_process_experiment::schedule::{ProcessScenario, ScenarioError, Schedule};
@@ -24,7 +24,7 @@
     #[error(transparent)]
     Harness(#[from] HarnessError),
     /// A run of a search was inconclusive.
-    #[error("seed {seed}: {source}")]
+    #[error("seed {seed}")]
     Seed {
         /// The seed.
         seed: u64,
@@ -35,7 +35,7 @@
     #[error(transparent)]
     Encode(#[from] toml::ser::Error),
     /// A shrunk schedule cannot be written.
-    #[error("{}: {source}", path.display())]
+    #[error("{}", path.display())]
     Write {
         /// The file.
         path: PathBuf,
@@ -51,7 +51,7 @@
     text.lines().any(|line| line.trim() == "[processes]")
 }
 
-impl Processes {
+impl ProcessArguments {
     fn program(&self) -> Result<PathBuf, ProcessExperimentError> {
         let beside = || Some(std::env::current_exe().ok()?.with_file_name("marblefall"));
         let program = self.program.clone().or_else(beside);
@@ -80,7 +80,7 @@
     path: &Path,
     seed: u64,
     stored: Option<&Path>,
-    processes: &Processes,
+    processes: &ProcessArguments,
 ) -> Result<bool, ProcessExperimentError> {
     let scenario = ProcessScenario::read(path)?;
     let schedule = match stored {
@@ -137,7 +137,7 @@
     /// Runs spent on shrinking, at most.
     pub max_shrink_runs: u32,
     /// The processes.
-    pub processes: &'a Processes,
+    pub processes: &'a ProcessArguments,
 }
 
 /// What a search has played.
--- /dev/null
+++ b/crates/simulation/src/report/run.rs
@@ -0,0 +1,291 @@
+//! A run with everything that its page shows, as it is stored.
+
+use super::{ReportError, PAGE, RUN};
+use crate::destination::{Destination, Outage, OutageKind};
+use crate::invariants::Verdict;
+use crate::metrics::{ClassMetrics, DestinationMetrics, Metrics, Summary};
+use crate::scenario::Scenario;
+use marblefall_scheduler::{EndpointStatus, Time};
+use serde::{Deserialize, Serialize};
+use std::fs;
+use std::path::Path;
+
+/// Quantiles of the delivery times that are stored.
+const QUANTILES: [f64; 10] = [0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999];
+
+/// A run with everything that its page shows. Stored runs name some fields by their older names.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct RunReport {
+    pub(super) title: String,
+    pub(super) seed: u64,
+    pub(super) seconds: f64,
+    /// Width of a bin, in s.
+    pub(super) bin_s: f64,
+    #[serde(rename = "figures")]
+    pub(super) summary: Summary,
+    #[serde(rename = "times")]
+    pub(super) delivery_times: Vec<DeliveryTimes>,
+    #[serde(rename = "partners")]
+    pub(super) destinations: Vec<DestinationReport>,
+    /// The greatest number of open messages, by bin.
+    #[serde(rename = "held")]
+    pub(super) open_messages: Vec<u32>,
+    #[serde(rename = "happened")]
+    pub(super) timeline: Vec<TimelineEntry>,
+    #[serde(rename = "breaches")]
+    pub(super) violations: Vec<String>,
+}
+
+/// What a run shows of one destination.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub(super) struct DestinationReport {
+    pub(super) name: String,
+    /// Calls per second that it can process when it is warmed up.
+    pub(super) capacity: f64,
+    /// Its total outages.
+    pub(super) outages: Vec<OutageReport>,
+    /// How it recovers from them.
+    #[serde(rename = "cold")]
+    pub(super) warm_up: Option<WarmUpReport>,
+    /// Calls that arrived, by bin.
+    pub(super) calls: Vec<u32>,
+    /// Messages delivered, by bin.
+    pub(super) delivered: Vec<u32>,
+}
+
+/// The quantiles of the delivery times of a class. Stored as `[class, [[quantile, ms], ...]]`.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(from = "(String, Vec<(f64, f64)>)", into = "(String, Vec<(f64, f64)>)")]
+pub(super) struct DeliveryTimes {
+    pub(super) class: String,
+    /// Quantiles with their times in ms.
+    pub(super) quantiles: Vec<(f64, f64)>,
+}
+
+impl From<(String, Vec<(f64, f64)>)> for DeliveryTimes {
+    fn from((class, quantiles): (String, Vec<(f64, f64)>)) -> DeliveryTimes {
+        DeliveryTimes { class, quantiles }
+    }
+}
+
+impl From<DeliveryTimes> for (String, Vec<(f64, f64)>) {
+    fn from(times: DeliveryTimes) -> (String, Vec<(f64, f64)>) {
+        (times.class, times.quantiles)
+    }
+}
+
+/// An outage. Stored as `[from_s, until_s, kind]`.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(from = "(f64, f64, String)", into = "(f64, f64, String)")]
+pub(super) struct OutageReport {
+    pub(super) from_s: f64,
+    pub(super) until_s: f64,
+    kind: String,
+}
+
+impl From<(f64, f64, String)> for OutageReport {
+    fn from((from_s, until_s, kind): (f64, f64, String)) -> OutageReport {
+        OutageReport {
+            from_s,
+            until_s,
+            kind,
+        }
+    }
+}
+
+impl From<OutageReport> for (f64, f64, String) {
+    fn from(outage: OutageReport) -> (f64, f64, String) {
+        (outage.from_s, outage.until_s, outage.kind)
+    }
+}
+
+/// How a destination recovers. Stored as `[initial_capacity, duration_s]`.
+#[derive(Clone, Copy, Debug, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub(super) struct WarmUpReport {
+    /// Share of the capacity that is available at first.
+    pub(super) initial_capacity: f64,
+    pub(super) duration_s: f64,
+}
+
+impl From<(f64, f64)> for WarmUpReport {
+    fn from((initial_capacity, duration_s): (f64, f64)) -> WarmUpReport {
+        WarmUpReport {
+            initial_capacity,
+            duration_s,
+        }
+    }
+}
+
+impl From<WarmUpReport> for (f64, f64) {
+    fn from(warm_up: WarmUpReport) -> (f64, f64) {
+        (warm_up.initial_capacity, warm_up.duration_s)
+    }
+}
+
+/// An event of the scenario. Stored as `[at_s, text]`.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(from = "(f64, String)", into = "(f64, String)")]
+pub(super) struct TimelineEntry {
+    pub(super) at_s: f64,
+    pub(super) text: String,
+}
+
+impl From<(f64, String)> for TimelineEntry {
+    fn from((at_s, text): (f64, String)) -> TimelineEntry {
+        TimelineEntry { at_s, text }
+    }
+}
+
+impl From<TimelineEntry> for (f64, String) {
+    fn from(entry: TimelineEntry) -> (f64, String) {
+        (entry.at_s, entry.text)
+    }
+}
+
+impl RunReport {
+    /// The report of a run.
+    pub fn of(scenario: &Scenario, seed: u64, metrics: &Metrics, verdict: &Verdict) -> RunReport {
+        let delivered = metrics
+            .classes
+            .iter()
+            .filter(|class| class.counts.delivered > 0);
+        let destinations = scenario.destinations.iter().zip(&metrics.destinations);
+        RunReport {
+            title: scenario.title.clone(),
+            seed,
+            seconds: scenario.seconds,
+            bin_s: metrics.bin_s,
+            summary: Summary::of(metrics, verdict),
+            delivery_times: delivered.map(delivery_times).collect(),
+            destinations: destinations
+                .map(|(spec, metrics)| destination_report(spec, metrics))
+                .collect(),
+            open_messages: metrics.open_messages().to_vec(),
+            timeline: timeline(scenario),
+            violations: verdict.violations.iter().map(ToString::to_string).collect(),
+        }
+    }
+
+    /// Writes the run and its page into a folder.
+    ///
+    /// # Errors
+    /// If a file cannot be written or a plot cannot be drawn.
+    pub fn write(&self, folder: &Path) -> Result<(), ReportError> {
+        let path = folder.join(RUN);
+        let text = serde_json::to_string(self).map_err(|source| ReportError::Run {
+            path: path.clone(),
+            source,
+        })?;
+        write_file(&path, &(text + "\n"))?;
+        write_file(&folder.join(PAGE), &self.page()?)
+    }
+
+    /// Reads the run of a folder.
+    pub(super) fn read(folder: &Path) -> Result<RunReport, ReportError> {
+        let path = folder.join(RUN);
+        let text = fs::read(&path).map_err(|source| ReportError::File {
+            path: path.clone(),
+            source,
+        })?;
+        serde_json::from_slice(&text).map_err(|source| ReportError::Run { path, source })
+    }
+}
+
+fn write_file(path: &Path, content: &str) -> Result<(), ReportError> {
+    fs::write(path, content).map_err(|source| ReportError::File {
+        path: path.to_owned(),
+        source,
+    })
+}
+
+fn secs(time: Time) -> f64 {
+    time.ms() / 1000.0
+}
+
+fn delivery_times(class: &ClassMetrics) -> DeliveryTimes {
+    let quantiles = QUANTILES.map(|quantile| (quantile, class.delivery_time_ms(quantile)));
+    DeliveryTimes {
+        class: class.class.clone(),
+        quantiles: quantiles.to_vec(),
+    }
+}
+
+fn destination_report(spec: &Destination, metrics: &DestinationMetrics) -> DestinationReport {
+    let outage_report = |outage: &Outage| OutageReport {
+        from_s: secs(outage.from),
+        until_s: secs(outage.until),
+        kind: describe(outage.kind).to_owned(),
+    };
+    let outages = spec.outages.iter().filter(|outage| outage.is_total());
+    DestinationReport {
+        name: spec.name.clone(),
+        capacity: spec.capacity(),
+        outages: outages.map(outage_report).collect(),
+        warm_up: spec.warm_up.map(|warm_up| WarmUpReport {
+            initial_capacity: warm_up.initial_capacity,
+            duration_s: warm_up.duration.secs(),
+        }),
+        calls: metrics.calls.clone(),
+        delivered: metrics.delivered.clone(),
+    }
+}
+
+fn describe(kind: OutageKind) -> &'static str {
+    match kind {
+        OutageKind::RefuseConnections => "refuses connections",
+        OutageKind::ResetConnections => "resets connections",
+        OutageKind::Blackhole => "does not answer",
+        OutageKind::ReturnErrors => "returns errors",
+        OutageKind::RejectAll => "rejects every call",
+    }
+}
+
+/// The outages, crashes, list changes and partitions of a scenario, in order of time.
+fn timeline(scenario: &Scenario) -> Vec<TimelineEntry> {
+    let mut entries = Vec::new();
+    let mut add = |at: Time, text: String| {
+        entries.push(TimelineEntry {
+            at_s: secs(at),
+            text,
+        });
+    };
+    for destination in &scenario.destinations {
+        let name = &destination.name;
+        for outage in &destination.outages {
+            let kind = describe(outage.kind);
+            let share = if outage.is_total() {
+                String::new()
+            } else {
+                format!(" for {:.0} % of calls", outage.share * 100.0)
+            };
+            add(outage.from, format!("{name} {kind}{share}"));
+            add(outage.until, format!("{name} recovers"));
+        }
+    }
+    for crash in &scenario.crashes {
+        let instance = crash.instance;
+        let restart = crash.at + crash.restart_after;
+        add(crash.at, format!("instance {instance} crashes"));
+        add(restart, format!("instance {instance} restarts"));
+    }
+    let locations = scenario.endpoint_locations();
+    for change in &scenario.list_changes {
+        let location = locations[change.endpoint];
+        let name = &scenario.destinations[location.destination].name;
+        let status = match change.status {
+            EndpointStatus::Active => "is listed as active",
+            EndpointStatus::Draining => "is listed as draining",
+            EndpointStatus::Removed => "is removed from the list",
+        };
+        let index = location.index;
+        add(change.at, format!("endpoint {index} of {name} {status}"));
+    }
+    for partition in &scenario.network.partitions {
+        let name = &scenario.destinations[partition.destination].name;
+        add(partition.from, format!("{name} is partitioned"));
+        add(partition.until, format!("{name} is reachable again"));
+    }
+    entries.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+    entries
+}
--- a/crates/simulation/src/scenario/form.rs
+++ b/crates/simulation/src/scenario/form.rs
@@ -1,4 +1,5 @@
-//! The form of a scenario's file: its tables and keys, before anything is looked at for its meaning.
+//! The form of a scenario's file: its tables and keys, before values are checked. The keys are the operators' and stay;
+//! behind them stand the terms of the program.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -13,7 +14,7 @@
     Range { from: f64, to: f64 },
 }
 
-/// A curve of time, or a number.
+/// A rate expression, or a number.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(
     untagged,
@@ -21,9 +22,10 @@
 )]
 pub(super) enum Rate {
     Number(Number),
-    Curve(String),
+    Expression(String),
 }
 
+/// A file, or several that are merged.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Form {
@@ -31,46 +33,54 @@
     pub(super) _include: Option<Value>,
     pub(super) title: Option<String>,
     pub(super) seconds: Option<Number>,
-    /// All loads are multiplied by it.
-    pub(super) load_times: Option<Number>,
-    #[serde(default)]
-    pub(super) couriers: CouriersForm,
+    /// Factor of all loads.
+    #[serde(rename = "load_times")]
+    pub(super) load_factor: Option<Number>,
+    #[serde(default, rename = "couriers")]
+    pub(super) instances: InstancesForm,
     #[serde(default)]
     pub(super) rules: RulesForm,
     #[serde(default)]
     pub(super) network: NetworkForm,
-    #[serde(default)]
-    pub(super) class: BTreeMap<String, ClassForm>,
-    #[serde(default)]
-    pub(super) partner: BTreeMap<String, PartnerForm>,
-    #[serde(default)]
-    pub(super) load: Vec<LoadForm>,
-    #[serde(default)]
-    pub(super) news: Vec<NewsForm>,
-    #[serde(default)]
-    pub(super) crash: Vec<CrashForm>,
-    #[serde(default)]
-    pub(super) partition: Vec<PartitionForm>,
+    #[serde(default, rename = "class")]
+    pub(super) classes: BTreeMap<String, ClassForm>,
+    #[serde(default, rename = "partner")]
+    pub(super) destinations: BTreeMap<String, DestinationForm>,
+    #[serde(default, rename = "load")]
+    pub(super) loads: Vec<LoadForm>,
+    #[serde(default, rename = "news")]
+    pub(super) list_changes: Vec<ListChangeForm>,
+    #[serde(default, rename = "crash")]
+    pub(super) crashes: Vec<CrashForm>,
+    #[serde(default, rename = "partition")]
+    pub(super) partitions: Vec<PartitionForm>,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct CouriersForm {
+pub(super) struct InstancesForm {
     pub(super) count: Option<Number>,
-    pub(super) slots: Option<Number>,
-    pub(super) max_open: Option<Number>,
+    #[serde(rename = "slots")]
+    pub(super) max_in_flight: Option<Number>,
+    #[serde(rename = "max_open")]
+    pub(super) max_open_messages: Option<Number>,
     pub(super) max_attempts: Option<Number>,
-    /// How long couriers are told that idle connections last.
-    pub(super) conn_idle_s: Option<Number>,
+    #[serde(rename = "conn_idle_s")]
+    pub(super) idle_timeout_s: Option<Number>,
 }
 
+/// The recovery ramp.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RulesForm {
-    pub(super) cold_from: Option<Number>,
-    pub(super) cold_s: Option<Number>,
-    pub(super) fall_multiple: Option<Number>,
-    pub(super) tip_after_s: Option<Number>,
+    #[serde(rename = "cold_from")]
+    pub(super) ramp_start: Option<Number>,
+    #[serde(rename = "cold_s")]
+    pub(super) ramp_duration_s: Option<Number>,
+    #[serde(rename = "fall_multiple")]
+    pub(super) overload_factor: Option<Number>,
+    #[serde(rename = "tip_after_s")]
+    pub(super) overload_window_s: Option<Number>,
 }
 
 #[derive(Debug, Default, Deserialize)]
@@ -84,28 +94,36 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ClassForm {
-    pub(super) repeats: Option<Repeats>,
-    pub(super) window_s: Option<Number>,
-    pub(super) worth: Option<Number>,
-    pub(super) wanted_s: Option<Number>,
-    pub(super) give_up_s: Option<Number>,
+    #[serde(rename = "repeats")]
+    pub(super) idempotency: Option<IdempotencyForm>,
+    #[serde(rename = "window_s")]
+    pub(super) deduplication_window_s: Option<Number>,
+    #[serde(rename = "worth")]
+    pub(super) priority_weight: Option<Number>,
+    #[serde(rename = "wanted_s")]
+    pub(super) latency_objective_s: Option<Number>,
+    #[serde(rename = "give_up_s")]
+    pub(super) deadline_s: Option<Number>,
     pub(super) late_value: Option<Number>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub(super) enum Repeats {
-    Free,
-    Keyed,
-    Never,
+pub(super) enum IdempotencyForm {
+    #[serde(rename = "free")]
+    Idempotent,
+    #[serde(rename = "keyed")]
+    IdempotencyKey,
+    #[serde(rename = "never")]
+    NonIdempotent,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct PartnerForm {
+pub(super) struct DestinationForm {
     pub(super) count: Option<Number>,
     pub(super) endpoints: Option<Number>,
-    pub(super) service_ms: Option<Number>,
+    #[serde(rename = "service_ms")]
+    pub(super) service_time_ms: Option<Number>,
     pub(super) shape: Option<ShapeForm>,
     /// Standard deviation of the logarithm, or exponent of the power law.
     pub(super) spread: Option<Number>,
@@ -115,18 +133,24 @@
     pub(super) burst: Option<Number>,
     pub(super) window_calls: Option<Number>,
     pub(super) window_s: Option<Number>,
-    pub(super) tells_wait: Option<bool>,
-    pub(super) counts_refused: Option<bool>,
-    pub(super) refuses: Option<Number>,
-    pub(super) listed: Option<Number>,
-    pub(super) topples: Option<bool>,
-    pub(super) stays_down_s: Option<Number>,
-    /// Connections that each endpoint holds.
-    pub(super) connections: Option<Number>,
+    #[serde(rename = "tells_wait")]
+    pub(super) sends_retry_after: Option<bool>,
+    #[serde(rename = "counts_refused")]
+    pub(super) counts_rejected: Option<bool>,
+    #[serde(rename = "refuses")]
+    pub(super) rejection_rate: Option<Number>,
+    #[serde(rename = "listed")]
+    pub(super) advertised_rate: Option<Number>,
+    #[serde(rename = "topples")]
+    pub(super) overloads_on_recovery: Option<bool>,
+    #[serde(rename = "stays_down_s")]
+    pub(super) overload_downtime_s: Option<Number>,
+    #[serde(rename = "connections")]
+    pub(super) max_open_connections: Option<Number>,
     pub(super) idle_close_s: Option<Number>,
     pub(super) connect_ms: Option<Number>,
-    #[serde(default)]
-    pub(super) outage: Vec<OutageForm>,
+    #[serde(default, rename = "outage")]
+    pub(super) outages: Vec<OutageForm>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -141,76 +165,93 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OutageForm {
-    pub(super) kind: TroubleForm,
+    pub(super) kind: OutageKindForm,
     pub(super) from_s: Number,
     pub(super) for_s: Number,
-    pub(super) part: Option<Number>,
-    /// Comes again after so many seconds ...
+    #[serde(rename = "part")]
+    pub(super) share: Option<Number>,
+    /// Period of a repeated outage.
     pub(super) every_s: Option<Number>,
-    /// ... so many times in all.
-    pub(super) times: Option<Number>,
+    /// How often it occurs in all.
+    #[serde(rename = "times")]
+    pub(super) occurrences: Option<Number>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub(super) enum TroubleForm {
-    Refuse,
-    Reset,
-    Hang,
-    Fail,
-    Shut,
+pub(super) enum OutageKindForm {
+    #[serde(rename = "refuse")]
+    RefuseConnections,
+    #[serde(rename = "reset")]
+    ResetConnections,
+    #[serde(rename = "hang")]
+    Blackhole,
+    #[serde(rename = "fail")]
+    ReturnErrors,
+    #[serde(rename = "shut")]
+    RejectAll,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LoadForm {
     pub(super) class: String,
-    pub(super) partner: String,
+    #[serde(rename = "partner")]
+    pub(super) destination: String,
     pub(super) rate: Option<Rate>,
-    /// A CSV file with a head and a time in s first in each line.
+    /// A CSV file with a head line and a time in s first in each further line.
     pub(super) trace: Option<PathBuf>,
     pub(super) arrivals: Option<ArrivalsForm>,
-    pub(super) clump: Option<Number>,
+    #[serde(rename = "clump")]
+    pub(super) burst_size: Option<Number>,
     pub(super) retries: Option<Number>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub(super) enum ArrivalsForm {
+    #[serde(rename = "even")]
     Even,
+    #[serde(rename = "poisson")]
     Poisson,
-    Clumps,
+    #[serde(rename = "clumps")]
+    Bursts,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct NewsForm {
-    pub(super) partner: String,
+pub(super) struct ListChangeForm {
+    #[serde(rename = "partner")]
+    pub(super) destination: String,
     pub(super) endpoint: Option<Number>,
     pub(super) at_s: Number,
-    pub(super) state: StateForm,
+    #[serde(rename = "state")]
+    pub(super) status: StatusForm,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub(super) enum StateForm {
-    On,
+pub(super) enum StatusForm {
+    #[serde(rename = "on")]
+    Active,
+    #[serde(rename = "draining")]
     Draining,
-    Gone,
+    #[serde(rename = "gone")]
+    Removed,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct CrashForm {
-    pub(super) courier: Option<Number>,
+    #[serde(rename = "courier")]
+    pub(super) instance: Option<Number>,
     pub(super) at_s: Number,
-    pub(super) back_after_s: Option<Number>,
+    #[serde(rename = "back_after_s")]
+    pub(super) restart_after_s: Option<Number>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct PartitionForm {
-    pub(super) partner: String,
+    #[serde(rename = "partner")]
+    pub(super) destination: String,
     pub(super) from_s: Number,
     pub(super) for_s: Number,
 }
