--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -1,145 +1,172 @@
-//! Makes a scenario of a form: bounds, usual values, draws from ranges, and all that is wrong in meaning.
+//! Makes a scenario from its form: checks bounds, fills in defaults, draws from ranges, resolves references, and collects
+//! everything that is wrong.
 
+mod destinations;
+mod loads;
+
+use super::error::{ScenarioError, ScenarioProblem, ValueError};
 use super::form::{
-    ArrivalsForm, ClassForm, CouriersForm, CrashForm, Form, LoadForm, NetworkForm, NewsForm,
-    Number, OutageForm, PartitionForm, PartnerForm, Rate, Repeats, RulesForm, ShapeForm, StateForm,
-    TroubleForm,
+    ClassForm, CrashForm, Form, IdempotencyForm, InstancesForm, ListChangeForm, NetworkForm,
+    Number, PartitionForm, RulesForm, StatusForm,
 };
-use super::{Arrivals, Class, Crash, Load, Network, News, Scenario, Unfit, LONGEST_S};
-use crate::destination::{Cold, Limit, Outage, Partner, Trouble, Wire};
-use crate::distribution::{Service, Shape};
-use crate::rate_expression::Curve;
-use crate::trace;
+use super::model::{Class, Crash, ListChange, Network, Partition, Scenario, MAX_DURATION_S};
+use super::source::SourceLines;
+use crate::destination::Destination;
 use marblefall_scheduler as m;
 use marblefall_scheduler::{EndpointStatus, Span, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
 
-/// Messages of one run, at most.
-const MOST_MESSAGES: f64 = 1e9;
+const MIN_DURATION_S: f64 = 0.001;
+const DEFAULT_DURATION_S: f64 = 60.0;
+const MAX_DELAY_MS: f64 = 60_000.0;
+const DEFAULT_DELAY_MS: f64 = 1.0;
+const MAX_WEIGHT: f64 = 1e6;
+const MAX_LOAD_FACTOR: f64 = 1e6;
+/// The longest Retry-After that the scheduler observes, in ms.
+const MAX_RETRY_AFTER_MS: f64 = 3000.0;
+
+/// The indices of the destinations that each table of the file defines.
+type DestinationGroups = BTreeMap<String, Vec<usize>>;
+
+/// The bounds of a number and its default.
+#[derive(Clone, Copy)]
+struct Bounds {
+    default: f64,
+    min: f64,
+    max: f64,
+}
+
+impl Bounds {
+    const fn new(default: f64, min: f64, max: f64) -> Bounds {
+        Bounds { default, min, max }
+    }
+
+    /// Whole numbers.
+    fn whole(default: usize, min: usize, max: usize) -> Bounds {
+        Bounds::new(default as f64, min as f64, max as f64)
+    }
+}
 
-/// The partners, by number, that each table of the file stands for.
-type Groups = BTreeMap<String, Vec<usize>>;
+/// The bounds of a share of calls or capacity.
+const fn share(default: f64) -> Bounds {
+    Bounds::new(default, 0.0, 1.0)
+}
 
-/// Makes a scenario of a form; notes all that is wrong.
-pub(super) struct Reader<'a> {
-    lines: &'a BTreeMap<String, String>,
+/// Makes a scenario from its form.
+pub(super) struct ScenarioReader<'a> {
+    lines: &'a SourceLines,
     rng: Pcg64,
-    wrong: Vec<String>,
+    problems: Vec<ScenarioProblem>,
 }
 
-impl<'a> Reader<'a> {
-    /// A reader that knows where each value stands, and draws from a seed.
-    pub(super) fn new(lines: &'a BTreeMap<String, String>, seed: u64) -> Reader<'a> {
-        Reader {
+impl<'a> ScenarioReader<'a> {
+    /// A reader that draws from a seed.
+    pub(super) fn new(lines: &'a SourceLines, seed: u64) -> ScenarioReader<'a> {
+        ScenarioReader {
             lines,
             rng: Pcg64::seed_from_u64(seed),
-            wrong: Vec::new(),
+            problems: Vec::new(),
         }
     }
 
-    /// Makes a scenario of a form.
+    /// Makes the scenario.
     ///
     /// # Errors
-    /// All that is wrong in meaning.
-    pub(super) fn read(mut self, form: Form) -> Result<Scenario, Unfit> {
+    /// All values that are wrong.
+    pub(super) fn read(mut self, form: Form) -> Result<Scenario, ScenarioError> {
         let scenario = self.scenario(form);
-        if self.wrong.is_empty() {
+        if self.problems.is_empty() {
             Ok(scenario)
         } else {
-            Err(Unfit(self.wrong))
+            Err(ScenarioError(self.problems))
         }
     }
 
-    fn say(&mut self, path: &str, why: &str) {
-        let mut known = path;
-        let at = loop {
-            match (self.lines.get(known), known.rsplit_once('.')) {
-                (Some(at), _) => break format!("{at}: "),
-                (None, Some((above, _))) => known = above,
-                (None, None) => break String::new(),
-            }
-        };
-        self.wrong.push(format!("{at}{path}: {why}"));
+    fn report(&mut self, path: &str, source: ValueError) {
+        self.problems.push(ScenarioProblem::Value {
+            location: self.lines.location(path).map(str::to_owned),
+            path: path.to_owned(),
+            source,
+        });
     }
 
-    /// A number within bounds; the usual one where none is given.
-    fn number(
-        &mut self,
-        path: &str,
-        given: Option<Number>,
-        usual: f64,
-        least: f64,
-        most: f64,
-    ) -> f64 {
-        let value = match given {
-            None => return usual,
-            Some(Number::Exact(value)) => value,
-            Some(Number::Range { from, to })
-                if from <= to && from.is_finite() && to.is_finite() =>
-            {
-                if from >= least && to <= most {
-                    // Each range has a draw, whatever the others are.
+    /// A number within bounds, or the default. Every range within bounds takes one draw.
+    fn number(&mut self, path: &str, given: Option<Number>, bounds: Bounds) -> f64 {
+        let is_valid = |value: f64| value >= bounds.min && value <= bounds.max;
+        let error = match given {
+            None => return bounds.default,
+            Some(Number::Exact(value)) if is_valid(value) => return value,
+            Some(Number::Range { from, to }) if is_range(from, to) => {
+                if from >= bounds.min && to <= bounds.max {
                     return from + (to - from) * self.rng.random::<f64>();
                 }
-                f64::NAN
-            }
-            Some(Number::Range { .. }) => {
-                self.say(path, "a range goes from less to more");
-                return usual;
+                ValueError::OutOfBounds {
+                    min: bounds.min,
+                    max: bounds.max,
+                }
             }
+            Some(Number::Exact(_)) => ValueError::OutOfBounds {
+                min: bounds.min,
+                max: bounds.max,
+            },
+            Some(Number::Range { .. }) => ValueError::InvalidRange,
         };
-        if value >= least && value <= most {
-            return value;
-        }
-        self.say(path, &format!("is within {least} and {most}"));
-        usual
+        self.report(path, error);
+        bounds.default
     }
 
-    fn count(
-        &mut self,
-        path: &str,
-        given: Option<Number>,
-        usual: usize,
-        least: usize,
-        most: usize,
-    ) -> usize {
-        self.number(path, given, usual as f64, least as f64, most as f64)
-            .round() as usize
+    /// A whole number within bounds, or the default.
+    fn count(&mut self, path: &str, given: Option<Number>, bounds: Bounds) -> usize {
+        self.number(path, given, bounds).round() as usize
     }
 
-    fn span(&mut self, path: &str, given: Option<Number>, usual_s: f64) -> Span {
-        Span::from_ms(self.number(path, given, usual_s, 0.0, LONGEST_S) * 1000.0)
+    /// A duration given in seconds, or the default.
+    fn span(&mut self, path: &str, given: Option<Number>, default_s: f64) -> Span {
+        let bounds = Bounds::new(default_s, 0.0, MAX_DURATION_S);
+        Span::from_ms(self.number(path, given, bounds) * 1000.0)
     }
 
+    /// A time given in seconds.
     fn time(&mut self, path: &str, given: Number) -> Time {
-        Time::from_ms(self.number(path, Some(given), 0.0, 0.0, LONGEST_S) * 1000.0)
+        let bounds = Bounds::new(0.0, 0.0, MAX_DURATION_S);
+        Time::from_ms(self.number(path, Some(given), bounds) * 1000.0)
     }
 
-    /// Makes the scenario. Each range has its draw in this order.
+    /// Makes the scenario. The order of these steps is the order of the draws.
     fn scenario(&mut self, form: Form) -> Scenario {
-        let seconds = self.number("seconds", form.seconds, 60.0, 0.001, LONGEST_S);
-        let couriers = self.count("couriers.count", form.couriers.count, 3, 1, 1000);
+        let duration = Bounds::new(DEFAULT_DURATION_S, MIN_DURATION_S, MAX_DURATION_S);
+        let seconds = self.number("seconds", form.seconds, duration);
+        let count = Bounds::whole(3, 1, 1000);
+        let instances = self.count("couriers.count", form.instances.count, count);
         let rules = self.rules(&form.rules);
-        let caps = self.limits(&form.couriers);
-        let classes = self.classes(&form.class);
-        let (partners, groups) = self.partners(&form.partner, &rules);
-        let times = self.number("load_times", form.load_times, 1.0, 0.0, 1e6);
-        let loads = self.loads(&form.load, &groups, &classes, (seconds, times));
-        let news = self.news(&form.news, &groups, &partners);
-        let crashes = self.crashes(&form.crash, couriers);
-        let network = self.network(&form.network, &form.partition, &groups);
+        let limits = self.limits(&form.instances);
+        let classes = self.classes(&form.classes);
+        let (destinations, groups) = self.destinations(&form.destinations, &rules);
+        let factor = Bounds::new(1.0, 0.0, MAX_LOAD_FACTOR);
+        let load_factor = self.number("load_times", form.load_factor, factor);
+        let loads = loads::LoadReader {
+            reader: self,
+            groups: &groups,
+            classes: &classes,
+            seconds,
+            load_factor,
+        }
+        .read(&form.loads);
+        let list_changes = self.list_changes(&form.list_changes, &groups, &destinations);
+        let crashes = self.crashes(&form.crashes, instances);
+        let network = self.network(&form.network, &form.partitions, &groups);
         Scenario {
             title: form.title.unwrap_or_default(),
             seconds,
-            couriers,
-            caps,
+            instances,
+            limits,
             rules,
             classes,
-            partners,
+            destinations,
             loads,
-            news,
+            list_changes,
             crashes,
             network,
         }
@@ -147,28 +174,38 @@
 
     fn rules(&mut self, form: &RulesForm) -> m::Rules {
         m::Rules {
-            ramp_start: self.number("rules.cold_from", form.cold_from, 0.27, 0.001, 1.0),
-            ramp_duration: self.span("rules.cold_s", form.cold_s, 10.0),
+            ramp_start: self.number(
+                "rules.cold_from",
+                form.ramp_start,
+                Bounds::new(0.27, 0.001, 1.0),
+            ),
+            ramp_duration: self.span("rules.cold_s", form.ramp_duration_s, 10.0),
             overload_factor: self.number(
                 "rules.fall_multiple",
-                form.fall_multiple,
-                1.5,
-                0.1,
-                1000.0,
+                form.overload_factor,
+                Bounds::new(1.5, 0.1, 1000.0),
             ),
-            overload_window: self.span("rules.tip_after_s", form.tip_after_s, 2.0),
+            overload_window: self.span("rules.tip_after_s", form.overload_window_s, 2.0),
             ..m::Rules::default()
         }
     }
 
-    fn limits(&mut self, form: &CouriersForm) -> m::Limits {
+    fn limits(&mut self, form: &InstancesForm) -> m::Limits {
+        let max_in_flight = Bounds::whole(16, 1, 100_000);
+        let max_open_messages = Bounds::whole(1000, 1, 10_000_000);
+        let max_attempts = Bounds::whole(8, 1, 1000);
         m::Limits {
-            max_in_flight: self.count("couriers.slots", form.slots, 16, 1, 100_000),
-            max_open_messages: self.count("couriers.max_open", form.max_open, 1000, 1, 10_000_000),
-            max_attempts: self.count("couriers.max_attempts", form.max_attempts, 8, 1, 1000) as u32,
+            max_in_flight: self.count("couriers.slots", form.max_in_flight, max_in_flight),
+            max_open_messages: self.count(
+                "couriers.max_open",
+                form.max_open_messages,
+                max_open_messages,
+            ),
+            max_attempts: self.count("couriers.max_attempts", form.max_attempts, max_attempts)
+                as u32,
             streams_per_connection: 1,
-            idle_timeout: self.span("couriers.conn_idle_s", form.conn_idle_s, 15.0),
-            max_retry_after: Span::from_ms(3000.0),
+            idle_timeout: self.span("couriers.conn_idle_s", form.idle_timeout_s, 15.0),
+            max_retry_after: Span::from_ms(MAX_RETRY_AFTER_MS),
             cancellation_allowed: false,
             health_checks_allowed: false,
         }
@@ -176,117 +213,100 @@
 
     fn classes(&mut self, forms: &BTreeMap<String, ClassForm>) -> Vec<Class> {
         if forms.is_empty() {
-            self.say(
-                "class",
-                "there is none: a [class.NAME] says how messages are dealt with",
-            );
+            self.report("class", ValueError::NoClass);
         }
-        forms
-            .iter()
-            .map(|(name, class)| self.class(name, class))
-            .collect()
+        let classes = forms.iter().map(|(name, form)| self.class(name, form));
+        classes.collect()
     }
 
-    /// All partners, and which of them each table stands for.
-    fn partners(
-        &mut self,
-        forms: &BTreeMap<String, PartnerForm>,
-        rules: &m::Rules,
-    ) -> (Vec<Partner>, Groups) {
-        let mut partners = Vec::new();
-        let mut groups = Groups::new();
-        for (name, form) in forms {
-            let path = format!("partner.{name}.count");
-            let count = self.count(&path, form.count, 1, 1, 1_000_000);
-            for number in 0..count {
-                let own = if count == 1 {
-                    name.clone()
-                } else {
-                    format!("{name}-{}", number + 1)
-                };
-                groups.entry(name.clone()).or_default().push(partners.len());
-                let one = self.partner(name, own, form, rules);
-                partners.push(one);
-            }
+    fn class(&mut self, name: &str, form: &ClassForm) -> Class {
+        let path = |field: &str| format!("class.{name}.{field}");
+        let idempotency = self.idempotency(&path, form);
+        let latency_objective = self.span(&path("wanted_s"), form.latency_objective_s, 2.0);
+        let deadline = self.span(&path("give_up_s"), form.deadline_s, 16.0);
+        if deadline < latency_objective {
+            self.report(&path("give_up_s"), ValueError::DeadlineBeforeObjective);
         }
-        if partners.is_empty() {
-            self.say("partner", "there is none: a [partner.NAME] takes messages");
+        let weight = Bounds::new(1.0, 0.0, MAX_WEIGHT);
+        let class = m::MessageClass {
+            priority_weight: self.number(&path("worth"), form.priority_weight, weight),
+            latency_objective,
+            deadline,
+            late_value: self.number(&path("late_value"), form.late_value, share(0.3)),
+            idempotency,
+            ordered: false,
+        };
+        Class {
+            name: name.to_owned(),
+            class,
         }
-        (partners, groups)
     }
 
-    /// The partners that a name stands for.
-    fn named(&mut self, path: &str, name: &str, groups: &Groups) -> Vec<usize> {
-        match groups.get(name) {
-            Some(group) => group.clone(),
-            None => {
-                self.say(path, &format!("there is no [partner.{name}]"));
-                Vec::new()
+    fn idempotency(&mut self, path: &dyn Fn(&str) -> String, form: &ClassForm) -> m::Idempotency {
+        let window = self.span(&path("window_s"), form.deduplication_window_s, 0.0);
+        match form.idempotency {
+            Some(IdempotencyForm::NonIdempotent) => m::Idempotency::NonIdempotent,
+            Some(IdempotencyForm::IdempotencyKey) => {
+                if form.deduplication_window_s.is_none() {
+                    self.report(&path("repeats"), ValueError::NoDeduplicationWindow);
+                }
+                m::Idempotency::IdempotencyKey {
+                    scope: m::DeduplicationScope::All,
+                    window,
+                }
             }
+            Some(IdempotencyForm::Idempotent) | None => m::Idempotency::Idempotent,
         }
     }
 
-    fn loads(
-        &mut self,
-        forms: &[LoadForm],
-        groups: &Groups,
-        classes: &[Class],
-        (seconds, times): (f64, f64),
-    ) -> Vec<Load> {
-        let mut loads = Vec::new();
-        for (place, form) in forms.iter().enumerate() {
-            let path = format!("load.{place}");
-            let group = self.named(&format!("{path}.partner"), &form.partner, groups);
-            loads.extend(self.load(&path, form, group, classes, (seconds, times)));
-        }
-        if loads.iter().map(|load| load.most).sum::<f64>() * seconds > MOST_MESSAGES {
-            self.say(
-                "load",
-                "all together would bring more than a thousand million messages",
-            );
+    /// The destinations that a table defines.
+    fn group(&mut self, path: &str, name: &str, groups: &DestinationGroups) -> Vec<usize> {
+        if let Some(group) = groups.get(name) {
+            return group.clone();
         }
-        loads
+        self.report(path, ValueError::UnknownDestination(name.to_owned()));
+        Vec::new()
     }
 
-    fn news(&mut self, forms: &[NewsForm], groups: &Groups, partners: &[Partner]) -> Vec<News> {
-        let first = |partner: usize| {
-            partners[..partner]
-                .iter()
-                .map(|one: &Partner| one.endpoints)
-                .sum::<usize>()
-        };
-        let mut news = Vec::new();
-        for (place, form) in forms.iter().enumerate() {
-            let path = format!("news.{place}");
-            let group = self.named(&format!("{path}.partner"), &form.partner, groups);
+    fn list_changes(
+        &mut self,
+        forms: &[ListChangeForm],
+        groups: &DestinationGroups,
+        destinations: &[Destination],
+    ) -> Vec<ListChange> {
+        let mut changes = Vec::new();
+        for (index, form) in forms.iter().enumerate() {
+            let path = format!("news.{index}");
+            let group = self.group(&format!("{path}.partner"), &form.destination, groups);
             let at = self.time(&format!("{path}.at_s"), form.at_s);
-            let listing = match form.state {
-                StateForm::On => EndpointStatus::Active,
-                StateForm::Draining => EndpointStatus::Draining,
-                StateForm::Gone => EndpointStatus::Removed,
+            let status = match form.status {
+                StatusForm::Active => EndpointStatus::Active,
+                StatusForm::Draining => EndpointStatus::Draining,
+                StatusForm::Removed => EndpointStatus::Removed,
             };
-            for partner in group {
-                let most = partners[partner].endpoints.saturating_sub(1);
-                let own = self.count(&format!("{path}.endpoint"), form.endpoint, 0, 0, most);
-                news.push(News {
+            for destination in group {
+                let last = destinations[destination].endpoints.saturating_sub(1);
+                let endpoint_path = format!("{path}.endpoint");
+                let endpoint = self.count(&endpoint_path, form.endpoint, Bounds::whole(0, 0, last));
+                changes.push(ListChange {
                     at,
-                    endpoint: first(partner) + own,
-                    listing,
+                    endpoint: first_endpoint(destinations, destination) + endpoint,
+                    status,
                 });
             }
         }
-        news
+        changes
     }
 
-    fn crashes(&mut self, forms: &[CrashForm], couriers: usize) -> Vec<Crash> {
+    fn crashes(&mut self, forms: &[CrashForm], instances: usize) -> Vec<Crash> {
+        let instance = Bounds::whole(0, 0, instances - 1);
         let mut crashes = Vec::new();
-        for (place, form) in forms.iter().enumerate() {
-            let path = format!("crash.{place}");
-            let last = couriers - 1;
+        for (index, form) in forms.iter().enumerate() {
+            let path = |field: &str| format!("crash.{index}.{field}");
             crashes.push(Crash {
-                courier: self.count(&format!("{path}.courier"), form.courier, 0, 0, last),
-                at: self.time(&format!("{path}.at_s"), form.at_s),
-                back_after: self.span(&format!("{path}.back_after_s"), form.back_after_s, 1.0),
+                instance: self.count(&path("courier"), form.instance, instance),
+                at: self.time(&path("at_s"), form.at_s),
+                restart_after: self.span(&path("back_after_s"), form.restart_after_s, 1.0),
             });
         }
         crashes
@@ -296,268 +316,37 @@
         &mut self,
         form: &NetworkForm,
         partitions: &[PartitionForm],
-        groups: &Groups,
+        groups: &DestinationGroups,
     ) -> Network {
-        let (usual_ms, most_ms) = (1.0, 60_000.0);
+        let delay = Bounds::new(DEFAULT_DELAY_MS, 0.0, MAX_DELAY_MS);
         let mut network = Network {
-            delay_ms: self.number("network.delay_ms", form.delay_ms, usual_ms, 0.0, most_ms),
-            jitter_ms: self.number("network.jitter_ms", form.jitter_ms, usual_ms, 0.0, most_ms),
-            loss: self.number("network.loss", form.loss, 0.0, 0.0, 1.0),
-            cut_off: Vec::new(),
+            delay_ms: self.number("network.delay_ms", form.delay_ms, delay),
+            jitter_ms: self.number("network.jitter_ms", form.jitter_ms, delay),
+            loss: self.number("network.loss", form.loss, share(0.0)),
+            partitions: Vec::new(),
         };
-        for (place, cut) in partitions.iter().enumerate() {
-            let path = format!("partition.{place}");
-            let group = self.named(&format!("{path}.partner"), &cut.partner, groups);
-            let from = self.time(&format!("{path}.from_s"), cut.from_s);
-            let until = from + self.span(&format!("{path}.for_s"), Some(cut.for_s), 0.0);
-            network
-                .cut_off
-                .extend(group.into_iter().map(|partner| (partner, from, until)));
+        for (index, form) in partitions.iter().enumerate() {
+            let path = |field: &str| format!("partition.{index}.{field}");
+            let group = self.group(&path("partner"), &form.destination, groups);
+            let from = self.time(&path("from_s"), form.from_s);
+            let until = from + self.span(&path("for_s"), Some(form.for_s), 0.0);
+            let partitions = group.into_iter().map(|destination| Partition {
+                destination,
+                from,
+                until,
+            });
+            network.partitions.extend(partitions);
         }
         network
     }
+}
 
-    fn class(&mut self, name: &str, form: &ClassForm) -> Class {
-        let path = |field: &str| format!("class.{name}.{field}");
-        let window = self.span(&path("window_s"), form.window_s, 0.0);
-        let effect = match form.repeats {
-            Some(Repeats::Never) => m::Idempotency::NonIdempotent,
-            Some(Repeats::Keyed) => {
-                if form.window_s.is_none() {
-                    self.say(
-                        &path("repeats"),
-                        "keyed needs window_s: how long receivers drop a repeat",
-                    );
-                }
-                m::Idempotency::IdempotencyKey {
-                    scope: m::DeduplicationScope::All,
-                    window,
-                }
-            }
-            Some(Repeats::Free) | None => m::Idempotency::Idempotent,
-        };
-        let promise = self.span(&path("wanted_s"), form.wanted_s, 2.0);
-        let give_up = self.span(&path("give_up_s"), form.give_up_s, 16.0);
-        if give_up < promise {
-            self.say(&path("give_up_s"), "is not before wanted_s");
-        }
-        let worth = self.number(&path("worth"), form.worth, 1.0, 0.0, 1e6);
-        let late_value = self.number(&path("late_value"), form.late_value, 0.3, 0.0, 1.0);
-        let class = m::MessageClass {
-            priority_weight: worth,
-            latency_objective: promise,
-            deadline: give_up,
-            late_value,
-            idempotency: effect,
-            ordered: false,
-        };
-        Class {
-            name: name.to_owned(),
-            class,
-        }
-    }
-
-    fn partner(
-        &mut self,
-        group: &str,
-        name: String,
-        form: &PartnerForm,
-        rules: &m::Rules,
-    ) -> Partner {
-        let path = |field: &str| format!("partner.{group}.{field}");
-        let service = self.service(&path, form);
-        let limit = self.limit(&path, form);
-        let topples = form.topples.unwrap_or(true);
-        let cold = Cold {
-            from: rules.ramp_start,
-            length: rules.ramp_duration,
-            multiple: rules.overload_factor,
-            over: rules.overload_window,
-            stays_down: self.span(&path("stays_down_s"), form.stays_down_s, 10.0),
-        };
-        let mut outages = Vec::new();
-        for (place, outage) in form.outage.iter().enumerate() {
-            outages.extend(self.outages(&path(&format!("outage.{place}")), outage));
-        }
-        Partner {
-            name,
-            wire: self.connections(&path, form),
-            endpoints: self.count(&path("endpoints"), form.endpoints, 1, 1, 10_000),
-            service,
-            servers: self.count(&path("servers"), form.servers, 8, 1, 100_000),
-            queue: self.count(&path("queue"), form.queue, 1000, 0, 10_000_000),
-            limit,
-            tells_wait: form.tells_wait.unwrap_or(false),
-            counts_refused: form.counts_refused.unwrap_or(false),
-            refuses: self.number(&path("refuses"), form.refuses, 0.0, 0.0, 1.0),
-            outages,
-            cold: topples.then_some(cold),
-            listed: form
-                .listed
-                .map(|listed| self.number(&path("listed"), Some(listed), 1.0, 0.001, 1e9)),
-        }
-    }
-
-    /// How long a partner's servers take for a call.
-    fn service(&mut self, path: &dyn Fn(&str) -> String, form: &PartnerForm) -> Service {
-        let (usual_ms, most_ms) = (50.0, 3_600_000.0);
-        let mean_ms = self.number(
-            &path("service_ms"),
-            form.service_ms,
-            usual_ms,
-            0.001,
-            most_ms,
-        );
-        let shape = match form.shape {
-            None | Some(ShapeForm::Constant) => Shape::Constant,
-            Some(ShapeForm::Exponential) => Shape::Exponential,
-            Some(ShapeForm::Lognormal) => {
-                Shape::LogNormal(self.number(&path("spread"), form.spread, 0.5, 0.0, 5.0))
-            }
-            Some(ShapeForm::Pareto) => {
-                Shape::Pareto(self.number(&path("spread"), form.spread, 2.5, 1.01, 100.0))
-            }
-        };
-        Service { mean_ms, shape }
-    }
-
-    /// How many calls a partner takes.
-    fn limit(&mut self, path: &dyn Fn(&str) -> String, form: &PartnerForm) -> Option<Limit> {
-        let length = self.span(&path("window_s"), form.window_s, 1.0);
-        match (form.rate, form.window_calls) {
-            (Some(_), Some(_)) => {
-                self.say(
-                    &path("window_calls"),
-                    "a limit is a rate or a window, not both",
-                );
-                None
-            }
-            (Some(rate), None) => {
-                let rate = self.number(&path("rate"), Some(rate), 1.0, 0.001, 1e6);
-                let burst = self.number(&path("burst"), form.burst, rate.max(1.0), 1.0, 1e6);
-                Some(Limit::Rate { rate, burst })
-            }
-            (None, Some(calls)) => {
-                let calls = self.count(&path("window_calls"), Some(calls), 1, 1, 1_000_000) as u32;
-                Some(Limit::Window { calls, length })
-            }
-            (None, None) => None,
-        }
-    }
-
-    /// An outage as often as it comes.
-    fn outages(&mut self, path: &str, form: &OutageForm) -> Vec<Outage> {
-        let first = self.time(&format!("{path}.from_s"), form.from_s);
-        let length = self.span(&format!("{path}.for_s"), Some(form.for_s), 0.0);
-        let part = self.number(&format!("{path}.part"), form.part, 1.0, 0.0, 1.0);
-        let every = self.span(&format!("{path}.every_s"), form.every_s, 0.0);
-        let times = self.count(&format!("{path}.times"), form.times, 1, 1, 10_000);
-        if times > 1 && every <= length {
-            self.say(
-                &format!("{path}.every_s"),
-                "is longer than for_s, or it would never end",
-            );
-        }
-        let trouble = match form.kind {
-            TroubleForm::Refuse => Trouble::Refuse,
-            TroubleForm::Reset => Trouble::Reset,
-            TroubleForm::Hang => Trouble::Hang,
-            TroubleForm::Fail => Trouble::Fail,
-            TroubleForm::Shut => Trouble::Shut,
-        };
-        let occurrences = (0..times as i64).map(|time| {
-            let from = first + Span(every.0 * time);
-            Outage {
-                trouble,
-                from,
-                until: from + length,
-                part,
-            }
-        });
-        occurrences.collect()
-    }
-
-    /// How a partner keeps connections, where the scenario says anything of that.
-    fn connections(&mut self, path: &dyn Fn(&str) -> String, form: &PartnerForm) -> Option<Wire> {
-        let (most, closes, connect) = match (form.connections, form.idle_close_s, form.connect_ms) {
-            (None, None, None) => return None,
-            given => given,
-        };
-        let most = most.map(|most| self.count(&path("connections"), Some(most), 1, 1, 1_000_000));
-        let idle_close = closes.map(|closes| self.span(&path("idle_close_s"), Some(closes), 0.0));
-        let connect_ms = self.number(&path("connect_ms"), connect, 0.0, 0.0, 60_000.0);
-        Some(Wire {
-            most,
-            idle_close,
-            connect: Span::from_ms(connect_ms),
-        })
-    }
+fn is_range(from: f64, to: f64) -> bool {
+    from <= to && from.is_finite() && to.is_finite()
+}
 
-    fn load(
-        &mut self,
-        path: &str,
-        form: &LoadForm,
-        partners: Vec<usize>,
-        classes: &[Class],
-        (seconds, times): (f64, f64),
-    ) -> Option<Load> {
-        let class = classes.iter().position(|class| class.name == form.class);
-        if class.is_none() {
-            self.say(
-                &format!("{path}.class"),
-                &format!("there is no [class.{}]", form.class),
-            );
-        }
-        let rate_path = format!("{path}.rate");
-        let trace = match (&form.rate, &form.trace) {
-            (Some(_), None) => None,
-            (None, Some(file)) => match trace::read(file) {
-                Ok(times) => Some(times),
-                Err(why) => {
-                    self.say(&format!("{path}.trace"), &why);
-                    return None;
-                }
-            },
-            _ => {
-                self.say(path, "a load has a rate or a trace");
-                return None;
-            }
-        };
-        let rate = match &form.rate {
-            None => Curve::flat(0.0),
-            Some(Rate::Number(number)) => {
-                Curve::flat(self.number(&rate_path, Some(*number), 0.0, 0.0, 1e9))
-            }
-            Some(Rate::Curve(text)) => match Curve::parse(text) {
-                Ok(curve) => curve,
-                Err(why) => {
-                    self.say(&rate_path, &why);
-                    return None;
-                }
-            },
-        };
-        let rate = if times == 1.0 {
-            rate
-        } else {
-            rate.times(times)
-        };
-        let clump = self.count(&format!("{path}.clump"), form.clump, 5, 1, 100_000);
-        let arrivals = match form.arrivals {
-            Some(ArrivalsForm::Even) => Arrivals::Even,
-            Some(ArrivalsForm::Clumps) => Arrivals::Clumps(clump as u32),
-            Some(ArrivalsForm::Poisson) | None => Arrivals::Poisson,
-        };
-        let retries = self.count(&format!("{path}.retries"), form.retries, 0, 0, 1000) as u32;
-        let most = rate.most(seconds);
-        Some(Load {
-            class: class?,
-            partners,
-            rate,
-            most,
-            arrivals,
-            trace,
-            retries,
-        })
-        .filter(|load| !load.partners.is_empty())
-    }
+/// The first endpoint of a destination, counted over all destinations.
+fn first_endpoint(destinations: &[Destination], destination: usize) -> usize {
+    let before = destinations[..destination].iter();
+    before.map(|destination| destination.endpoints).sum()
 }
--- a/crates/simulation/src/scenario/source.rs
+++ b/crates/simulation/src/scenario/source.rs
@@ -1,118 +1,115 @@
-//! Reading a scenario's files: what they include, how tables are merged, and where each value stands.
+//! Reads the files of a scenario, merges their tables, and records the line of each value.
 
+use super::error::{OverrideError, ScenarioError, ScenarioProblem};
 use super::form::Form;
-use super::reader::Reader;
-use super::{Scenario, Unfit};
 use std::collections::BTreeMap;
+use std::ops::Range;
 use std::path::{Path, PathBuf};
 use toml::de::{DeTable, DeValue};
 use toml::{Table, Value};
 
-/// Includes within includes, at most.
-const DEEPEST: usize = 8;
+/// The greatest depth of files that include others.
+const MAX_INCLUDE_DEPTH: usize = 8;
 
-/// Files as they are read, and where each value stands.
+/// File and line of each value, by its path.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Source {
-    pub(super) lines: BTreeMap<String, String>,
-}
+pub(super) struct SourceLines(BTreeMap<String, String>);
 
-impl Source {
-    pub(super) fn load(&mut self, path: &Path, depth: usize) -> Result<Table, Unfit> {
-        let one = |why: String| Unfit(vec![why]);
-        if depth > DEEPEST {
-            return Err(one(format!(
-                "{}: included {DEEPEST} deep, or by itself",
-                path.display()
-            )));
+impl SourceLines {
+    /// File and line of a value, or of the innermost table around it that is in a file.
+    pub(super) fn location(&self, path: &str) -> Option<&str> {
+        let mut known = path;
+        loop {
+            if let Some(location) = self.0.get(known) {
+                return Some(location);
+            }
+            known = known.rsplit_once('.')?.0;
         }
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| one(format!("{}: {error}", path.display())))?;
-        let (mut own, places) = read_alone(&path.display().to_string(), &text)?;
-        let mut table = Table::new();
-        for include in includes(&own).map_err(|why| one(format!("{}: {why}", path.display())))? {
-            let beside = path.parent().unwrap_or(Path::new(".")).join(include);
-            merge(&mut table, self.load(&beside, depth + 1)?);
+    }
+
+    /// Reads a file and the files it includes into one table.
+    pub(super) fn load(&mut self, path: &Path) -> Result<Table, ScenarioError> {
+        self.load_at_depth(path, 0)
+    }
+
+    fn load_at_depth(&mut self, path: &Path, depth: usize) -> Result<Table, ScenarioError> {
+        if depth > MAX_INCLUDE_DEPTH {
+            let problem = ScenarioProblem::IncludeTooDeep {
+                path: path.to_owned(),
+                max: MAX_INCLUDE_DEPTH,
+            };
+            return Err(problem.into());
         }
-        // A trace is beside the file that names it.
-        for load in own
-            .get_mut("load")
-            .and_then(Value::as_array_mut)
-            .into_iter()
-            .flatten()
-        {
-            if let Some(Value::String(trace)) = load.get_mut("trace") {
-                *trace = path
-                    .parent()
-                    .unwrap_or(Path::new("."))
-                    .join(&*trace)
-                    .display()
-                    .to_string();
-            }
+        let text = std::fs::read_to_string(path).map_err(|source| ScenarioProblem::Read {
+            path: path.to_owned(),
+            source,
+        })?;
+        let (mut own, lines) = parse_file(&path.display().to_string(), &text)?;
+        let folder = path.parent().unwrap_or(Path::new("."));
+        let mut table = Table::new();
+        let includes = includes(&own).ok_or_else(|| ScenarioProblem::InvalidInclude {
+            path: path.to_owned(),
+        })?;
+        for include in includes {
+            let included = self.load_at_depth(&folder.join(include), depth + 1)?;
+            merge(&mut table, included);
         }
-        // After those of what it includes: the last word on a value is where its place is.
-        self.lines.extend(places);
+        resolve_traces(&mut own, folder);
+        // After those of the included files, as the values of this file take precedence.
+        self.0.extend(lines.0);
         merge(&mut table, own);
         Ok(table)
     }
-
-    pub(super) fn finish(&self, table: Table, seed: u64) -> Result<Scenario, Unfit> {
-        let form: Form = table
-            .try_into()
-            .map_err(|error: toml::de::Error| Unfit(vec![error.message().to_owned()]))?;
-        Reader::new(&self.lines, seed).read(form)
-    }
 }
 
-/// Reads one file by itself, so that its faults of form have their line; with where each of its values stands.
-pub(super) fn read_alone(
-    name: &str,
-    text: &str,
-) -> Result<(Table, BTreeMap<String, String>), Unfit> {
-    let at = |span: Option<std::ops::Range<usize>>| match span {
-        Some(span) => format!("{name}:{}", line(text, span.start)),
+/// Parses one file by itself, so that errors of form have their line.
+pub(super) fn parse_file(name: &str, text: &str) -> Result<(Table, SourceLines), ScenarioError> {
+    let location = |span: Option<Range<usize>>| match span {
+        Some(span) => format!("{name}:{}", line_number(text, span.start)),
         None => name.to_owned(),
     };
-    let fault = |error: toml::de::Error| {
-        Unfit(vec![format!(
-            "{}: {}",
-            at(error.span()),
-            error.message().trim()
-        )])
+    let syntax = |error: toml::de::Error| ScenarioProblem::Syntax {
+        location: location(error.span()),
+        message: error.message().trim().to_owned(),
     };
-    toml::from_str::<Form>(text).map_err(fault)?;
-    let places = DeTable::parse(text).map_err(fault)?;
+    toml::from_str::<Form>(text).map_err(syntax)?;
+    let spans = DeTable::parse(text).map_err(syntax)?;
     let mut lines = BTreeMap::new();
-    note(places.get_ref(), "", &mut |path, start| {
-        lines.insert(path, format!("{name}:{}", line(text, start)));
+    visit_values(spans.get_ref(), "", &mut |path, start| {
+        lines.insert(path, format!("{name}:{}", line_number(text, start)));
     });
-    Ok((text.parse::<Table>().map_err(fault)?, lines))
+    let table = text.parse::<Table>().map_err(syntax)?;
+    Ok((table, SourceLines(lines)))
 }
 
-/// The line, from 1 on, in which a byte of a text stands.
-pub(crate) fn line(text: &str, start: usize) -> usize {
-    text.as_bytes()[..start.min(text.len())]
-        .iter()
-        .filter(|byte| **byte == b'\n')
-        .count()
-        + 1
+/// The line, from 1, of a byte of a text.
+pub(crate) fn line_number(text: &str, offset: usize) -> usize {
+    let before = &text.as_bytes()[..offset.min(text.len())];
+    before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
-fn includes(table: &Table) -> Result<Vec<PathBuf>, String> {
-    let path = |value: &Value| {
-        value
-            .as_str()
-            .map(PathBuf::from)
-            .ok_or("include is a path or a list of them".to_owned())
-    };
+/// The files that a table includes; `None` if the value is of another type.
+fn includes(table: &Table) -> Option<Vec<PathBuf>> {
+    let path = |value: &Value| value.as_str().map(PathBuf::from);
     match table.get("include") {
-        None => Ok(Vec::new()),
+        None => Some(Vec::new()),
         Some(Value::Array(all)) => all.iter().map(path).collect(),
-        Some(one) => Ok(vec![path(one)?]),
+        Some(one) => Some(vec![path(one)?]),
     }
 }
 
-fn note(table: &DeTable<'_>, prefix: &str, say: &mut dyn FnMut(String, usize)) {
+/// Makes the paths of traces relative to the file that names them.
+fn resolve_traces(table: &mut Table, folder: &Path) {
+    let loads = table.get_mut("load").and_then(Value::as_array_mut);
+    for load in loads.into_iter().flatten() {
+        if let Some(Value::String(trace)) = load.get_mut("trace") {
+            *trace = folder.join(&*trace).display().to_string();
+        }
+    }
+}
+
+/// Calls `visit` with the path and the first byte of each value of a table.
+fn visit_values(table: &DeTable<'_>, prefix: &str, visit: &mut dyn FnMut(String, usize)) {
     for (key, value) in table {
         let path = if prefix.is_empty() {
             key.get_ref().to_string()
@@ -120,28 +117,29 @@
             format!("{prefix}.{}", key.get_ref())
         };
         match value.get_ref() {
-            DeValue::Table(inner) => note(inner, &path, say),
+            DeValue::Table(inner) => visit_values(inner, &path, visit),
             DeValue::Array(all) => {
-                for (place, one) in all.iter().enumerate() {
-                    say(format!("{path}.{place}"), one.span().start);
-                    if let DeValue::Table(inner) = one.get_ref() {
-                        note(inner, &format!("{path}.{place}"), say);
+                for (index, item) in all.iter().enumerate() {
+                    let item_path = format!("{path}.{index}");
+                    if let DeValue::Table(inner) = item.get_ref() {
+                        visit_values(inner, &item_path, visit);
                     }
+                    visit(item_path, item.span().start);
                 }
             }
             _ => {}
         }
-        say(path, key.span().start);
+        visit(path, key.span().start);
     }
 }
 
-/// Puts one file's table over another's: tables are merged, lists of tables grow, all else is replaced.
+/// Merges a table over another one: tables are merged, lists of tables are concatenated, other values are replaced.
 fn merge(under: &mut Table, over: Table) {
     for (key, value) in over {
         match (under.get_mut(&key), value) {
             (Some(Value::Table(under)), Value::Table(over)) => merge(under, over),
             (Some(Value::Array(under)), Value::Array(over)) if over.iter().all(Value::is_table) => {
-                under.extend(over)
+                under.extend(over);
             }
             (_, value) => {
                 under.insert(key, value);
@@ -150,28 +148,30 @@
     }
 }
 
-pub(super) fn set_value(table: &mut Table, set: &str) -> Result<(), String> {
-    let (path, value) = set.split_once('=').ok_or("is not NAME=VALUE")?;
-    // A word without quotes is a text.
-    let value = format!("value = {value}")
-        .parse::<Table>()
-        .ok()
-        .and_then(|mut one| one.remove("value"));
-    let value = value.unwrap_or_else(|| Value::String(set[path.len() + 1..].to_owned()));
+/// Sets a value given as `path.to.value=value`.
+pub(super) fn set_value(table: &mut Table, argument: &str) -> Result<(), OverrideError> {
+    let (path, text) = argument.split_once('=').ok_or(OverrideError::NoValue)?;
     let mut keys: Vec<&str> = path.trim().split('.').collect();
-    let last = keys
-        .pop()
-        .filter(|last| !last.is_empty())
-        .ok_or("names nothing")?;
-    let mut at = table;
+    let last = keys.pop().filter(|last| !last.is_empty());
+    let last = last.ok_or(OverrideError::NoName)?;
+    let mut target = table;
     for key in keys {
-        let next = at.entry(key).or_insert_with(|| Value::Table(Table::new()));
-        at = match next {
+        let next = target
+            .entry(key)
+            .or_insert_with(|| Value::Table(Table::new()));
+        target = match next {
             Value::Table(next) => next,
-            Value::Array(_) => return Err(format!("{key} is a list: say what is meant in a file")),
-            _ => return Err(format!("{key} is a value, and holds nothing")),
+            Value::Array(_) => return Err(OverrideError::List(key.to_owned())),
+            _ => return Err(OverrideError::NotATable(key.to_owned())),
         };
     }
-    at.insert(last.to_owned(), value);
+    target.insert(last.to_owned(), parse_value(text));
     Ok(())
 }
+
+/// Parses a value of TOML; anything else is a string without quotes.
+fn parse_value(text: &str) -> Value {
+    let table = format!("value = {text}").parse::<Table>().ok();
+    let value = table.and_then(|mut table| table.remove("value"));
+    value.unwrap_or_else(|| Value::String(text.to_owned()))
+}
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,20 +1,20 @@
-//! Plays a scenario: discrete events in virtual time, everything drawn from one seed.
+//! Plays a scenario: discrete events in virtual time, with every random draw from one seed.
 //!
-//! The couriers are reached through the scheduler's own interface, as the program embeds it: what came in as events, what
-//! is to be done as actions. What a courier would have in its journal is kept here for its next incarnation.
+//! Each instance is a [`Node`], driven through the scheduler's own interface as the program does: events in, actions out.
+//! What an instance would find in its journal after a crash is kept here and passed to its next incarnation.
 //!
-//! `event_queue` says what is to happen when, `clients` hand messages in, `couriers` are started, told and obeyed, and
-//! `attempts` travel to endpoints and back.
+//! `event_queue` orders the events, `clients` submit messages, `instances` are started, crashed and driven, and `attempts`
+//! travel to endpoints and back.
 
 mod attempts;
 mod clients;
 mod event_queue;
 mod instances;
 
-use crate::connections::Wires;
-use crate::destination::Running;
-use crate::observation::Seen;
-use crate::scenario::Scenario;
+use crate::connections::ConnectionPool;
+use crate::destination::DestinationState;
+use crate::observation::Observation;
+use crate::scenario::{EndpointLocation, Scenario};
 use event_queue::{EventQueue, SimulationEvent, Submission};
 use marblefall_scheduler::{
     Action, EndpointId, EndpointStatus, Event, Scheduler, Settings, Span, Time,
@@ -23,9 +23,12 @@
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
 
-/// What decides for one courier: the scheduler, or a mutant of it with a fault.
+/// Time for the last responses and final outcomes after the last deadline.
+const DRAIN_TIME: Span = Span(5_000_000);
+
+/// What decides for one instance: the scheduler, the whole core, or a mutant.
 pub trait Node {
-    /// Takes all that one batch brought, then decides.
+    /// Handles a batch of events and appends the resulting actions.
     fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>);
 }
 
@@ -35,167 +38,177 @@
     }
 }
 
-/// One incarnation of a courier, as its node is made for it.
+/// One incarnation of an instance, from its start to its crash.
 #[derive(Clone, Debug)]
-pub struct Life {
-    /// What it is told.
+pub struct Incarnation {
+    /// Its settings.
     pub settings: Settings,
-    /// For its draws.
+    /// The seed of its random draws.
     pub seed: u64,
-    /// Which courier it is, the same over all its incarnations.
-    pub courier: usize,
+    /// The instance, the same for all its incarnations.
+    pub instance: usize,
 }
 
-/// Makes the node of a courier's incarnation.
-pub type Make<'a> = &'a dyn Fn(Life) -> Box<dyn Node>;
+/// Creates the node of an incarnation.
+pub type NodeFactory<'a> = &'a dyn Fn(Incarnation) -> Box<dyn Node>;
 
-/// The scheduler as it serves.
-pub fn in_service(life: Life) -> Box<dyn Node> {
-    Box::new(Scheduler::new(life.settings, life.seed))
+/// The scheduler of the product.
+pub fn production_node(incarnation: Incarnation) -> Box<dyn Node> {
+    Box::new(Scheduler::new(incarnation.settings, incarnation.seed))
 }
 
-/// What a run came to.
+/// Totals of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Played {
-    /// Messages that couriers accepted.
+pub struct RunTotals {
+    /// Messages that instances accepted.
     pub messages: u64,
-    /// Attempts that they started.
-    pub legs: u64,
-    /// When it was over, in virtual time.
-    pub over: Time,
+    /// Attempts that instances started.
+    pub attempts: u64,
+    /// When the run ended, in virtual time.
+    pub ended_at: Time,
+}
+
+/// Plays a scenario from a seed; `observer` receives all observations in their order.
+pub fn play(
+    scenario: &Scenario,
+    seed: u64,
+    make_node: NodeFactory<'_>,
+    observer: &mut dyn FnMut(Time, &Observation),
+) -> RunTotals {
+    Simulation::new(scenario, seed, make_node, observer).run()
+}
+
+/// An attempt in flight.
+#[derive(Clone, Copy)]
+struct AttemptInFlight {
+    endpoint: EndpointId,
+    sent_at: Time,
 }
-/// Time for the last answers and ends, after the last deadline.
-const DRAIN_TIME: Span = Span(5_000_000);
 
-/// A message that a courier accepted.
+/// A message that an instance accepted.
 struct Message {
     submission: Submission,
-    courier: usize,
+    instance: usize,
     expires: Time,
     attempts: u32,
-    /// Where its attempt in flight goes, and when that was sent.
-    in_flight: Option<(EndpointId, Time)>,
-    /// Whether its attempt holds a connection that is counted.
+    in_flight: Option<AttemptInFlight>,
+    /// Whether the attempt in flight occupies a connection of the pool.
     holds_connection: bool,
     /// The first attempt that may have been executed.
-    first_possible_execution: Option<(Time, EndpointId)>,
-    ended: bool,
+    first_possible_execution: Option<AttemptInFlight>,
+    has_ended: bool,
 }
 
 impl Message {
-    fn new(submission: Submission, courier: usize, expires: Time) -> Message {
+    fn new(submission: Submission, instance: usize, expires: Time) -> Message {
         Message {
             submission,
-            courier,
+            instance,
             expires,
             attempts: 0,
             in_flight: None,
             holds_connection: false,
             first_possible_execution: None,
-            ended: false,
+            has_ended: false,
         }
     }
 }
 
-/// A courier, which runs or does not.
+/// An instance, which runs or is down.
 #[derive(Default)]
-struct CourierSlot {
+struct InstanceSlot {
+    /// Its node while it runs.
     node: Option<Box<dyn Node>>,
-    /// Incarnations before the one that runs.
+    /// Number of earlier incarnations.
     incarnation: u32,
 }
 
 struct Simulation<'s> {
     scenario: &'s Scenario,
     settings: Settings,
-    make_node: Make<'s>,
+    make_node: NodeFactory<'s>,
     seed: u64,
     rng: Pcg64,
     queue: EventQueue,
     now: Time,
-    couriers: Vec<CourierSlot>,
-    partners: Vec<Running>,
-    /// For each endpoint its partner and place there.
-    endpoint_places: Vec<(usize, usize)>,
+    instances: Vec<InstanceSlot>,
+    destinations: Vec<DestinationState>,
+    endpoint_locations: Vec<EndpointLocation>,
+    /// The status of each endpoint in the endpoint list.
     listed_status: Vec<EndpointStatus>,
     messages: HashMap<u64, Message>,
     last_message: u64,
-    played: Played,
-    observer: &'s mut dyn FnMut(Time, &Seen),
-    wires: Wires,
-    /// For each load how far its trace has been played.
+    totals: RunTotals,
+    observer: &'s mut dyn FnMut(Time, &Observation),
+    connection_pool: ConnectionPool,
+    /// For each load the position in its trace.
     trace_positions: Vec<usize>,
-    /// Actions of the step that runs, kept for their room.
+    /// Buffer for the actions of the current step.
     actions: Vec<Action>,
 }
 
-/// Plays a scenario from a seed; `observer` is told all that is seen, in its order.
-pub fn play(
-    scenario: &Scenario,
-    seed: u64,
-    make_node: Make<'_>,
-    observer: &mut dyn FnMut(Time, &Seen),
-) -> Played {
-    let endpoint_places = scenario.places();
-    let simulation = Simulation {
-        settings: scenario.settings(),
-        make_node,
-        seed,
-        rng: Pcg64::seed_from_u64(seed),
-        queue: EventQueue::default(),
-        now: Time(0),
-        couriers: (0..scenario.couriers)
-            .map(|_| CourierSlot::default())
-            .collect(),
-        partners: scenario.partners.iter().map(Running::new).collect(),
-        listed_status: vec![EndpointStatus::Active; endpoint_places.len()],
-        endpoint_places,
-        messages: HashMap::new(),
-        last_message: 0,
-        played: Played::default(),
-        wires: Wires::new(scenario.caps.idle_timeout),
-        trace_positions: vec![0; scenario.loads.len()],
-        observer,
-        actions: Vec::new(),
-        scenario,
-    };
-    simulation.run()
-}
+impl<'s> Simulation<'s> {
+    fn new(
+        scenario: &'s Scenario,
+        seed: u64,
+        make_node: NodeFactory<'s>,
+        observer: &'s mut dyn FnMut(Time, &Observation),
+    ) -> Simulation<'s> {
+        let endpoint_locations = scenario.endpoint_locations();
+        let instances = (0..scenario.instances).map(|_| InstanceSlot::default());
+        let destinations = scenario.destinations.iter().map(DestinationState::new);
+        Simulation {
+            settings: scenario.settings(),
+            make_node,
+            seed,
+            rng: Pcg64::seed_from_u64(seed),
+            queue: EventQueue::default(),
+            now: Time(0),
+            instances: instances.collect(),
+            destinations: destinations.collect(),
+            listed_status: vec![EndpointStatus::Active; endpoint_locations.len()],
+            endpoint_locations,
+            messages: HashMap::new(),
+            last_message: 0,
+            totals: RunTotals::default(),
+            connection_pool: ConnectionPool::new(scenario.limits.idle_timeout),
+            trace_positions: vec![0; scenario.loads.len()],
+            observer,
+            actions: Vec::new(),
+            scenario,
+        }
+    }
 
-impl Simulation<'_> {
-    fn run(mut self) -> Played {
-        self.begin();
+    fn run(mut self) -> RunTotals {
+        self.start();
         while let Some((at, event)) = self.queue.pop() {
-            if at > self.played.over {
+            if at > self.totals.ended_at {
                 break;
             }
             self.now = at;
             self.handle(event);
         }
-        self.played
+        self.totals
     }
 
-    fn begin(&mut self) {
-        let deadlines = self
-            .scenario
-            .classes
-            .iter()
-            .map(|class| class.class.deadline);
+    fn start(&mut self) {
+        let classes = self.scenario.classes.iter();
+        let deadlines = classes.map(|class| class.class.deadline);
         let longest = deadlines.max().unwrap_or(Span::ZERO);
-        self.played.over = self.scenario.length() + longest + DRAIN_TIME;
-        for courier in 0..self.couriers.len() {
-            self.start_courier(courier);
+        self.totals.ended_at = self.scenario.length() + longest + DRAIN_TIME;
+        for instance in 0..self.instances.len() {
+            self.start_instance(instance);
         }
         for load in 0..self.scenario.loads.len() {
             self.schedule_next_arrival(load);
         }
-        for (place, news) in self.scenario.news.iter().enumerate() {
+        for (index, change) in self.scenario.list_changes.iter().enumerate() {
             self.queue
-                .push(news.at, SimulationEvent::ListChanges(place));
+                .push(change.at, SimulationEvent::ListChanges(index));
         }
-        for (place, crash) in self.scenario.crashes.iter().enumerate() {
+        for (index, crash) in self.scenario.crashes.iter().enumerate() {
             self.queue
-                .push(crash.at, SimulationEvent::CourierCrashes(place));
+                .push(crash.at, SimulationEvent::InstanceCrashes(index));
         }
     }
 
@@ -210,45 +223,52 @@
                 outcome,
             } => self.attempt_ends(message, incarnation, outcome),
             SimulationEvent::TimerFires {
-                courier,
+                instance,
                 incarnation,
                 token,
-            } => self.deliver_to_incarnation(courier, incarnation, Event::TimerFired(token)),
+            } => self.deliver_to_incarnation(instance, incarnation, Event::TimerFired(token)),
             SimulationEvent::ListChangeArrives {
-                courier,
+                instance,
                 incarnation,
                 update,
             } => {
                 let change = Event::EndpointsUpdated(vec![*update]);
-                self.deliver_to_incarnation(courier, incarnation, change);
+                self.deliver_to_incarnation(instance, incarnation, change);
             }
-            SimulationEvent::ListChanges(place) => self.change_list(place),
-            SimulationEvent::CourierCrashes(place) => self.crash(place),
-            SimulationEvent::CourierStarts(courier) => {
-                self.observe(Seen::Began { courier });
-                self.start_courier(courier);
+            SimulationEvent::ListChanges(index) => self.change_list(index),
+            SimulationEvent::InstanceCrashes(index) => self.crash(index),
+            SimulationEvent::InstanceStarts(instance) => {
+                self.observe(Observation::InstanceRestarted { instance });
+                self.start_instance(instance);
             }
         }
     }
 
-    /// Delivers an event to a courier, if it is still the same incarnation.
-    fn deliver_to_incarnation(&mut self, courier: usize, incarnation: u32, event: Event) {
-        if self.couriers[courier].incarnation == incarnation {
-            self.deliver(courier, &[event]);
+    /// Delivers an event to an instance, if the same incarnation still runs.
+    fn deliver_to_incarnation(&mut self, instance: usize, incarnation: u32, event: Event) {
+        if self.instances[instance].incarnation == incarnation {
+            self.deliver(instance, &[event]);
         }
     }
 
-    /// How long one way over the network takes.
+    /// Index of the destination to which an endpoint belongs.
+    fn destination_of(&self, endpoint: EndpointId) -> usize {
+        self.endpoint_locations[endpoint.0 as usize].destination
+    }
+
+    /// Draws the delay of one direction of the network.
     fn network_delay(&mut self) -> Span {
         let network = &self.scenario.network;
         Span::from_ms(network.delay_ms + network.jitter_ms * self.rng.random::<f64>())
     }
 
-    fn is_lost_on_the_way(&mut self) -> bool {
-        self.scenario.network.loss > 0.0 && self.rng.random::<f64>() < self.scenario.network.loss
+    /// Draws whether a request or response is lost.
+    fn is_lost_in_network(&mut self) -> bool {
+        let loss = self.scenario.network.loss;
+        loss > 0.0 && self.rng.random::<f64>() < loss
     }
 
-    fn observe(&mut self, seen: Seen) {
-        (self.observer)(self.now, &seen);
+    fn observe(&mut self, observation: Observation) {
+        (self.observer)(self.now, &observation);
     }
 }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -1,40 +1,59 @@
-//! Attempts: their way to an endpoint and back, and how messages end.
+//! Attempts on their way to an endpoint and back, and the final outcomes of messages.
 
 use super::event_queue::{SimulationEvent, Submission, TravellingAttempt};
-use super::Simulation;
-use crate::connections::Found;
-use crate::destination::Fate;
-use crate::observation::{End, Seen};
+use super::{AttemptInFlight, Message, Simulation};
+use crate::connections::{Acquired, Release};
+use crate::destination::CallResult;
+use crate::observation::{FinalOutcome, Observation};
 use marblefall_scheduler::{
     AttemptNumber, EndpointId, Event, MessageId, Outcome, RateLimitReport, Span, Time,
 };
 
+/// Whether an attempt gets a connection.
+enum Connection {
+    /// It is established after this additional time.
+    Established { after: Span },
+    /// The attempt fails without reaching its endpoint.
+    Failed { after: Span, outcome: Outcome },
+}
+
 impl Simulation<'_> {
-    /// A courier starts an attempt.
-    pub(super) fn send(&mut self, courier: usize, id: u64, endpoint: EndpointId, timeout_at: Time) {
-        self.observe(Seen::Sent {
+    /// Starts an attempt of an instance.
+    pub(super) fn send(
+        &mut self,
+        instance: usize,
+        id: u64,
+        endpoint: EndpointId,
+        timeout_at: Time,
+    ) {
+        self.observe(Observation::AttemptSent {
             message: id,
-            courier,
+            instance,
             endpoint: endpoint.0,
         });
-        self.played.legs += 1;
+        self.totals.attempts += 1;
         if let Some(message) = self.messages.get_mut(&id) {
             message.attempts += 1;
-            message.in_flight = Some((endpoint, self.now));
+            message.in_flight = Some(AttemptInFlight {
+                endpoint,
+                sent_at: self.now,
+            });
         }
-        let incarnation = self.couriers[courier].incarnation;
+        let incarnation = self.instances[instance].incarnation;
         let ends = |outcome| SimulationEvent::AttemptEnds {
             message: id,
             incarnation,
             outcome,
         };
-        let mut delay = self.network_delay();
-        match self.connect(courier, id, endpoint, delay) {
-            Ok(connecting) => delay.0 += connecting.0,
-            Err((after, outcome)) => return self.queue.push(self.now + after, ends(outcome)),
-        }
-        let (partner, _) = self.endpoint_places[endpoint.0 as usize];
-        if self.scenario.cut_off(partner, self.now) || self.is_lost_on_the_way() {
+        let network_delay = self.network_delay();
+        let delay = match self.connect(instance, id, endpoint, network_delay) {
+            Connection::Established { after } => Span(network_delay.0 + after.0),
+            Connection::Failed { after, outcome } => {
+                return self.queue.push(self.now + after, ends(outcome));
+            }
+        };
+        let destination = self.destination_of(endpoint);
+        if self.scenario.is_partitioned(destination, self.now) || self.is_lost_in_network() {
             return self.queue.push(timeout_at, ends(Outcome::TimedOut));
         }
         let attempt = TravellingAttempt {
@@ -47,34 +66,45 @@
         self.queue.push(self.now + delay, arrives);
     }
 
-    /// Takes a connection for an attempt, where the scenario counts them; returns how long establishing it takes, or after which
-    /// time the attempt ends how.
+    /// Acquires a connection for an attempt, if its destination has a connection policy.
     fn connect(
         &mut self,
-        courier: usize,
+        instance: usize,
         id: u64,
         endpoint: EndpointId,
-        delay: Span,
-    ) -> Result<Span, (Span, Outcome)> {
-        let (partner, _) = self.endpoint_places[endpoint.0 as usize];
-        let Some(wire) = self.scenario.partners[partner].wire else {
-            return Ok(Span::ZERO);
+        network_delay: Span,
+    ) -> Connection {
+        let destination = self.destination_of(endpoint);
+        let Some(policy) = self.scenario.destinations[destination].connection_policy else {
+            return Connection::Established { after: Span::ZERO };
         };
-        let found = self.wires.take(self.now, courier, endpoint.0, &wire);
-        let round_trip = Span(delay.0 + self.network_delay().0);
-        let connecting = match found {
-            Found::Closed => return Err((round_trip, Outcome::StaleConnection)),
-            Found::NoRoom => return Err((round_trip, Outcome::ConnectFailed)),
-            Found::New => Span(round_trip.0 + wire.connect.0),
-            Found::Kept => Span::ZERO,
+        let acquired = self
+            .connection_pool
+            .acquire(self.now, instance, endpoint.0, &policy);
+        let round_trip = Span(network_delay.0 + self.network_delay().0);
+        let after = match acquired {
+            Acquired::Stale => {
+                return Connection::Failed {
+                    after: round_trip,
+                    outcome: Outcome::StaleConnection,
+                };
+            }
+            Acquired::LimitReached => {
+                return Connection::Failed {
+                    after: round_trip,
+                    outcome: Outcome::ConnectFailed,
+                };
+            }
+            Acquired::New => Span(round_trip.0 + policy.connect.0),
+            Acquired::Reused => Span::ZERO,
         };
         if let Some(message) = self.messages.get_mut(&id) {
             message.holds_connection = true;
         }
-        Ok(connecting)
+        Connection::Established { after }
     }
 
-    /// An attempt comes to its endpoint, which answers it or does not.
+    /// Handles an attempt that arrives at its endpoint, and schedules its end.
     pub(super) fn attempt_arrives(&mut self, attempt: TravellingAttempt) {
         let TravellingAttempt {
             message,
@@ -82,18 +112,21 @@
             endpoint,
             timeout_at,
         } = attempt;
-        self.observe(Seen::Came {
+        self.observe(Observation::AttemptArrived {
             message,
             endpoint: endpoint.0,
         });
-        let (partner, place) = self.endpoint_places[endpoint.0 as usize];
-        let Fate { answer, fell } = self.partners[partner].take(self.now, place, &mut self.rng);
-        if fell {
-            self.observe(Seen::Fell { partner });
+        let location = self.endpoint_locations[endpoint.0 as usize];
+        let destination = location.destination;
+        let result =
+            self.destinations[destination].receive(self.now, location.index, &mut self.rng);
+        if matches!(result, CallResult::Overloaded { .. }) {
+            self.observe(Observation::RecoveryOverloaded { destination });
         }
         let delay = self.network_delay();
-        let is_lost = self.is_lost_on_the_way() || self.scenario.cut_off(partner, self.now);
-        let (at, outcome) = match answer.filter(|_| !is_lost) {
+        let is_lost =
+            self.is_lost_in_network() || self.scenario.is_partitioned(destination, self.now);
+        let (at, outcome) = match result.answer().filter(|_| !is_lost) {
             Some((at, outcome)) if at + delay < timeout_at => (at + delay, outcome),
             _ => (timeout_at, Outcome::TimedOut),
         };
@@ -105,71 +138,69 @@
         self.queue.push(at.max(self.now + Span(1)), ends);
     }
 
-    /// An attempt ends for the courier that started it, if that is still the same incarnation.
+    /// Ends an attempt for its instance, if the incarnation that started it still runs.
     pub(super) fn attempt_ends(&mut self, id: u64, incarnation: u32, outcome: Outcome) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        let courier = message.courier;
-        if self.couriers[courier].incarnation != incarnation {
+        let instance = message.instance;
+        if self.instances[instance].incarnation != incarnation {
             return;
         }
-        let Some((endpoint, sent)) = message.in_flight.take() else {
+        let Some(ended) = message.in_flight.take() else {
             return;
         };
         if !outcome.proves_not_executed() {
-            message
-                .first_possible_execution
-                .get_or_insert((sent, endpoint));
+            message.first_possible_execution.get_or_insert(ended);
         }
         if std::mem::take(&mut message.holds_connection) {
-            let is_whole = matches!(
-                outcome,
-                Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. }
-            );
-            self.wires
-                .give_back(self.now, courier, endpoint.0, is_whole);
+            let release = release_after(outcome);
+            self.connection_pool
+                .release(self.now, instance, ended.endpoint.0, release);
         }
         let attempt = AttemptNumber(message.attempts - 1);
-        let is_final = outcome == Outcome::Delivered && !message.ended;
-        self.observe(Seen::Closed {
+        let is_final = outcome == Outcome::Delivered && !message.has_ended;
+        self.observe(Observation::AttemptEnded {
             message: id,
-            courier,
-            endpoint: endpoint.0,
+            instance,
+            endpoint: ended.endpoint.0,
             outcome,
         });
         if is_final {
-            self.finish(id, End::Delivered);
+            self.finish(id, FinalOutcome::Delivered);
         }
         let finished = Event::AttemptFinished {
             message: MessageId(id),
             attempt,
             outcome,
-            duration: self.now - sent,
+            duration: self.now - ended.sent_at,
             is_final,
             rate_limit: RateLimitReport::default(),
         };
-        self.deliver(courier, &[finished]);
-        let is_over = |message: &super::Message| message.ended && message.in_flight.is_none();
+        self.deliver(instance, &[finished]);
+        let is_over = |message: &Message| message.has_ended && message.in_flight.is_none();
         if self.messages.get(&id).is_some_and(is_over) {
             self.messages.remove(&id);
         }
     }
 
-    /// A message ends; its client may hand it in again.
-    pub(super) fn finish(&mut self, id: u64, end: End) {
-        self.observe(Seen::Ended { message: id, end });
+    /// Ends a message for its client, which may submit it again if it was rejected.
+    pub(super) fn finish(&mut self, id: u64, outcome: FinalOutcome) {
+        self.observe(Observation::Finished {
+            message: id,
+            outcome,
+        });
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        message.ended = true;
+        message.has_ended = true;
         let submission = message.submission;
         let is_in_flight = message.in_flight.is_some();
-        // What was delivered is forgotten once its courier knows.
-        if !is_in_flight && end != End::Delivered {
+        // A delivered message is removed once its instance has received the end of the attempt.
+        if !is_in_flight && outcome != FinalOutcome::Delivered {
             self.messages.remove(&id);
         }
-        let (End::Refused(wait), 1..) = (end, submission.retries_left) else {
+        let (FinalOutcome::Rejected(wait), 1..) = (outcome, submission.retries_left) else {
             return;
         };
         let again = Submission {
@@ -181,3 +212,11 @@
         self.queue.push(self.now + wait + delay, submits);
     }
 }
+
+/// A connection stays open after a complete response.
+fn release_after(outcome: Outcome) -> Release {
+    match outcome {
+        Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. } => Release::Reusable,
+        _ => Release::Closed,
+    }
+}
--- a/crates/simulation/src/simulation/clients.rs
+++ b/crates/simulation/src/simulation/clients.rs
@@ -1,19 +1,21 @@
-//! Clients: when their messages come, and to which courier they hand them in.
+//! Clients: when their messages arrive, and to which instance they submit them.
 
 use super::event_queue::{SimulationEvent, Submission};
 use super::instances::new_message;
 use super::{Message, Simulation};
-use crate::observation::Seen;
-use crate::scenario::{Arrivals, Load};
+use crate::observation::Observation;
+use crate::scenario::Arrivals;
 use marblefall_scheduler::{Event, Span, Time};
 use rand::Rng;
 use rand_distr::Exp1;
 
-/// A client that finds no courier running tries again after this.
-const NO_COURIER_RETRY: Span = Span(100_000);
+/// Delay after which a client that found no running instance retries.
+const NO_INSTANCE_RETRY: Span = Span(100_000);
+/// Microseconds per second.
+const US_PER_S: f64 = 1e6;
 
 impl Simulation<'_> {
-    /// Schedules when a load's next message comes, if one does.
+    /// Schedules the next arrival of a load, if there is one.
     pub(super) fn schedule_next_arrival(&mut self, load: usize) {
         let next = match &self.scenario.loads[load].trace {
             Some(times) => {
@@ -28,43 +30,44 @@
         }
     }
 
-    /// Draws when a load's next message comes. Thinned: drawn at the highest rate that the load reaches, and kept by the part of
-    /// it that the load has then.
+    /// Draws the next arrival of a load by thinning: candidates are drawn at the load's maximum rate, and each is accepted
+    /// with the ratio of the rate at that time to the maximum.
     fn draw_next_arrival(&mut self, load: usize) -> Option<Time> {
-        let load: &Load = &self.scenario.loads[load];
-        let (mut at, end) = (self.now, self.scenario.length());
-        let highest_rate = load.most / load.arrivals.clump();
-        if highest_rate <= 0.0 {
+        let load = &self.scenario.loads[load];
+        let end = self.scenario.length();
+        let mut at = self.now;
+        let max_rate = load.max_rate / load.arrivals.burst_size();
+        if max_rate <= 0.0 {
             return None;
         }
         loop {
             let gap_s = match load.arrivals {
-                Arrivals::Even => 1.0 / highest_rate,
-                Arrivals::Poisson | Arrivals::Clumps(_) => {
-                    self.rng.sample::<f64, _>(Exp1) / highest_rate
+                Arrivals::Even => 1.0 / max_rate,
+                Arrivals::Poisson | Arrivals::Bursts(_) => {
+                    self.rng.sample::<f64, _>(Exp1) / max_rate
                 }
             };
-            at = at + Span(((gap_s * 1e6) as i64).max(1));
+            at = at + Span(((gap_s * US_PER_S) as i64).max(1));
             if at >= end {
                 return None;
             }
-            let rate = load.rate.at(at.ms() / 1000.0) / load.arrivals.clump();
-            if rate >= highest_rate || self.rng.random::<f64>() * highest_rate < rate {
+            let rate = load.rate.at(at.ms() / 1000.0) / load.arrivals.burst_size();
+            if rate >= max_rate || self.rng.random::<f64>() * max_rate < rate {
                 return Some(at);
             }
         }
     }
 
-    /// Messages of a load come, one or a clump of them.
+    /// Handles an arrival of a load: one message or a burst.
     pub(super) fn load_arrives(&mut self, load: usize) {
         let spec = &self.scenario.loads[load];
-        for _ in 0..spec.arrivals.clump() as usize {
-            let partner = spec.partners[self.rng.random_range(0..spec.partners.len())];
+        for _ in 0..spec.arrivals.burst_size() as usize {
+            let destination = spec.destinations[self.rng.random_range(0..spec.destinations.len())];
             let submission = Submission {
                 class: spec.class,
-                partner,
+                destination,
                 load,
-                meant: self.now,
+                intended_at: self.now,
                 retries_left: spec.retries,
             };
             let delay = self.network_delay();
@@ -74,41 +77,41 @@
         self.schedule_next_arrival(load);
     }
 
-    /// A client hands a message in, at any courier that runs.
+    /// Submits a message to a random running instance, unless its deadline has passed.
     pub(super) fn submit(&mut self, submission: Submission) {
         let class = &self.scenario.classes[submission.class].class;
-        let expires = submission.meant + class.deadline;
+        let expires = submission.intended_at + class.deadline;
         if expires <= self.now {
             return;
         }
-        let Some(courier) = self.draw_running_courier() else {
+        let Some(instance) = self.draw_running_instance() else {
             let submits = SimulationEvent::ClientSubmits(submission);
-            return self.queue.push(self.now + NO_COURIER_RETRY, submits);
+            return self.queue.push(self.now + NO_INSTANCE_RETRY, submits);
         };
         self.last_message += 1;
         let id = self.last_message;
-        let message = Message::new(submission, courier, expires);
+        let message = Message::new(submission, instance, expires);
         let event = Event::Accepted(new_message(id, &message));
         self.messages.insert(id, message);
-        self.played.messages += 1;
+        self.totals.messages += 1;
         let retries = self.scenario.loads[submission.load].retries;
-        self.observe(Seen::TakenOn {
+        self.observe(Observation::Accepted {
             message: id,
-            courier,
+            instance,
             class: submission.class,
-            partner: submission.partner,
-            meant: submission.meant,
+            destination: submission.destination,
+            intended_at: submission.intended_at,
             expires,
-            first: submission.retries_left == retries,
+            is_first_submission: submission.retries_left == retries,
         });
-        self.deliver(courier, &[event]);
+        self.deliver(instance, &[event]);
     }
 
-    fn draw_running_courier(&mut self) -> Option<usize> {
-        let couriers = self.couriers.iter().enumerate();
-        let running: Vec<usize> = couriers
+    fn draw_running_instance(&mut self) -> Option<usize> {
+        let instances = self.instances.iter().enumerate();
+        let running: Vec<usize> = instances
             .filter(|(_, slot)| slot.node.is_some())
-            .map(|(courier, _)| courier)
+            .map(|(instance, _)| instance)
             .collect();
         if running.is_empty() {
             return None;
--- a/crates/simulation/src/simulation/event_queue.rs
+++ b/crates/simulation/src/simulation/event_queue.rs
@@ -1,21 +1,22 @@
-//! What is to happen, in the order of virtual time; what happens at one time happens in the order in which it was scheduled.
+//! The queue of future events, in the order of virtual time. Events at the same time are handled in the order in which
+//! they were scheduled.
 
 use marblefall_scheduler::{EndpointId, EndpointUpdate, Outcome, Time};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A message as its client hands it in.
+/// A message as its client submits it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Submission {
-    /// Its class, by its place in the scenario.
+    /// Index of its class in the scenario.
     pub(super) class: usize,
-    /// Where it goes.
-    pub(super) partner: usize,
-    /// The load that it is of.
+    /// Index of its destination in the scenario.
+    pub(super) destination: usize,
+    /// Index of its load in the scenario.
     pub(super) load: usize,
-    /// When its client first wanted it delivered.
-    pub(super) meant: Time,
-    /// Times that its client may hand it in again.
+    /// When the client first intended to submit it.
+    pub(super) intended_at: Time,
+    /// How often the client may submit it again.
     pub(super) retries_left: u32,
 }
 
@@ -23,47 +24,47 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TravellingAttempt {
     pub(super) message: u64,
-    /// The incarnation of the courier that started it.
+    /// The incarnation of the instance that started it.
     pub(super) incarnation: u32,
     pub(super) endpoint: EndpointId,
     pub(super) timeout_at: Time,
 }
 
-/// Something that happens at some time.
+/// An event of the simulation. Loads, list changes, crashes and instances are indices into the scenario.
 pub(super) enum SimulationEvent {
-    /// The next message of a load.
+    /// The next message or burst of a load arrives.
     LoadArrives(usize),
-    /// A client hands one in.
+    /// A client submits a message.
     ClientSubmits(Submission),
-    /// An attempt's first byte comes to its endpoint.
+    /// The first byte of an attempt arrives at its endpoint.
     AttemptArrives(TravellingAttempt),
-    /// An attempt ends for its courier.
+    /// An attempt ends for its instance.
     AttemptEnds {
         message: u64,
         incarnation: u32,
         outcome: Outcome,
     },
-    /// A timer of a courier.
+    /// A timer of an instance fires.
     TimerFires {
-        courier: usize,
+        instance: usize,
         incarnation: u32,
         token: u64,
     },
-    /// A change of the list, by its place in the scenario.
+    /// The endpoint list changes.
     ListChanges(usize),
-    /// The same comes to a courier.
+    /// A change of the endpoint list arrives at an instance.
     ListChangeArrives {
-        courier: usize,
+        instance: usize,
         incarnation: u32,
         update: Box<EndpointUpdate>,
     },
-    /// A courier dies, by the crash's place in the scenario.
-    CourierCrashes(usize),
-    /// It starts again.
-    CourierStarts(usize),
+    /// An instance crashes.
+    InstanceCrashes(usize),
+    /// An instance that crashed starts again.
+    InstanceStarts(usize),
 }
 
-/// An event, when it happens, and its number.
+/// An event with its time and its number in the order of scheduling.
 struct Scheduled {
     at: Time,
     number: u64,
@@ -90,7 +91,7 @@
     }
 }
 
-/// The events to come.
+/// Future events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
@@ -105,7 +106,7 @@
         self.heap.push(Reverse(Scheduled { at, number, event }));
     }
 
-    /// The next event, and when it happens.
+    /// Removes the next event and returns it with its time.
     pub(super) fn pop(&mut self) -> Option<(Time, SimulationEvent)> {
         let Reverse(Scheduled { at, event, .. }) = self.heap.pop()?;
         Some((at, event))
--- a/crates/simulation/src/simulation/instances.rs
+++ b/crates/simulation/src/simulation/instances.rs
@@ -1,45 +1,52 @@
-//! Couriers: how they start and crash, what they are told, and what they order.
+//! Instances: their starts and crashes, the events they receive, and the actions they request.
 
 use super::event_queue::SimulationEvent;
-use super::{Life, Message, Simulation};
-use crate::observation::{End, Seen};
+use super::{AttemptInFlight, Incarnation, Message, Simulation};
+use crate::connections::Release;
+use crate::observation::{FinalOutcome, Observation};
 use marblefall_scheduler::{
     Action, ClassId, DestinationId, EndpointId, EndpointUpdate, Event, KindId, MessageId,
     NewMessage, PriorAttempts, Span, ZoneId,
 };
 
+/// Odd multiplier that spreads the seeds of a run over the seeds of its instances (the golden ratio of 2^64).
+const SEED_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+/// The advertised rate of an endpoint whose destination advertises none.
+const DEFAULT_ADVERTISED_RATE: f64 = 1.0;
+
 impl Simulation<'_> {
-    /// Starts an incarnation of a courier: it is told the list, then what the last one owes.
-    pub(super) fn start_courier(&mut self, courier: usize) {
-        let incarnation = self.couriers[courier].incarnation;
-        let seed = self.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)
-            ^ (courier as u64) << 32
+    /// Starts an incarnation of an instance. It receives the endpoint list, then the messages that the last one left.
+    pub(super) fn start_instance(&mut self, instance: usize) {
+        let incarnation = self.instances[instance].incarnation;
+        let seed = self.seed.wrapping_mul(SEED_MULTIPLIER)
+            ^ (instance as u64) << 32
             ^ u64::from(incarnation);
-        self.couriers[courier].node = Some((self.make_node)(Life {
+        self.instances[instance].node = Some((self.make_node)(Incarnation {
             settings: self.settings.clone(),
             seed,
-            courier,
+            instance,
         }));
-        let list = (0..self.endpoint_places.len())
+        let list = (0..self.endpoint_locations.len())
             .map(|endpoint| self.endpoint_update(endpoint))
             .collect();
         let mut events = vec![Event::EndpointsReplaced(list)];
-        events.extend(self.owed_messages(courier));
-        self.deliver(courier, &events);
+        events.extend(self.unfinished_messages(instance));
+        self.deliver(instance, &events);
     }
 
-    /// The messages that an earlier incarnation of a courier accepted and did not finish, in their order.
-    fn owed_messages(&self, courier: usize) -> Vec<Event> {
-        let mut owed: Vec<(&u64, &Message)> = self
+    /// The messages that earlier incarnations of an instance accepted and did not finish, by their number.
+    fn unfinished_messages(&self, instance: usize) -> Vec<Event> {
+        let mut unfinished: Vec<(&u64, &Message)> = self
             .messages
             .iter()
-            .filter(|(_, message)| message.courier == courier && !message.ended)
+            .filter(|(_, message)| message.instance == instance && !message.has_ended)
             .collect();
-        owed.sort_unstable_by_key(|(id, _)| **id);
-        let resumed = owed.into_iter().map(|(id, message)| {
+        unfinished.sort_unstable_by_key(|(id, _)| **id);
+        let resumed = unfinished.into_iter().map(|(id, message)| {
+            let first = message.first_possible_execution;
             let prior = PriorAttempts {
                 attempts: message.attempts,
-                first_possible_execution: message.first_possible_execution,
+                first_possible_execution: first.map(|attempt| (attempt.sent_at, attempt.endpoint)),
                 in_flight: None,
             };
             Event::Resumed(new_message(*id, message), prior)
@@ -48,111 +55,118 @@
     }
 
     fn endpoint_update(&self, endpoint: usize) -> EndpointUpdate {
-        let (partner, _) = self.endpoint_places[endpoint];
+        let destination = self.endpoint_locations[endpoint].destination;
+        let advertised_rate = self.scenario.destinations[destination].advertised_rate;
         EndpointUpdate {
             endpoint: EndpointId(endpoint as u32),
-            destination: DestinationId(partner as u64),
+            destination: DestinationId(destination as u64),
             kind: KindId(0),
             zone: ZoneId(0),
             status: self.listed_status[endpoint],
-            advertised_rate: self.scenario.partners[partner].listed.unwrap_or(1.0),
+            advertised_rate: advertised_rate.unwrap_or(DEFAULT_ADVERTISED_RATE),
             weight: None,
         }
     }
 
-    /// Gives a courier events and does what it says.
-    pub(super) fn deliver(&mut self, courier: usize, events: &[Event]) {
-        let Some(node) = &mut self.couriers[courier].node else {
+    /// Delivers events to an instance, if it runs, and executes the resulting actions.
+    pub(super) fn deliver(&mut self, instance: usize, events: &[Event]) {
+        let Some(node) = &mut self.instances[instance].node else {
             return;
         };
         let mut actions = std::mem::take(&mut self.actions);
         node.handle(self.now, events, &mut actions);
         for action in actions.drain(..) {
-            self.execute(courier, action);
+            self.execute(instance, action);
         }
         self.actions = actions;
     }
 
-    fn execute(&mut self, courier: usize, action: Action) {
+    fn execute(&mut self, instance: usize, action: Action) {
         match action {
             Action::Send {
                 message,
                 endpoint,
                 timeout_at,
-            } => self.send(courier, message.0, endpoint, timeout_at),
+            } => self.send(instance, message.0, endpoint, timeout_at),
             Action::Reject {
                 message,
                 retry_after,
-            } => self.finish(message.0, End::Refused(retry_after)),
-            Action::Fail(message) => self.finish(message.0, End::Failed),
+            } => self.finish(message.0, FinalOutcome::Rejected(retry_after)),
+            Action::Fail(message) => self.finish(message.0, FinalOutcome::Failed),
             Action::SetTimer { at, token } => {
                 let timer = SimulationEvent::TimerFires {
-                    courier,
-                    incarnation: self.couriers[courier].incarnation,
+                    instance,
+                    incarnation: self.instances[instance].incarnation,
                     token,
                 };
                 self.queue.push(at.max(self.now + Span(1)), timer);
             }
-            Action::CloseIdleConnections(endpoint) => self.wires.close_idle(courier, endpoint.0),
-            // Nothing is cancelled or health-checked under these settings, and the list comes unasked.
+            Action::CloseIdleConnections(endpoint) => {
+                self.connection_pool.close_idle(instance, endpoint.0);
+            }
+            // The settings allow neither cancellation nor health checks, and list changes arrive without a subscription.
             Action::Cancel { .. } | Action::HealthCheck(_) | Action::Subscribe | Action::Log(_) => {
             }
         }
     }
 
-    /// The list changes, which each courier hears by its own way.
-    pub(super) fn change_list(&mut self, place: usize) {
-        let news = &self.scenario.news[place];
-        let endpoint = news.endpoint;
-        self.listed_status[endpoint] = news.listing;
-        self.observe(Seen::Listed {
+    /// Changes the endpoint list. The change reaches each instance after its own network delay.
+    pub(super) fn change_list(&mut self, index: usize) {
+        let change = &self.scenario.list_changes[index];
+        let endpoint = change.endpoint;
+        self.listed_status[endpoint] = change.status;
+        self.observe(Observation::EndpointListed {
             endpoint: endpoint as u32,
-            listing: self.listed_status[endpoint],
+            status: change.status,
         });
-        for courier in 0..self.couriers.len() {
+        for instance in 0..self.instances.len() {
             let delay = self.network_delay();
-            let change = SimulationEvent::ListChangeArrives {
-                courier,
-                incarnation: self.couriers[courier].incarnation,
+            let arrives = SimulationEvent::ListChangeArrives {
+                instance,
+                incarnation: self.instances[instance].incarnation,
                 update: Box::new(self.endpoint_update(endpoint)),
             };
-            self.queue.push(self.now + delay, change);
+            self.queue.push(self.now + delay, arrives);
         }
     }
 
-    /// A courier dies; what was in flight may have been executed.
-    pub(super) fn crash(&mut self, place: usize) {
-        let crash = self.scenario.crashes[place];
-        let slot = &mut self.couriers[crash.courier];
+    /// Crashes an instance, if it runs, and schedules its restart.
+    pub(super) fn crash(&mut self, index: usize) {
+        let crash = self.scenario.crashes[index];
+        let slot = &mut self.instances[crash.instance];
         if slot.node.take().is_none() {
             return;
         }
         slot.incarnation += 1;
-        self.observe(Seen::Died {
-            courier: crash.courier,
+        self.observe(Observation::InstanceCrashed {
+            instance: crash.instance,
         });
-        self.wires.died(crash.courier);
+        self.connection_pool.remove_instance(crash.instance);
+        self.abandon_attempts(crash.instance);
+        self.messages
+            .retain(|_, message| message.instance != crash.instance || !message.has_ended);
+        let start = SimulationEvent::InstanceStarts(crash.instance);
+        self.queue.push(self.now + crash.restart_after, start);
+    }
+
+    /// Ends the attempts of an instance that crashed. They may have been executed.
+    fn abandon_attempts(&mut self, instance: usize) {
         let messages = self.messages.values_mut();
-        for message in messages.filter(|message| message.courier == crash.courier) {
-            let Some((endpoint, sent)) = message.in_flight.take() else {
+        for message in messages.filter(|message| message.instance == instance) {
+            let Some(attempt) = message.in_flight.take() else {
                 continue;
             };
-            message
-                .first_possible_execution
-                .get_or_insert((sent, endpoint));
+            let AttemptInFlight { endpoint, .. } = attempt;
+            message.first_possible_execution.get_or_insert(attempt);
             if std::mem::take(&mut message.holds_connection) {
-                self.wires
-                    .give_back(self.now, crash.courier, endpoint.0, false);
+                self.connection_pool
+                    .release(self.now, instance, endpoint.0, Release::Closed);
             }
         }
-        self.messages
-            .retain(|_, message| message.courier != crash.courier || !message.ended);
-        let start = SimulationEvent::CourierStarts(crash.courier);
-        self.queue.push(self.now + crash.back_after, start);
     }
 }
 
-/// A message as a courier is given it.
+/// A message as the scheduler receives it.
 pub(super) fn new_message(id: u64, message: &Message) -> NewMessage {
     NewMessage {
         message: MessageId(id),
@@ -160,6 +174,6 @@
         tenant: None,
         ordering_key: None,
         deadline: message.expires,
-        destination: DestinationId(message.submission.partner as u64),
+        destination: DestinationId(message.submission.destination as u64),
     }
 }
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,63 +1,106 @@
-//! Arrivals as they once were, from a CSV file: a head, then a line for each message with its time in s first.
+//! Recorded arrivals: a CSV file with a head line and, first in each further line, a time in seconds.
 
-use crate::scenario::LONGEST_S;
 use marblefall_scheduler::Time;
 use std::fs;
-use std::path::Path;
+use std::io;
+use std::path::{Path, PathBuf};
 
-/// A larger file is no trace that could be played.
-const MOST_BYTES: u64 = 256 << 20;
+/// The latest time in a trace, in s: two days, the longest duration of a scenario.
+pub const MAX_TIME_S: f64 = 172_800.0;
+/// Size of the largest file that is read, in bytes.
+const MAX_BYTES: u64 = 256 << 20;
+/// Bytes per MB, as a shift.
+const MB_SHIFT: u32 = 20;
 
-/// Reads a trace: its times in their order, whatever the order of its lines.
+/// Why a file cannot be read as a trace.
+#[derive(Debug, thiserror::Error)]
+pub enum TraceFileError {
+    /// The file cannot be read.
+    #[error("{}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The file is too large.
+    #[error("{}: is over {} MB", path.display(), MAX_BYTES >> MB_SHIFT)]
+    TooLarge {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The file's text is not a trace.
+    #[error("{}:{error}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it, beginning with the line.
+        error: TraceError,
+    },
+}
+
+/// Why a text is not a trace. The message begins with the line.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum TraceError {
+    /// A line does not begin with a time.
+    #[error("{line}: {field:?} is no time in s below {MAX_TIME_S}")]
+    InvalidTime {
+        /// The line, from 1.
+        line: usize,
+        /// Its first field.
+        field: String,
+    },
+    /// There is no time.
+    #[error("1: holds a head at most, and no times")]
+    Empty,
+}
+
+/// Reads the times of a trace file, in order of time.
 ///
 /// # Errors
-/// What is wrong, with file and line.
-pub fn read(path: &Path) -> Result<Vec<Time>, String> {
-    let fault = |error: std::io::Error| format!("{}: {error}", path.display());
-    if fs::metadata(path).map_err(fault)?.len() > MOST_BYTES {
-        return Err(format!(
-            "{}: is over {} MB",
-            path.display(),
-            MOST_BYTES >> 20
-        ));
+/// If the file cannot be read, is too large or is not a trace.
+pub fn read(path: &Path) -> Result<Vec<Time>, TraceFileError> {
+    let read_error = |source| TraceFileError::Read {
+        path: path.to_owned(),
+        source,
+    };
+    if fs::metadata(path).map_err(read_error)?.len() > MAX_BYTES {
+        return Err(TraceFileError::TooLarge {
+            path: path.to_owned(),
+        });
     }
-    parse(&fs::read_to_string(path).map_err(fault)?)
-        .map_err(|why| format!("{}:{why}", path.display()))
+    let text = fs::read_to_string(path).map_err(read_error)?;
+    parse(&text).map_err(|error| TraceFileError::Invalid {
+        path: path.to_owned(),
+        error,
+    })
 }
 
-/// The same from a text.
+/// Parses the times of a trace, in order of time.
 ///
 /// # Errors
-/// The line, and what is wrong there.
-pub fn parse(text: &str) -> Result<Vec<Time>, String> {
-    let mut times = Vec::new();
-    for (number, line) in text
-        .lines()
-        .enumerate()
-        .skip(1)
-        .filter(|(_, line)| !line.trim().is_empty())
-    {
-        let first = line
-            .split(',')
-            .next()
-            .unwrap_or_default()
-            .trim()
-            .trim_matches('"');
-        match first.parse::<f64>() {
-            Ok(secs) if (0.0..LONGEST_S).contains(&secs) => {
-                times.push(Time::from_ms(secs * 1000.0))
-            }
-            _ => {
-                return Err(format!(
-                    "{}: {first:?} is no time in s below {LONGEST_S}",
-                    number + 1
-                ))
-            }
-        }
-    }
+/// If a line does not begin with a time, or there is none.
+pub fn parse(text: &str) -> Result<Vec<Time>, TraceError> {
+    let numbered = text.lines().enumerate();
+    let lines = numbered.skip(1).filter(|(_, line)| !line.trim().is_empty());
+    let mut times = lines
+        .map(|(index, line)| parse_line(index + 1, line))
+        .collect::<Result<Vec<_>, _>>()?;
     if times.is_empty() {
-        return Err("1: holds a head at most, and no times".to_owned());
+        return Err(TraceError::Empty);
     }
     times.sort_unstable();
     Ok(times)
 }
+
+fn parse_line(line: usize, text: &str) -> Result<Time, TraceError> {
+    let field = text.split(',').next().unwrap_or_default();
+    let field = field.trim().trim_matches('"');
+    match field.parse::<f64>() {
+        Ok(secs) if (0.0..MAX_TIME_S).contains(&secs) => Ok(Time::from_ms(secs * 1000.0)),
+        _ => Err(TraceError::InvalidTime {
+            line,
+            field: field.to_owned(),
+        }),
+    }
+}
--- a/crates/simulation/tests/core_driver.rs
+++ b/crates/simulation/tests/core_driver.rs
@@ -1,31 +1,32 @@
-//! Whole days on the courier's core: engine, ledger and journal, over deaths of its process, judged from outside.
+//! Whole scenarios on the core: engine, message store and journal, across crashes of its process.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
-use marblefall_simulation::core_driver::Cores;
-use marblefall_simulation::invariants::{judge, Rule};
-use marblefall_simulation::metrics::{measure, Figures};
+mod common;
+
+use common::shipped_scenario;
+use marblefall_simulation::core_driver::CoreNodes;
+use marblefall_simulation::invariants::{check_run, Invariant};
+use marblefall_simulation::metrics::{measure, Summary};
 use marblefall_simulation::scenario::Scenario;
-use marblefall_simulation::simulation::{in_service, Life};
+use marblefall_simulation::simulation::{production_node, Incarnation};
 use std::collections::HashSet;
-use std::path::Path;
 use std::sync::Mutex;
 use std::thread;
 
-/// As the platform's folders are.
-const DISK: u64 = 3_000_000;
+/// Size of the folders that the platform provides.
+const MAX_DISK_BYTES: u64 = 3_000_000;
+/// Size of a block of the file system.
+const BLOCK_BYTES: u64 = 512;
 
-fn named(name: &str, sets: &[&str], seed: u64) -> Scenario {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("scenarios")
-        .join(format!("{name}.toml"));
-    let sets: Vec<String> = sets.iter().map(|set| (*set).to_owned()).collect();
-    Scenario::read(&path, &sets, seed).unwrap()
+fn read(name: &str, overrides: &[&str], seed: u64) -> Scenario {
+    let overrides: Vec<String> = overrides.iter().map(|one| (*one).to_owned()).collect();
+    Scenario::read(&shipped_scenario(name), &overrides, seed).unwrap()
 }
 
 #[test]
-fn the_core_keeps_the_rules_and_as_much_as_the_decisions_alone() {
-    let days = [
+fn core_satisfies_invariants_and_delivers_like_scheduler() {
+    let scenarios = [
         "base",
         "blackout",
         "crash",
@@ -36,70 +37,80 @@
         "rolling",
         "shut",
     ];
-    let threads = days.map(|name| {
-        thread::spawn(move || {
-            for seed in 1..=2 {
-                let (scenario, cores) = (named(name, &[], seed), Cores::new(DISK).unwrap());
-                let (tally, verdict) = measure(&scenario, seed, &|life| cores.node(life));
-                assert!(verdict.is_clean(), "{name} {seed}: {}", verdict.breaches[0]);
-                let core = Figures::of(&tally, &verdict);
-                let (tally, verdict) = measure(&scenario, seed, &in_service);
-                let model = Figures::of(&tally, &verdict);
-                let change = core.kept - model.kept;
-                assert!(
-                    change.abs() < 0.03,
-                    "{name} {seed}: {} on the core, {} alone",
-                    core.kept,
-                    model.kept
-                );
-            }
-        })
+    let threads = scenarios.map(|name| {
+        thread::spawn(move || (1..=2).for_each(|seed| assert_core_delivers_alike(name, seed)))
     });
-    threads.into_iter().for_each(|one| one.join().unwrap());
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().unwrap());
+}
+
+fn assert_core_delivers_alike(name: &str, seed: u64) {
+    let scenario = read(name, &[], seed);
+    let nodes = CoreNodes::new(MAX_DISK_BYTES).unwrap();
+    let (metrics, verdict) = measure(&scenario, seed, &|incarnation| nodes.node(incarnation));
+    assert!(
+        verdict.is_clean(),
+        "{name} {seed}: {}",
+        verdict.violations[0]
+    );
+    let core = Summary::of(&metrics, &verdict).delivered_value_share;
+    let (metrics, verdict) = measure(&scenario, seed, &production_node);
+    let scheduler = Summary::of(&metrics, &verdict).delivered_value_share;
+    assert!(
+        (core - scheduler).abs() < 0.03,
+        "{name} {seed}: {core} on the core, {scheduler} on the scheduler alone"
+    );
 }
 
 #[test]
-fn a_journal_that_is_lost_with_its_process_is_found_out() {
-    let scenario = named("rolling", &[], 1);
-    let (cores, lived) = (Cores::new(DISK).unwrap(), Mutex::new(HashSet::new()));
-    let forgetful = |life: Life| {
-        if !lived.lock().unwrap().insert(life.courier) {
-            std::fs::remove_dir_all(cores.folder(life.courier)).unwrap();
+fn lost_journal_is_detected() {
+    let scenario = read("rolling", &[], 1);
+    let nodes = CoreNodes::new(MAX_DISK_BYTES).unwrap();
+    let started = Mutex::new(HashSet::new());
+    let node_without_journal = |incarnation: Incarnation| {
+        let is_first = started.lock().unwrap().insert(incarnation.instance);
+        if !is_first {
+            std::fs::remove_dir_all(nodes.folder(incarnation.instance)).unwrap();
         }
-        cores.node(life)
+        nodes.node(incarnation)
     };
-    let verdict = judge(&scenario, 1, &forgetful);
+    let verdict = check_run(&scenario, 1, &node_without_journal);
+    let mut violations = verdict.violations.iter();
     assert!(
-        verdict
-            .breaches
-            .iter()
-            .any(|breach| breach.rule == Rule::NothingLost),
+        violations.any(|violation| violation.invariant == Invariant::NoMessageLost),
         "{:?}",
         verdict.count
     );
 }
 
 #[test]
-fn a_disk_that_is_nearly_full_declines_and_loses_nothing() {
-    // What waits for the hospital fills half a megabyte many times over.
-    let scenario = named("month-start", &["couriers.max_open=4000"], 1);
-    let refused = |disk: u64| {
-        let cores = Cores::new(disk).unwrap();
-        let (tally, verdict) = measure(&scenario, 1, &|life| cores.node(life));
-        assert!(verdict.is_clean(), "{disk}: {}", verdict.breaches[0]);
-        let size = |courier| {
-            let files = std::fs::read_dir(cores.folder(courier)).unwrap();
-            files
-                .map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512)
+fn nearly_full_disk_rejects_messages_and_loses_none() {
+    // The messages that wait for the hospital would fill half a megabyte many times over.
+    let scenario = read("month-start", &["couriers.max_open=4000"], 1);
+    let rejected = |max_disk_bytes: u64| {
+        let nodes = CoreNodes::new(max_disk_bytes).unwrap();
+        let (metrics, verdict) = measure(&scenario, 1, &|incarnation| nodes.node(incarnation));
+        assert!(
+            verdict.is_clean(),
+            "{max_disk_bytes}: {}",
+            verdict.violations[0]
+        );
+        let occupied = |instance| {
+            let files = std::fs::read_dir(nodes.folder(instance)).unwrap();
+            let sizes = files.map(|file| file.unwrap().metadata().unwrap().len());
+            sizes
+                .map(|size| size.div_ceil(BLOCK_BYTES) * BLOCK_BYTES)
                 .sum::<u64>()
         };
         assert!(
-            (0..scenario.couriers).all(|courier| size(courier) <= disk),
-            "{disk}"
+            (0..scenario.instances).all(|instance| occupied(instance) <= max_disk_bytes),
+            "{max_disk_bytes}"
         );
-        tally.classes.iter().map(|class| class.refused).sum::<u64>()
+        let classes = metrics.classes.iter();
+        classes.map(|class| class.counts.rejected).sum::<u64>()
     };
-    let (small, large) = (refused(500_000), refused(30_000_000));
+    let (small, large) = (rejected(500_000), rejected(30_000_000));
     assert!(
         small > large,
         "{small} on a small disk, {large} on a large one"
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -1,355 +1,346 @@
-//! Experiments: cells that are played once, differences that are named only when there is one, loads that are borne,
-//! scenarios that shrink, and pages.
+//! Experiments, comparisons, searches and reports.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
-use marblefall_simulation::capacity_search::{capacity, Bears, Search};
+mod common;
+
+use common::{shipped_scenario, TempFolder};
+use marblefall_simulation::capacity_search::{capacity, Capacity, CapacitySearch};
 use marblefall_simulation::compare::{Comparison, Difference};
-use marblefall_simulation::experiment::{self, Experiment, Record};
-use marblefall_simulation::invariants::{judge, Rule};
-use marblefall_simulation::metrics::{measure, Figures};
-use marblefall_simulation::mutants::Fault;
-use marblefall_simulation::report::{of_folder, Run};
+use marblefall_simulation::experiment::{self, CellResult, Experiment};
+use marblefall_simulation::invariants::{check_run, Invariant};
+use marblefall_simulation::metrics::{measure, Summary};
+use marblefall_simulation::mutants::Mutation;
+use marblefall_simulation::report::{of_folder, RunReport};
 use marblefall_simulation::scenario::{Draft, Scenario};
-use marblefall_simulation::seed_search::{hunt, shrink, text, Failing};
-use marblefall_simulation::simulation::{in_service, Life};
+use marblefall_simulation::seed_search::{search_seeds, shrink, FailureCriterion, ShrinkBudget};
+use marblefall_simulation::simulation::{production_node, Incarnation, NodeFactory};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::fs;
-use std::path::{Path, PathBuf};
-
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path =
-            std::env::temp_dir().join(format!("marblefall-lab-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).unwrap();
-        Folder(path)
-    }
-
-    fn file(&self, name: &str, text: &str) -> PathBuf {
-        fs::write(self.0.join(name), text).unwrap();
-        self.0.join(name)
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
-
-fn shipped(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("scenarios")
-        .join(name)
-}
+use std::path::Path;
 
-fn grid(folder: &Folder, sets: &str) -> Experiment {
-    let (calm, crash) = (shipped("base.toml"), shipped("crash.toml"));
+/// Two scenarios, three seeds and two variants, the second with overrides.
+fn two_by_three_by_two(folder: &TempFolder, overrides: &str) -> Experiment {
+    let (base, crash) = (shipped_scenario("base"), shipped_scenario("crash"));
     let text = format!(
-        "scenarios = [{calm:?}, {crash:?}]\nseeds = {{ from = 1, to = 3 }}\n[[variant]]\nname = \"plain\"\n\
-         [[variant]]\nname = \"set\"\nset = [{sets}]\n"
+        "scenarios = [{base:?}, {crash:?}]\nseeds = {{ from = 1, to = 3 }}\n[[variant]]\nname = \"plain\"\n\
+         [[variant]]\nname = \"set\"\nset = [{overrides}]\n"
     );
-    Experiment::read(&folder.file("grid.toml", &text)).unwrap()
+    Experiment::read(&folder.write("grid.toml", &text)).unwrap()
 }
 
 #[test]
-fn an_experiment_plays_each_cell_once_also_over_an_interrupt_and_on_any_number_of_threads() {
-    let folder = Folder::new("grid");
-    let experiment = grid(&folder, "\"couriers.slots=4\"");
-    let (one, four) = (folder.0.join("one"), folder.0.join("four"));
-    let (records, played) = experiment.run(&one, 1).unwrap();
-    assert_eq!((records.len(), played), (12, 12));
-    assert_eq!(experiment.run(&four, 4).unwrap().1, 12);
+fn experiment_plays_each_cell_once_across_interruptions() {
+    let folder = TempFolder::new("grid");
+    let experiment = two_by_three_by_two(&folder, "\"couriers.slots=4\"");
+    let (on_one, on_four) = (folder.0.join("one"), folder.0.join("four"));
+    let run = experiment.run(&on_one, 1).unwrap();
+    assert_eq!((run.results.len(), run.played), (12, 12));
+    assert_eq!(experiment.run(&on_four, 4).unwrap().played, 12);
     let csv = |folder: &Path| fs::read(folder.join("cells.csv")).unwrap();
-    assert!(csv(&one) == csv(&four) && csv(&one).len() > 1000);
+    assert!(csv(&on_one) == csv(&on_four) && csv(&on_one).len() > 1000);
 
-    // Interrupted in the middle of its sixth line.
-    let cells = four.join("cells.jsonl");
-    let whole = fs::read_to_string(&cells).unwrap();
-    let cut = whole.match_indices('\n').nth(4).unwrap().0 + 30;
-    fs::write(&cells, &whole[..cut]).unwrap();
-    assert_eq!(experiment.run(&four, 2).unwrap().1, 7, "five were kept");
-    assert!(csv(&four) == csv(&one) && fs::read_to_string(&cells).unwrap() == whole);
-    assert_eq!(experiment.run(&four, 2).unwrap().1, 0);
+    // Interrupted in the middle of the sixth line.
+    let cells = on_four.join("cells.jsonl");
+    let complete = fs::read_to_string(&cells).unwrap();
+    let cut = complete.match_indices('\n').nth(4).unwrap().0 + 30;
+    fs::write(&cells, &complete[..cut]).unwrap();
+    let run = experiment.run(&on_four, 2).unwrap();
+    assert_eq!(run.played, 7, "five cells were complete");
+    assert!(csv(&on_four) == csv(&on_one) && fs::read_to_string(&cells).unwrap() == complete);
+    assert_eq!(experiment.run(&on_four, 2).unwrap().played, 0);
 
-    // What has changed is played again, and only that.
-    assert_eq!(
-        grid(&folder, "\"couriers.slots=5\"")
-            .run(&four, 2)
-            .unwrap()
-            .1,
-        6
-    );
-    assert!(csv(&four) != csv(&one));
+    // Only the cells whose overrides have changed are played again.
+    let changed = two_by_three_by_two(&folder, "\"couriers.slots=5\"");
+    assert_eq!(changed.run(&on_four, 2).unwrap().played, 6);
+    assert!(csv(&on_four) != csv(&on_one));
 }
 
 #[test]
-fn what_is_wrong_in_an_experiment_is_said_with_its_line() {
-    let folder = Folder::new("faults");
-    let good =
+fn experiment_error_names_its_line() {
+    let folder = TempFolder::new("errors");
+    let valid =
         "scenarios = [\"a.toml\"]\nseeds = { from = 1, to = 3 }\n[[variant]]\nname = \"a\"\n";
-    let said = |text: &str| {
-        let path = folder.file("it.toml", text);
-        let experiment = Experiment::read(&path);
-        experiment.map_or_else(|fault| fault.to_string(), |_| "sound".to_owned())
+    let read = |text: &str| {
+        let experiment = Experiment::read(&folder.write("it.toml", text));
+        experiment.map_or_else(|error| error.to_string(), |_| "valid".to_owned())
     };
-    assert_eq!(said(good), "sound");
-    for (text, line, why) in [
-        (good.replace("to = 3", "to = 0"), 2, "from less to more"),
-        (good.replace("to = 3", "to = 9999999999"), 2, "cells in all"),
+    assert_eq!(read(valid), "valid");
+    for (text, line, reason) in [
+        (valid.replace("to = 3", "to = 0"), 2, "from less to more"),
+        (
+            valid.replace("to = 3", "to = 9999999999"),
+            2,
+            "cells in all",
+        ),
         (
-            good.replace("[\"a.toml\"]", "[\"a.toml\",\n\"x/a.toml\"]"),
+            valid.replace("[\"a.toml\"]", "[\"a.toml\",\n\"x/a.toml\"]"),
             2,
             "twice",
         ),
-        (good.replace("[\"a.toml\"]", "[]"), 1, "one at least"),
+        (valid.replace("[\"a.toml\"]", "[]"), 1, "one at least"),
         (
-            good.replace("name = \"a\"", "name = \"a\"\nprogram = \"none\""),
+            valid.replace("name = \"a\"", "name = \"a\"\nprogram = \"none\""),
             3,
             "no such program",
         ),
         (
-            format!("{good}[[variant]]\nname = \"a\"\n"),
+            format!("{valid}[[variant]]\nname = \"a\"\n"),
             5,
             "a name of its own",
         ),
-        (good.replace("seeds", "sedes"), 2, "sedes"),
+        (valid.replace("seeds", "sedes"), 2, "sedes"),
     ] {
-        let said = said(&text);
+        let error = read(&text);
         assert!(
-            said.contains(&format!("it.toml:{line}: ")) && said.contains(why),
-            "{text}\n{said}"
+            error.contains(&format!("it.toml:{line}: ")) && error.contains(reason),
+            "{text}\n{error}"
         );
     }
-    (0..good.len()).for_each(|cut| drop(said(&good[..cut])));
+    (0..valid.len()).for_each(|cut| drop(read(&valid[..cut])));
     assert!(
         experiment::read(&folder.0).unwrap().is_empty(),
         "a folder without cells"
     );
 }
 
+/// Twenty values around a mean with a deviation of 1. The sum of twelve uniform draws is nearly normal.
 fn noise(rng: &mut Pcg64, mean: f64) -> Vec<f64> {
-    // Twelve even draws are near enough to normal, with a deviation of 1.
     (0..20)
         .map(|_| mean + (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0)
         .collect()
 }
 
 #[test]
-fn a_difference_is_named_only_when_there_is_one() {
+fn difference_is_significant_only_if_there_is_one() {
     let mut rng = Pcg64::seed_from_u64(5);
-    let named = |mean: f64, looks: usize, rng: &mut Pcg64| {
+    let significant = |mean: f64, comparisons: usize, rng: &mut Pcg64| {
         (0..200)
-            .filter(|_| Difference::of(&noise(rng, mean), looks).is_one())
+            .filter(|_| Difference::of(&noise(rng, mean), comparisons).is_significant())
             .count()
     };
-    // The bootstrap's intervals are a little narrow with 20 pairs: some 7 % instead of 5 %.
-    let chance = named(0.0, 1, &mut rng);
+    // Bootstrap intervals of 20 pairs are slightly too narrow: about 7 % instead of 5 %.
+    let by_chance = significant(0.0, 1, &mut rng);
     assert!(
-        (2..=24).contains(&chance),
-        "{chance} of 200 where there is none"
+        (2..=24).contains(&by_chance),
+        "{by_chance} of 200 without a difference"
     );
     assert!(
-        named(0.0, 20, &mut rng) <= 4,
-        "fewer where many are looked at"
+        significant(0.0, 20, &mut rng) <= 4,
+        "fewer with more comparisons"
     );
-    assert!(named(1.5, 20, &mut rng) >= 195, "found where there is one");
-    assert!(!Difference::of(&[1.0; 5], 1).is_one(), "too few pairs");
-    let all = Difference::of(&noise(&mut rng, 0.3), 1);
-    assert!(all.low < all.mean && all.mean < all.high);
+    assert!(
+        significant(1.5, 20, &mut rng) >= 195,
+        "found with a difference"
+    );
+    assert!(
+        !Difference::of(&[1.0; 5], 1).is_significant(),
+        "too few pairs"
+    );
+    let difference = Difference::of(&noise(&mut rng, 0.3), 1);
+    assert!(difference.low < difference.mean && difference.mean < difference.high);
     assert_eq!(Difference::of(&[], 1).pairs, 0);
 }
 
 #[test]
-fn pairs_are_those_that_both_have() {
-    let folder = Folder::new("pairs");
-    let (records, _) = grid(&folder, "\"couriers.slots=1\"")
-        .run(&folder.0.join("out"), 0)
-        .unwrap();
-    let of = |name: &str| {
-        records
-            .iter()
-            .filter(|one| one.variant == name)
-            .cloned()
-            .collect::<Vec<Record>>()
+fn comparison_pairs_cells_that_both_variants_have() {
+    let folder = TempFolder::new("pairs");
+    let experiment = two_by_three_by_two(&folder, "\"couriers.slots=1\"");
+    let run = experiment.run(&folder.0.join("out"), 0).unwrap();
+    let of_variant = |name: &str| -> Vec<CellResult> {
+        let results = run.results.iter().filter(|result| result.variant == name);
+        results.cloned().collect()
     };
-    let (plain, set) = (of("plain"), of("set"));
+    let (plain, set) = (of_variant("plain"), of_variant("set"));
     let comparison = Comparison::of(&plain, &set[1..]);
-    assert_eq!(
-        comparison
-            .kept
-            .values()
-            .map(|one| one.pairs)
-            .collect::<Vec<_>>(),
-        [2, 3]
-    );
-    let change =
-        set[1].figures.kept - plain[1].figures.kept + set[2].figures.kept - plain[2].figures.kept;
-    assert!((comparison.kept["base"].mean - change / 2.0).abs() < 1e-12);
+    let pairs: Vec<usize> = comparison
+        .by_scenario
+        .values()
+        .map(|difference| difference.pairs)
+        .collect();
+    assert_eq!(pairs, [2, 3]);
+    let share = |results: &[CellResult], index: usize| results[index].summary.delivered_value_share;
+    let change = share(&set, 1) - share(&plain, 1) + share(&set, 2) - share(&plain, 2);
+    assert!((comparison.by_scenario["base"].mean - change / 2.0).abs() < 1e-12);
     assert!(comparison.to_string().contains("too few pairs"));
 }
 
 #[test]
-fn what_a_limit_bears_is_found() {
-    let folder = Folder::new("capacity");
-    // 20 a second are let through, 10 are brought: nine tenths are delivered up to 2.2 times the load.
+fn capacity_search_finds_rate_limit() {
+    let folder = TempFolder::new("capacity");
+    // The limit is 20 a second and the load 10: nine tenths are delivered up to 2.2 times the load.
     let text = "seconds = 120\n[couriers]\ncount = 1\n[class.status]\ngive_up_s = 4\n[partner.a]\nrate = 20\nlisted = 20\n\
                 service_ms = 5\n[[load]]\nclass = \"status\"\npartner = \"a\"\nrate = 10\n";
-    let draft = Draft::read(&folder.file("one.toml", text), &[]).unwrap();
-    let search = Search {
-        least: 0.5,
-        most: 8.0,
-        part: 0.9,
+    let draft = Draft::read(&folder.write("one.toml", text), &[]).unwrap();
+    let search = CapacitySearch {
+        min_factor: 0.5,
+        max_factor: 8.0,
+        required_share: 0.9,
         seeds: 2,
         steps: 6,
     };
-    let found = capacity(&draft, search).unwrap();
-    let (Bears::Between(low, high), rate) = found["status"] else {
+    let found = capacity(&draft, search).unwrap()["status"];
+    let Capacity::Between(low, high) = found.capacity else {
         panic!("{found:?}")
     };
     assert!(
         1.7 < low && high < 2.4 && high / low < 1.1,
         "{low} to {high}"
     );
-    assert!((rate / low - 10.0).abs() < 0.5, "{rate}");
-    let beyond = |least, most| {
-        capacity(
-            &draft,
-            Search {
-                least,
-                most,
-                ..search
-            },
-        )
-        .unwrap()["status"]
-            .0
+    assert!(
+        (found.offered_rate / low - 10.0).abs() < 0.5,
+        "{}",
+        found.offered_rate
+    );
+    let between = |min_factor, max_factor| {
+        let search = CapacitySearch {
+            min_factor,
+            max_factor,
+            ..search
+        };
+        capacity(&draft, search).unwrap()["status"].capacity
     };
     assert_eq!(
-        (beyond(4.0, 8.0), beyond(0.5, 1.0)),
-        (Bears::Less, Bears::More)
+        (between(4.0, 8.0), between(0.5, 1.0)),
+        (Capacity::Below, Capacity::Above)
     );
 }
 
 #[test]
-fn the_worst_seed_is_found_and_its_scenario_shrinks_to_what_fails_still() {
-    let folder = Folder::new("hunt");
-    let draft = Draft::read(&shipped("blackout.toml"), &[]).unwrap();
-    let faulty = |life: Life| Fault::KnowsNoRamp.courier(life.settings, life.seed);
-    let found = hunt(&draft, 1..=8, &faulty).unwrap();
-    assert_eq!((found.len(), found[0].broke), (8, Some(Rule::Toppling)));
-    let sound = hunt(&draft, 1..=8, &in_service).unwrap();
-    assert!(sound.iter().all(|prey| prey.broke.is_none()));
+fn worst_seed_is_found_and_shrunk_scenario_fails() {
+    let folder = TempFolder::new("search");
+    let draft = Draft::read(&shipped_scenario("blackout"), &[]).unwrap();
+    let mutant = |incarnation: Incarnation| {
+        Mutation::IgnoresRecoveryRamp.node(incarnation.settings, incarnation.seed)
+    };
+    let failing = search_seeds(&draft, 1..=8, &mutant).unwrap();
+    assert_eq!(
+        (failing.len(), failing[0].violated),
+        (8, Some(Invariant::NoRecoveryOverload))
+    );
+    let passing = search_seeds(&draft, 1..=8, &production_node).unwrap();
+    assert!(passing.iter().all(|result| result.violated.is_none()));
     assert!(
-        sound
-            .windows(2)
-            .all(|two| two[0].figures.kept <= two[1].figures.kept),
+        passing.windows(2).all(|two| {
+            two[0].summary.delivered_value_share <= two[1].summary.delivered_value_share
+        }),
         "the worst first"
     );
 
-    let shrunk = shrink(
-        &draft,
-        found[0].seed,
-        Failing::Breaks(Rule::Toppling),
-        400,
-        &faulty,
-    );
+    let budget = ShrinkBudget {
+        criterion: FailureCriterion::Violates(Invariant::NoRecoveryOverload),
+        max_runs: 400,
+    };
+    let shrunk = shrink(&draft, failing[0].seed, budget, &mutant);
     assert!(shrunk.runs <= 400);
-    let path = folder.file("least.toml", &text(&shrunk).unwrap());
-    let (least, whole) = (
-        Scenario::read(&path, &[], shrunk.seed).unwrap(),
-        draft.scenario(1).unwrap(),
+    let path = folder.write("smallest.toml", &shrunk.text().unwrap());
+    let smallest = Scenario::read(&path, &[], shrunk.seed).unwrap();
+    let original = draft.scenario(1).unwrap();
+    assert!(
+        smallest.loads.len() < original.loads.len()
+            && smallest.destinations.len() < original.destinations.len(),
+        "{smallest:?}"
     );
     assert!(
-        least.loads.len() < whole.loads.len() && least.partners.len() < whole.partners.len(),
-        "{least:?}"
+        smallest.seconds <= original.seconds && smallest.classes.len() < original.classes.len()
     );
-    assert!(least.seconds <= whole.seconds && least.classes.len() < whole.classes.len());
-    let verdict = judge(&least, shrunk.seed, &faulty);
+    let verdict = check_run(&smallest, shrunk.seed, &mutant);
     assert_eq!(
-        verdict.breaches[0].rule,
-        Rule::Toppling,
+        verdict.violations[0].invariant,
+        Invariant::NoRecoveryOverload,
         "the file fails by itself"
     );
     assert!(
-        judge(&least, shrunk.seed, &in_service).is_clean(),
-        "and is the fault's doing"
+        check_run(&smallest, shrunk.seed, &production_node).is_clean(),
+        "and only with the mutant"
     );
 }
 
 #[test]
-fn loads_are_multiplied() {
-    let taken = |sets: &[String]| {
-        let scenario = Draft::read(&shipped("base.toml"), sets)
-            .unwrap()
-            .scenario(1)
-            .unwrap();
-        let (tally, verdict) = measure(&scenario, 1, &in_service);
-        Figures::of(&tally, &verdict)
-            .classes
-            .iter()
-            .map(|class| class.offered)
-            .sum::<u64>() as f64
+fn load_factor_multiplies_loads() {
+    let offered = |overrides: &[String]| {
+        let draft = Draft::read(&shipped_scenario("base"), overrides).unwrap();
+        let scenario = draft.scenario(1).unwrap();
+        let (metrics, verdict) = measure(&scenario, 1, &production_node);
+        let summary = Summary::of(&metrics, &verdict);
+        let classes = summary.classes.iter();
+        classes.map(|class| class.counts.offered).sum::<u64>() as f64
     };
-    let ratio = taken(&["load_times=2".to_owned()]) / taken(&[]);
+    let ratio = offered(&["load_times=2".to_owned()]) / offered(&[]);
     assert!((1.9..2.1).contains(&ratio), "{ratio}");
 }
 
 #[test]
-fn a_page_needs_nothing_else_and_says_what_was_found() {
-    let folder = Folder::new("page");
+fn page_of_a_run_is_self_contained_and_complete() {
+    let folder = TempFolder::new("page");
     let title = "Sums < 3 & \"more\"";
-    let sets = [format!("title={}", title.replace('"', "'"))];
-    let scenario = Scenario::read(&shipped("mixed.toml"), &sets, 2).unwrap();
-    let faulty = |life: Life| Fault::EndsTwice.courier(life.settings, life.seed);
-    for (make, word) in [
-        (&faulty as &dyn Fn(_) -> _, "breaches of rules"),
-        (&in_service, "All rules kept"),
+    let overrides = [format!("title={}", title.replace('"', "'"))];
+    let scenario = Scenario::read(&shipped_scenario("mixed"), &overrides, 2).unwrap();
+    let mutant = |incarnation: Incarnation| {
+        Mutation::FinishesTwice.node(incarnation.settings, incarnation.seed)
+    };
+    for (name, make_node) in [
+        ("mutant", &mutant as NodeFactory<'_>),
+        ("production", &production_node),
     ] {
-        let (tally, verdict) = measure(&scenario, 2, make);
-        let out = folder.0.join(word.len().to_string());
-        tally.write(&out).unwrap();
-        Run::of(&scenario, 2, &tally, &verdict).write(&out).unwrap();
+        let (metrics, verdict) = measure(&scenario, 2, make_node);
+        assert_eq!(verdict.is_clean(), name == "production");
+        let verdict_text = match verdict.count {
+            0 => "✓ All invariants hold".to_owned(),
+            count => format!("✗ {count} violations"),
+        };
+        let out = folder.0.join(name);
+        metrics.write(&out).unwrap();
+        let report = RunReport::of(&scenario, 2, &metrics, &verdict);
+        report.write(&out).unwrap();
         let page = of_folder(&out).unwrap();
         assert_eq!(
             page,
             fs::read_to_string(out.join("report.html")).unwrap(),
-            "the same again from what is kept"
-        );
-        assert!(
-            page.contains(word) && page.contains("Sums &lt; 3 &amp;") && !page.contains("<script"),
-            "{word}"
+            "the stored run gives the same page"
         );
         assert!(
-            page.matches("<svg").count() > 5
-                && page.matches("<svg").count() == page.matches("</svg>").count()
+            page.contains(&verdict_text)
+                && page.contains("Sums &lt; 3 &amp;")
+                && !page.contains("<script"),
+            "{verdict_text}"
         );
-        let links: Vec<_> = page
-            .match_indices("http")
-            .map(|(at, _)| &page[at..at + 26])
-            .collect();
+        assert_has_only_inline_graphics(&page);
         assert!(
-            links
-                .iter()
-                .all(|link| *link == "http://www.w3.org/2000/svg"),
-            "{links:?}"
+            page.contains("instance 1 crashes") && page.contains("hospital resets connections")
         );
-        assert!(page.contains("courier 1 dies") && page.contains("hospital breaks connections"));
         let log = fs::read_to_string(out.join("latency.hlog")).unwrap();
         assert_eq!(log.matches("Tag=").count(), scenario.classes.len());
     }
-    let (records, _) = grid(&folder, "\"couriers.slots=1\"")
-        .run(&folder.0.join("grid"), 0)
-        .unwrap();
-    let page = of_folder(&folder.0.join("grid")).unwrap();
+}
+
+fn assert_has_only_inline_graphics(page: &str) {
+    let graphics = page.matches("<svg").count();
+    assert!(graphics > 5 && graphics == page.matches("</svg>").count());
+    let links: Vec<_> = page
+        .match_indices("http")
+        .map(|(at, _)| &page[at..at + 26])
+        .collect();
+    assert!(
+        links
+            .iter()
+            .all(|link| *link == "http://www.w3.org/2000/svg"),
+        "{links:?}"
+    );
+}
+
+#[test]
+fn page_of_an_experiment_counts_its_runs() {
+    let folder = TempFolder::new("experiment-page");
+    let out = folder.0.join("grid");
+    let experiment = two_by_three_by_two(&folder, "\"couriers.slots=1\"");
+    let run = experiment.run(&out, 0).unwrap();
+    let page = of_folder(&out).unwrap();
     assert!(page.contains(&format!(
         "{} runs: 2 scenarios, 3 seeds, 2 variants",
-        records.len()
+        run.results.len()
     )));
-    assert!(of_folder(&folder.0)
-        .unwrap_err()
-        .contains("neither a play nor an experiment"));
+    let error = of_folder(&folder.0).unwrap_err().to_string();
+    assert!(error.contains("neither a play nor an experiment"));
 }
--- a/crates/simulation/tests/queueing_theory.rs
+++ b/crates/simulation/tests/queueing_theory.rs
@@ -1,122 +1,112 @@
-//! The model against what is known of queues and limits.
+//! Simulated destinations against the formulae of queueing theory, and their rate limits.
 
 use marblefall_scheduler::{Outcome, Span, Time};
-use marblefall_simulation::destination::{Limit, Partner, Running};
-use marblefall_simulation::distribution::{Service, Shape};
+use marblefall_simulation::destination::{CallResult, Destination, DestinationState, RateLimit};
+use marblefall_simulation::distribution::{ServiceTime, Shape};
 use rand::{Rng, SeedableRng};
 use rand_distr::Exp1;
 use rand_pcg::Pcg64;
 
-fn partner(service: Service, limit: Option<Limit>) -> Partner {
-    Partner {
+const SHORT_SERVICE_TIME: ServiceTime = ServiceTime {
+    mean_ms: 1.0,
+    shape: Shape::Constant,
+};
+
+fn destination(service_time: ServiceTime, limit: Option<RateLimit>) -> DestinationState {
+    DestinationState::new(&Destination {
         name: "one".to_owned(),
         endpoints: 1,
-        service,
+        service_time,
         servers: 1,
         queue: usize::MAX,
         limit,
-        tells_wait: true,
-        counts_refused: false,
-        refuses: 0.0,
+        sends_retry_after: true,
+        counts_rejected: false,
+        rejection_rate: 0.0,
         outages: vec![],
-        cold: None,
-        listed: None,
-        wire: None,
-    }
+        warm_up: None,
+        advertised_rate: None,
+        connection_policy: None,
+    })
 }
 
-/// Mean time in ms from a call's coming to its answer, at so much load of one server.
-fn mean_stay(service: Service, load: f64) -> f64 {
-    let (mut rng, mut one) = (
-        Pcg64::seed_from_u64(11),
-        Running::new(&partner(service, None)),
-    );
-    let (mut at, mut sum) = (0.0f64, 0.0);
+/// A call to the only endpoint: when it is answered, and how.
+fn call(destination: &mut DestinationState, rng: &mut Pcg64, at: Time) -> (Time, Outcome) {
+    let result: CallResult = destination.receive(at, 0, rng);
+    result.answer().expect("every call is answered")
+}
+
+/// Mean time in ms from the arrival of a call to its answer, at this utilisation of one server.
+fn mean_response_ms(shape: Shape, utilisation: f64) -> f64 {
     const CALLS: usize = 2_000_000;
+    let service_time = ServiceTime {
+        mean_ms: 10.0,
+        shape,
+    };
+    let mut rng = Pcg64::seed_from_u64(11);
+    let mut destination = destination(service_time, None);
+    let (mut at_ms, mut sum_ms) = (0.0f64, 0.0);
     for _ in 0..CALLS {
-        at += rng.sample::<f64, _>(Exp1) * service.mean_ms / load;
-        let now = Time::from_ms(at);
-        let (done, outcome) = one.take(now, 0, &mut rng).answer.expect("it answers");
+        at_ms += rng.sample::<f64, _>(Exp1) * service_time.mean_ms / utilisation;
+        let now = Time::from_ms(at_ms);
+        let (done, outcome) = call(&mut destination, &mut rng, now);
         assert_eq!(outcome, Outcome::Delivered);
-        sum += (done - now).ms();
+        sum_ms += (done - now).ms();
     }
-    sum / CALLS as f64
+    sum_ms / CALLS as f64
 }
 
-fn within_3_percent(is: f64, should: f64) {
+fn assert_within_3_percent(measured_ms: f64, expected_ms: f64) {
     assert!(
-        (is / should - 1.0).abs() < 0.03,
-        "{is:.3} ms, by the formula {should:.3} ms"
+        (measured_ms / expected_ms - 1.0).abs() < 0.03,
+        "{measured_ms:.3} ms, by the formula {expected_ms:.3} ms"
     );
 }
 
 #[test]
-fn a_queue_without_memory_is_as_long_as_the_formula_says() {
-    for load in [0.3, 0.7] {
-        let stay = mean_stay(
-            Service {
-                mean_ms: 10.0,
-                shape: Shape::Exponential,
-            },
-            load,
-        );
-        within_3_percent(stay, 10.0 / (1.0 - load));
+fn exponential_service_matches_mm1_formula() {
+    for utilisation in [0.3, 0.7] {
+        let response_ms = mean_response_ms(Shape::Exponential, utilisation);
+        assert_within_3_percent(response_ms, 10.0 / (1.0 - utilisation));
     }
 }
 
 #[test]
-fn a_queue_of_any_service_is_as_long_as_pollaczek_and_khinchine_say() {
-    let by_formula =
+fn general_service_matches_pollaczek_khinchine_formula() {
+    let expected_ms =
         |load: f64, second_moment: f64| 10.0 + load / 10.0 * second_moment / (2.0 * (1.0 - load));
-    let constant = mean_stay(
-        Service {
-            mean_ms: 10.0,
-            shape: Shape::Constant,
-        },
-        0.7,
-    );
-    within_3_percent(constant, by_formula(0.7, 100.0));
+    let constant = mean_response_ms(Shape::Constant, 0.7);
+    assert_within_3_percent(constant, expected_ms(0.7, 100.0));
     let sigma = 0.7f64;
-    let lognormal = mean_stay(
-        Service {
-            mean_ms: 10.0,
-            shape: Shape::LogNormal(sigma),
-        },
-        0.7,
-    );
-    within_3_percent(lognormal, by_formula(0.7, 100.0 * (sigma * sigma).exp()));
+    let log_normal = mean_response_ms(Shape::LogNormal(sigma), 0.7);
+    let second_moment = 100.0 * (sigma * sigma).exp();
+    assert_within_3_percent(log_normal, expected_ms(0.7, second_moment));
 }
 
-/// Calls every 10 ms for 100 s; how many were served, and how many of those that kept to the wait they were told.
-fn served(limit: Limit) -> usize {
-    let service = Service {
-        mean_ms: 1.0,
-        shape: Shape::Constant,
-    };
-    let (mut rng, mut one) = (
-        Pcg64::seed_from_u64(1),
-        Running::new(&partner(service, Some(limit))),
-    );
-    let call = |one: &mut Running, rng: &mut Pcg64, at: Time| {
-        one.take(at, 0, rng).answer.expect("it answers").1
-    };
+/// Deliveries of calls every 10 ms for 100 s.
+fn delivered(limit: RateLimit) -> usize {
+    let mut rng = Pcg64::seed_from_u64(1);
+    let mut destination = destination(SHORT_SERVICE_TIME, Some(limit));
     (0..10_000)
-        .filter(|n| call(&mut one, &mut rng, Time::from_ms(*n as f64 * 10.0)) == Outcome::Delivered)
+        .filter(|n| {
+            let at = Time::from_ms(f64::from(*n) * 10.0);
+            call(&mut destination, &mut rng, at).1 == Outcome::Delivered
+        })
         .count()
 }
 
 #[test]
-fn limits_let_through_exactly_what_they_say() {
-    // The burst at the start, and what comes in 99.99 s.
+fn rate_limits_admit_exactly_their_quota() {
+    // The burst at the start, and the tokens of 99.99 s.
     assert_eq!(
-        served(Limit::Rate {
+        delivered(RateLimit::TokenBucket {
             rate: 10.0,
             burst: 5.0
         }),
         5 + 999
     );
     assert_eq!(
-        served(Limit::Window {
+        delivered(RateLimit::FixedWindow {
             calls: 20,
             length: Span::from_ms(1000.0)
         }),
@@ -125,39 +115,33 @@
 }
 
 #[test]
-fn whoever_keeps_to_a_told_wait_is_served_then() {
+fn call_that_observes_retry_after_is_delivered() {
     for limit in [
-        Limit::Rate {
+        RateLimit::TokenBucket {
             rate: 7.0,
             burst: 3.0,
         },
-        Limit::Window {
+        RateLimit::FixedWindow {
             calls: 3,
             length: Span::from_ms(900.0),
         },
     ] {
-        let service = Service {
-            mean_ms: 1.0,
-            shape: Shape::Constant,
-        };
-        let (mut rng, mut one) = (
-            Pcg64::seed_from_u64(1),
-            Running::new(&partner(service, Some(limit))),
-        );
-        let (mut now, mut told) = (Time(0), 0);
+        let mut rng = Pcg64::seed_from_u64(1);
+        let mut destination = destination(SHORT_SERVICE_TIME, Some(limit));
+        let (mut now, mut rejected) = (Time(0), 0);
         for _ in 0..1000 {
-            match one.take(now, 0, &mut rng).answer.expect("it answers").1 {
+            match call(&mut destination, &mut rng, now).1 {
                 Outcome::Rejected {
                     retry_after: Some(wait),
                 } => {
-                    told += 1;
+                    rejected += 1;
                     now = now + wait;
-                    let then = one.take(now, 0, &mut rng).answer.expect("it answers").1;
-                    assert_eq!(then, Outcome::Delivered, "{limit:?}");
+                    let (_, outcome) = call(&mut destination, &mut rng, now);
+                    assert_eq!(outcome, Outcome::Delivered, "{limit:?}");
                 }
                 outcome => assert_eq!(outcome, Outcome::Delivered),
             }
         }
-        assert!(told > 100);
+        assert!(rejected > 100);
     }
 }
