--- a/crates/delivery/tests/acceptance.rs
+++ b/crates/delivery/tests/acceptance.rs
@@ -1,7 +1,6 @@
 //! Which submissions the engine accepts, and which of them are one message. Without any wire, with a clock set by the
 //! tests.
 
-#![allow(clippy::too_many_lines, reason = "a test is one sequence of events")]
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 mod common;
@@ -148,18 +147,20 @@
     assert_eq!(incarnation.engine.load().open_messages, 0);
 }
 
+/// The submission of an event with the idempotency key of another one.
+fn submission_with_key(request: u64, name: &str, key: &[u8]) -> EngineEvent {
+    let mut message = message(name, Origin::CloudEvents, KEYED_CLASS, 9);
+    message.idempotency_key = Some(key.to_vec());
+    EngineEvent::Submitted(RequestId(request), message)
+}
+
 #[test]
 fn repeated_event_joins_the_first_message() {
     let (mut incarnation, _) = RestartingEngine::start(temporary_folder("repeat"), 0);
-    let submission = |request, name| submission(request, name, Origin::CloudEvents, KEYED_CLASS);
-    let mut other_key = message("m", Origin::CloudEvents, KEYED_CLASS, 9);
-    other_key.idempotency_key = Some(b"other".to_vec());
-    let mut same_key = message("n", Origin::CloudEvents, KEYED_CLASS, 9);
-    same_key.idempotency_key = Some(b"key of m".to_vec());
     let batch = vec![
-        submission(1, "m"),
-        submission(2, "m"),
-        EngineEvent::Submitted(RequestId(3), other_key),
+        submission(1, "m", Origin::CloudEvents, KEYED_CLASS),
+        submission(2, "m", Origin::CloudEvents, KEYED_CLASS),
+        submission_with_key(3, "m", b"other"),
     ];
     let commands = incarnation.step(0, batch);
     assert_eq!(started_attempts(&commands).len(), 1);
@@ -173,34 +174,34 @@
             (3, SubmitResponse::Conflict)
         ]
     );
-    let joined = incarnation.step(
-        10,
-        vec![EngineEvent::Submitted(RequestId(4), same_key.clone())],
-    );
+    let joined = incarnation.step(10, vec![submission_with_key(4, "n", b"key of m")]);
     assert_eq!(
         (started_attempts(&joined).len(), responses(&joined)),
         (0, vec![(4, SubmitResponse::Accepted)])
     );
-    let commands = incarnation.step(
-        90,
-        vec![attempt_finished(
-            started_attempts(&commands)[0],
-            Outcome::Delivered,
-        )],
-    );
+    let delivered = attempt_finished(started_attempts(&commands)[0], Outcome::Delivered);
+    let commands = incarnation.step(90, vec![delivered]);
     let outcome = SubmitResponse::Finished(FinalOutcome::Delivered);
     assert_eq!(
         responses(&commands),
         [(1, outcome), (2, outcome), (4, outcome)]
     );
+}
+
+#[test]
+fn repeat_of_finished_event_has_its_outcome_until_retention_ends() {
+    let (mut incarnation, _) = RestartingEngine::start(temporary_folder("finished"), 0);
+    let event = submission(1, "m", Origin::CloudEvents, KEYED_CLASS);
+    let started = started_attempts(&incarnation.step(0, vec![event]))[0];
+    incarnation.step(10, vec![submission_with_key(4, "n", b"key of m")]);
+    incarnation.step(90, vec![attempt_finished(started, Outcome::Delivered)]);
     let (mut incarnation, _) = RestartingEngine::start(incarnation.folder.clone(), 1000);
-    let commands = incarnation.step(
-        1,
-        vec![
-            submission(5, "m"),
-            EngineEvent::Submitted(RequestId(6), same_key),
-        ],
-    );
+    let repeats = vec![
+        submission(5, "m", Origin::CloudEvents, KEYED_CLASS),
+        submission_with_key(6, "n", b"key of m"),
+    ];
+    let commands = incarnation.step(1, repeats);
+    let outcome = SubmitResponse::Finished(FinalOutcome::Delivered);
     assert_eq!(
         (started_attempts(&commands).len(), responses(&commands)),
         (0, vec![(5, outcome), (6, outcome)])
@@ -209,11 +210,8 @@
     let (mut incarnation, _) = RestartingEngine::start(incarnation.folder.clone(), 120_000);
     let mut late = message("m", Origin::CloudEvents, KEYED_CLASS, 9);
     late.expires_ms += 200_000;
-    assert_eq!(
-        started_attempts(&incarnation.step(1, vec![EngineEvent::Submitted(RequestId(7), late)]))
-            .len(),
-        1
-    );
+    let commands = incarnation.step(1, vec![EngineEvent::Submitted(RequestId(7), late)]);
+    assert_eq!(started_attempts(&commands).len(), 1);
 }
 
 #[test]
