--- a/crates/delivery/src/instance.rs
+++ b/crates/delivery/src/instance.rs
@@ -32,7 +32,7 @@
 use crate::log_line;
 use crate::net::spawner::Spawner;
 use async_channel::Receiver;
-use state_folder::Claim;
+use state_folder::{Claim, ClaimInterrupt};
 use std::time::{Duration, Instant};
 
 /// How long after the start of the process its configured endpoint list may be used. It counts as received from discovery
@@ -60,11 +60,12 @@
         early_commands: Vec::new(),
     };
     let started_at = Instant::now();
-    let claimed = claim.run(&class_names).await?;
-    let early_commands = claim.early_commands;
-    let Some(claimed) = claimed else {
-        return Ok(());
+    let claimed = match claim.run(&class_names).await {
+        Ok(claimed) => claimed,
+        Err(ClaimInterrupt::ShutDown) => return Ok(()),
+        Err(ClaimInterrupt::Failed(error)) => return Err(error),
     };
+    let early_commands = claim.early_commands;
     if started_at.elapsed() > MAX_CONFIGURED_LIST_AGE {
         config.refresh_configured_list().await;
     }
--- a/crates/delivery/src/instance/assembly.rs
+++ b/crates/delivery/src/instance/assembly.rs
@@ -11,7 +11,7 @@
 use super::executor::Executor;
 use super::lease::Lease;
 use super::shutdown::Shutdown;
-use super::state_folder::ClaimedState;
+use super::state_folder::{ClaimedState, StartMode};
 use super::{InstanceConfig, InstanceError};
 use crate::clock::Clock;
 use crate::core::engine::{Engine, EngineCommand, EngineEvent, EngineSettings};
@@ -65,7 +65,9 @@
     let clock = Clock::start(claimed.clock);
     let (senders, receivers) = channels();
     let mut assembly = Assembly::new(&config, claimed.incarnation, clock, senders, tasks);
-    assembly.predecessors = claimed.predecessors;
+    if let StartMode::Standby(predecessors) = claimed.start_mode {
+        assembly.predecessors = Some(predecessors);
+    }
     // Without a destination table, the platform provides a complete list, and its disk is small.
     let writes_snapshots = matches!(config.endpoints, EngineEvent::DestinationTableReplaced(_));
     assembly.send_priority(config.endpoints);
@@ -77,9 +79,9 @@
         poll_schedule: poll_schedule(&config.engine),
         notices: receivers.notices,
     })?;
-    if claimed.predecessors.is_none() {
+    if let StartMode::Alone { disabled_endpoints } = claimed.start_mode {
         // A standby reads them once its predecessors can no longer change them.
-        assembly.admin.set_disabled(claimed.disabled_endpoints);
+        assembly.admin.set_disabled(disabled_endpoints);
     }
     let (mut engine, commands) = assembly.start_engine(config.engine, claimed.store);
     let snapshots = writes_snapshots.then(|| assembly.restore_snapshot(&mut engine));
--- a/crates/delivery/src/instance/state_folder.rs
+++ b/crates/delivery/src/instance/state_folder.rs
@@ -20,15 +20,31 @@
 /// Delay before a failed operation is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
+/// How an incarnation starts.
+pub(super) enum StartMode {
+    /// No other incarnation is running: it is active at once, with the messages of earlier ones.
+    Alone {
+        /// The endpoints that operators have disabled.
+        disabled_endpoints: BTreeSet<String>,
+    },
+    /// As a standby beside predecessors, which may still change messages and disabled endpoints.
+    Standby(RunningPredecessors),
+}
+
 /// The state that an incarnation has claimed.
 pub(super) struct ClaimedState {
     pub(super) incarnation: Incarnation,
-    pub(super) predecessors: Option<RunningPredecessors>,
-    /// The store with the messages of earlier incarnations, unless some of them are running.
     pub(super) store: MessageStore,
     pub(super) clock: SteadyClock,
-    /// The endpoints that operators have disabled. Empty while earlier incarnations are running, as they may change them.
-    pub(super) disabled_endpoints: BTreeSet<String>,
+    pub(super) start_mode: StartMode,
+}
+
+/// Why the folder is not claimed.
+pub(super) enum ClaimInterrupt {
+    /// The process was shut down before the disk worked.
+    ShutDown,
+    /// The folder cannot be used.
+    Failed(InstanceError),
 }
 
 /// Claims the folder, and queues the commands that are received meanwhile.
@@ -40,75 +56,53 @@
 }
 
 impl Claim<'_> {
-    /// Claims the folder; `None` if the process is shut down before the disk works.
+    /// Claims the folder.
     ///
     /// # Errors
-    /// An error that is not transient, such as missing permissions.
+    /// The process is shut down, or an error is not transient, such as missing permissions.
     pub(super) async fn run(
         &mut self,
         class_names: &[String],
-    ) -> Result<Option<ClaimedState>, InstanceError> {
+    ) -> Result<ClaimedState, ClaimInterrupt> {
         let path = &self.folder.path;
-        let Some(mut incarnation) = self.retry(|| Incarnation::claim(path)).await? else {
-            return Ok(None);
-        };
-        let Some(clock) = self.retry(|| SteadyClock::open(path)).await? else {
-            return Ok(None);
-        };
-        let announced = self.retry(|| driver::announce(&mut incarnation)).await?;
-        let Some(predecessors) = announced else {
-            return Ok(None);
-        };
-        let generation = incarnation.generation();
         let max_bytes = self.folder.max_bytes;
+        let mut incarnation = self.retry(|| Incarnation::claim(path)).await?;
+        let clock = self.retry(|| SteadyClock::open(path)).await?;
+        let predecessors = self.retry(|| driver::announce(&mut incarnation)).await?;
+        let generation = incarnation.generation();
         let begin = || MessageStore::begin(path, max_bytes, class_names.to_vec(), generation);
-        let Some(mut store) = self.retry(begin).await? else {
-            return Ok(None);
+        let mut store = self.retry(begin).await?;
+        let start_mode = match predecessors {
+            Some(predecessors) => StartMode::Standby(predecessors),
+            None => {
+                self.retry(|| store.take_over(&[], None)).await?;
+                let disabled_endpoints = self.retry(|| read_disabled(path)).await?;
+                StartMode::Alone { disabled_endpoints }
+            }
         };
-        let mut disabled_endpoints = BTreeSet::new();
-        if predecessors.is_none() {
-            let Some(disabled) = self.take_over(&mut store).await? else {
-                return Ok(None);
-            };
-            disabled_endpoints = disabled;
-        }
-        Ok(Some(ClaimedState {
+        Ok(ClaimedState {
             incarnation,
-            predecessors,
             store,
             clock,
-            disabled_endpoints,
-        }))
-    }
-
-    /// Recovers the messages of earlier incarnations, none of which is running; returns the disabled endpoints.
-    async fn take_over(
-        &mut self,
-        store: &mut MessageStore,
-    ) -> Result<Option<BTreeSet<String>>, InstanceError> {
-        let recovered = self.retry(|| store.take_over(&[], None)).await?;
-        if recovered.is_none() {
-            return Ok(None);
-        }
-        let path = &self.folder.path;
-        self.retry(|| read_disabled(path)).await
+            start_mode,
+        })
     }
 
-    /// Retries an operation until it succeeds; `None` if the process is shut down first.
+    /// Retries an operation until it succeeds.
     async fn retry<T>(
         &mut self,
         mut attempt: impl FnMut() -> io::Result<T>,
-    ) -> Result<Option<T>, InstanceError> {
+    ) -> Result<T, ClaimInterrupt> {
         loop {
             let error = match attempt() {
-                Ok(done) => return Ok(Some(done)),
+                Ok(value) => return Ok(value),
                 Err(error) => error,
             };
             if !is_transient(&error) {
-                return Err(InstanceError::StateFolder {
+                return Err(ClaimInterrupt::Failed(InstanceError::StateFolder {
                     path: self.folder.path.clone(),
                     source: error,
-                });
+                }));
             }
             log_line!(
                 code = "state-folder-fails",
@@ -118,7 +112,7 @@
             Timer::after(RETRY_INTERVAL).await;
             if self.is_shut_down() {
                 log_line!("shut down before its state folder works");
-                return Ok(None);
+                return Err(ClaimInterrupt::ShutDown);
             }
         }
     }
