--- a/crates/control-plane/src/endpoint_directory.rs
+++ b/crates/control-plane/src/endpoint_directory.rs
@@ -5,7 +5,7 @@
 
 pub use compact_applied::CompactApplied;
 
-use crate::manifest::{destination_number, DestinationSpec, EndpointSpec};
+use crate::manifest::{name_hash, DestinationSpec, EndpointSpec};
 use marblefall_delivery::core::destination_table::{
     DestinationEntry, DestinationTable, EndpointEntry, TableError,
 };
@@ -85,7 +85,7 @@
     fn add(&mut self, name: &str, destination: &DestinationSpec) -> Result<(), TableError> {
         let entry = DestinationEntry {
             name,
-            id: DestinationId(destination_number(name)),
+            id: DestinationId(name_hash(name)),
             encoding: self.encoding(destination)?,
             rate: destination.rate as f32,
             from_list: destination.endpoints.is_empty(),
--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -33,6 +33,7 @@
 const CLOCK_DRIFT_PERCENT: i64 = 1;
 /// Time after which a message without a response is sent again.
 const RESEND_INTERVAL: Span = Span(250_000);
+/// Number of microseconds in a millisecond.
 const MICROS_PER_MS: i64 = 1000;
 
 /// A home as a member of its group.
@@ -61,7 +62,7 @@
         let name = String::from_utf8_lossy(&name).trim().to_owned();
         let initial_path = group_file(home, INITIAL_MANIFEST_FILE);
         let initial_manifest = read_if_present(&initial_path)?;
-        let applied = Applied::read(home).map_err(|error| GroupError::Applied(error.into()))?;
+        let applied = Applied::read(home).map_err(GroupError::Applied)?;
         let group = match (applied.manifest.group, &initial_manifest) {
             (Some(group), _) => Some(group),
             (None, Some(text)) => group_of_manifest(&initial_path, text)?,
--- a/crates/control-plane/src/group/driver/operators.rs
+++ b/crates/control-plane/src/group/driver/operators.rs
@@ -2,6 +2,7 @@
 
 use super::Driver;
 use crate::group::transport::{LastLeader, LocalStatus, OperatorResponse};
+use crate::group::MICROS_PER_MS;
 use async_channel::Sender;
 use marblefall_coordination::node::{LeaderContact, Reply, RequestNumber};
 use std::collections::BTreeMap;
@@ -9,7 +10,6 @@
 
 /// Time after which a request without a leader's reply is answered without one.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-const MICROS_PER_MS: u64 = 1000;
 
 /// Requests without a response.
 #[derive(Default)]
@@ -89,7 +89,7 @@
         let elapsed = self.clock.now().monotonic - contact.received_at;
         Some(LastLeader {
             name: names.nth(contact.leader.0 as usize)?.clone(),
-            contact_ms_ago: elapsed.0.max(0) as u64 / MICROS_PER_MS,
+            contact_ms_ago: (elapsed.0.max(0) / MICROS_PER_MS) as u64,
         })
     }
 }
--- a/crates/control-plane/src/group/driver/voter_state.rs
+++ b/crates/control-plane/src/group/driver/voter_state.rs
@@ -1,7 +1,7 @@
 //! The file that contains the persistent state of the member's voter.
 
 use crate::group::{group_file, read_if_present, GroupError, Membership, VOTER_STATE_FILE};
-use crate::manifest::destination_number;
+use crate::manifest::name_hash;
 use marblefall_atomic_file::{replace, Disk, Durability, LocalDisk};
 use marblefall_coordination::identifiers::StorageId;
 use marblefall_coordination::persistent_state::PersistentState;
@@ -43,7 +43,7 @@
         if !group.members[name].votes {
             return Ok(None);
         }
-        let owner = destination_number(&format!("{}/{name}", group.name));
+        let owner = name_hash(&format!("{}/{name}", group.name));
         let new = || PersistentState::new(owner, new_storage);
         let Some(bytes) = read_if_present(&self.path)? else {
             return Ok(Some(new()));
--- a/crates/control-plane/src/group/error.rs
+++ b/crates/control-plane/src/group/error.rs
@@ -1,6 +1,6 @@
 //! Errors of a home's membership in a group.
 
-use std::error::Error;
+use crate::json_file::JsonFileError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,9 +24,9 @@
         /// Why.
         source: io::Error,
     },
-    /// What is applied in the home cannot be read.
+    /// The applied manifest of the home cannot be read.
     #[error("{0}")]
-    Applied(#[source] Box<dyn Error + Send + Sync>),
+    Applied(#[source] JsonFileError),
     /// The initial manifest cannot be read.
     #[error("{}: {source}", path.display())]
     InitialManifest {
--- a/crates/control-plane/src/instance_config.rs
+++ b/crates/control-plane/src/instance_config.rs
@@ -7,7 +7,7 @@
 pub use class_table::ClassTable;
 
 use crate::endpoint_directory::EndpointDirectory;
-use crate::manifest::{destination_number, ClassSpec, IdempotencySpec, InstanceManifest};
+use crate::manifest::{name_hash, ClassSpec, IdempotencySpec, InstanceManifest};
 use marblefall_delivery::core::engine::{EngineEvent, PolicyChange};
 use marblefall_delivery::frontend::cloudevents::{CloudEventsFrontend, Destinations, EventClass};
 use marblefall_delivery::frontend::platform::PlatformFrontend;
@@ -125,13 +125,13 @@
                 table: destination_table,
                 targets,
             }),
-            destination_number: Some(destination_number),
+            destination_number: Some(name_hash),
         })
     }
 
     fn platform_frontend(self) -> Option<PlatformFrontend> {
         let spec = self.manifest.platform.as_ref()?;
-        let destination = |name: &str| DestinationId(destination_number(name));
+        let destination = |name: &str| DestinationId(name_hash(name));
         let numbers = spec
             .destination_by_number
             .iter()
--- a/crates/control-plane/src/list_watcher.rs
+++ b/crates/control-plane/src/list_watcher.rs
@@ -49,7 +49,7 @@
 
 /// The last good lists of a home.
 pub struct LastGoodLists {
-    /// The readable ones, in force.
+    /// The lists that can be decoded, in force.
     pub lists: ActiveLists,
     /// A report for each one that cannot be decoded.
     pub unreadable: Vec<Report>,
--- a/crates/control-plane/src/manifest.rs
+++ b/crates/control-plane/src/manifest.rs
@@ -132,9 +132,9 @@
     }
 }
 
-/// The scheduler's id of a destination: the 64-bit FNV-1a hash of its name without the lowest bit. It does not depend on
-/// other destinations.
-pub fn destination_number(name: &str) -> u64 {
+/// A hash of a name: the 64-bit FNV-1a hash without its lowest bit. It is the scheduler's id of a destination, which does not
+/// depend on other destinations, and the owner in a voter's state file.
+pub fn name_hash(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(PRIME);
--- a/crates/control-plane/src/manifest/checks/destinations.rs
+++ b/crates/control-plane/src/manifest/checks/destinations.rs
@@ -3,7 +3,7 @@
 use super::entries::is_path;
 use super::{Checker, Place};
 use crate::manifest::error::FaultCause;
-use crate::manifest::{destination_number, DestinationSpec};
+use crate::manifest::{name_hash, DestinationSpec};
 use std::collections::BTreeSet;
 
 impl Checker<'_> {
@@ -15,7 +15,7 @@
             let place = Place::named("destination", name, destination);
             let destination = destination.get_ref();
             self.check_destination(place, destination);
-            if !numbers.insert(destination_number(name)) {
+            if !numbers.insert(name_hash(name)) {
                 self.report(place, FaultCause::NumberCollision);
             }
             self.check_endpoints(place, destination, &mut endpoint_names);
--- a/crates/control-plane/src/supervisor/policy_check.rs
+++ b/crates/control-plane/src/supervisor/policy_check.rs
@@ -1,7 +1,7 @@
 //! Checks with the instances whether a proposed policy permits the messages that they hold.
 
 use super::instance_handle::InstanceHandle;
-use crate::manifest::{destination_number, Manifest};
+use crate::manifest::{name_hash, Manifest};
 use async_io::Timer;
 use futures_lite::future;
 use marblefall_delivery::core::engine::{PolicyMismatch, ProposedPolicy};
@@ -41,9 +41,7 @@
         return Err(PolicyCheckError::Starting((*name).to_owned()));
     }
     let names = proposed.destinations.keys();
-    let destinations: BTreeSet<_> = names
-        .map(|name| DestinationId(destination_number(name)))
-        .collect();
+    let destinations: BTreeSet<_> = names.map(|name| DestinationId(name_hash(name))).collect();
     let classes: BTreeSet<String> = proposed.classes.keys().cloned().collect();
     for (name, instance) in instances {
         let manifest = proposed.instance_manifest(name);
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -5,7 +5,7 @@
 use marblefall_control_plane::endpoint_directory::CompactApplied;
 use marblefall_control_plane::group::Membership;
 use marblefall_control_plane::list_watcher::{FileState, LastGoodLists, ListStatus};
-use marblefall_control_plane::manifest::destination_number;
+use marblefall_control_plane::manifest::name_hash;
 use marblefall_control_plane::plan::Applied;
 use marblefall_coordination::persistent_state::PersistentState;
 use marblefall_coordination::replicated_state::ChangeOutcome;
@@ -47,7 +47,7 @@
 #[test]
 fn voters_log_is_read_and_written_byte_for_byte() {
     let bytes = fs::read(fixture("member/group/votes")).unwrap();
-    let stored = PersistentState::decode(&bytes, destination_number("clinics/east")).unwrap();
+    let stored = PersistentState::decode(&bytes, name_hash("clinics/east")).unwrap();
     assert!(stored.log_length() >= 2, "{} entries", stored.log_length());
     assert!(!stored.is_configuration_ending());
     let mut state = stored.base_state();
