--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -112,17 +112,13 @@
         };
         LocalDisk.create_folder(&folder).map_err(write_error)?;
         let text = serde_json::to_vec(manifest).map_err(GroupError::EncodeManifest)?;
-        let initial_path = group_file(home, INITIAL_MANIFEST_FILE);
-        replace(&LocalDisk, &initial_path, &text, Durability::PowerLoss).map_err(write_error)?;
+        let write = |file: &str, content: &[u8]| {
+            let path = group_file(home, file);
+            replace(&LocalDisk, &path, content, Durability::PowerLoss).map_err(write_error)
+        };
+        write(INITIAL_MANIFEST_FILE, &text)?;
         // Written last, as a home with this file is a member.
-        let member_path = group_file(home, MEMBER_FILE);
-        replace(
-            &LocalDisk,
-            &member_path,
-            name.as_bytes(),
-            Durability::PowerLoss,
-        )
-        .map_err(write_error)
+        write(MEMBER_FILE, name.as_bytes())
     }
 
     /// The member with a name.
--- a/crates/control-plane/src/list_watcher/last_good_writer.rs
+++ b/crates/control-plane/src/list_watcher/last_good_writer.rs
@@ -6,7 +6,6 @@
 use std::path::Path;
 
 /// A change to the stored copy of one file's last good list.
-#[derive(Clone)]
 pub(super) enum StoreChange {
     /// Store this text.
     Write(Vec<u8>),
--- a/crates/coordination/src/voter/amnesia.rs
+++ b/crates/coordination/src/voter/amnesia.rs
@@ -87,12 +87,12 @@
             });
             self.storage.mark_unsaved();
         }
-        let is_founded = state.configuration > 0;
+        let has_configuration = state.configuration > 0;
         drop(state);
         responded.insert(from);
-        let required = match is_founded {
+        let required = match has_configuration {
             true => self.voters.len() / 2,
-            // All must respond before the first configuration: an unknown voter may have lost its storage.
+            // All must respond before the first configuration: a voter without a response may have lost its storage.
             false if response.configuration == 0 => self.voters.len() - 1,
             false => return,
         };
--- a/crates/coordination/tests/nodes/faults.rs
+++ b/crates/coordination/tests/nodes/faults.rs
@@ -8,6 +8,11 @@
 use marblefall_coordination::persistent_state::PersistentState;
 use rand::Rng;
 
+/// Number of equally likely choices in a step, of which the first ones are faults.
+const CHOICES: u32 = 2600;
+/// Maximum time for which a voter is down whose storage is lost or restored.
+const MAX_DOWN_AFTER_STORAGE_FAULT: i64 = 200 * MS;
+
 /// A fault of a voter's storage.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StorageFault {
@@ -23,7 +28,7 @@
         let voter = MemberId(self.rng.random_range(0..self.voters));
         let duration = self.rng.random_range(50..3000) * MS;
         let (until, ms) = (self.now + duration, duration / MS);
-        match self.rng.random_range(0..2600u32) {
+        match self.rng.random_range(0..CHOICES) {
             0..=3 => {
                 self.log(&format!("{member:?} is killed for {ms} ms"));
                 self.kill(member, duration);
@@ -120,7 +125,7 @@
         };
         self.log(&format!("{voter:?} crashes, its storage is {outcome}"));
         // It starts again while the voters still run that know of its writes.
-        self.kill(voter, down.min(200 * MS));
+        self.kill(voter, down.min(MAX_DOWN_AFTER_STORAGE_FAULT));
     }
 }
 
--- a/crates/coordination/tests/policy_change/faults.rs
+++ b/crates/coordination/tests/policy_change/faults.rs
@@ -6,13 +6,18 @@
 use marblefall_coordination::identifiers::MemberId;
 use rand::Rng;
 
+/// Number of equally likely choices in a step, of which the first ones are faults.
+const CHOICES: u32 = 600;
+/// Probability that a leader loses its voters, where that is chosen.
+const DEPOSITION_PROBABILITY: f64 = 0.4;
+
 impl Simulation {
     /// Injects a random fault, or none in most steps.
     pub fn inject_fault(&mut self) {
         let id = MemberId(self.rng.random_range(0..self.members.len() as u32));
         let duration = self.rng.random_range(20..1500) * MS;
         let (until, ms) = (self.now + duration, duration / MS);
-        match self.rng.random_range(0..600u32) {
+        match self.rng.random_range(0..CHOICES) {
             0 => {
                 self.log_line(&format!("{id:?} is restarted"));
                 self.start(id);
@@ -35,7 +40,7 @@
                     member.state = member.earlier.take();
                 }
             }
-            4 if self.rng.random_bool(0.4) => {
+            4 if self.rng.random_bool(DEPOSITION_PROBABILITY) => {
                 // Another leader is elected after its lease has surely expired.
                 self.log_line("the leader loses its voters");
                 self.is_deposed = true;
