--- a/crates/delivery/src/net/discovery/watch/stream.rs
+++ b/crates/delivery/src/net/discovery/watch/stream.rs
@@ -3,7 +3,7 @@
 use super::super::poll_schedule::WatchResult;
 use super::super::{NameIndex, ENDPOINTS_PATH, MAX_HEAD_LEN};
 use super::line_buffer::{LineBuffer, LineError, WatchLine};
-use super::WatchProgress;
+use super::open_watch::WatchProgress;
 use crate::core::engine::EngineEvent;
 use crate::net::connection::{Connection, ReadError};
 use crate::net::http::{
--- a/crates/delivery/src/net/discovery/watch/tests.rs
+++ b/crates/delivery/src/net/discovery/watch/tests.rs
@@ -1,4 +1,5 @@
 use super::super::test_lists::list;
+use super::watch_set::{FIRST_LINE_TIMEOUT, STALL_TIMEOUT};
 use super::*;
 use crate::net::connection::{with_deadline, Connection};
 use crate::net::discovery::MAX_HEAD_LEN;
