--- a/crates/delivery/src/frontend/cloudevents.rs
+++ b/crates/delivery/src/frontend/cloudevents.rs
@@ -9,7 +9,7 @@
 use crate::clock::ReceivedAt;
 use crate::core::destination_table::DestinationTable;
 use crate::core::{FinalOutcome, Message, Origin, SubmitResponse};
-use crate::net::frontend::{Frontend, ParsedRequest, Response};
+use crate::net::frontend::{Frontend, ParsedRequest, Response, READY_PATH};
 use crate::net::http::{header, status, Fields, RequestHead};
 use crate::net::pool::EncodedRequest;
 use event::{attribute, ContentMode, Context, DecodedEvent, EventError};
@@ -18,8 +18,6 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The path where clients request whether the instance is ready.
-const READY_PATH: &str = "/ready";
 /// A longer time to live is reduced to this.
 const MAX_TIME_TO_LIVE_MS: i64 = 7 * 24 * 3600 * 1000;
 const MS_PER_S: u64 = 1000;
--- a/crates/delivery/src/frontend/platform.rs
+++ b/crates/delivery/src/frontend/platform.rs
@@ -12,20 +12,18 @@
 
 use crate::clock::ReceivedAt;
 use crate::core::{FinalOutcome, Message, Origin, SubmitResponse};
-use crate::net::frontend::{Frontend, ParsedRequest, Response};
+use crate::net::frontend::{Frontend, ParsedRequest, Response, READY_PATH};
 use crate::net::http::{header, status, Fields, RequestHead};
 use marblefall_scheduler::{ClassId, DestinationId};
 use std::collections::BTreeMap;
 
 /// The path where clients submit messages.
 const SUBMIT_PATH: &str = "/api";
-/// The path where clients request whether the instance is ready.
-const READY_PATH: &str = "/ready";
 /// A longer time to live is reduced to this, so that sums with it do not overflow.
 const MAX_TIME_TO_LIVE_MS: i64 = 24 * 3600 * 1000;
-/// How much of the time to live is reserved for delays of the process. It counts from when the client sent the message,
-/// but the message may be read 150 ms later, and its notice may be written another 150 ms late, after which it counts
-/// as late.
+/// How much of the time to live is reserved for delays of the process. The time counts from when the client sent the
+/// message, and a notice counts as late 300 ms after its end; but the process may be suspended for 150 ms before it reads
+/// the message, and again before it writes the notice.
 const MAX_READ_DELAY_MS: i64 = 30;
 /// The reserve is at most one in this many parts of the time to live.
 const READ_DELAY_DIVISOR: i64 = 40;
--- a/crates/delivery/src/frontend/platform/tests.rs
+++ b/crates/delivery/src/frontend/platform/tests.rs
@@ -38,3 +38,41 @@
         );
     }
 }
+
+#[test]
+fn attempt_has_the_platforms_headers() {
+    let message = Message {
+        origin: Origin::Platform,
+        identity: b"m-1".to_vec(),
+        idempotency_key: Some(b"k-1".to_vec()),
+        class: ClassId(0),
+        destination: DestinationId(1),
+        expires_ms: 0,
+        attributes: Vec::new(),
+        body: b"ab".to_vec(),
+    };
+    let request = encode_attempt(&message, "127.0.0.1:80", 900);
+    assert_eq!(
+        String::from_utf8(request.head).unwrap(),
+        "POST /receive HTTP/1.1\r\nHost: 127.0.0.1:80\r\nX-Call-Id: m-1\r\nIdempotency-Key: k-1\r\n\
+         X-Budget-Ms: 900\r\nContent-Length: 2\r\n\r\n"
+    );
+    assert_eq!(&*request.body, b"ab");
+}
+
+#[test]
+fn notice_is_one_line_of_json() {
+    let returned = FinalOutcome::Returned {
+        retry_after_ms: 250,
+    };
+    assert_eq!(
+        encode_notice(b"m\"1", returned),
+        "{\"id\":\"m\\\"1\",\"state\":\"returned\",\"after_ms\":250}\n"
+    );
+    for outcome in [FinalOutcome::Failed, FinalOutcome::Expired] {
+        assert_eq!(
+            encode_notice(b"m-1", outcome),
+            "{\"id\":\"m-1\",\"state\":\"failed\"}\n"
+        );
+    }
+}
--- a/crates/delivery/src/net/frontend.rs
+++ b/crates/delivery/src/net/frontend.rs
@@ -4,6 +4,9 @@
 use crate::clock::ReceivedAt;
 use crate::core::{Message, SubmitResponse};
 
+/// The path where clients request whether an instance is ready.
+pub const READY_PATH: &str = "/ready";
+
 const MS_PER_S: f64 = 1000.0;
 
 /// An HTTP response to a client.
