--- a/crates/delivery/src/net/http/head.rs
+++ b/crates/delivery/src/net/http/head.rs
@@ -151,7 +151,7 @@
         .iter()
         .fold(0, |status, digit| status * 10 + u16::from(digit - b'0'));
     let has_reason_separator = line.get(status_end).is_none_or(|byte| *byte == b' ');
-    if !(100..600).contains(&status) || !has_reason_separator {
+    if !status::is_valid(status) || !has_reason_separator {
         return Err(ParseError::Malformed);
     }
     Ok(Some(StatusLine {
--- a/crates/delivery/src/net/http/status.rs
+++ b/crates/delivery/src/net/http/status.rs
@@ -49,6 +49,11 @@
 /// A server behind this one did not respond in time.
 pub const GATEWAY_TIMEOUT: u16 = 504;
 
+/// Whether a number is a status at all.
+pub(super) fn is_valid(status: u16) -> bool {
+    (100..600).contains(&status)
+}
+
 /// Whether a status is that of an interim response, which another response follows.
 pub fn is_interim(status: u16) -> bool {
     (100..200).contains(&status)
--- a/crates/delivery/src/net/server/tests.rs
+++ b/crates/delivery/src/net/server/tests.rs
@@ -54,24 +54,36 @@
             max_connections,
             Rc::default(),
         ));
-        let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
-        let address = listener.get_ref().local_addr().unwrap();
-        let server = Server {
-            frontend: Rc::new(PlatformFrontend {
-                class_names: vec!["status".to_owned()],
-                requires_key: vec![false],
-                destinations_by_number: None,
-            }),
-            clients: clients.clone(),
-            read_timeout: ReadTimeout(read_timeout),
-            clock: Clock::start(SteadyClock::from_wall_clock()),
-            tasks: spawner.clone(),
+        let frontend = PlatformFrontend {
+            class_names: vec!["status".to_owned()],
+            requires_key: vec![false],
+            destinations_by_number: None,
         };
-        spawner.spawn(server.serve(listener));
+        let address = start_server(frontend, clients.clone(), read_timeout, spawner);
         test(address, clients).await;
     }));
 }
 
+/// Starts a server on loopback; returns its address.
+fn start_server(
+    frontend: impl Frontend + 'static,
+    clients: Rc<ClientConnections>,
+    read_timeout: Duration,
+    tasks: Spawner,
+) -> SocketAddr {
+    let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
+    let address = listener.get_ref().local_addr().unwrap();
+    let server = Server {
+        frontend: Rc::new(frontend),
+        clients,
+        read_timeout: ReadTimeout(read_timeout),
+        clock: Clock::start(SteadyClock::from_wall_clock()),
+        tasks: tasks.clone(),
+    };
+    tasks.spawn(server.serve(listener));
+    address
+}
+
 /// Sends a request; returns the status of the response, and whether the connection is kept alive.
 async fn request(connection: &mut Connection, bytes: &[u8]) -> (u16, bool) {
     connection.write(bytes, b"").await.unwrap();
@@ -294,16 +306,8 @@
     async_io::block_on(tasks.run(async {
         let (events, received) = async_channel::unbounded();
         let clients = Rc::new(ClientConnections::new(events, 8, Rc::default()));
-        let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
-        let address = listener.get_ref().local_addr().unwrap();
-        let server = Server {
-            frontend: Rc::new(LongResponses),
-            clients: clients.clone(),
-            read_timeout: ReadTimeout(Duration::from_secs(30)),
-            clock: Clock::start(SteadyClock::from_wall_clock()),
-            tasks: spawner.clone(),
-        };
-        spawner.spawn(server.serve(listener));
+        let read_timeout = Duration::from_secs(30);
+        let address = start_server(LongResponses, clients.clone(), read_timeout, spawner);
         let mut client = Connection::connect(address).await.unwrap();
         client
             .write(b"POST /api HTTP/1.1\r\n\r\n", b"")
