--- a/crates/delivery/src/net/connection.rs
+++ b/crates/delivery/src/net/connection.rs
@@ -9,7 +9,7 @@
 pub use read_error::ReadError;
 
 use crate::log_line;
-use crate::system_error::is_of_this_machine;
+use crate::system_error::is_local_resource_error;
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::io;
@@ -108,7 +108,7 @@
                 Err(error) => error,
                 connected => return connected,
             };
-            if !is_of_this_machine(&error) {
+            if !is_local_resource_error(&error) {
                 return Err(error);
             }
             log_line!(code = "connect-deferred", "{to}: {error}");
--- a/crates/delivery/src/net/pool/run.rs
+++ b/crates/delivery/src/net/pool/run.rs
@@ -86,8 +86,8 @@
     /// suspended in between, and counts a violation.
     fn check_sent(&self, attempt: &Attempt<'_>, address: SocketAddr) {
         let conditions = self.conditions(attempt, address);
-        let rule = match conditions.may_go_on(Instant::now()) {
-            Err(Withheld::Backoff) => Rule::BackoffKept,
+        let rule = match conditions.may_continue(Instant::now()) {
+            Err(Withheld::Backoff) => Rule::RespectBackoff,
             // The window is that much longer than `write_by` allows for.
             Err(Withheld::Late) if attempt.write_by.elapsed() > MAX_SUSPENSION => {
                 Rule::RepeatWithinWindow
@@ -116,7 +116,7 @@
         };
         let is_in_backoff = || {
             let conditions = self.conditions(attempt, address);
-            conditions.may_go_on(Instant::now()) == Err(Withheld::Backoff)
+            conditions.may_continue(Instant::now()) == Err(Withheld::Backoff)
         };
         let mut writing = std::pin::pin!(unless(is_in_backoff, write_all));
         // The permit is held for the first write only; the rest of a long request is written without it.
