--- a/crates/control-plane/src/list_watcher.rs
+++ b/crates/control-plane/src/list_watcher.rs
@@ -21,7 +21,7 @@
 use crate::manifest::Manifest;
 use async_channel::Receiver;
 use marblefall_delivery::log_line;
-use marblefall_endpoint_lists::last_good_store::{LastGoodStore, StoreError};
+use marblefall_endpoint_lists::last_good_store::{LastGoodStore, StoreError, StoredList};
 use marblefall_endpoint_lists::{ActiveLists, Report};
 use scanner::{ScanScope, Scanner, ScannerConfig};
 use shared_lists::SharedLists;
@@ -63,7 +63,8 @@
     pub fn read(home: &Path, manifest: &Manifest) -> Result<LastGoodLists, StoreError> {
         let mut lists = ActiveLists::new(manifest.list_rules());
         let mut unreadable = Vec::new();
-        for (file, bytes) in LastGoodStore::at(&home.join(LISTS_FOLDER)).read()? {
+        let store = LastGoodStore::at(&home.join(LISTS_FOLDER));
+        for StoredList { file, bytes } in store.read()? {
             unreadable.extend(lists.restore(&file, &bytes).err());
         }
         Ok(LastGoodLists { lists, unreadable })
--- a/crates/control-plane/src/list_watcher/scanner.rs
+++ b/crates/control-plane/src/list_watcher/scanner.rs
@@ -12,7 +12,7 @@
 use crate::manifest::EndpointListSource;
 use async_channel::Sender;
 use marblefall_delivery::log_line;
-use marblefall_endpoint_lists::{Candidate, Diagnostic};
+use marblefall_endpoint_lists::{Candidate, Diagnostic, SupersededList};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -261,7 +261,8 @@
 
     /// Stores what remains of missing files' lists once a new list names their destinations.
     fn store_superseded(&mut self, candidate: &Candidate) {
-        for (file, remaining) in self.lists.read(|lists| lists.superseded(candidate)) {
+        let superseded = self.lists.read(|lists| lists.superseded(candidate));
+        for SupersededList { file, remaining } in superseded {
             let change = if remaining.destinations.is_empty() {
                 StoreChange::Remove
             } else {
--- a/crates/endpoint-lists/src/active_lists.rs
+++ b/crates/endpoint-lists/src/active_lists.rs
@@ -29,6 +29,15 @@
     pub changes: Vec<EndpointChange>,
 }
 
+/// The list of a missing file, without the destinations that a candidate takes over.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SupersededList {
+    /// The missing file.
+    pub file: String,
+    /// The destinations that remain, if any.
+    pub remaining: EndpointList,
+}
+
 impl Candidate {
     /// The list's revision.
     pub fn revision(&self) -> u64 {
@@ -137,31 +146,35 @@
             .collect()
     }
 
-    /// The lists of missing files whose destinations a candidate takes over, as they are without these; a list may become
-    /// empty. Their stored copies must be replaced before the candidate is stored.
-    pub fn superseded(&self, candidate: &Candidate) -> Vec<(String, EndpointList)> {
-        let mut remaining = Vec::new();
+    /// The lists of missing files that lose destinations to a candidate. Their stored copies must be replaced before the
+    /// candidate is stored.
+    pub fn superseded(&self, candidate: &Candidate) -> Vec<SupersededList> {
+        let mut superseded = Vec::new();
         for file in self
             .missing
             .iter()
             .filter(|missing| **missing != candidate.file)
         {
-            let Some(mut list) = self.lists.get(file).cloned() else {
+            let Some(mut remaining) = self.lists.get(file).cloned() else {
                 continue;
             };
-            let len_before = list.destinations.len();
-            list.destinations
+            let len_before = remaining.destinations.len();
+            remaining
+                .destinations
                 .retain(|name, _| !candidate.list.destinations.contains_key(name));
-            if list.destinations.len() < len_before {
-                remaining.push((file.clone(), list));
+            if remaining.destinations.len() < len_before {
+                superseded.push(SupersededList {
+                    file: file.clone(),
+                    remaining,
+                });
             }
         }
-        remaining
+        superseded
     }
 
     /// Activates a list.
     pub fn activate(&mut self, candidate: Candidate) {
-        for (file, remaining) in self.superseded(&candidate) {
+        for SupersededList { file, remaining } in self.superseded(&candidate) {
             if remaining.destinations.is_empty() {
                 self.lists.remove(&file);
                 self.missing.remove(&file);
--- a/crates/endpoint-lists/src/last_good_store.rs
+++ b/crates/endpoint-lists/src/last_good_store.rs
@@ -17,6 +17,15 @@
     pub cause: io::Error,
 }
 
+/// A stored list.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct StoredList {
+    /// The name of the operators' file.
+    pub file: String,
+    /// The content of the file when its list was stored.
+    pub bytes: Vec<u8>,
+}
+
 /// A folder of last good lists.
 #[derive(Clone, Debug)]
 pub struct LastGoodStore(PathBuf);
@@ -72,7 +81,7 @@
     ///
     /// # Errors
     /// The folder or a list cannot be read.
-    pub fn read(&self) -> Result<Vec<(String, Vec<u8>)>, StoreError> {
+    pub fn read(&self) -> Result<Vec<StoredList>, StoreError> {
         let store_error = |path: &Path| {
             let path = path.to_owned();
             move |cause| StoreError { path, cause }
@@ -86,7 +95,10 @@
             let path = entry.map_err(store_error(&self.0))?.path();
             if let Some(file) = stored_file(&path) {
                 let bytes = fs::read(&path).map_err(store_error(&path))?;
-                stored.push((file.to_owned(), bytes));
+                stored.push(StoredList {
+                    file: file.to_owned(),
+                    bytes,
+                });
             }
         }
         stored.sort();
--- a/crates/endpoint-lists/src/lib.rs
+++ b/crates/endpoint-lists/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod list;
 pub mod report;
 
-pub use active_lists::{ActiveLists, Candidate};
+pub use active_lists::{ActiveLists, Candidate, SupersededList};
 pub use check::{EndpointSource, ListRules};
 pub use diagnostic::{Diagnostic, Severity};
 pub use diff::{diff, ChangeKind, EndpointChange};
--- a/crates/endpoint-lists/tests/active_lists.rs
+++ b/crates/endpoint-lists/tests/active_lists.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{active_lists, check_property, rules, ValidList, FILE, VALID_LIST};
-use marblefall_endpoint_lists::last_good_store::LastGoodStore;
+use marblefall_endpoint_lists::last_good_store::{LastGoodStore, StoredList};
 use marblefall_endpoint_lists::{ActiveLists, Candidate, ListRules};
 
 /// A file that is written in place starts with new content and ends with the old one, or is truncated if the new content
@@ -73,14 +73,18 @@
     // A crash while the next list is being written leaves a part of it in a temporary file.
     std::fs::write(folder.join("roster.toml.new"), &VALID_LIST.as_bytes()[..40]).unwrap();
     let stored = store.read().unwrap();
-    assert_eq!(stored, [(FILE.to_owned(), VALID_LIST.as_bytes().to_vec())]);
+    let complete = StoredList {
+        file: FILE.to_owned(),
+        bytes: VALID_LIST.as_bytes().to_vec(),
+    };
+    assert_eq!(stored, [complete]);
     // After a crash between writing and activating a list, the next incarnation starts with that list.
     let next = VALID_LIST
         .replace("weight = 3", "weight = 4")
         .replace("revision = 8", "revision = 9");
     store.write(FILE, next.as_bytes()).unwrap();
     let mut active = ActiveLists::new(rules());
-    for (file, bytes) in store.read().unwrap() {
+    for StoredList { file, bytes } in store.read().unwrap() {
         active.restore(&file, &bytes).unwrap();
     }
     assert_eq!(active.lists()[FILE].revision, 9);
