--- a/crates/control-plane/src/instance_config.rs
+++ b/crates/control-plane/src/instance_config.rs
@@ -10,7 +10,7 @@
 use crate::manifest::{destination_number, ClassSpec, IdempotencySpec, InstanceManifest};
 use marblefall_delivery::core::engine::{EngineEvent, PolicyChange};
 use marblefall_delivery::frontend::cloudevents::{CloudEventsFrontend, Destinations, EventClass};
-use marblefall_delivery::frontend::platform::PlatformFrontend;
+use marblefall_delivery::frontend::platform::{PlatformClass, PlatformFrontend};
 use marblefall_delivery::instance::{
     CloudEventsFrontendConfig, InstanceConfig, LeaseConfig, PlatformFrontendConfig, PolicyUpdate,
     StateFolder,
@@ -142,14 +142,15 @@
             false => String::new(),
         };
         let is_keyed = |class: &ClassSpec| class.idempotency == IdempotencySpec::IdempotencyKey;
+        let names = self.classes.names().into_iter().map(accepted_name);
         Some(PlatformFrontend {
-            class_names: self
-                .classes
-                .names()
-                .into_iter()
-                .map(accepted_name)
+            classes: names
+                .zip(self.classes.classes())
+                .map(|(name, class)| PlatformClass {
+                    name,
+                    requires_key: is_keyed(class),
+                })
                 .collect(),
-            requires_key: self.classes.classes().map(is_keyed).collect(),
             destinations_by_number: Some(numbers.collect()),
         })
     }
--- a/crates/delivery/src/frontend/platform.rs
+++ b/crates/delivery/src/frontend/platform.rs
@@ -62,12 +62,19 @@
     UnknownDestination,
 }
 
+/// A class of messages.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PlatformClass {
+    /// The name by which clients select the class.
+    pub name: String,
+    /// Whether its endpoints drop repeated attempts by key, so that messages must have one.
+    pub requires_key: bool,
+}
+
 /// The client side of the platform's protocol.
 pub struct PlatformFrontend {
-    /// The names of the classes, in their order.
-    pub class_names: Vec<String>,
-    /// For each class, whether its endpoints drop repeated attempts by key, so that messages must have one.
-    pub requires_key: Vec<bool>,
+    /// The classes by index.
+    pub classes: Vec<PlatformClass>,
     /// The destination that each number of the clients stands for; `None` where the numbers are the destinations' ids.
     pub destinations_by_number: Option<BTreeMap<u64, DestinationId>>,
 }
@@ -139,9 +146,9 @@
         let name = fields
             .text(headers::CLASS)
             .ok_or(RequestError::MissingClass)?;
-        self.class_names
+        self.classes
             .iter()
-            .position(|known| known == name)
+            .position(|class| class.name == name)
             .map(ClassId)
             .ok_or(RequestError::UnknownClass)
     }
@@ -156,7 +163,11 @@
                 .map(|key| Some(key.to_vec()))
                 .ok_or(RequestError::InvalidKey);
         }
-        if self.requires_key.get(class.0) == Some(&true) {
+        let requires_key = self
+            .classes
+            .get(class.0)
+            .is_some_and(|class| class.requires_key);
+        if requires_key {
             // Without a key, endpoints could not recognise a repeated attempt.
             return Err(RequestError::MissingKey);
         }
--- a/crates/delivery/src/frontend/platform/tests.rs
+++ b/crates/delivery/src/frontend/platform/tests.rs
@@ -3,8 +3,10 @@
 
 fn frontend() -> PlatformFrontend {
     PlatformFrontend {
-        class_names: vec!["status".to_owned()],
-        requires_key: vec![false],
+        classes: vec![PlatformClass {
+            name: "status".to_owned(),
+            requires_key: false,
+        }],
         destinations_by_number: None,
     }
 }
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -6,7 +6,7 @@
     InstanceError, PlatformFrontendConfig, StateFolder,
 };
 use crate::core::engine::{EngineEvent, EngineSettings};
-use crate::frontend::platform::PlatformFrontend;
+use crate::frontend::platform::{PlatformClass, PlatformFrontend};
 use crate::log_line;
 use crate::net::discovery::{ListWatch, NameIndex};
 use crate::net::listener;
@@ -75,13 +75,19 @@
     let connect_timeout = ms_or_default(limits.connect_timeout_ms, DEFAULT_CONNECT_TIMEOUT_MS);
     let idle_timeout = ms_or_default(limits.idle_timeout_ms, DEFAULT_IDLE_TIMEOUT_MS);
     let engine = engine_settings(settings, &config.seed);
-    let requires_key = engine.scheduler.classes.iter().map(requires_key).collect();
+    let classes = class_names
+        .iter()
+        .zip(&engine.scheduler.classes)
+        .map(|(name, class)| PlatformClass {
+            name: name.clone(),
+            requires_key: requires_key(class),
+        })
+        .collect();
     let admin_listener = bind_admin(config.admin_listen.as_deref())?;
     let platform = PlatformFrontendConfig {
         listener: bind_clients(listen)?,
         frontend: PlatformFrontend {
-            class_names: class_names.clone(),
-            requires_key,
+            classes,
             destinations_by_number: None,
         },
         discovery,
--- a/crates/delivery/src/net/server/tests.rs
+++ b/crates/delivery/src/net/server/tests.rs
@@ -5,7 +5,7 @@
 use crate::clock::{ReceivedAt, SteadyClock};
 use crate::core::engine::EngineEvent;
 use crate::core::{Message, Origin, SubmitResponse};
-use crate::frontend::platform::PlatformFrontend;
+use crate::frontend::platform::{PlatformClass, PlatformFrontend};
 use crate::net::connection::with_deadline;
 use crate::net::frontend::{ParsedRequest, Response};
 use crate::net::http;
@@ -55,8 +55,10 @@
             Rc::default(),
         ));
         let frontend = PlatformFrontend {
-            class_names: vec!["status".to_owned()],
-            requires_key: vec![false],
+            classes: vec![PlatformClass {
+                name: "status".to_owned(),
+                requires_key: false,
+            }],
             destinations_by_number: None,
         };
         let address = start_server(frontend, clients.clone(), read_timeout, spawner);
