--- a/crates/delivery/src/frontend/platform.rs
+++ b/crates/delivery/src/frontend/platform.rs
@@ -12,20 +12,18 @@
 
 use crate::clock::ReceivedAt;
 use crate::core::{FinalOutcome, Message, Origin, SubmitResponse};
-use crate::net::frontend::{Frontend, ParsedRequest, Response};
+use crate::net::frontend::{Frontend, ParsedRequest, Response, READY_PATH};
 use crate::net::http::{header, status, Fields, RequestHead};
 use marblefall_scheduler::{ClassId, DestinationId};
 use std::collections::BTreeMap;
 
 /// The path where clients submit messages.
 const SUBMIT_PATH: &str = "/api";
-/// The path where clients request whether the instance is ready.
-const READY_PATH: &str = "/ready";
 /// A longer time to live is reduced to this, so that sums with it do not overflow.
 const MAX_TIME_TO_LIVE_MS: i64 = 24 * 3600 * 1000;
-/// How much of the time to live is reserved for delays of the process. It counts from when the client sent the message,
-/// but the message may be read 150 ms later, and its notice may be written another 150 ms late, after which it counts
-/// as late.
+/// How much of the time to live is reserved for delays of the process. The time counts from when the client sent the
+/// message, and a notice counts as late 300 ms after its end; but the process may be suspended for 150 ms before it reads
+/// the message, and again before it writes the notice.
 const MAX_READ_DELAY_MS: i64 = 30;
 /// The reserve is at most one in this many parts of the time to live.
 const READ_DELAY_DIVISOR: i64 = 40;
@@ -64,12 +62,19 @@
     UnknownDestination,
 }
 
+/// A class of messages.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PlatformClass {
+    /// The name by which clients select the class.
+    pub name: String,
+    /// Whether its endpoints drop repeated attempts by key, so that messages must have one.
+    pub requires_key: bool,
+}
+
 /// The client side of the platform's protocol.
 pub struct PlatformFrontend {
-    /// The names of the classes, in their order.
-    pub class_names: Vec<String>,
-    /// For each class, whether its endpoints drop repeated attempts by key, so that messages must have one.
-    pub requires_key: Vec<bool>,
+    /// The classes by index.
+    pub classes: Vec<PlatformClass>,
     /// The destination that each number of the clients stands for; `None` where the numbers are the destinations' ids.
     pub destinations_by_number: Option<BTreeMap<u64, DestinationId>>,
 }
@@ -141,9 +146,9 @@
         let name = fields
             .text(headers::CLASS)
             .ok_or(RequestError::MissingClass)?;
-        self.class_names
+        self.classes
             .iter()
-            .position(|known| known == name)
+            .position(|class| class.name == name)
             .map(ClassId)
             .ok_or(RequestError::UnknownClass)
     }
@@ -158,7 +163,11 @@
                 .map(|key| Some(key.to_vec()))
                 .ok_or(RequestError::InvalidKey);
         }
-        if self.requires_key.get(class.0) == Some(&true) {
+        let requires_key = self
+            .classes
+            .get(class.0)
+            .is_some_and(|class| class.requires_key);
+        if requires_key {
             // Without a key, endpoints could not recognise a repeated attempt.
             return Err(RequestError::MissingKey);
         }
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -6,7 +6,7 @@
     InstanceError, PlatformFrontendConfig, StateFolder,
 };
 use crate::core::engine::{EngineEvent, EngineSettings};
-use crate::frontend::platform::PlatformFrontend;
+use crate::frontend::platform::{PlatformClass, PlatformFrontend};
 use crate::log_line;
 use crate::net::discovery::{EndpointList, ListWatch, NameIndex};
 use crate::net::listener;
@@ -68,9 +68,16 @@
     let watch = list_watch(&settings, config.last_list.as_ref());
     let endpoints = configured_endpoints(config.last_list, &watch.names);
     let engine = engine_settings(settings, &config.seed);
+    let classes = class_names
+        .iter()
+        .zip(&engine.scheduler.classes)
+        .map(|(name, class)| PlatformClass {
+            name: name.clone(),
+            requires_key: requires_key(class),
+        })
+        .collect();
     let frontend = PlatformFrontend {
-        class_names: class_names.clone(),
-        requires_key: engine.scheduler.classes.iter().map(requires_key).collect(),
+        classes,
         destinations_by_number: None,
     };
     let admin_listener = bind_admin(config.admin_listen.as_deref())?;
