--- a/crates/delivery/tests/restart_histories.rs
+++ b/crates/delivery/tests/restart_histories/history.rs
@@ -1,19 +1,14 @@
-//! Random histories of an instance whose incarnations start, hand over and are killed, from fixed seeds.
+//! A random history of an instance, and the records of its destination and its clients.
 
-#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
-
-mod common;
-
-use common::incarnation::{
+use crate::common::incarnation::{
     is_accepted, message, TestIncarnation, KEYED_CLASS, NON_IDEMPOTENT_CLASS,
 };
-use common::{attempt_finished, folder as temporary_folder};
+use crate::common::{attempt_finished, folder as temporary_folder};
 use marblefall_delivery::core::engine::{AttemptRequest, EngineCommand, EngineEvent};
 use marblefall_delivery::core::journal::latest_generation;
 use marblefall_delivery::core::{FinalOutcome, MessageId, RequestId};
 use marblefall_scheduler::{Outcome, Span};
 use std::collections::BTreeMap;
-use std::fs;
 use std::path::PathBuf;
 
 /// The length of one step of a history.
@@ -22,8 +17,6 @@
 const LAST_SUBMISSION_MS: i64 = 8000;
 /// When the last incarnation starts, hands over or is killed.
 const LAST_RESTART_MS: i64 = 9000;
-/// When a history ends.
-const END_MS: i64 = 40_000;
 /// Attempts are shorter than this.
 const MAX_ATTEMPT_MS: i64 = 400;
 /// The deduplication window of [`common::KEYED`].
@@ -47,29 +40,30 @@
 
 /// A history of one instance and its destination, in which incarnations start, hand over and are killed at random. The
 /// instance is checked against what its destination and its clients have recorded.
-struct RestartHistory {
-    folder: PathBuf,
+pub struct RestartHistory {
+    pub folder: PathBuf,
     rng: fastrand::Rng,
     /// The active incarnation, or the one that has handed over to the successor.
     predecessor: Option<TestIncarnation>,
     /// The standby, or the incarnation that has taken over from the predecessor.
     successor: Option<TestIncarnation>,
     successor_is_active: bool,
-    ms: i64,
+    pub ms: i64,
     in_flight: Vec<InFlightAttempt>,
     /// When each message was executed at the destination.
     executions: BTreeMap<String, Vec<i64>>,
     /// The classes of the messages that were accepted.
-    accepted_messages: BTreeMap<String, usize>,
+    pub accepted_messages: BTreeMap<String, usize>,
     /// The final outcomes of which notices were sent.
     notices: BTreeMap<String, FinalOutcome>,
     backoff_until_ms: i64,
     next_number: usize,
-    trace: Vec<String>,
+    pub trace: Vec<String>,
 }
 
 impl RestartHistory {
-    fn new(seed: u64) -> RestartHistory {
+    /// Starts a history with one active incarnation.
+    pub fn new(seed: u64) -> RestartHistory {
         let folder = temporary_folder(&format!("history-{seed}"));
         let (predecessor, _) = TestIncarnation::start_alone(&folder, 0);
         RestartHistory {
@@ -307,7 +301,7 @@
     }
 
     /// Advances the time by one step: attempts end, messages are submitted, and incarnations come and go.
-    fn advance(&mut self) {
+    pub fn advance(&mut self) {
         self.ms += STEP_MS;
         self.finish_attempts();
         if self.ms < LAST_SUBMISSION_MS && self.rng.u8(0..3) == 0 {
@@ -372,7 +366,8 @@
         self.promote_successor();
     }
 
-    fn check(&self) {
+    /// Checks the executions and final outcomes of all accepted messages.
+    pub fn check(&self) {
         for (name, class) in &self.accepted_messages {
             let none = Vec::new();
             let executions = self.executions.get(name).unwrap_or(&none);
@@ -396,26 +391,3 @@
         }
     }
 }
-
-/// Whatever happens to the incarnations, every message has a final outcome, none has two attempts in flight, none is
-/// executed more often than its class permits, and nothing is sent during a backoff.
-#[test]
-fn random_restart_histories_break_no_invariant() {
-    for seed in 0..150 {
-        let mut history = RestartHistory::new(seed);
-        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            while history.ms < END_MS {
-                history.advance();
-            }
-            history.check();
-        }));
-        if result.is_err() {
-            panic!("seed {seed}:\n{}", history.trace.join("\n"));
-        }
-        assert!(
-            history.accepted_messages.len() > 100,
-            "too few messages were accepted"
-        );
-        let _ = fs::remove_dir_all(&history.folder);
-    }
-}
