--- a/crates/delivery/src/core/message_store.rs
+++ b/crates/delivery/src/core/message_store.rs
@@ -1,11 +1,15 @@
 //! The state of every accepted message, in memory and in the journal. Each message has exactly one final outcome. A
 //! finished message is retained until its notice is acknowledged and repeats of it need no longer be recognised.
 
-mod hot_restart;
+mod backoffs;
+mod following;
+mod handover;
 mod index;
 mod journalling;
+mod takeover;
 
-pub use hot_restart::{PredecessorEvent, Recovered};
+pub use following::PredecessorEvent;
+pub use takeover::Recovered;
 
 use super::journal::{self, Journal, Tail};
 use super::journal_record::JournalRecord;
--- a/crates/delivery/src/core/message_store/hot_restart.rs
+++ b/crates/delivery/src/core/message_store/takeover.rs
@@ -1,11 +1,8 @@
-//! The store in a hot restart: an incarnation recovers the messages of its predecessors and follows the journals of those
-//! that are still running, and a predecessor hands over.
+//! How an incarnation begins its part of the journal, and recovers the messages of earlier ones.
 
 use super::{MessageStore, RESERVED_BYTES, SEGMENT_BYTES};
 use crate::core::journal::{Generation, Journal, Tail};
-use crate::core::journal_record::{
-    AttemptReport, BackoffRecord, JournalRecord, RouteRecord, NO_MESSAGE,
-};
+use crate::core::journal_record::{JournalRecord, RouteRecord};
 use crate::core::message_record::Execution;
 use crate::core::MessageId;
 use crate::system_error::is_transient;
@@ -20,21 +17,12 @@
 const MAX_SUCCESSOR_BYTES: u64 = 8 << 20;
 /// Space for what an incarnation writes after it has handed over, in bytes: results of its attempts, and submissions of
 /// its last clients.
-const AFTER_HANDOVER_BYTES: u64 = 128 * 1024;
+pub(super) const AFTER_HANDOVER_BYTES: u64 = 128 * 1024;
 /// How many segments compaction needs space for.
 const COMPACTION_SEGMENTS: u64 = 2;
 /// How many bits of a message's id count within one incarnation.
 const ID_BITS_PER_GENERATION: u32 = 40;
 
-/// What a running predecessor has journalled.
-#[derive(Debug, PartialEq)]
-pub enum PredecessorEvent {
-    /// It accepted a message.
-    Accepted(MessageId),
-    /// It reported the result of an attempt.
-    AttemptFinished(MessageId, AttemptReport),
-}
-
 /// What was recovered besides messages.
 #[derive(Debug, Default)]
 pub struct Recovered {
@@ -209,136 +197,6 @@
         in_flight
     }
 
-    /// Reads what running predecessors have journalled since the last call. The messages that they accepted are stored as
-    /// this incarnation's. The results of their attempts are only added to `found`.
-    ///
-    /// # Errors
-    /// The journal cannot be read. What was read before the error has been added to `found`.
-    pub fn follow(&mut self, found: &mut Vec<PredecessorEvent>) -> io::Result<()> {
-        let mut tails = std::mem::take(&mut self.tails);
-        let followed = tails.iter_mut().try_for_each(|tail| {
-            let mut read = Vec::new();
-            let done = self.journal.follow(tail, |segment, payload| {
-                read.push((segment, payload.to_vec()))
-            });
-            self.absorb(read, found);
-            done
-        });
-        self.tails = tails;
-        followed
-    }
-
-    /// Reads the rest of what a predecessor has journalled that has exited.
-    ///
-    /// # Errors
-    /// The journal cannot be read. After a transient error the next call reads on.
-    pub fn finish_following(
-        &mut self,
-        generation: Generation,
-        found: &mut Vec<PredecessorEvent>,
-    ) -> io::Result<()> {
-        while let Some(at) = self
-            .tails
-            .iter()
-            .position(|tail| tail.generation == generation)
-        {
-            let mut tail = self.tails.remove(at);
-            let mut read = Vec::new();
-            let done = self
-                .journal
-                .finish_following(&mut tail, |segment, payload| {
-                    read.push((segment, payload.to_vec()));
-                });
-            self.absorb(read, found);
-            if done.as_ref().is_err_and(is_transient) {
-                self.tails.insert(at, tail);
-            }
-            done?;
-        }
-        Ok(())
-    }
-
-    /// Handles the records that a predecessor journalled after it had handed over.
-    fn absorb(&mut self, read: Vec<(u64, Vec<u8>)>, found: &mut Vec<PredecessorEvent>) {
-        for (segment, payload) in read {
-            match JournalRecord::decode(&payload, &self.class_names) {
-                Some((id, record @ JournalRecord::Message(_)))
-                    if !self.messages.contains_key(&id) =>
-                {
-                    record.apply(id, &mut self.messages);
-                    self.segments.insert(id, segment);
-                    self.index(id);
-                    found.push(PredecessorEvent::Accepted(id));
-                }
-                Some((id, JournalRecord::AttemptReported(report))) => {
-                    found.push(PredecessorEvent::AttemptFinished(id, *report));
-                }
-                _ => {}
-            }
-        }
-    }
-
-    /// Whether predecessors are still running.
-    pub fn is_following(&self) -> bool {
-        !self.tails.is_empty()
-    }
-
-    /// Hands over to an incarnation that reads the journal from now on, and journals the states of routes for it. Later
-    /// records are written to a segment of their own, and no segment is removed any more.
-    ///
-    /// # Errors
-    /// The journal cannot be written. It is handed over all the same.
-    pub fn hand_over(&mut self, routes: Vec<RouteRecord>) -> io::Result<()> {
-        // What is not journalled now is lost to the successor.
-        let _ = self.retry_unwritten();
-        self.handed_over = true;
-        self.hard_limit = self.journal.size() + AFTER_HANDOVER_BYTES;
-        self.journal.roll()?;
-        for route in routes {
-            self.write(&JournalRecord::Route(route).encode(NO_MESSAGE, &self.class_names))?;
-        }
-        Ok(())
-    }
-
-    /// Reports the result of an attempt of this incarnation to the one that is active now.
-    ///
-    /// # Errors
-    /// The journal is full or cannot be written.
-    pub fn report_attempt(&mut self, id: MessageId, report: AttemptReport) -> io::Result<()> {
-        let record = JournalRecord::AttemptReported(Box::new(report));
-        self.write(&record.encode(id, &self.class_names))
-            .map(|_| ())
-    }
-
-    /// Journals a backoff that an endpoint requested until a Unix time in milliseconds. The longest one is in force.
-    ///
-    /// # Errors
-    /// The journal is full or cannot be written. It is in force for this incarnation all the same.
-    pub fn record_backoff(
-        &mut self,
-        destination: DestinationId,
-        endpoint: String,
-        until_ms: i64,
-    ) -> io::Result<()> {
-        let longest = self
-            .backoffs
-            .entry((destination, endpoint.clone()))
-            .or_insert(i64::MIN);
-        *longest = until_ms.max(*longest);
-        let record = JournalRecord::Backoff(BackoffRecord {
-            destination,
-            endpoint,
-            until_ms: *longest,
-        });
-        self.write(&record.encode(NO_MESSAGE, &self.class_names))
-            .map(|_| ())
-    }
-
-    /// The ends of the backoffs that endpoints requested, as Unix times in milliseconds. Some may have passed.
-    pub fn backoffs(&self) -> &BTreeMap<(DestinationId, String), i64> {
-        &self.backoffs
-    }
-
     /// Continues under a later generation, so that the messages of incarnations in between can be recovered.
     ///
     /// # Errors
--- a/crates/delivery/src/hot_restart/incarnation.rs
+++ b/crates/delivery/src/hot_restart/incarnation.rs
@@ -4,29 +4,21 @@
 //! releases the lock however the process ends, SIGKILL included. The file has the marks that the incarnation and its
 //! successors write, one byte each. Marks are only ever appended.
 
-use crate::core::journal::{latest_generation, Generation};
-use std::fs::{File, OpenOptions, TryLockError};
-use std::io::{self, Read, Seek, Write};
+mod lock_file;
+mod marks;
+
+use crate::core::journal::Generation;
+use lock_file::{
+    claim_generation, lock_generations, lock_path, try_lock, LockAttempt, UNNUMBERED,
+    UNNUMBERED_SUCCESSOR,
+};
+use marks::{
+    predecessor_state, read_marks, FENCED, HANDED_OVER, HANDOVER_REQUESTED, STANDBY_STARTED,
+};
+use std::fs::{File, OpenOptions};
+use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// What the name of a lock file begins with, before the generation.
-const LOCK_PREFIX: &str = "life-";
-/// The lock file of program versions without generations, which count as generation 0.
-const UNNUMBERED_LOCK: &str = "life.lock";
-/// The file by which those versions find that a successor is running when they are shut down.
-const UNNUMBERED_SUCCESSOR: &str = "life.next";
-/// The generation of program versions without generations.
-const UNNUMBERED: Generation = Generation(0);
-
-/// Mark of the incarnation itself: it has handed over.
-const HANDED_OVER: u8 = b'o';
-/// Mark of a successor: it has started as a standby.
-const STANDBY_STARTED: u8 = b'b';
-/// Mark of a successor: the incarnation is to hand over.
-const HANDOVER_REQUESTED: u8 = b'a';
-/// Mark of a successor: the incarnation must not decide anything any more.
-const FENCED: u8 = b'f';
-
 /// The marks that successors have written for this incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuccessorRequests {
@@ -233,118 +225,5 @@
     }
 }
 
-/// Creates and locks the file of the generation after `after` and all existing ones.
-fn claim_generation(folder: &Path, after: Generation) -> io::Result<(Generation, File)> {
-    let mut generation = lock_generations(folder)?
-        .into_iter()
-        .chain([latest_generation(folder)?, after])
-        .max()
-        .unwrap_or_default();
-    loop {
-        generation = generation.next();
-        let created = OpenOptions::new()
-            .create_new(true)
-            .read(true)
-            .append(true)
-            .open(lock_path(folder, generation));
-        let file = match created {
-            Ok(file) => file,
-            Err(error) if error.kind() == io::ErrorKind::AlreadyExists => continue,
-            Err(error) => return Err(error),
-        };
-        match file.try_lock() {
-            Ok(()) => return Ok((generation, file)),
-            Err(TryLockError::Error(error)) if has_no_locks(&error) => {
-                return Ok((generation, file))
-            }
-            Err(TryLockError::Error(error)) => {
-                // An unlocked file would mean that the incarnation has exited.
-                let _ = std::fs::remove_file(lock_path(folder, generation));
-                return Err(error);
-            }
-            // Another incarnation locked the file first, and considers this one as exited.
-            Err(TryLockError::WouldBlock) => continue,
-        }
-    }
-}
-
-/// The result of testing the lock of an incarnation.
-enum LockAttempt {
-    /// Its owner has exited.
-    Acquired(File),
-    /// Its owner is running.
-    HeldByOther(File),
-    /// There is no lock file.
-    NoFile,
-}
-
-fn try_lock(folder: &Path, generation: Generation) -> io::Result<LockAttempt> {
-    let opened = OpenOptions::new()
-        .read(true)
-        .append(true)
-        .open(lock_path(folder, generation));
-    let file = match opened {
-        Ok(file) => file,
-        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(LockAttempt::NoFile),
-        Err(error) => return Err(error),
-    };
-    match file.try_lock() {
-        Ok(()) => Ok(LockAttempt::Acquired(file)),
-        Err(TryLockError::WouldBlock) => Ok(LockAttempt::HeldByOther(file)),
-        Err(TryLockError::Error(error)) if has_no_locks(&error) => Ok(LockAttempt::Acquired(file)),
-        // Whether its owner is running is unknown.
-        Err(TryLockError::Error(error)) => Err(error),
-    }
-}
-
-/// Whether a lock failed because the system does not support such locks. The platform then runs one incarnation at a time.
-fn has_no_locks(error: &io::Error) -> bool {
-    error.kind() == io::ErrorKind::Unsupported
-}
-
-fn read_marks(file: &mut File) -> io::Result<Vec<u8>> {
-    let mut marks = Vec::new();
-    file.rewind()?;
-    file.read_to_end(&mut marks)?;
-    Ok(marks)
-}
-
-fn predecessor_state(marks: &[u8]) -> PredecessorState {
-    if marks
-        .iter()
-        .any(|mark| [HANDED_OVER, FENCED].contains(mark))
-    {
-        PredecessorState::Inactive
-    } else {
-        PredecessorState::Active
-    }
-}
-
-/// The generations of the lock files in a folder, in ascending order.
-fn lock_generations(folder: &Path) -> io::Result<Vec<Generation>> {
-    let mut found = Vec::new();
-    for file in std::fs::read_dir(folder)? {
-        let name = file?.file_name();
-        let Some(name) = name.to_str() else { continue };
-        if name == UNNUMBERED_LOCK {
-            found.push(UNNUMBERED);
-        } else {
-            let number = name
-                .strip_prefix(LOCK_PREFIX)
-                .and_then(|number| number.parse().ok());
-            found.extend(number.map(Generation));
-        }
-    }
-    found.sort_unstable();
-    Ok(found)
-}
-
-fn lock_path(folder: &Path, generation: Generation) -> PathBuf {
-    match generation {
-        UNNUMBERED => folder.join(UNNUMBERED_LOCK),
-        Generation(number) => folder.join(format!("{LOCK_PREFIX}{number}")),
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/delivery/src/hot_restart/incarnation/tests.rs
+++ b/crates/delivery/src/hot_restart/incarnation/tests.rs
@@ -1,5 +1,6 @@
 //! Lock files and marks of incarnations.
 
+use super::lock_file::UNNUMBERED_LOCK;
 use super::*;
 
 fn folder(name: &str) -> PathBuf {
