--- a/crates/delivery/src/core.rs
+++ b/crates/delivery/src/core.rs
@@ -5,6 +5,7 @@
 //! message's state in memory and in the [`journal`] that outlasts the process.
 
 pub mod active_destinations;
+pub mod attempt_result;
 pub mod destination_table;
 pub mod endpoint;
 pub mod engine;
--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -30,8 +30,9 @@
 mod shutdown;
 mod unjournalled;
 
+pub use super::attempt_result::AttemptResult;
 pub use command::{AttemptRequest, EngineCommand, RejectReason, Rejection};
-pub use event::{AttemptResult, EngineEvent};
+pub use event::EngineEvent;
 pub use lease::LeaseState;
 pub use settings::{EngineSettings, PolicyChange, PolicyMismatch, ProposedPolicy};
 
@@ -161,7 +162,7 @@
             predecessor_attempts: PredecessorAttempts::default(),
             rejections: Vec::new(),
             unjournalled: Vec::new(),
-            journal_retry_at: m::Time(i64::MIN),
+            journal_retry_at: m::Time::MIN,
             in_flight: 0,
             lease: LeaseState::Held,
             deferred: Vec::new(),
--- a/crates/delivery/src/core/engine/event.rs
+++ b/crates/delivery/src/core/engine/event.rs
@@ -1,31 +1,15 @@
 //! The engine's events.
 
 use super::{PolicyChange, PolicyMismatch, ProposedPolicy};
+use crate::core::attempt_result::AttemptResult;
 use crate::core::destination_table::DestinationTable;
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::journal::Generation;
-use crate::core::{Disposition, Message, MessageId, RequestId};
+use crate::core::{Message, MessageId, RequestId};
 use marblefall_scheduler as m;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How an attempt ended.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptResult {
-    /// The message.
-    pub message_id: MessageId,
-    /// The attempt's number, from 0 for the message's first.
-    pub attempt: u32,
-    /// How it ended.
-    pub outcome: m::Outcome,
-    /// How long it was in flight.
-    pub duration: m::Span,
-    /// What the response means for the message.
-    pub disposition: Disposition,
-    /// The rate limit that the response reports.
-    pub rate_limit: m::RateLimitReport,
-}
-
 /// Something that happened outside the engine.
 #[derive(Debug)]
 pub enum EngineEvent {
--- a/crates/delivery/src/core/engine/passive.rs
+++ b/crates/delivery/src/core/engine/passive.rs
@@ -64,14 +64,10 @@
         let class = self.store.get(id).map(|record| record.message.class);
         let retention_ms = class.map_or(0, |class| self.policy.retention_ms(class));
         let report = AttemptReport {
-            attempt: result.attempt,
-            outcome: result.outcome,
-            duration: result.duration,
-            disposition: result.disposition,
-            rate_limit: result.rate_limit,
+            result: *result,
             retain_until_ms: now.unix_ms + retention_ms,
         };
-        log_journal_error(self.store.report_attempt(id, report), commands);
+        log_journal_error(self.store.report_attempt(report), commands);
         if result.outcome == m::Outcome::Delivered {
             let delivered = FinalOutcome::Delivered;
             commands.push(EngineCommand::MessageFinished(delivered));
--- a/crates/delivery/src/core/engine/postponed.rs
+++ b/crates/delivery/src/core/engine/postponed.rs
@@ -18,7 +18,7 @@
     fn default() -> Postponed {
         Postponed {
             events: Vec::new(),
-            retry_at: Time(i64::MIN),
+            retry_at: Time::MIN,
         }
     }
 }
--- a/crates/delivery/src/core/engine/predecessors.rs
+++ b/crates/delivery/src/core/engine/predecessors.rs
@@ -102,16 +102,9 @@
                 PredecessorEvent::Accepted(id) => {
                     self.resume(now, id, RecordedAttempt::Ended, commands);
                 }
-                PredecessorEvent::AttemptFinished(id, report) => {
-                    if self.predecessor_attempts.take_result(id) {
-                        rest.push(EngineEvent::AttemptFinished(AttemptResult {
-                            message_id: id,
-                            attempt: report.attempt,
-                            outcome: report.outcome,
-                            duration: report.duration,
-                            disposition: report.disposition,
-                            rate_limit: report.rate_limit,
-                        }));
+                PredecessorEvent::AttemptFinished(result) => {
+                    if self.predecessor_attempts.take_result(result.message_id) {
+                        rest.push(EngineEvent::AttemptFinished(result));
                     }
                 }
             }
--- a/crates/delivery/src/core/journal_record.rs
+++ b/crates/delivery/src/core/journal_record.rs
@@ -85,7 +85,7 @@
                 record.finish(outcome, notice, retain_until_ms);
             }
             JournalRecord::Alias(identity) => record.aliases.push(identity),
-            JournalRecord::AttemptReported(report) => apply_report(id, &report, messages),
+            JournalRecord::AttemptReported(report) => apply_report(&report, messages),
             JournalRecord::Removed => {
                 messages.remove(&id);
             }
@@ -145,7 +145,7 @@
             variant::ALIAS => JournalRecord::Alias(decoder.bytes()?),
             variant::BACKOFF => JournalRecord::Backoff(decode_backoff(&mut decoder)?),
             variant::ATTEMPT_REPORTED => {
-                JournalRecord::AttemptReported(Box::new(decode_report(&mut decoder)?))
+                JournalRecord::AttemptReported(Box::new(decode_report(&mut decoder, id)?))
             }
             variant::ROUTE => JournalRecord::Route(decode_route(&mut decoder)?),
             _ => return None,
--- a/crates/delivery/src/core/journal_record/report.rs
+++ b/crates/delivery/src/core/journal_record/report.rs
@@ -2,6 +2,7 @@
 
 use super::codec::{Decoder, Encoder};
 use super::variant;
+use crate::core::attempt_result::AttemptResult;
 use crate::core::message_record::{Execution, MessageRecord, NoticeState};
 use crate::core::{Disposition, FinalOutcome, MessageId, Origin};
 use marblefall_scheduler::{Outcome, RateLimitReport, Span};
@@ -10,16 +11,8 @@
 /// The result of an attempt, reported by the incarnation that started it to the one that is active now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptReport {
-    /// The attempt's number, from 0 for the message's first.
-    pub attempt: u32,
-    /// How it ended.
-    pub outcome: Outcome,
-    /// How long it was in flight.
-    pub duration: Span,
-    /// What the response means for the message.
-    pub disposition: Disposition,
-    /// The rate limit that the response reports.
-    pub rate_limit: RateLimitReport,
+    /// The result.
+    pub result: AttemptResult,
     /// Unix time in milliseconds until which the message is retained if the attempt ended it.
     pub retain_until_ms: i64,
 }
@@ -48,21 +41,22 @@
 /// Applies a report that a later incarnation reads again. The incarnation that was active may have handled it, or may have
 /// exited before.
 pub(super) fn apply_report(
-    id: MessageId,
     report: &AttemptReport,
     messages: &mut BTreeMap<MessageId, MessageRecord>,
 ) {
+    let id = report.result.message_id;
     let Some(record) = messages.get_mut(&id) else {
         return;
     };
-    if !record.finish_attempt(Execution::after(report.outcome)) {
+    let result = &report.result;
+    if !record.finish_attempt(Execution::after(result.outcome)) {
         return;
     }
-    let delivered = report.outcome == Outcome::Delivered;
-    let complete = delivered || report.disposition == Disposition::Complete;
-    if complete && record.message.origin == Origin::Platform {
+    let is_delivered = result.outcome == Outcome::Delivered;
+    let is_complete = is_delivered || result.disposition == Disposition::Complete;
+    if is_complete && record.message.origin == Origin::Platform {
         messages.remove(&id);
-    } else if delivered {
+    } else if is_delivered {
         record.finish(
             FinalOutcome::Delivered,
             NoticeState::NotRequired,
@@ -73,25 +67,29 @@
 
 /// Encodes a report.
 pub(super) fn encode_report(encoder: &mut Encoder, report: &AttemptReport) {
-    let (outcome, retry_after) = match report.outcome {
+    let result = &report.result;
+    let (outcome, retry_after) = match result.outcome {
         Outcome::Rejected { retry_after } => (REJECTED, retry_after),
         other => (position(&OUTCOMES, other), None),
     };
     encoder
         .byte(variant::ATTEMPT_REPORTED)
-        .number(report.attempt.into());
+        .number(result.attempt.into());
     encoder
         .byte(outcome)
         .option(retry_after, |encoder, span| encoder.number(span.0));
-    encoder.number(report.duration.0);
-    encoder.byte(position(&DISPOSITIONS, report.disposition));
+    encoder.number(result.duration.0);
+    encoder.byte(position(&DISPOSITIONS, result.disposition));
     encoder.number(report.retain_until_ms);
-    encoder.option(report.rate_limit.remaining, Encoder::real);
-    encoder.option(report.rate_limit.limit, Encoder::real);
+    encoder.option(result.rate_limit.remaining, Encoder::real);
+    encoder.option(result.rate_limit.limit, Encoder::real);
 }
 
-/// Reads a report back.
-pub(super) fn decode_report(decoder: &mut Decoder<'_>) -> Option<AttemptReport> {
+/// Reads the report on an attempt of a message back.
+pub(super) fn decode_report(
+    decoder: &mut Decoder<'_>,
+    message_id: MessageId,
+) -> Option<AttemptReport> {
     let attempt = decoder.number()? as u32;
     let outcome = *OUTCOMES.get(usize::from(decoder.byte()?))?;
     let retry_after = decoder.option(Decoder::number)?.map(Span);
@@ -99,16 +97,23 @@
         Outcome::Rejected { .. } => Outcome::Rejected { retry_after },
         other => other,
     };
+    let duration = Span(decoder.number()?);
+    let disposition = *DISPOSITIONS.get(usize::from(decoder.byte()?))?;
+    let retain_until_ms = decoder.number()?;
+    let rate_limit = RateLimitReport {
+        remaining: decoder.option(Decoder::real)?,
+        limit: decoder.option(Decoder::real)?,
+    };
     Some(AttemptReport {
-        attempt,
-        outcome,
-        duration: Span(decoder.number()?),
-        disposition: *DISPOSITIONS.get(usize::from(decoder.byte()?))?,
-        retain_until_ms: decoder.number()?,
-        rate_limit: RateLimitReport {
-            remaining: decoder.option(Decoder::real)?,
-            limit: decoder.option(Decoder::real)?,
+        result: AttemptResult {
+            message_id,
+            attempt,
+            outcome,
+            duration,
+            disposition,
+            rate_limit,
         },
+        retain_until_ms,
     })
 }
 
--- a/crates/delivery/src/core/message_store/following.rs
+++ b/crates/delivery/src/core/message_store/following.rs
@@ -1,8 +1,9 @@
 //! Follows the journals of predecessors that have handed over and are still running.
 
 use super::MessageStore;
+use crate::core::attempt_result::AttemptResult;
 use crate::core::journal::Generation;
-use crate::core::journal_record::{AttemptReport, JournalRecord};
+use crate::core::journal_record::JournalRecord;
 use crate::core::MessageId;
 use crate::system_error::is_transient;
 use std::io;
@@ -13,7 +14,7 @@
     /// It accepted a message.
     Accepted(MessageId),
     /// It reported the result of an attempt.
-    AttemptFinished(MessageId, AttemptReport),
+    AttemptFinished(AttemptResult),
 }
 
 impl MessageStore {
@@ -78,8 +79,8 @@
                     self.index(id);
                     found.push(PredecessorEvent::Accepted(id));
                 }
-                Some((id, JournalRecord::AttemptReported(report))) => {
-                    found.push(PredecessorEvent::AttemptFinished(id, *report));
+                Some((_, JournalRecord::AttemptReported(report))) => {
+                    found.push(PredecessorEvent::AttemptFinished(report.result));
                 }
                 _ => {}
             }
--- a/crates/delivery/src/core/message_store/handover.rs
+++ b/crates/delivery/src/core/message_store/handover.rs
@@ -3,7 +3,6 @@
 use super::takeover::AFTER_HANDOVER_BYTES;
 use super::MessageStore;
 use crate::core::journal_record::{AttemptReport, JournalRecord, RouteRecord, NO_MESSAGE};
-use crate::core::MessageId;
 use std::io;
 
 impl MessageStore {
@@ -28,7 +27,8 @@
     ///
     /// # Errors
     /// The journal is full or cannot be written.
-    pub fn report_attempt(&mut self, id: MessageId, report: AttemptReport) -> io::Result<()> {
+    pub fn report_attempt(&mut self, report: AttemptReport) -> io::Result<()> {
+        let id = report.result.message_id;
         let record = JournalRecord::AttemptReported(Box::new(report));
         self.write(&record.encode(id, &self.class_names))
             .map(|_| ())
