--- a/crates/atomic-file/src/faulty_disk.rs
+++ b/crates/atomic-file/src/faulty_disk.rs
@@ -103,11 +103,6 @@
         state.fault = Some(InjectedFault { change, fault });
     }
 
-    /// The number of changes that were requested, failed ones included.
-    pub fn change_count(&self) -> usize {
-        self.0.borrow().changes
-    }
-
     /// The disk after a restart of the process, without faults.
     pub fn after_restart(&self, unsynced: Unsynced) -> FaultyDisk {
         let state = self.0.borrow();
--- a/crates/delivery/src/net/admin/tests.rs
+++ b/crates/delivery/src/net/admin/tests.rs
@@ -40,7 +40,7 @@
 #[test]
 fn incomplete_calls_time_out_without_delaying_others() {
     with_server(|address, handler| async move {
-        let mut silent = Connection::connect(address).await.unwrap();
+        let mut without_bytes = Connection::connect(address).await.unwrap();
         let mut incomplete = Connection::connect(address).await.unwrap();
         incomplete
             .write(
@@ -64,7 +64,7 @@
             "a response while two other calls are incomplete"
         );
         assert_eq!(read_status(&mut incomplete).await, 408);
-        assert_eq!(read_status(&mut silent).await, 408);
+        assert_eq!(read_status(&mut without_bytes).await, 408);
         let mut wrong = Connection::connect(address).await.unwrap();
         wrong
             .write(b"DELETE /ready HTTP/1.1\r\n\r\n", b"")
@@ -85,7 +85,7 @@
             body.len()
         );
         let written = caller.write(head.as_bytes(), &body).await;
-        assert!(written.is_ok(), "cut off while sending: {written:?}");
+        assert!(written.is_ok(), "reset while sending: {written:?}");
         assert_eq!(read_status(&mut caller).await, 413);
     });
 }
--- a/crates/delivery/src/net/listener/tests.rs
+++ b/crates/delivery/src/net/listener/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use std::net::TcpStream;
 
-/// A shared socket that listens.
-fn listening(address: SocketAddr) -> TcpListener {
+/// Binds a shared socket and listens.
+fn listen_shared(address: SocketAddr) -> TcpListener {
     let listener = bind_shared(address).unwrap();
     listen(&listener).unwrap();
     listener
@@ -19,9 +19,9 @@
 
 #[test]
 fn shared_address_rejects_a_listener_without_reuse_port() {
-    let first = listening(([127, 0, 0, 1], 0).into());
+    let first = listen_shared(([127, 0, 0, 1], 0).into());
     let address = first.local_addr().unwrap();
-    let second = listening(address);
+    let second = listen_shared(address);
     assert_eq!(second.local_addr().unwrap(), address);
     assert!(
         TcpListener::bind(address).is_err(),
@@ -31,9 +31,9 @@
 
 #[test]
 fn preferred_listener_receives_all_connections_until_it_closes() {
-    let first = listening(([127, 0, 0, 1], 0).into());
+    let first = listen_shared(([127, 0, 0, 1], 0).into());
     let address = first.local_addr().unwrap();
-    let second = listening(address);
+    let second = listen_shared(address);
     prefer(&second, 1).unwrap();
     let accepted = |listener: &TcpListener| {
         listener.set_nonblocking(true).unwrap();
--- a/crates/endpoint-lists/benches/evaluate.rs
+++ b/crates/endpoint-lists/benches/evaluate.rs
@@ -45,7 +45,7 @@
         destinations: Some(destinations),
         ..ListRules::default()
     });
-    active.activate(active.evaluate("a", first.as_bytes()).expect("sound"));
+    active.activate(active.evaluate("a", first.as_bytes()).expect("valid"));
     let mut group = criterion.benchmark_group("list of 10,000 destinations and 20,000 endpoints");
     group
         .sample_size(20)
@@ -57,7 +57,7 @@
     group.bench_function("evaluate", |bench| {
         bench.iter(|| active.evaluate("a", black_box(second.as_bytes())))
     });
-    let candidate = active.evaluate("a", second.as_bytes()).expect("sound");
+    let candidate = active.evaluate("a", second.as_bytes()).expect("valid");
     group.bench_function("activate", |bench| {
         bench.iter_batched(
             || (active.clone(), candidate.clone()),
--- a/crates/endpoint-lists/tests/diff.rs
+++ b/crates/endpoint-lists/tests/diff.rs
@@ -23,13 +23,16 @@
                 new.destinations.insert(name.clone(), copied);
             }
             let by_name = |list: &EndpointList| -> BTreeMap<(String, String), Endpoint> {
-                let all = list.destinations.iter();
-                all.flat_map(|(name, to)| {
-                    to.endpoints
-                        .iter()
-                        .map(|e| ((name.clone(), e.name.clone()), e.clone()))
-                })
-                .collect()
+                let destinations = list.destinations.iter();
+                destinations
+                    .flat_map(|(name, destination)| {
+                        let endpoints = destination.endpoints.iter();
+                        endpoints.map(|endpoint| {
+                            let key = (name.clone(), endpoint.name.clone());
+                            (key, endpoint.clone())
+                        })
+                    })
+                    .collect()
             };
             let changes = diff(&old, &new);
             let mut result = by_name(&old);
--- a/crates/endpoint-lists/tests/format.rs
+++ b/crates/endpoint-lists/tests/format.rs
@@ -20,13 +20,12 @@
         let text = list.to_toml();
         (0..text.len()).all(|cut| EndpointList::parse(&text.as_bytes()[..cut], MAX_BYTES).is_err())
     });
-    let windows = VALID_LIST.replace('\n', "\r\n");
-    parse(&windows);
-    assert!((0..windows.len()).all(|cut| EndpointList::parse(
-        &windows.as_bytes()[..cut],
-        MAX_BYTES
-    )
-    .is_err()));
+    let with_crlf = VALID_LIST.replace('\n', "\r\n");
+    parse(&with_crlf);
+    let truncated = (0..with_crlf.len()).map(|cut| &with_crlf.as_bytes()[..cut]);
+    for bytes in truncated {
+        assert!(EndpointList::parse(bytes, MAX_BYTES).is_err());
+    }
 }
 
 #[test]
