--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -263,7 +263,7 @@
             EngineEvent::NoticeAcknowledged(id) => {
                 self.remove_message(batch.now, id, batch.commands)
             }
-            EngineEvent::Shutdown { deadline, .. } => self.prepare_shutdown(deadline),
+            EngineEvent::Shutdown { deadline } => self.prepare_shutdown(deadline),
             EngineEvent::CheckPolicy(proposed, answer) => {
                 // The receiver may have been dropped.
                 let _ = answer.try_send(self.check_policy(&proposed));
@@ -274,6 +274,7 @@
             | EngineEvent::DestinationTableReplaced(_)
             | EngineEvent::EndpointsDisabled(_) => {}
             EngineEvent::TakeOver { .. }
+            | EngineEvent::HandOver { .. }
             | EngineEvent::FollowPredecessors
             | EngineEvent::PredecessorExited(_)
             | EngineEvent::StandbyExited(_) => {}
--- a/crates/delivery/src/core/engine/event.rs
+++ b/crates/delivery/src/core/engine/event.rs
@@ -52,12 +52,15 @@
     ),
     /// Whether the engine holds its lease may have changed.
     LeaseChanged,
-    /// This incarnation ends.
+    /// This incarnation ends, and no successor is known.
     Shutdown {
         /// When it ends at the latest.
         deadline: m::Time,
-        /// Whether another incarnation takes over, beside this one or after it.
-        hand_over: bool,
+    },
+    /// This incarnation ends, and another one takes over, beside this one or after it.
+    HandOver {
+        /// When it ends at the latest.
+        deadline: m::Time,
     },
 }
 
@@ -81,10 +84,7 @@
                 | EngineEvent::FollowPredecessors
                 | EngineEvent::PredecessorExited(_)
                 | EngineEvent::StandbyExited(_)
-                | EngineEvent::Shutdown {
-                    hand_over: true,
-                    ..
-                }
+                | EngineEvent::HandOver { .. }
         )
     }
 }
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -69,13 +69,7 @@
             (Role::Active, EngineEvent::StandbyExited(generation)) => {
                 self.adopt_standby(now, generation, commands);
             }
-            (
-                Role::Standby | Role::Active,
-                EngineEvent::Shutdown {
-                    deadline,
-                    hand_over: true,
-                },
-            ) => {
+            (Role::Standby | Role::Active, EngineEvent::HandOver { deadline }) => {
                 self.shutdown_at = Some(deadline);
                 self.hand_over(now, commands);
             }
--- a/crates/delivery/src/instance/shutdown.rs
+++ b/crates/delivery/src/instance/shutdown.rs
@@ -111,9 +111,11 @@
     }
 
     fn engine_event(&self, timeout: Duration, successor: Successor) -> EngineEvent {
-        EngineEvent::Shutdown {
-            deadline: self.clock.now().monotonic + Span(timeout.as_micros() as i64),
-            hand_over: successor.takes_over(),
+        let deadline = self.clock.now().monotonic + Span(timeout.as_micros() as i64);
+        if successor.takes_over() {
+            EngineEvent::HandOver { deadline }
+        } else {
+            EngineEvent::Shutdown { deadline }
         }
     }
 
--- a/crates/delivery/tests/common/incarnation.rs
+++ b/crates/delivery/tests/common/incarnation.rs
@@ -100,13 +100,7 @@
     /// Shuts the incarnation down beside a successor.
     pub fn hand_over(&mut self, ms: i64) -> Vec<EngineCommand> {
         let deadline = Time((ms - self.started_ms) * 1000 + SHUTDOWN_TIMEOUT_US);
-        self.step(
-            ms,
-            vec![EngineEvent::Shutdown {
-                deadline,
-                hand_over: true,
-            }],
-        )
+        self.step(ms, vec![EngineEvent::HandOver { deadline }])
     }
 
     /// Makes a standby active, which was started beside the incarnation `first_concurrent`.
--- a/crates/delivery/tests/endpoints.rs
+++ b/crates/delivery/tests/endpoints.rs
@@ -94,7 +94,6 @@
         10,
         vec![EngineEvent::Shutdown {
             deadline: Time(3_400_000),
-            hand_over: false,
         }],
     );
     let submission = |request, name| submission(request, name, Origin::Platform, IDEMPOTENT_CLASS);
