--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -33,6 +33,7 @@
 const CLOCK_DRIFT_PERCENT: i64 = 1;
 /// Time after which a message without a response is sent again.
 const RESEND_INTERVAL: Span = Span(250_000);
+/// Number of microseconds in a millisecond.
 const MICROS_PER_MS: i64 = 1000;
 
 /// A home as a member of its group.
@@ -61,7 +62,7 @@
         let name = String::from_utf8_lossy(&name).trim().to_owned();
         let initial_path = group_file(home, INITIAL_MANIFEST_FILE);
         let initial_manifest = read_if_present(&initial_path)?;
-        let applied = Applied::read(home).map_err(|error| GroupError::Applied(error.into()))?;
+        let applied = Applied::read(home).map_err(GroupError::Applied)?;
         let group = match (applied.manifest.group, &initial_manifest) {
             (Some(group), _) => Some(group),
             (None, Some(text)) => group_of_manifest(&initial_path, text)?,
@@ -111,17 +112,13 @@
         };
         LocalDisk.create_folder(&folder).map_err(write_error)?;
         let text = serde_json::to_vec(manifest).map_err(GroupError::EncodeManifest)?;
-        let initial_path = group_file(home, INITIAL_MANIFEST_FILE);
-        replace(&LocalDisk, &initial_path, &text, Durability::PowerLoss).map_err(write_error)?;
+        let write = |file: &str, content: &[u8]| {
+            let path = group_file(home, file);
+            replace(&LocalDisk, &path, content, Durability::PowerLoss).map_err(write_error)
+        };
+        write(INITIAL_MANIFEST_FILE, &text)?;
         // Written last, as a home with this file is a member.
-        let member_path = group_file(home, MEMBER_FILE);
-        replace(
-            &LocalDisk,
-            &member_path,
-            name.as_bytes(),
-            Durability::PowerLoss,
-        )
-        .map_err(write_error)
+        write(MEMBER_FILE, name.as_bytes())
     }
 
     /// The member with a name.
--- a/crates/control-plane/src/instance_config.rs
+++ b/crates/control-plane/src/instance_config.rs
@@ -7,10 +7,10 @@
 pub use class_table::ClassTable;
 
 use crate::endpoint_directory::EndpointDirectory;
-use crate::manifest::{destination_number, ClassSpec, IdempotencySpec, InstanceManifest};
+use crate::manifest::{name_hash, ClassSpec, IdempotencySpec, InstanceManifest};
 use marblefall_delivery::core::engine::{EngineEvent, PolicyChange};
 use marblefall_delivery::frontend::cloudevents::{CloudEventsFrontend, Destinations, EventClass};
-use marblefall_delivery::frontend::platform::PlatformFrontend;
+use marblefall_delivery::frontend::platform::{PlatformClass, PlatformFrontend};
 use marblefall_delivery::instance::{
     CloudEventsFrontendConfig, InstanceConfig, LeaseConfig, PlatformFrontendConfig, PolicyUpdate,
     StateFolder,
@@ -125,13 +125,13 @@
                 table: destination_table,
                 targets,
             }),
-            destination_number: Some(destination_number),
+            destination_number: Some(name_hash),
         })
     }
 
     fn platform_frontend(self) -> Option<PlatformFrontend> {
         let spec = self.manifest.platform.as_ref()?;
-        let destination = |name: &str| DestinationId(destination_number(name));
+        let destination = |name: &str| DestinationId(name_hash(name));
         let numbers = spec
             .destination_by_number
             .iter()
@@ -142,14 +142,15 @@
             false => String::new(),
         };
         let is_keyed = |class: &ClassSpec| class.idempotency == IdempotencySpec::IdempotencyKey;
+        let names = self.classes.names().into_iter().map(accepted_name);
         Some(PlatformFrontend {
-            class_names: self
-                .classes
-                .names()
-                .into_iter()
-                .map(accepted_name)
+            classes: names
+                .zip(self.classes.classes())
+                .map(|(name, class)| PlatformClass {
+                    name,
+                    requires_key: is_keyed(class),
+                })
                 .collect(),
-            requires_key: self.classes.classes().map(is_keyed).collect(),
             destinations_by_number: Some(numbers.collect()),
         })
     }
