--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -75,7 +75,7 @@
             Some(attempt) => {
                 let prior = m::PriorAttempts {
                     attempts: 0,
-                    first_possible_execution: Some(self.sent_attempt(batch.now, attempt)),
+                    first_possible_execution: Some(self.attempt_start(batch.now, attempt)),
                     in_flight: None,
                 };
                 m::Event::Resumed(new_message, prior)
--- a/crates/delivery/src/core/engine/recovery.rs
+++ b/crates/delivery/src/core/engine/recovery.rs
@@ -95,10 +95,10 @@
         let attempt = record
             .in_flight()
             .filter(|_| recorded_attempt == RecordedAttempt::InFlight);
-        let in_flight = attempt.map(|attempt| self.sent_attempt(now, attempt));
-        if let Some((_, endpoint)) = in_flight {
+        let in_flight = attempt.map(|attempt| self.attempt_start(now, attempt));
+        if let Some(start) = in_flight {
             self.in_flight += 1;
-            if self.endpoints.listed(endpoint).is_none() {
+            if self.endpoints.listed(start.endpoint).is_none() {
                 self.predecessor_attempts.insert_unlisted(id);
                 return;
             }
@@ -107,7 +107,7 @@
         let first = record.first_possible_execution.as_ref();
         let prior = m::PriorAttempts {
             attempts: record.attempts,
-            first_possible_execution: first.map(|attempt| self.sent_attempt(now, attempt)),
+            first_possible_execution: first.map(|attempt| self.attempt_start(now, attempt)),
             in_flight,
         };
         let message = scheduler_message(id, &record.message, now);
--- a/crates/delivery/src/core/engine/scheduler_input.rs
+++ b/crates/delivery/src/core/engine/scheduler_input.rs
@@ -18,15 +18,15 @@
 }
 
 impl Engine {
-    /// An attempt's start and endpoint in the scheduler's form.
-    pub(super) fn sent_attempt(
+    /// An attempt in the scheduler's form.
+    pub(super) fn attempt_start(
         &mut self,
         now: Timestamp,
         attempt: &AttemptRecord,
-    ) -> (m::Time, m::EndpointId) {
-        (
-            now.monotonic_of(attempt.started_ms),
-            self.endpoints.id_of(&attempt.endpoint),
-        )
+    ) -> m::AttemptStart {
+        m::AttemptStart {
+            sent: now.monotonic_of(attempt.started_ms),
+            endpoint: self.endpoints.id_of(&attempt.endpoint),
+        }
     }
 }
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -9,7 +9,7 @@
 mod settings;
 
 pub use action::Action;
-pub use attempt::{NewMessage, Outcome, PriorAttempts, RateLimitReport};
+pub use attempt::{AttemptStart, NewMessage, Outcome, PriorAttempts, RateLimitReport};
 pub use endpoint::{EndpointStatus, EndpointUpdate};
 pub use event::Event;
 pub use ids::{
--- a/crates/scheduler/src/interface/attempt.rs
+++ b/crates/scheduler/src/interface/attempt.rs
@@ -71,15 +71,24 @@
     pub destination: DestinationId,
 }
 
+/// When and where an attempt was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptStart {
+    /// When it was sent.
+    pub sent: Time,
+    /// The endpoint that received it.
+    pub endpoint: EndpointId,
+}
+
 /// Attempts that an earlier incarnation of this instance made for a message that outlived it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PriorAttempts {
     /// Number of attempts made, which is the number of the next one.
     pub attempts: u32,
-    /// Send time and endpoint of the first attempt that may have been executed. An attempt in flight when the earlier
-    /// incarnation ended counts as one.
-    pub first_possible_execution: Option<(Time, EndpointId)>,
-    /// Send time and endpoint of the latest attempt, if the incarnation that sent it still waits for the response.
-    /// Its outcome is then reported as if this incarnation had sent it.
-    pub in_flight: Option<(Time, EndpointId)>,
+    /// The first attempt that may have been executed. An attempt in flight when the earlier incarnation ended counts
+    /// as one.
+    pub first_possible_execution: Option<AttemptStart>,
+    /// The latest attempt, if the incarnation that sent it still waits for the response. Its outcome is then reported
+    /// as if this incarnation had sent it.
+    pub in_flight: Option<AttemptStart>,
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -90,10 +90,10 @@
 mod tenant_rate;
 
 pub use interface::{
-    Action, AttemptNumber, ClassId, CompactedDestination, DeduplicationScope, DestinationId,
-    DestinationKind, DestinationState, DiscoveryMode, EndpointId, EndpointStatus, EndpointUpdate,
-    Event, Idempotency, IdleRecord, KindId, KnownRoute, Limits, MessageClass, MessageId,
-    NewMessage, OrderingKey, Outcome, PriorAttempts, RateHints, RateLimitReport, Rules, Settings,
-    Span, Tenant, TenantId, Time, ValueDecay, ZoneId,
+    Action, AttemptNumber, AttemptStart, ClassId, CompactedDestination, DeduplicationScope,
+    DestinationId, DestinationKind, DestinationState, DiscoveryMode, EndpointId, EndpointStatus,
+    EndpointUpdate, Event, Idempotency, IdleRecord, KindId, KnownRoute, Limits, MessageClass,
+    MessageId, NewMessage, OrderingKey, Outcome, PriorAttempts, RateHints, RateLimitReport, Rules,
+    Settings, Span, Tenant, TenantId, Time, ValueDecay, ZoneId,
 };
 pub use scheduler::Scheduler;
--- a/crates/scheduler/src/policy/give_up.rs
+++ b/crates/scheduler/src/policy/give_up.rs
@@ -67,8 +67,8 @@
         let idempotency = self.settings.classes[message.class.0].idempotency;
         match (idempotency, message.first_possible_execution) {
             (Idempotency::NonIdempotent, Some(_)) => Time::MIN,
-            (Idempotency::IdempotencyKey { window, .. }, Some((first_sent, _))) => {
-                too_late.min(first_sent + window)
+            (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
+                too_late.min(first.sent + window)
             }
             _ => too_late,
         }
--- a/crates/scheduler/src/policy/retry.rs
+++ b/crates/scheduler/src/policy/retry.rs
@@ -13,7 +13,7 @@
         id: EndpointId,
         endpoint: &Endpoint,
     ) -> bool {
-        let Some((first_sent, first_endpoint)) = message.first_possible_execution else {
+        let Some(first) = message.first_possible_execution else {
             return true;
         };
         match self.settings.classes[message.class.0].idempotency {
@@ -23,12 +23,12 @@
                 let recognises_key = match scope {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => {
-                        let first = self.endpoints.get(&first_endpoint);
-                        first.map(|first| first.zone) == Some(endpoint.zone)
+                        let first_endpoint = self.endpoints.get(&first.endpoint);
+                        first_endpoint.map(|first| first.zone) == Some(endpoint.zone)
                     }
-                    DeduplicationScope::Endpoint => id == first_endpoint,
+                    DeduplicationScope::Endpoint => id == first.endpoint,
                 };
-                recognises_key && now - first_sent < window
+                recognises_key && now - first.sent < window
             }
         }
     }
--- a/crates/scheduler/src/scheduler/hot_restart.rs
+++ b/crates/scheduler/src/scheduler/hot_restart.rs
@@ -2,7 +2,7 @@
 //! calls in flight.
 
 use super::Scheduler;
-use crate::interface::{DestinationId, EndpointId, KnownRoute, Time};
+use crate::interface::{AttemptStart, DestinationId, EndpointId, KnownRoute, Time};
 use crate::state::{Attempt, RouteId};
 
 impl Scheduler {
@@ -38,15 +38,15 @@
 
     /// Counts an attempt of another incarnation as in flight, like one of this incarnation. `None` if its endpoint is
     /// not listed.
-    pub(super) fn adopt_attempt(&mut self, (sent, id): (Time, EndpointId)) -> Option<Attempt> {
-        let endpoint = self.endpoints.get_mut(&id)?;
+    pub(super) fn adopt_attempt(&mut self, start: AttemptStart) -> Option<Attempt> {
+        let endpoint = self.endpoints.get_mut(&start.endpoint)?;
         endpoint.in_flight += 1;
         let route = endpoint.route;
-        self.route_mut(route).in_flight.push(sent);
+        self.route_mut(route).in_flight.push(start.sent);
         Some(Attempt {
             call: self.start_call(route, 1),
-            endpoint: id,
-            sent,
+            endpoint: start.endpoint,
+            sent: start.sent,
             reused_idle: false,
             cut_by_deadline: false,
         })
--- a/crates/scheduler/src/state/message.rs
+++ b/crates/scheduler/src/state/message.rs
@@ -1,7 +1,9 @@
 //! State of one message and its attempt in flight.
 
 use super::CallId;
-use crate::interface::{ClassId, DestinationId, EndpointId, MessageId, OrderingKey, Outcome, Time};
+use crate::interface::{
+    AttemptStart, ClassId, DestinationId, EndpointId, MessageId, OrderingKey, Outcome, Time,
+};
 use std::collections::VecDeque;
 
 /// A message without a final outcome, or one whose attempt has not ended.
@@ -17,8 +19,8 @@
     /// Number of attempts made.
     pub attempts: u32,
     pub state: MessageState,
-    /// Send time and endpoint of the first attempt that may have been executed.
-    pub first_possible_execution: Option<(Time, EndpointId)>,
+    /// The first attempt that may have been executed.
+    pub first_possible_execution: Option<AttemptStart>,
 }
 
 impl Message {
@@ -27,8 +29,10 @@
         let attempt = self.state.attempt()?;
         self.state = MessageState::Pending;
         if !outcome.proves_not_executed() {
-            self.first_possible_execution
-                .get_or_insert((attempt.sent, attempt.endpoint));
+            self.first_possible_execution.get_or_insert(AttemptStart {
+                sent: attempt.sent,
+                endpoint: attempt.endpoint,
+            });
         }
         Some(attempt)
     }
--- a/crates/scheduler/tests/resumed_messages.rs
+++ b/crates/scheduler/tests/resumed_messages.rs
@@ -10,7 +10,7 @@
     scheduler: &mut TestScheduler,
     class: usize,
     attempts: u32,
-    first_possible_execution: Option<(Time, EndpointId)>,
+    first_possible_execution: Option<AttemptStart>,
 ) -> Vec<Action> {
     let new_message = scheduler.new_message(class, 0, 0.0);
     let prior = PriorAttempts {
@@ -23,7 +23,12 @@
 
 #[test]
 fn resumed_message_keeps_its_classs_retry_rules() {
-    let executed_at = |ms| Some((Time::from_ms(ms), EndpointId(0)));
+    let executed_at = |ms| {
+        Some(AttemptStart {
+            sent: Time::from_ms(ms),
+            endpoint: EndpointId(0),
+        })
+    };
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     scheduler.at(9000.0);
     let within_window = resume(&mut scheduler, 1, 1, executed_at(6000.0));
--- a/crates/simulation/src/simulation/couriers.rs
+++ b/crates/simulation/src/simulation/couriers.rs
@@ -134,15 +134,13 @@
         self.wires.died(crash.courier);
         let messages = self.messages.values_mut();
         for message in messages.filter(|message| message.courier == crash.courier) {
-            let Some((endpoint, sent)) = message.in_flight.take() else {
+            let Some(start) = message.in_flight.take() else {
                 continue;
             };
-            message
-                .first_possible_execution
-                .get_or_insert((sent, endpoint));
+            message.first_possible_execution.get_or_insert(start);
             if std::mem::take(&mut message.holds_connection) {
                 self.wires
-                    .give_back(self.now, crash.courier, endpoint.0, false);
+                    .give_back(self.now, crash.courier, start.endpoint.0, false);
             }
         }
         self.messages
