--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -68,16 +68,8 @@
     let watch = list_watch(&settings, config.last_list.as_ref());
     let endpoints = configured_endpoints(config.last_list, &watch.names);
     let engine = engine_settings(settings, &config.seed);
-    let classes = class_names
-        .iter()
-        .zip(&engine.scheduler.classes)
-        .map(|(name, class)| PlatformClass {
-            name: name.clone(),
-            requires_key: requires_key(class),
-        })
-        .collect();
     let frontend = PlatformFrontend {
-        classes,
+        classes: platform_classes(&class_names, &engine.scheduler.classes),
         destinations_by_number: None,
     };
     let admin_listener = bind_admin(config.admin_listen.as_deref())?;
@@ -136,6 +128,17 @@
     }
 }
 
+fn platform_classes(names: &[String], classes: &[MessageClass]) -> Vec<PlatformClass> {
+    names
+        .iter()
+        .zip(classes)
+        .map(|(name, class)| PlatformClass {
+            name: name.clone(),
+            requires_key: requires_key(class),
+        })
+        .collect()
+}
+
 fn requires_key(class: &MessageClass) -> bool {
     matches!(class.idempotency, Idempotency::IdempotencyKey { .. })
 }
