--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -17,7 +17,7 @@
 use crate::wires::Wires;
 use event_queue::{EventQueue, SimulationEvent, Submission};
 use marblefall_scheduler::{
-    Action, AttemptStart, EndpointStatus, Event, Scheduler, Settings, Span, Time,
+    Action, EndpointId, EndpointStatus, Event, Scheduler, Settings, Span, Time,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -73,12 +73,12 @@
     courier: usize,
     expires: Time,
     attempts: u32,
-    /// Its attempt in flight.
-    in_flight: Option<AttemptStart>,
+    /// Where its attempt in flight goes, and when that was sent.
+    in_flight: Option<(EndpointId, Time)>,
     /// Whether its attempt holds a connection that is counted.
     holds_connection: bool,
     /// The first attempt that may have been executed.
-    first_possible_execution: Option<AttemptStart>,
+    first_possible_execution: Option<(Time, EndpointId)>,
     ended: bool,
 }
 
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -6,7 +6,7 @@
 use crate::seen::{End, Seen};
 use crate::wires::Found;
 use marblefall_scheduler::{
-    AttemptNumber, AttemptStart, EndpointId, Event, MessageId, Outcome, RateLimitReport, Span, Time,
+    AttemptNumber, EndpointId, Event, MessageId, Outcome, RateLimitReport, Span, Time,
 };
 
 impl Simulation<'_> {
@@ -20,10 +20,7 @@
         self.played.legs += 1;
         if let Some(message) = self.messages.get_mut(&id) {
             message.attempts += 1;
-            message.in_flight = Some(AttemptStart {
-                sent: self.now,
-                endpoint,
-            });
+            message.in_flight = Some((endpoint, self.now));
         }
         let incarnation = self.couriers[courier].incarnation;
         let ends = |outcome| SimulationEvent::AttemptEnds {
@@ -117,11 +114,13 @@
         if self.couriers[courier].incarnation != incarnation {
             return;
         }
-        let Some(start) = message.in_flight.take() else {
+        let Some((endpoint, sent)) = message.in_flight.take() else {
             return;
         };
         if !outcome.proves_not_executed() {
-            message.first_possible_execution.get_or_insert(start);
+            message
+                .first_possible_execution
+                .get_or_insert((sent, endpoint));
         }
         if std::mem::take(&mut message.holds_connection) {
             let is_whole = matches!(
@@ -129,14 +128,14 @@
                 Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. }
             );
             self.wires
-                .give_back(self.now, courier, start.endpoint.0, is_whole);
+                .give_back(self.now, courier, endpoint.0, is_whole);
         }
         let attempt = AttemptNumber(message.attempts - 1);
         let is_final = outcome == Outcome::Delivered && !message.ended;
         self.observe(Seen::Closed {
             message: id,
             courier,
-            endpoint: start.endpoint.0,
+            endpoint: endpoint.0,
             outcome,
         });
         if is_final {
@@ -146,7 +145,7 @@
             message: MessageId(id),
             attempt,
             outcome,
-            duration: self.now - start.sent,
+            duration: self.now - sent,
             is_final,
             rate_limit: RateLimitReport::default(),
         };
--- a/crates/simulation/src/simulation/couriers.rs
+++ b/crates/simulation/src/simulation/couriers.rs
@@ -4,8 +4,8 @@
 use super::{Life, Message, Simulation};
 use crate::seen::{End, Seen};
 use marblefall_scheduler::{
-    Action, ClassId, DestinationId, EndpointId, EndpointUpdate, Event, KindId, MessageId,
-    NewMessage, PriorAttempts, Span, ZoneId,
+    Action, AttemptStart, ClassId, DestinationId, EndpointId, EndpointUpdate, Event, KindId,
+    MessageId, NewMessage, PriorAttempts, Span, ZoneId,
 };
 
 impl Simulation<'_> {
@@ -37,9 +37,11 @@
             .collect();
         owed.sort_unstable_by_key(|(id, _)| **id);
         let resumed = owed.into_iter().map(|(id, message)| {
+            let first = message.first_possible_execution;
             let prior = PriorAttempts {
                 attempts: message.attempts,
-                first_possible_execution: message.first_possible_execution,
+                first_possible_execution: first
+                    .map(|(sent, endpoint)| AttemptStart { sent, endpoint }),
                 in_flight: None,
             };
             Event::Resumed(new_message(*id, message), prior)
@@ -134,13 +136,15 @@
         self.wires.died(crash.courier);
         let messages = self.messages.values_mut();
         for message in messages.filter(|message| message.courier == crash.courier) {
-            let Some(start) = message.in_flight.take() else {
+            let Some((endpoint, sent)) = message.in_flight.take() else {
                 continue;
             };
-            message.first_possible_execution.get_or_insert(start);
+            message
+                .first_possible_execution
+                .get_or_insert((sent, endpoint));
             if std::mem::take(&mut message.holds_connection) {
                 self.wires
-                    .give_back(self.now, crash.courier, start.endpoint.0, false);
+                    .give_back(self.now, crash.courier, endpoint.0, false);
             }
         }
         self.messages
