--- a/crates/delivery/src/core/engine/event.rs
+++ b/crates/delivery/src/core/engine/event.rs
@@ -1,31 +1,15 @@
 //! The engine's events.
 
 use super::{PolicyChange, PolicyMismatch, ProposedPolicy};
+use crate::core::attempt_result::AttemptResult;
 use crate::core::destination_table::DestinationTable;
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::journal::Generation;
-use crate::core::{Disposition, Message, MessageId, RequestId};
+use crate::core::{Message, MessageId, RequestId};
 use marblefall_scheduler as m;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How an attempt ended.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AttemptResult {
-    /// The message.
-    pub message_id: MessageId,
-    /// The attempt's number, from 0 for the message's first.
-    pub attempt: u32,
-    /// How it ended.
-    pub outcome: m::Outcome,
-    /// How long it was in flight.
-    pub duration: m::Span,
-    /// What the response means for the message.
-    pub disposition: Disposition,
-    /// The rate limit that the response reports.
-    pub rate_limit: m::RateLimitReport,
-}
-
 /// Something that happened outside the engine.
 #[derive(Debug)]
 pub enum EngineEvent {
@@ -68,12 +52,15 @@
     ),
     /// Whether the engine holds its lease may have changed.
     LeaseChanged,
-    /// This incarnation ends.
+    /// This incarnation ends, and no successor is known.
     Shutdown {
         /// When it ends at the latest.
         deadline: m::Time,
-        /// Whether another incarnation takes over, beside this one or after it.
-        hand_over: bool,
+    },
+    /// This incarnation ends, and another one takes over, beside this one or after it.
+    HandOver {
+        /// When it ends at the latest.
+        deadline: m::Time,
     },
 }
 
@@ -97,10 +84,7 @@
                 | EngineEvent::FollowPredecessors
                 | EngineEvent::PredecessorExited(_)
                 | EngineEvent::StandbyExited(_)
-                | EngineEvent::Shutdown {
-                    hand_over: true,
-                    ..
-                }
+                | EngineEvent::HandOver { .. }
         )
     }
 }
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -6,7 +6,7 @@
     InstanceError, PlatformFrontendConfig, StateFolder,
 };
 use crate::core::engine::{EngineEvent, EngineSettings};
-use crate::frontend::platform::PlatformFrontend;
+use crate::frontend::platform::{PlatformClass, PlatformFrontend};
 use crate::log_line;
 use crate::net::discovery::{EndpointList, ListWatch, NameIndex};
 use crate::net::listener;
@@ -69,8 +69,7 @@
     let endpoints = configured_endpoints(config.last_list, &watch.names);
     let engine = engine_settings(settings, &config.seed);
     let frontend = PlatformFrontend {
-        class_names: class_names.clone(),
-        requires_key: engine.scheduler.classes.iter().map(requires_key).collect(),
+        classes: platform_classes(&class_names, &engine.scheduler.classes),
         destinations_by_number: None,
     };
     let admin_listener = bind_admin(config.admin_listen.as_deref())?;
@@ -129,6 +128,17 @@
     }
 }
 
+fn platform_classes(names: &[String], classes: &[MessageClass]) -> Vec<PlatformClass> {
+    names
+        .iter()
+        .zip(classes)
+        .map(|(name, class)| PlatformClass {
+            name: name.clone(),
+            requires_key: requires_key(class),
+        })
+        .collect()
+}
+
 fn requires_key(class: &MessageClass) -> bool {
     matches!(class.idempotency, Idempotency::IdempotencyKey { .. })
 }
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -17,7 +17,7 @@
 use crate::scenario::{EndpointLocation, Scenario};
 use event_queue::{EventQueue, SimulationEvent, Submission};
 use marblefall_scheduler::{
-    Action, EndpointId, EndpointStatus, Event, Scheduler, Settings, Span, Time,
+    Action, AttemptStart, EndpointId, EndpointStatus, Event, Scheduler, Settings, Span, Time,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -78,24 +78,17 @@
     Simulation::new(scenario, seed, make_node, observer).run()
 }
 
-/// An attempt in flight.
-#[derive(Clone, Copy)]
-struct AttemptInFlight {
-    endpoint: EndpointId,
-    sent_at: Time,
-}
-
 /// A message that an instance accepted.
 struct Message {
     submission: Submission,
     instance: usize,
     expires: Time,
     attempts: u32,
-    in_flight: Option<AttemptInFlight>,
+    in_flight: Option<AttemptStart>,
     /// Whether the attempt in flight occupies a connection of the pool.
     holds_connection: bool,
     /// The first attempt that may have been executed.
-    first_possible_execution: Option<AttemptInFlight>,
+    first_possible_execution: Option<AttemptStart>,
     has_ended: bool,
 }
 
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -1,12 +1,12 @@
 //! Attempts on their way to an endpoint and back, and the final outcomes of messages.
 
 use super::event_queue::{SimulationEvent, Submission, TravellingAttempt};
-use super::{AttemptInFlight, Message, Simulation};
+use super::{Message, Simulation};
 use crate::connections::{Acquired, Release};
 use crate::destination::CallResult;
 use crate::observation::{FinalOutcome, Observation};
 use marblefall_scheduler::{
-    AttemptNumber, EndpointId, Event, MessageId, Outcome, RateLimitReport, Span, Time,
+    AttemptNumber, AttemptStart, EndpointId, Event, MessageId, Outcome, RateLimitReport, Span, Time,
 };
 
 /// Whether an attempt gets a connection.
@@ -34,9 +34,9 @@
         self.totals.attempts += 1;
         if let Some(message) = self.messages.get_mut(&id) {
             message.attempts += 1;
-            message.in_flight = Some(AttemptInFlight {
+            message.in_flight = Some(AttemptStart {
                 endpoint,
-                sent_at: self.now,
+                sent: self.now,
             });
         }
         let incarnation = self.instances[instance].incarnation;
@@ -173,7 +173,7 @@
             message: MessageId(id),
             attempt,
             outcome,
-            duration: self.now - ended.sent_at,
+            duration: self.now - ended.sent,
             is_final,
             rate_limit: RateLimitReport::default(),
         };
--- a/crates/simulation/src/simulation/instances.rs
+++ b/crates/simulation/src/simulation/instances.rs
@@ -1,7 +1,7 @@
 //! Instances: their starts and crashes, the events they receive, and the actions they request.
 
 use super::event_queue::SimulationEvent;
-use super::{AttemptInFlight, Incarnation, Message, Simulation};
+use super::{Incarnation, Message, Simulation};
 use crate::connections::Release;
 use crate::observation::{FinalOutcome, Observation};
 use marblefall_scheduler::{
@@ -43,10 +43,9 @@
             .collect();
         unfinished.sort_unstable_by_key(|(id, _)| **id);
         let resumed = unfinished.into_iter().map(|(id, message)| {
-            let first = message.first_possible_execution;
             let prior = PriorAttempts {
                 attempts: message.attempts,
-                first_possible_execution: first.map(|attempt| (attempt.sent_at, attempt.endpoint)),
+                first_possible_execution: message.first_possible_execution,
                 in_flight: None,
             };
             Event::Resumed(new_message(*id, message), prior)
@@ -156,11 +155,14 @@
             let Some(attempt) = message.in_flight.take() else {
                 continue;
             };
-            let AttemptInFlight { endpoint, .. } = attempt;
             message.first_possible_execution.get_or_insert(attempt);
             if std::mem::take(&mut message.holds_connection) {
-                self.connection_pool
-                    .release(self.now, instance, endpoint.0, Release::Closed);
+                self.connection_pool.release(
+                    self.now,
+                    instance,
+                    attempt.endpoint.0,
+                    Release::Closed,
+                );
             }
         }
     }
