--- a/crates/simulation/benches/speed.rs
+++ b/crates/simulation/benches/speed.rs
@@ -36,8 +36,8 @@
     });
     group.bench_function("played, measured and checked", |bencher| {
         bencher.iter(|| {
-            let (_, verdict) = measure(&scenario, 1, &production_node);
-            assert!(verdict.is_clean());
+            let run = measure(&scenario, 1, &production_node);
+            assert!(run.verdict.is_clean());
         });
     });
     group.finish();
--- a/crates/simulation/src/capacity_search.rs
+++ b/crates/simulation/src/capacity_search.rs
@@ -155,8 +155,8 @@
             .into_par_iter()
             .map(|seed| {
                 let scenario = draft.scenario(seed)?;
-                let (metrics, _) = measure(&scenario, seed, &production_node);
-                Ok((metrics, scenario.seconds))
+                let run = measure(&scenario, seed, &production_node);
+                Ok((run.metrics, scenario.seconds))
             })
             .collect();
         let mut sums: BTreeMap<String, ClassSum> = BTreeMap::new();
--- a/crates/simulation/src/commands/play.rs
+++ b/crates/simulation/src/commands/play.rs
@@ -34,18 +34,18 @@
 fn play(arguments: &PlayArguments, make_node: NodeFactory<'_>) -> Result<RunStatus, CommandError> {
     let scenario = arguments.scenario.scenario(arguments.seed)?;
     let started = Instant::now();
-    let (metrics, verdict) = measure(&scenario, arguments.seed, make_node);
+    let run = measure(&scenario, arguments.seed, make_node);
     let elapsed = started.elapsed();
-    let summary = Summary::of(&metrics, &verdict);
-    println!("{}\n\n{}", scenario.title, metrics.table());
+    let summary = run.summary();
+    println!("{}\n\n{}", scenario.title, run.metrics.table());
     print_summary(&scenario, &summary, elapsed);
-    print_verdict(&verdict);
+    print_verdict(&run.verdict);
     if let Some(folder) = &arguments.out {
-        write_metrics(&metrics, folder)?;
+        write_metrics(&run.metrics, folder)?;
         write_manifest(arguments, &scenario, &summary, folder)?;
-        RunReport::of(&scenario, arguments.seed, &metrics, &verdict).write(folder)?;
+        RunReport::of(&scenario, arguments.seed, &run).write(folder)?;
     }
-    Ok(RunStatus::ok_if(verdict.is_clean()))
+    Ok(RunStatus::ok_if(run.verdict.is_clean()))
 }
 
 fn print_summary(scenario: &Scenario, summary: &Summary, elapsed: Duration) {
@@ -145,8 +145,7 @@
 
 /// Plays one cell of an experiment and prints its summary as JSON.
 pub(super) fn cell(scenario: &ScenarioArguments, seed: u64) -> Result<RunStatus, CommandError> {
-    let (metrics, verdict) = measure(&scenario.scenario(seed)?, seed, &production_node);
-    let summary = Summary::of(&metrics, &verdict);
-    println!("{}", serde_json::to_string(&summary)?);
+    let run = measure(&scenario.scenario(seed)?, seed, &production_node);
+    println!("{}", serde_json::to_string(&run.summary())?);
     Ok(RunStatus::Ok)
 }
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -81,10 +81,7 @@
     fn play(&self) -> Result<CellResult, ExperimentError> {
         let summary = match &self.variant.program {
             Some(program) => self.play_with(program)?,
-            None => {
-                let (metrics, verdict) = measure(&self.scenario, self.seed, &production_node);
-                Summary::of(&metrics, &verdict)
-            }
+            None => measure(&self.scenario, self.seed, &production_node).summary(),
         };
         Ok(CellResult {
             scenario: scenario_name(self.path),
@@ -103,7 +100,7 @@
         for argument in &self.variant.overrides {
             command.args(["--set", argument]);
         }
-        let summary = || {
+        let mut run = || {
             let output = command.output().map_err(ProgramFailure::Start)?;
             if !output.status.success() {
                 let text = String::from_utf8_lossy(&output.stderr).trim().to_owned();
@@ -111,8 +108,7 @@
             }
             serde_json::from_slice(&output.stdout).map_err(ProgramFailure::Output)
         };
-        let mut summary = summary;
-        summary().map_err(|source| ExperimentError::Program {
+        run().map_err(|source| ExperimentError::Program {
             program: program.to_owned(),
             scenario: self.path.to_owned(),
             source,
--- /dev/null
+++ b/crates/simulation/src/invariants/checker.rs
@@ -0,0 +1,324 @@
+//! Checks the observations of a run as they occur.
+
+use super::{Invariant, Verdict, Violation};
+use crate::observation::{FinalOutcome, Observation};
+use crate::scenario::{EndpointLocation, Scenario};
+use marblefall_scheduler::{EndpointStatus, Idempotency, Outcome, Span, Time};
+use std::collections::HashMap;
+
+/// Time in which a change of the endpoint list reaches every instance and the attempts sent before have arrived.
+pub const LIST_PROPAGATION_TIME: Span = Span(250_000);
+/// A message may end this long after its deadline: the attempt that is in flight then has to end first.
+const DEADLINE_TOLERANCE: Span = Span(1_000_000);
+/// Violations that are recorded with their trace; further ones are only counted.
+const MAX_RECORDED_VIOLATIONS: usize = 20;
+/// Observations that are recorded per message.
+const MAX_TRACE_LENGTH: usize = 40;
+
+/// An accepted message that has not ended, or has an attempt in flight.
+struct OpenMessage {
+    instance: usize,
+    class: usize,
+    expires: Time,
+    in_flight: Option<AttemptInFlight>,
+    /// When the first attempt was sent that may have been executed.
+    first_possible_execution: Option<Time>,
+    has_ended: bool,
+    trace: Vec<(Time, Observation)>,
+}
+
+impl OpenMessage {
+    fn new(instance: usize, class: usize, expires: Time) -> OpenMessage {
+        OpenMessage {
+            instance,
+            class,
+            expires,
+            in_flight: None,
+            first_possible_execution: None,
+            has_ended: false,
+            trace: Vec::new(),
+        }
+    }
+}
+
+#[derive(Clone, Copy)]
+struct AttemptInFlight {
+    endpoint: u32,
+    sent_at: Time,
+}
+
+/// Checks the observations of a run as they occur.
+pub struct InvariantChecker<'s> {
+    scenario: &'s Scenario,
+    endpoint_locations: Vec<EndpointLocation>,
+    messages: HashMap<u64, OpenMessage>,
+    /// By instance and destination, until when the destination asked for no further attempt.
+    retry_not_before: HashMap<(usize, usize), Time>,
+    /// Since when an endpoint is not listed as active.
+    unlisted_since: HashMap<u32, Time>,
+    violations: Vec<Violation>,
+    count: u64,
+}
+
+impl<'s> InvariantChecker<'s> {
+    /// A checker that has seen no observation.
+    pub fn new(scenario: &'s Scenario) -> InvariantChecker<'s> {
+        InvariantChecker {
+            scenario,
+            endpoint_locations: scenario.endpoint_locations(),
+            messages: HashMap::new(),
+            retry_not_before: HashMap::new(),
+            unlisted_since: HashMap::new(),
+            violations: Vec::new(),
+            count: 0,
+        }
+    }
+
+    /// Checks an observation. Observations are passed in their order.
+    pub fn observe(&mut self, at: Time, observation: &Observation) {
+        self.record_trace(at, observation);
+        match *observation {
+            Observation::Accepted {
+                message,
+                instance,
+                class,
+                expires,
+                ..
+            } => {
+                let mut accepted = OpenMessage::new(instance, class, expires);
+                accepted.trace.push((at, *observation));
+                self.messages.insert(message, accepted);
+            }
+            Observation::Finished { message, outcome } => {
+                self.message_finished(at, message, outcome);
+            }
+            Observation::AttemptSent {
+                message,
+                instance,
+                endpoint,
+            } => self.attempt_sent(at, message, instance, endpoint),
+            Observation::AttemptArrived { message, endpoint } => {
+                self.attempt_arrived(at, message, endpoint);
+            }
+            Observation::AttemptEnded {
+                message,
+                instance,
+                endpoint,
+                outcome,
+            } => {
+                self.record_retry_after(at, instance, endpoint, outcome);
+                self.attempt_ended(message, outcome);
+            }
+            Observation::EndpointListed { endpoint, status } => {
+                self.endpoint_listed(at, endpoint, status);
+            }
+            Observation::RecoveryOverloaded { destination } => {
+                let name = &self.scenario.destinations[destination].name;
+                let description = format!("{name} failed again");
+                self.violated(Invariant::NoRecoveryOverload, at, None, description);
+            }
+            Observation::InstanceCrashed { instance } => self.instance_crashed(instance),
+            Observation::InstanceRestarted { .. } => {}
+        }
+    }
+
+    /// Ends the check: messages that should have ended by now were lost.
+    pub fn finish(mut self, at: Time) -> Verdict {
+        let is_lost =
+            |open: &OpenMessage| !open.has_ended && open.expires + DEADLINE_TOLERANCE < at;
+        let lost = self.messages.iter().filter(|(_, open)| is_lost(open));
+        let mut lost: Vec<u64> = lost.map(|(message, _)| *message).collect();
+        lost.sort_unstable();
+        for message in lost {
+            let description = format!("message {message} has no final outcome");
+            self.violated(Invariant::NoMessageLost, at, Some(message), description);
+        }
+        Verdict {
+            violations: self.violations,
+            count: self.count,
+        }
+    }
+
+    fn violated(
+        &mut self,
+        invariant: Invariant,
+        at: Time,
+        message: Option<u64>,
+        description: String,
+    ) {
+        self.count += 1;
+        if self.violations.len() >= MAX_RECORDED_VIOLATIONS {
+            return;
+        }
+        let open = message.and_then(|message| self.messages.get(&message));
+        self.violations.push(Violation {
+            invariant,
+            at,
+            description,
+            trace: open.map_or_else(Vec::new, |open| open.trace.clone()),
+        });
+    }
+
+    fn record_trace(&mut self, at: Time, observation: &Observation) {
+        let message = observation.message();
+        let Some(open) = message.and_then(|message| self.messages.get_mut(&message)) else {
+            return;
+        };
+        if open.trace.len() < MAX_TRACE_LENGTH {
+            open.trace.push((at, *observation));
+        }
+    }
+
+    fn message_finished(&mut self, at: Time, message: u64, outcome: FinalOutcome) {
+        let open = self.messages.get_mut(&message);
+        let Some(open) = open.filter(|open| !open.has_ended) else {
+            let description =
+                format!("message {message} ended again, or was never accepted: {outcome:?}");
+            return self.violated(
+                Invariant::SingleFinalOutcome,
+                at,
+                Some(message),
+                description,
+            );
+        };
+        open.has_ended = true;
+        let has_attempt_in_flight = open.in_flight.is_some();
+        let late = at - open.expires;
+        if late > DEADLINE_TOLERANCE && outcome == FinalOutcome::Delivered {
+            let description = format!(
+                "message {message} was delivered {:.0} ms after its deadline",
+                late.ms()
+            );
+            self.violated(Invariant::NoMessageLost, at, Some(message), description);
+        }
+        if !has_attempt_in_flight {
+            self.messages.remove(&message);
+        }
+    }
+
+    fn attempt_sent(&mut self, at: Time, message: u64, instance: usize, endpoint: u32) {
+        self.check_retry_after(at, message, instance, endpoint);
+        let Some(open) = self.messages.get_mut(&message) else {
+            let description =
+                format!("an attempt of message {message}, which has ended or was never accepted");
+            return self.violated(Invariant::SingleFinalOutcome, at, None, description);
+        };
+        let sent = AttemptInFlight {
+            endpoint,
+            sent_at: at,
+        };
+        if let Some(other) = open.in_flight.replace(sent) {
+            let description = format!(
+                "an attempt of message {message} while another one is in flight to endpoint {} since {:.6} s",
+                other.endpoint,
+                other.sent_at.ms() / 1000.0
+            );
+            return self.violated(
+                Invariant::SingleAttemptInFlight,
+                at,
+                Some(message),
+                description,
+            );
+        }
+        let age = open.first_possible_execution.map(|first| at - first);
+        let idempotency = self.scenario.classes[open.class].class.idempotency;
+        if let Some(reason) = age.and_then(|age| forbidden_retry(idempotency, age)) {
+            let description = format!("message {message} was sent again, but {reason}");
+            self.violated(Invariant::RetriesPermitted, at, Some(message), description);
+        }
+    }
+
+    fn check_retry_after(&mut self, at: Time, message: u64, instance: usize, endpoint: u32) {
+        let destination = self.endpoint_locations[endpoint as usize].destination;
+        let Some(until) = self.retry_not_before.get(&(instance, destination)) else {
+            return;
+        };
+        if at < *until {
+            let early = (*until - at).ms();
+            let description =
+                format!("message {message} was sent {early:.3} ms before Retry-After had passed");
+            self.violated(
+                Invariant::RetryAfterObserved,
+                at,
+                Some(message),
+                description,
+            );
+        }
+    }
+
+    fn attempt_arrived(&mut self, at: Time, message: u64, endpoint: u32) {
+        let Some(since) = self.unlisted_since.get(&endpoint) else {
+            return;
+        };
+        let late = at - *since;
+        if late > LIST_PROPAGATION_TIME {
+            let description = format!(
+                "message {message} arrived at endpoint {endpoint} {:.0} ms after it left the list",
+                late.ms()
+            );
+            self.violated(Invariant::DrainingObserved, at, Some(message), description);
+        }
+    }
+
+    fn record_retry_after(&mut self, at: Time, instance: usize, endpoint: u32, outcome: Outcome) {
+        let Outcome::Rejected {
+            retry_after: Some(wait),
+        } = outcome
+        else {
+            return;
+        };
+        let destination = self.endpoint_locations[endpoint as usize].destination;
+        let key = (instance, destination);
+        let until = self.retry_not_before.entry(key).or_insert(at);
+        *until = (*until).max(at + wait);
+    }
+
+    fn attempt_ended(&mut self, message: u64, outcome: Outcome) {
+        let Some(open) = self.messages.get_mut(&message) else {
+            return;
+        };
+        if let Some(attempt) = open.in_flight.take() {
+            if !outcome.proves_not_executed() {
+                open.first_possible_execution.get_or_insert(attempt.sent_at);
+            }
+        }
+        if open.has_ended {
+            self.messages.remove(&message);
+        }
+    }
+
+    fn endpoint_listed(&mut self, at: Time, endpoint: u32, status: EndpointStatus) {
+        if status == EndpointStatus::Active {
+            self.unlisted_since.remove(&endpoint);
+        } else {
+            self.unlisted_since.entry(endpoint).or_insert(at);
+        }
+    }
+
+    /// The attempts of an instance that crashed may have been executed. A Retry-After does not survive the crash.
+    fn instance_crashed(&mut self, instance: usize) {
+        let messages = self.messages.values_mut();
+        for open in messages.filter(|open| open.instance == instance) {
+            if let Some(attempt) = open.in_flight.take() {
+                open.first_possible_execution.get_or_insert(attempt.sent_at);
+            }
+        }
+        self.messages
+            .retain(|_, open| open.instance != instance || !open.has_ended);
+        self.retry_not_before
+            .retain(|(of_instance, _), _| *of_instance != instance);
+    }
+}
+
+/// Why a message may not be retried at this time after its first possible execution, if it may not.
+fn forbidden_retry(idempotency: Idempotency, age: Span) -> Option<String> {
+    match idempotency {
+        Idempotency::NonIdempotent => Some("its class is not idempotent".to_owned()),
+        Idempotency::IdempotencyKey { window, .. } if age >= window => Some(format!(
+            "it was first sent {:.1} s ago, and its idempotency key is valid for {:.1} s",
+            age.secs(),
+            window.secs()
+        )),
+        Idempotency::IdempotencyKey { .. } | Idempotency::Idempotent => None,
+    }
+}
--- a/crates/simulation/src/metrics.rs
+++ b/crates/simulation/src/metrics.rs
@@ -3,7 +3,7 @@
 mod export;
 mod summary;
 
-pub use summary::{measure, ClassSummary, Summary};
+pub use summary::{measure, ClassSummary, MeasuredRun, Summary};
 
 use crate::destination::Destination;
 use crate::observation::{FinalOutcome, Observation};
--- a/crates/simulation/src/metrics/summary.rs
+++ b/crates/simulation/src/metrics/summary.rs
@@ -54,7 +54,7 @@
 
 impl Summary {
     /// The summary of a run.
-    pub fn of(metrics: &Metrics, verdict: &Verdict) -> Summary {
+    fn of(metrics: &Metrics, verdict: &Verdict) -> Summary {
         let classes: Vec<ClassSummary> = metrics.classes.iter().map(ClassSummary::of).collect();
         let first_violation = verdict.violations.first().map(|violation| {
             let text = violation.to_string();
@@ -71,13 +71,31 @@
     }
 }
 
+/// A run that was measured and checked.
+pub struct MeasuredRun {
+    /// Its metrics.
+    pub metrics: Metrics,
+    /// Its violations.
+    pub verdict: Verdict,
+}
+
+impl MeasuredRun {
+    /// The summary of the run.
+    pub fn summary(&self) -> Summary {
+        Summary::of(&self.metrics, &self.verdict)
+    }
+}
+
 /// Plays a scenario, collects its metrics and checks its invariants.
-pub fn measure(scenario: &Scenario, seed: u64, make_node: NodeFactory<'_>) -> (Metrics, Verdict) {
+pub fn measure(scenario: &Scenario, seed: u64, make_node: NodeFactory<'_>) -> MeasuredRun {
     let mut checker = InvariantChecker::new(scenario);
     let mut metrics = Metrics::new(scenario);
     let totals = play(scenario, seed, make_node, &mut |at, observation| {
         checker.observe(at, observation);
         metrics.observe(at, observation);
     });
-    (metrics, checker.finish(totals.ended_at))
+    MeasuredRun {
+        metrics,
+        verdict: checker.finish(totals.ended_at),
+    }
 }
--- a/crates/simulation/src/report/run.rs
+++ b/crates/simulation/src/report/run.rs
@@ -2,8 +2,7 @@
 
 use super::{ReportError, PAGE, RUN};
 use crate::destination::{Destination, Outage, OutageKind};
-use crate::invariants::Verdict;
-use crate::metrics::{ClassMetrics, DestinationMetrics, Metrics, Summary};
+use crate::metrics::{ClassMetrics, DestinationMetrics, MeasuredRun, Summary};
 use crate::scenario::Scenario;
 use marblefall_scheduler::{EndpointStatus, Time};
 use serde::{Deserialize, Serialize};
@@ -145,7 +144,8 @@
 
 impl RunReport {
     /// The report of a run.
-    pub fn of(scenario: &Scenario, seed: u64, metrics: &Metrics, verdict: &Verdict) -> RunReport {
+    pub fn of(scenario: &Scenario, seed: u64, run: &MeasuredRun) -> RunReport {
+        let MeasuredRun { metrics, verdict } = run;
         let delivered = metrics
             .classes
             .iter()
@@ -156,7 +156,7 @@
             seed,
             seconds: scenario.seconds,
             bin_s: metrics.bin_s,
-            summary: Summary::of(metrics, verdict),
+            summary: run.summary(),
             delivery_times: delivered.map(delivery_times).collect(),
             destinations: destinations
                 .map(|(spec, metrics)| destination_report(spec, metrics))
--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -145,7 +145,7 @@
 impl Scenario {
     /// How long clients submit messages.
     pub fn length(&self) -> Time {
-        Time::from_ms(self.seconds * 1000.0)
+        Time(0) + Span::from_secs(self.seconds)
     }
 
     /// The settings of every instance.
--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -125,13 +125,13 @@
     /// A duration given in seconds, or the default.
     fn span(&mut self, path: &str, given: Option<Number>, default_s: f64) -> Span {
         let bounds = Bounds::new(default_s, 0.0, MAX_DURATION_S);
-        Span::from_ms(self.number(path, given, bounds) * 1000.0)
+        Span::from_secs(self.number(path, given, bounds))
     }
 
     /// A time given in seconds.
     fn time(&mut self, path: &str, given: Number) -> Time {
         let bounds = Bounds::new(0.0, 0.0, MAX_DURATION_S);
-        Time::from_ms(self.number(path, Some(given), bounds) * 1000.0)
+        Time(0) + Span::from_secs(self.number(path, Some(given), bounds))
     }
 
     /// Makes the scenario. The order of these steps is the order of the draws.
--- a/crates/simulation/src/seed_search.rs
+++ b/crates/simulation/src/seed_search.rs
@@ -78,11 +78,11 @@
     make_node: SyncNodeFactory<'_>,
 ) -> Result<SeedResult, ScenarioError> {
     let scenario = draft.scenario(seed)?;
-    let (metrics, verdict) = measure(&scenario, seed, &|incarnation| make_node(incarnation));
-    let first = verdict.violations.first();
+    let run = measure(&scenario, seed, &|incarnation| make_node(incarnation));
+    let first = run.verdict.violations.first();
     Ok(SeedResult {
         seed,
         violated: first.map(|violation| violation.invariant),
-        summary: Summary::of(&metrics, &verdict),
+        summary: run.summary(),
     })
 }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -17,6 +17,15 @@
     Failed { after: Span, outcome: Outcome },
 }
 
+/// An attempt that has just ended.
+struct EndedAttempt {
+    instance: usize,
+    start: AttemptStart,
+    number: AttemptNumber,
+    /// Whether it delivers its message, which had no final outcome before.
+    is_final: bool,
+}
+
 impl Simulation<'_> {
     /// Starts an attempt of an instance.
     pub(super) fn send(
@@ -26,6 +35,25 @@
         endpoint: EndpointId,
         timeout_at: Time,
     ) {
+        self.record_attempt(instance, id, endpoint);
+        let attempt = TravellingAttempt {
+            message: id,
+            incarnation: self.instances[instance].incarnation,
+            endpoint,
+            timeout_at,
+        };
+        let network_delay = self.network_delay();
+        match self.connect(instance, id, endpoint, network_delay) {
+            Connection::Established { after } => {
+                self.travel(attempt, Span(network_delay.0 + after.0));
+            }
+            Connection::Failed { after, outcome } => {
+                self.queue.push(self.now + after, attempt.ends(outcome));
+            }
+        }
+    }
+
+    fn record_attempt(&mut self, instance: usize, id: u64, endpoint: EndpointId) {
         self.observe(Observation::AttemptSent {
             message: id,
             instance,
@@ -39,29 +67,15 @@
                 sent: self.now,
             });
         }
-        let incarnation = self.instances[instance].incarnation;
-        let ends = |outcome| SimulationEvent::AttemptEnds {
-            message: id,
-            incarnation,
-            outcome,
-        };
-        let network_delay = self.network_delay();
-        let delay = match self.connect(instance, id, endpoint, network_delay) {
-            Connection::Established { after } => Span(network_delay.0 + after.0),
-            Connection::Failed { after, outcome } => {
-                return self.queue.push(self.now + after, ends(outcome));
-            }
-        };
-        let destination = self.destination_of(endpoint);
+    }
+
+    /// Sends an attempt to its endpoint, unless it is lost.
+    fn travel(&mut self, attempt: TravellingAttempt, delay: Span) {
+        let destination = self.destination_of(attempt.endpoint);
         if self.scenario.is_partitioned(destination, self.now) || self.is_lost_in_network() {
-            return self.queue.push(timeout_at, ends(Outcome::TimedOut));
+            let times_out = attempt.ends(Outcome::TimedOut);
+            return self.queue.push(attempt.timeout_at, times_out);
         }
-        let attempt = TravellingAttempt {
-            message: id,
-            incarnation,
-            endpoint,
-            timeout_at,
-        };
         let arrives = SimulationEvent::AttemptArrives(attempt);
         self.queue.push(self.now + delay, arrives);
     }
@@ -106,17 +120,11 @@
 
     /// Handles an attempt that arrives at its endpoint, and schedules its end.
     pub(super) fn attempt_arrives(&mut self, attempt: TravellingAttempt) {
-        let TravellingAttempt {
-            message,
-            incarnation,
-            endpoint,
-            timeout_at,
-        } = attempt;
         self.observe(Observation::AttemptArrived {
-            message,
-            endpoint: endpoint.0,
+            message: attempt.message,
+            endpoint: attempt.endpoint.0,
         });
-        let location = self.endpoint_locations[endpoint.0 as usize];
+        let location = self.endpoint_locations[attempt.endpoint.0 as usize];
         let destination = location.destination;
         let result =
             self.destinations[destination].receive(self.now, location.index, &mut self.rng);
@@ -127,63 +135,72 @@
         let is_lost =
             self.is_lost_in_network() || self.scenario.is_partitioned(destination, self.now);
         let (at, outcome) = match result.answer().filter(|_| !is_lost) {
-            Some((at, outcome)) if at + delay < timeout_at => (at + delay, outcome),
-            _ => (timeout_at, Outcome::TimedOut),
-        };
-        let ends = SimulationEvent::AttemptEnds {
-            message,
-            incarnation,
-            outcome,
+            Some((at, outcome)) if at + delay < attempt.timeout_at => (at + delay, outcome),
+            _ => (attempt.timeout_at, Outcome::TimedOut),
         };
-        self.queue.push(at.max(self.now + Span(1)), ends);
+        let at = at.max(self.now + Span(1));
+        self.queue.push(at, attempt.ends(outcome));
     }
 
     /// Ends an attempt for its instance, if the incarnation that started it still runs.
     pub(super) fn attempt_ends(&mut self, id: u64, incarnation: u32, outcome: Outcome) {
-        let Some(message) = self.messages.get_mut(&id) else {
-            return;
-        };
-        let instance = message.instance;
-        if self.instances[instance].incarnation != incarnation {
-            return;
-        }
-        let Some(ended) = message.in_flight.take() else {
+        let Some(ended) = self.take_attempt(id, incarnation, outcome) else {
             return;
         };
-        if !outcome.proves_not_executed() {
-            message.first_possible_execution.get_or_insert(ended);
-        }
-        if std::mem::take(&mut message.holds_connection) {
-            let release = release_after(outcome);
-            self.connection_pool
-                .release(self.now, instance, ended.endpoint.0, release);
-        }
-        let attempt = AttemptNumber(message.attempts - 1);
-        let is_final = outcome == Outcome::Delivered && !message.has_ended;
         self.observe(Observation::AttemptEnded {
             message: id,
-            instance,
-            endpoint: ended.endpoint.0,
+            instance: ended.instance,
+            endpoint: ended.start.endpoint.0,
             outcome,
         });
-        if is_final {
+        if ended.is_final {
             self.finish(id, FinalOutcome::Delivered);
         }
         let finished = Event::AttemptFinished {
             message: MessageId(id),
-            attempt,
+            attempt: ended.number,
             outcome,
-            duration: self.now - ended.sent,
-            is_final,
+            duration: self.now - ended.start.sent,
+            is_final: ended.is_final,
             rate_limit: RateLimitReport::default(),
         };
-        self.deliver(instance, &[finished]);
+        self.deliver(ended.instance, &[finished]);
         let is_over = |message: &Message| message.has_ended && message.in_flight.is_none();
         if self.messages.get(&id).is_some_and(is_over) {
             self.messages.remove(&id);
         }
     }
 
+    /// Takes the attempt in flight of a message and releases its connection, if the incarnation that started it still
+    /// runs.
+    fn take_attempt(
+        &mut self,
+        id: u64,
+        incarnation: u32,
+        outcome: Outcome,
+    ) -> Option<EndedAttempt> {
+        let message = self.messages.get_mut(&id)?;
+        let instance = message.instance;
+        if self.instances[instance].incarnation != incarnation {
+            return None;
+        }
+        let start = message.in_flight.take()?;
+        if !outcome.proves_not_executed() {
+            message.first_possible_execution.get_or_insert(start);
+        }
+        if std::mem::take(&mut message.holds_connection) {
+            let release = release_after(outcome);
+            self.connection_pool
+                .release(self.now, instance, start.endpoint.0, release);
+        }
+        Some(EndedAttempt {
+            instance,
+            start,
+            number: AttemptNumber(message.attempts - 1),
+            is_final: outcome == Outcome::Delivered && !message.has_ended,
+        })
+    }
+
     /// Ends a message for its client, which may submit it again if it was rejected.
     pub(super) fn finish(&mut self, id: u64, outcome: FinalOutcome) {
         self.observe(Observation::Finished {
--- a/crates/simulation/src/simulation/event_queue.rs
+++ b/crates/simulation/src/simulation/event_queue.rs
@@ -30,6 +30,17 @@
     pub(super) timeout_at: Time,
 }
 
+impl TravellingAttempt {
+    /// The event of its end.
+    pub(super) fn ends(self, outcome: Outcome) -> SimulationEvent {
+        SimulationEvent::AttemptEnds {
+            message: self.message,
+            incarnation: self.incarnation,
+            outcome,
+        }
+    }
+}
+
 /// An event of the simulation. Loads, list changes, crashes and instances are indices into the scenario.
 pub(super) enum SimulationEvent {
     /// The next message or burst of a load arrives.
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,6 +1,6 @@
 //! Recorded arrivals: a CSV file with a head line and, first in each further line, a time in seconds.
 
-use marblefall_scheduler::Time;
+use marblefall_scheduler::{Span, Time};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -97,7 +97,7 @@
     let field = text.split(',').next().unwrap_or_default();
     let field = field.trim().trim_matches('"');
     match field.parse::<f64>() {
-        Ok(secs) if (0.0..MAX_TIME_S).contains(&secs) => Ok(Time::from_ms(secs * 1000.0)),
+        Ok(secs) if (0.0..MAX_TIME_S).contains(&secs) => Ok(Time(0) + Span::from_secs(secs)),
         _ => Err(TraceError::InvalidTime {
             line,
             field: field.to_owned(),
--- a/crates/simulation/tests/core_driver.rs
+++ b/crates/simulation/tests/core_driver.rs
@@ -7,7 +7,7 @@
 use common::shipped_scenario;
 use marblefall_simulation::core_driver::CoreNodes;
 use marblefall_simulation::invariants::{check_run, Invariant};
-use marblefall_simulation::metrics::{measure, Summary};
+use marblefall_simulation::metrics::measure;
 use marblefall_simulation::scenario::Scenario;
 use marblefall_simulation::simulation::{production_node, Incarnation};
 use std::collections::HashSet;
@@ -48,15 +48,15 @@
 fn assert_core_delivers_alike(name: &str, seed: u64) {
     let scenario = read(name, &[], seed);
     let nodes = CoreNodes::new(MAX_DISK_BYTES).unwrap();
-    let (metrics, verdict) = measure(&scenario, seed, &|incarnation| nodes.node(incarnation));
+    let run = measure(&scenario, seed, &|incarnation| nodes.node(incarnation));
     assert!(
-        verdict.is_clean(),
+        run.verdict.is_clean(),
         "{name} {seed}: {}",
-        verdict.violations[0]
+        run.verdict.violations[0]
     );
-    let core = Summary::of(&metrics, &verdict).delivered_value_share;
-    let (metrics, verdict) = measure(&scenario, seed, &production_node);
-    let scheduler = Summary::of(&metrics, &verdict).delivered_value_share;
+    let core = run.summary().delivered_value_share;
+    let run = measure(&scenario, seed, &production_node);
+    let scheduler = run.summary().delivered_value_share;
     assert!(
         (core - scheduler).abs() < 0.03,
         "{name} {seed}: {core} on the core, {scheduler} on the scheduler alone"
@@ -90,11 +90,11 @@
     let scenario = read("month-start", &["couriers.max_open=4000"], 1);
     let rejected = |max_disk_bytes: u64| {
         let nodes = CoreNodes::new(max_disk_bytes).unwrap();
-        let (metrics, verdict) = measure(&scenario, 1, &|incarnation| nodes.node(incarnation));
+        let run = measure(&scenario, 1, &|incarnation| nodes.node(incarnation));
         assert!(
-            verdict.is_clean(),
+            run.verdict.is_clean(),
             "{max_disk_bytes}: {}",
-            verdict.violations[0]
+            run.verdict.violations[0]
         );
         let occupied = |instance| {
             let files = std::fs::read_dir(nodes.folder(instance)).unwrap();
@@ -107,7 +107,7 @@
             (0..scenario.instances).all(|instance| occupied(instance) <= max_disk_bytes),
             "{max_disk_bytes}"
         );
-        let classes = metrics.classes.iter();
+        let classes = run.metrics.classes.iter();
         classes.map(|class| class.counts.rejected).sum::<u64>()
     };
     let (small, large) = (rejected(500_000), rejected(30_000_000));
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -9,7 +9,7 @@
 use marblefall_simulation::compare::{Comparison, Difference};
 use marblefall_simulation::experiment::{self, CellResult, Experiment};
 use marblefall_simulation::invariants::{check_run, Invariant};
-use marblefall_simulation::metrics::{measure, Summary};
+use marblefall_simulation::metrics::measure;
 use marblefall_simulation::mutants::Mutation;
 use marblefall_simulation::report::{of_folder, RunReport};
 use marblefall_simulation::scenario::{Draft, Scenario};
@@ -262,8 +262,7 @@
     let offered = |overrides: &[String]| {
         let draft = Draft::read(&shipped_scenario("base"), overrides).unwrap();
         let scenario = draft.scenario(1).unwrap();
-        let (metrics, verdict) = measure(&scenario, 1, &production_node);
-        let summary = Summary::of(&metrics, &verdict);
+        let summary = measure(&scenario, 1, &production_node).summary();
         let classes = summary.classes.iter();
         classes.map(|class| class.counts.offered).sum::<u64>() as f64
     };
@@ -284,15 +283,15 @@
         ("mutant", &mutant as NodeFactory<'_>),
         ("production", &production_node),
     ] {
-        let (metrics, verdict) = measure(&scenario, 2, make_node);
-        assert_eq!(verdict.is_clean(), name == "production");
-        let verdict_text = match verdict.count {
+        let run = measure(&scenario, 2, make_node);
+        assert_eq!(run.verdict.is_clean(), name == "production");
+        let verdict_text = match run.verdict.count {
             0 => "✓ All invariants hold".to_owned(),
             count => format!("✗ {count} violations"),
         };
         let out = folder.0.join(name);
-        metrics.write(&out).unwrap();
-        let report = RunReport::of(&scenario, 2, &metrics, &verdict);
+        run.metrics.write(&out).unwrap();
+        let report = RunReport::of(&scenario, 2, &run);
         report.write(&out).unwrap();
         let page = of_folder(&out).unwrap();
         assert_eq!(
