--- /dev/null
+++ b/crates/simulation/tests/core_driver.rs
@@ -0,0 +1,118 @@
+//! Whole scenarios on the core: engine, message store and journal, across crashes of its process.
+
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
+
+mod common;
+
+use common::shipped_scenario;
+use marblefall_simulation::core_driver::CoreNodes;
+use marblefall_simulation::invariants::{check_run, Invariant};
+use marblefall_simulation::metrics::{measure, Summary};
+use marblefall_simulation::scenario::Scenario;
+use marblefall_simulation::simulation::{production_node, Incarnation};
+use std::collections::HashSet;
+use std::sync::Mutex;
+use std::thread;
+
+/// Size of the folders that the platform provides.
+const MAX_DISK_BYTES: u64 = 3_000_000;
+/// Size of a block of the file system.
+const BLOCK_BYTES: u64 = 512;
+
+fn read(name: &str, overrides: &[&str], seed: u64) -> Scenario {
+    let overrides: Vec<String> = overrides.iter().map(|one| (*one).to_owned()).collect();
+    Scenario::read(&shipped_scenario(name), &overrides, seed).unwrap()
+}
+
+#[test]
+fn core_satisfies_invariants_and_delivers_like_scheduler() {
+    let scenarios = [
+        "base",
+        "blackout",
+        "crash",
+        "drain",
+        "loss",
+        "mixed",
+        "month-start",
+        "rolling",
+        "shut",
+    ];
+    let threads = scenarios.map(|name| {
+        thread::spawn(move || (1..=2).for_each(|seed| assert_core_delivers_alike(name, seed)))
+    });
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().unwrap());
+}
+
+fn assert_core_delivers_alike(name: &str, seed: u64) {
+    let scenario = read(name, &[], seed);
+    let nodes = CoreNodes::new(MAX_DISK_BYTES).unwrap();
+    let (metrics, verdict) = measure(&scenario, seed, &|incarnation| nodes.node(incarnation));
+    assert!(
+        verdict.is_clean(),
+        "{name} {seed}: {}",
+        verdict.violations[0]
+    );
+    let core = Summary::of(&metrics, &verdict).delivered_value_share;
+    let (metrics, verdict) = measure(&scenario, seed, &production_node);
+    let scheduler = Summary::of(&metrics, &verdict).delivered_value_share;
+    assert!(
+        (core - scheduler).abs() < 0.03,
+        "{name} {seed}: {core} on the core, {scheduler} on the scheduler alone"
+    );
+}
+
+#[test]
+fn lost_journal_is_detected() {
+    let scenario = read("rolling", &[], 1);
+    let nodes = CoreNodes::new(MAX_DISK_BYTES).unwrap();
+    let started = Mutex::new(HashSet::new());
+    let node_without_journal = |incarnation: Incarnation| {
+        let is_first = started.lock().unwrap().insert(incarnation.instance);
+        if !is_first {
+            std::fs::remove_dir_all(nodes.folder(incarnation.instance)).unwrap();
+        }
+        nodes.node(incarnation)
+    };
+    let verdict = check_run(&scenario, 1, &node_without_journal);
+    let mut violations = verdict.violations.iter();
+    assert!(
+        violations.any(|violation| violation.invariant == Invariant::NoMessageLost),
+        "{:?}",
+        verdict.count
+    );
+}
+
+#[test]
+fn nearly_full_disk_rejects_messages_and_loses_none() {
+    // The messages that wait for the hospital would fill half a megabyte many times over.
+    let scenario = read("month-start", &["couriers.max_open=4000"], 1);
+    let rejected = |max_disk_bytes: u64| {
+        let nodes = CoreNodes::new(max_disk_bytes).unwrap();
+        let (metrics, verdict) = measure(&scenario, 1, &|incarnation| nodes.node(incarnation));
+        assert!(
+            verdict.is_clean(),
+            "{max_disk_bytes}: {}",
+            verdict.violations[0]
+        );
+        let occupied = |instance| {
+            let files = std::fs::read_dir(nodes.folder(instance)).unwrap();
+            let sizes = files.map(|file| file.unwrap().metadata().unwrap().len());
+            sizes
+                .map(|size| size.div_ceil(BLOCK_BYTES) * BLOCK_BYTES)
+                .sum::<u64>()
+        };
+        assert!(
+            (0..scenario.instances).all(|instance| occupied(instance) <= max_disk_bytes),
+            "{max_disk_bytes}"
+        );
+        let classes = metrics.classes.iter();
+        classes.map(|class| class.counts.rejected).sum::<u64>()
+    };
+    let (small, large) = (rejected(500_000), rejected(30_000_000));
+    assert!(
+        small > large,
+        "{small} on a small disk, {large} on a large one"
+    );
+}
