--- a/crates/scheduler/src/baseline_rate.rs
+++ b/crates/scheduler/src/baseline_rate.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BaselineRate {
     per_s: f64,
-    /// Time of the last success, or of the begin of an outage.
+    /// Time of the last success, or of the start of an outage.
     updated_at: Option<Time>,
 }
 
--- a/crates/scheduler/src/interface/route.rs
+++ b/crates/scheduler/src/interface/route.rs
@@ -13,7 +13,7 @@
     pub recovering_since: Option<Time>,
     /// Mean latency, in milliseconds.
     pub mean_latency_ms: Option<f64>,
-    /// Calls per second that this instance usually delivers on the route.
+    /// Calls per second that this instance delivers on the route while it is healthy.
     pub baseline_rate: f64,
 }
 
@@ -68,7 +68,7 @@
     pub backoff_until: Option<Time>,
     /// Mean latency, in milliseconds.
     pub mean_latency_ms: Option<f64>,
-    /// Calls per second that this instance usually delivers there.
+    /// Calls per second that this instance delivers there while the destination is healthy.
     pub baseline_rate: f64,
     /// Messages for the destination without a final outcome.
     pub pending: usize,
--- a/crates/scheduler/src/interface/settings.rs
+++ b/crates/scheduler/src/interface/settings.rs
@@ -120,7 +120,7 @@
 pub struct Rules {
     /// Share of its capacity that a route has when it begins to recover.
     pub ramp_start: f64,
-    /// Time from the begin of a recovery to full capacity.
+    /// Time from the start of a recovery to full capacity.
     pub ramp_duration: Span,
     /// Load, as a multiple of a recovering route's present capacity, that makes it fail again.
     pub overload_factor: f64,
--- a/crates/scheduler/src/policy/capacity.rs
+++ b/crates/scheduler/src/policy/capacity.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::Scheduler;
 use crate::state::Route;
 
-/// Rate of a route after its ramp while messages wait for it, as a multiple of its listed or usual rate.
+/// Rate of a route after its ramp while messages wait for it, as a multiple of its listed or baseline rate.
 const CATCH_UP_FACTOR: f64 = 1.2;
 
 impl Scheduler {
--- a/crates/scheduler/src/policy/route_rate.rs
+++ b/crates/scheduler/src/policy/route_rate.rs
@@ -28,21 +28,21 @@
         Some(route.advertised_rate).filter(|rate| has_hints && *rate > MIN_RATE)
     }
 
-    /// Calls per second that this instance may count on of a route's full rate: what it usually delivers
-    /// there, drawn towards an even share of the known rate, or of its own traffic over all destinations. The
+    /// Calls per second that this instance may count on of a route's full rate: its baseline rate there,
+    /// drawn towards an even share of the known rate, or of its own traffic over all destinations. The
     /// shares of all instances add up to no more than the route accepts.
     pub(crate) fn own_rate(&self, now: Time, route: &Route) -> f64 {
         let (instances, unseen) = (self.instances(), self.unseen_load());
         let has_hints = self.settings.rate_hints != RateHints::Absent;
         let listed = Some(route.advertised_rate.max(MIN_RATE)).filter(|_| has_hints);
-        let usual = self.usual_rate(now, route);
-        let least = usual
+        let baseline = self.baseline_rate(now, route);
+        let least = baseline
             .max(self.even_share(now, listed))
             .max(MIN_RATE / instances);
         let even = self
             .even_share(now, route.reported_limit.or(listed))
             .max(MIN_EVEN_SHARE);
-        let drawn = (1.0 + usual * BASELINE_TIME_S) / (1.0 / even + BASELINE_TIME_S);
+        let drawn = (1.0 + baseline * BASELINE_TIME_S) / (1.0 / even + BASELINE_TIME_S);
         let own = ((1.0 - unseen) * least).max(drawn);
         // One of many instances counts on its even share of a reported limit, whatever it delivered before.
         route
@@ -50,8 +50,9 @@
             .map_or(own, |limit| own + unseen * (limit / instances - own))
     }
 
-    /// Calls per second that this instance usually delivers on a route.
-    fn usual_rate(&self, now: Time, route: &Route) -> f64 {
+    /// Calls per second that this instance delivers on a healthy route. On a settled route the rate falls
+    /// while no call succeeds.
+    fn baseline_rate(&self, now: Time, route: &Route) -> f64 {
         let ramp_duration = self.settings.rules.ramp_duration;
         if route.ramp.is_settled(now, ramp_duration) {
             route.baseline_rate.current_per_s(now)
--- a/crates/scheduler/src/rate_limiter.rs
+++ b/crates/scheduler/src/rate_limiter.rs
@@ -87,6 +87,13 @@
     pub min_rate: f64,
 }
 
+/// How the route responded to a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Response {
+    Accepted,
+    Rejected,
+}
+
 /// The rate limiter of one instance towards one route. Rates are in calls per second.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimiter {
@@ -202,7 +209,7 @@
         self.rate =
             (self.rate + INCREASE_FRACTION * self.full_rate).min(MAX_RATE_FACTOR * self.full_rate);
         if let Some(view) = view {
-            self.measure(now, call.sent, false, view);
+            self.measure(now, call.sent, Response::Accepted, view);
         }
         now - self.last_rejection <= RETENTION
     }
@@ -220,7 +227,7 @@
             self.last_rejection = now;
         }
         if let Some(view) = view {
-            self.measure(now, call.sent, true, view);
+            self.measure(now, call.sent, Response::Rejected, view);
         }
     }
 
@@ -234,13 +241,13 @@
     }
 
     /// Counts a call in the measurement of the rate that it was sent at, and evaluates a complete measurement.
-    fn measure(&mut self, now: Time, sent: Time, rejected: bool, view: LimitView) {
+    fn measure(&mut self, now: Time, sent: Time, response: Response, view: LimitView) {
         let measurement = &mut self.measurement;
         if sent < measurement.since {
             return;
         }
         measurement.calls += 1;
-        measurement.rejected += u32::from(rejected);
+        measurement.rejected += u32::from(response == Response::Rejected);
         if measurement.calls >= measurement.needed_calls(view.instances) {
             self.evaluate(now, view);
         }
--- a/crates/scheduler/src/scheduler/idle.rs
+++ b/crates/scheduler/src/scheduler/idle.rs
@@ -40,7 +40,8 @@
         self.rejection_holds.remove(&id);
         self.ejected_routes.remove(&route);
         let route = self.routes.remove(&route)?;
-        let record = self.idle_record(now, &route, false);
+        let has_pending = self.pending.has(id);
+        let record = self.idle_record(now, &route, has_pending);
         Some(CompactedDestination { endpoints, record })
     }
 
--- a/crates/scheduler/src/scheduler/messages.rs
+++ b/crates/scheduler/src/scheduler/messages.rs
@@ -26,19 +26,10 @@
         self.accepted_count += 1.0;
         // The idempotency window and the number of attempts hold across incarnations.
         let attempts = prior.map_or(0, |prior| prior.attempts);
-        let first_possible_execution = prior.and_then(|prior| prior.first_possible_execution);
         if attempts > 0 {
             self.assume_silence(now, new.destination);
         }
-        let in_flight = prior.and_then(|prior| self.adopt_attempt(prior.in_flight?));
-        let state = in_flight.map_or(MessageState::Pending, MessageState::InFlight);
-        self.forget_resubmitted(new.message);
-        if in_flight.is_none() {
-            let has_attempt = attempts > 0 || first_possible_execution.is_some();
-            let tried = if has_attempt { Tried::Yes } else { Tried::No };
-            self.pending
-                .insert(new.destination, new.deadline, new.message, tried);
-        }
+        let state = self.adopt_or_queue(new, prior);
         let message = Message {
             class: new.class,
             destination: new.destination,
@@ -49,11 +40,27 @@
             deadline: new.deadline,
             attempts,
             state,
-            first_possible_execution,
+            first_possible_execution: prior.and_then(|prior| prior.first_possible_execution),
         };
         self.messages.insert(new.message, message);
     }
 
+    /// Adopts the attempt of an earlier incarnation that is still in flight. Without one, the message becomes pending.
+    /// An earlier submission of the message is no longer pending in either case.
+    fn adopt_or_queue(&mut self, new: &NewMessage, prior: Option<&PriorAttempts>) -> MessageState {
+        let in_flight = prior.and_then(|prior| self.adopt_attempt(prior.in_flight?));
+        self.forget_resubmitted(new.message);
+        if let Some(attempt) = in_flight {
+            return MessageState::InFlight(attempt);
+        }
+        let has_attempt = prior
+            .is_some_and(|prior| prior.attempts > 0 || prior.first_possible_execution.is_some());
+        let tried = if has_attempt { Tried::Yes } else { Tried::No };
+        self.pending
+            .insert(new.destination, new.deadline, new.message, tried);
+        MessageState::Pending
+    }
+
     /// Counts a message against its tenant's quota; returns its weight, which is lower beyond the quota.
     fn weight_by_quota(&mut self, now: Time, tenant: Option<TenantId>, class_weight: f64) -> f64 {
         if tenant.is_some_and(|tenant| self.is_over_quota(now, tenant)) {
--- a/crates/scheduler/tests/recovery_model/scheduler.rs
+++ b/crates/scheduler/tests/recovery_model/scheduler.rs
@@ -123,7 +123,7 @@
         if recovering_for >= rules.ramp_duration {
             return Ok(());
         }
-        // Only calls since the begin of the recovery count against the present capacity.
+        // Only calls since the start of the recovery count against the present capacity.
         let counts = |sent: Time| sent >= since && now - sent < rules.overload_window;
         let recent = self.sends.iter().filter(|(_, sent)| counts(*sent)).count();
         if recent > max_calls(rules, recovering_for, own_rate, f64::INFINITY) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings of an instance, as the simulator's first message and the platform's configuration both spell them,
 //! and their conversion to the scheduler's settings.
 //!
-//! The keys of the JSON form are the platform's. They stand in the `rename` attributes here and nowhere else. Absent
-//! keys get the careful default; unknown keys are ignored.
+//! The keys of the JSON form are the platform's. They are written in the `rename` attributes here and nowhere else.
+//! Absent keys get a cautious default; unknown keys are ignored.
 
 #![forbid(unsafe_code)]
 
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -9,7 +9,7 @@
     /// Share of its capacity that a route has when it begins to recover.
     #[serde(rename = "cold_from")]
     pub ramp_start: f64,
-    /// Time from the begin of a recovery to full capacity.
+    /// Time from the start of a recovery to full capacity.
     #[serde(rename = "cold_ms")]
     pub ramp_duration_ms: f64,
     /// Load, as a multiple of a recovering route's present capacity, that makes it fail again.
