--- a/crates/simulation/src/process_experiment.rs
+++ b/crates/simulation/src/process_experiment.rs
@@ -18,7 +18,7 @@
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
     /// The program under test was not found.
-    #[error("the program marblefall is not beside this one: say --program FILE")]
+    #[error("the program marblefall is not in the folder of this one: give --program FILE")]
     ProgramNotFound,
     /// A run was inconclusive.
     #[error(transparent)]
@@ -53,8 +53,8 @@
 
 impl ProcessArguments {
     fn program(&self) -> Result<PathBuf, ProcessExperimentError> {
-        let beside = || Some(std::env::current_exe().ok()?.with_file_name("marblefall"));
-        let program = self.program.clone().or_else(beside);
+        let default = || Some(std::env::current_exe().ok()?.with_file_name("marblefall"));
+        let program = self.program.clone().or_else(default);
         program
             .filter(|program| program.is_file())
             .ok_or(ProcessExperimentError::ProgramNotFound)
@@ -104,7 +104,7 @@
         println!("{violation}");
     }
     println!(
-        "\nto play it again: marblefall-simulation play {} --on processes --seed {}",
+        "\nto repeat it: marblefall-simulation play {} --on processes --seed {}",
         path.display(),
         schedule.seed
     );
@@ -118,8 +118,8 @@
         withdrawn,
     } = report.changes;
     format!(
-        "{} acts, {} answers of which {} said to come again; {applied} changes applied, {in_force} told in force, \
-         {withdrawn} withdrawn",
+        "{} events, {} responses of which {} asked to submit again; {applied} changes applied, {in_force} reported in \
+         force, {withdrawn} withdrawn",
         report.events, report.submissions, report.repeated_submissions
     )
 }
@@ -172,7 +172,7 @@
             }
         }
         println!(
-            "{} seeds, {} steps, {} acts, {} changes told in force: all invariants hold",
+            "{} seeds, {} steps, {} events, {} changes reported in force: all invariants hold",
             totals.seeds, totals.steps, totals.events, totals.changes_in_force
         );
         Ok(true)
@@ -194,7 +194,7 @@
         };
         let smallest = shrink(schedule, invariant, self.max_shrink_runs, violated);
         println!(
-            "{} steps of {} are left that still break it",
+            "{} steps of {} are left that still violate it",
             smallest.steps.len(),
             schedule.steps.len()
         );
@@ -206,7 +206,7 @@
             }
         })?;
         println!(
-            "play them: marblefall-simulation play {} --on processes --schedule {}",
+            "to play them: marblefall-simulation play {} --on processes --schedule {}",
             self.scenario.display(),
             path.display()
         );
