--- a/crates/simulation/src/report/run.rs
+++ b/crates/simulation/src/report/run.rs
@@ -243,49 +243,72 @@
 
 /// The outages, crashes, list changes and partitions of a scenario, in order of time.
 fn timeline(scenario: &Scenario) -> Vec<TimelineEntry> {
-    let mut entries = Vec::new();
-    let mut add = |at: Time, text: String| {
-        entries.push(TimelineEntry {
+    let mut timeline = Timeline(Vec::new());
+    timeline.add_outages(scenario);
+    timeline.add_crashes(scenario);
+    timeline.add_list_changes(scenario);
+    timeline.add_partitions(scenario);
+    let mut entries = timeline.0;
+    entries.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+    entries
+}
+
+/// Collects the events of a scenario.
+struct Timeline(Vec<TimelineEntry>);
+
+impl Timeline {
+    fn add(&mut self, at: Time, text: String) {
+        self.0.push(TimelineEntry {
             at_s: secs(at),
             text,
         });
-    };
-    for destination in &scenario.destinations {
-        let name = &destination.name;
-        for outage in &destination.outages {
-            let kind = describe(outage.kind);
-            let share = if outage.is_total() {
-                String::new()
-            } else {
-                format!(" for {:.0} % of calls", outage.share * 100.0)
-            };
-            add(outage.from, format!("{name} {kind}{share}"));
-            add(outage.until, format!("{name} recovers"));
+    }
+
+    fn add_outages(&mut self, scenario: &Scenario) {
+        for destination in &scenario.destinations {
+            let name = &destination.name;
+            for outage in &destination.outages {
+                let kind = describe(outage.kind);
+                let share = if outage.is_total() {
+                    String::new()
+                } else {
+                    format!(" for {:.0} % of calls", outage.share * 100.0)
+                };
+                self.add(outage.from, format!("{name} {kind}{share}"));
+                self.add(outage.until, format!("{name} recovers"));
+            }
         }
     }
-    for crash in &scenario.crashes {
-        let instance = crash.instance;
-        let restart = crash.at + crash.restart_after;
-        add(crash.at, format!("instance {instance} crashes"));
-        add(restart, format!("instance {instance} restarts"));
+
+    fn add_crashes(&mut self, scenario: &Scenario) {
+        for crash in &scenario.crashes {
+            let instance = crash.instance;
+            let restart = crash.at + crash.restart_after;
+            self.add(crash.at, format!("instance {instance} crashes"));
+            self.add(restart, format!("instance {instance} restarts"));
+        }
     }
-    let locations = scenario.endpoint_locations();
-    for change in &scenario.list_changes {
-        let location = locations[change.endpoint];
-        let name = &scenario.destinations[location.destination].name;
-        let status = match change.status {
-            EndpointStatus::Active => "is listed as active",
-            EndpointStatus::Draining => "is listed as draining",
-            EndpointStatus::Removed => "is removed from the list",
-        };
-        let index = location.index;
-        add(change.at, format!("endpoint {index} of {name} {status}"));
+
+    fn add_list_changes(&mut self, scenario: &Scenario) {
+        let locations = scenario.endpoint_locations();
+        for change in &scenario.list_changes {
+            let location = locations[change.endpoint];
+            let name = &scenario.destinations[location.destination].name;
+            let status = match change.status {
+                EndpointStatus::Active => "is listed as active",
+                EndpointStatus::Draining => "is listed as draining",
+                EndpointStatus::Removed => "is removed from the list",
+            };
+            let index = location.index;
+            self.add(change.at, format!("endpoint {index} of {name} {status}"));
+        }
     }
-    for partition in &scenario.network.partitions {
-        let name = &scenario.destinations[partition.destination].name;
-        add(partition.from, format!("{name} is partitioned"));
-        add(partition.until, format!("{name} is reachable again"));
+
+    fn add_partitions(&mut self, scenario: &Scenario) {
+        for partition in &scenario.network.partitions {
+            let name = &scenario.destinations[partition.destination].name;
+            self.add(partition.from, format!("{name} is partitioned"));
+            self.add(partition.until, format!("{name} is reachable again"));
+        }
     }
-    entries.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    entries
 }
