--- a/crates/cli/benches/incarnations.rs
+++ b/crates/cli/benches/incarnations.rs
@@ -8,10 +8,8 @@
 
 use common::platform::{message_id, submit, submit_status, Platform, IDEMPOTENT_CLASS};
 use common::{start_healthy_server, wait_for, Signal, TestServer};
+use marblefall_process_harness::Workers;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use std::sync::Arc;
-use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
 const ROUNDS: usize = 40;
@@ -24,11 +22,11 @@
     let endpoint = start_healthy_server();
     let platform = Platform::new("bench", endpoint.address, "6000");
     let (mut old, address) = platform.start_first();
-    let clients = Clients::start(address);
+    let clients = start_clients(address);
     let (mut first_attempts, mut gaps, mut calm_gaps) = (Vec::new(), Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         let calm_since = Instant::now();
-        clients.wait_for_submissions(200);
+        clients.wait_for_completions(200).unwrap();
         calm_gaps.push(longest_gap(&endpoint, calm_since, Instant::now()));
         let new = platform.start_standby();
         // New connections go to the new process, which accepts this message and cannot send it yet.
@@ -43,7 +41,7 @@
         let first_attempt = received_at(&endpoint, &id).unwrap();
         first_attempts.push(first_attempt.saturating_duration_since(terminated_at));
         assert!(old.wait_for_exit(), "{}", old.log());
-        clients.wait_for_submissions(100);
+        clients.wait_for_completions(100).unwrap();
         gaps.push(longest_gap(&endpoint, terminated_at, Instant::now()));
         old = new;
     }
@@ -56,51 +54,15 @@
     print_spread("longest time without an attempt in calm", calm_gaps);
 }
 
-/// Clients that submit messages one after the other.
-struct Clients {
-    stop: Arc<AtomicBool>,
-    submitted: Arc<AtomicUsize>,
-    threads: Vec<JoinHandle<()>>,
-}
-
-impl Clients {
-    fn start(address: SocketAddr) -> Clients {
-        let (stop, submitted) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
-        let client = |client: usize| {
-            let (stop, submitted) = (Arc::clone(&stop), Arc::clone(&submitted));
-            thread::spawn(move || {
-                for number in 0.. {
-                    if stop.load(Ordering::SeqCst) {
-                        return;
-                    }
-                    let id = format!("c{client}-{number}");
-                    submit(address, &id, IDEMPOTENT_CLASS, BUDGET_MS);
-                    submitted.fetch_add(1, Ordering::SeqCst);
-                    thread::sleep(CLIENT_PAUSE);
-                }
-            })
-        };
-        let threads = (0..CLIENTS).map(client).collect();
-        Clients {
-            stop,
-            submitted,
-            threads,
+/// Starts clients that submit messages one after the other.
+fn start_clients(address: SocketAddr) -> Workers<()> {
+    Workers::start(CLIENTS, CLIENT_PAUSE, |client| {
+        move |number| {
+            let id = format!("c{client}-{number}");
+            // Whatever the response: the measurement is of the attempts.
+            submit(address, &id, IDEMPOTENT_CLASS, BUDGET_MS);
         }
-    }
-
-    fn wait_for_submissions(&self, more: usize) {
-        let target = self.submitted.load(Ordering::SeqCst) + more;
-        wait_for("the clients", || {
-            self.submitted.load(Ordering::SeqCst) >= target
-        });
-    }
-
-    fn stop(self) {
-        self.stop.store(true, Ordering::SeqCst);
-        for thread in self.threads {
-            thread.join().unwrap();
-        }
-    }
+    })
 }
 
 /// When the first call with a message was received.
--- a/crates/cli/examples/measure/recovery.rs
+++ b/crates/cli/examples/measure/recovery.rs
@@ -84,8 +84,8 @@
     println!(
         "{}:",
         match variant {
-            Variant::AllRun => "all three live",
-            Variant::OneIsKilled => "one killed during the outage and started again",
+            Variant::AllRun => "all three run",
+            Variant::OneIsKilled => "one killed during the outage and restarted",
         }
     );
     for (name, destination) in NAMES.iter().zip(&destinations) {
--- a/crates/cli/tests/clock_faults.rs
+++ b/crates/cli/tests/clock_faults.rs
@@ -26,6 +26,7 @@
     wait_for("an attempt", || endpoint.request_count() > 0);
     program.kill();
     open.store(true, Ordering::SeqCst);
+    endpoint.wait_until_disconnected().unwrap();
     let before = endpoint.request_count();
     let (_program, shim) =
         platform.start_with_faults(&[fault(FaultKind::WallClockStepped, NOW, LONG, HOUR_MS)]);
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -2,6 +2,7 @@
 //! Every wait is for a condition, within a bound that only a failure reaches.
 #![allow(dead_code)]
 
+pub mod clients;
 pub mod group;
 pub mod lists;
 pub mod manifests;
--- a/crates/cli/tests/disk_faults.rs
+++ b/crates/cli/tests/disk_faults.rs
@@ -179,6 +179,7 @@
     platform
         .discovery
         .set_complete_list(list_of(42, true, draining));
+    endpoint.wait_until_disconnected().unwrap();
     let before = endpoint.request_count();
     let lasts = Duration::from_millis(1500);
     let (program, shim) =
--- a/crates/cli/tests/endpoint_list_traffic.rs
+++ b/crates/cli/tests/endpoint_list_traffic.rs
@@ -8,15 +8,15 @@
 use common::*;
 use marblefall_endpoint_lists::{Endpoint, EndpointList};
 use marblefall_process_harness::cloud_events::CloudEvent;
+use marblefall_process_harness::Workers;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
-use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Mutex, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -209,54 +209,17 @@
     }
 }
 
-/// Clients that submit events one after the other, all of which must be delivered.
-struct Clients {
-    stop: Arc<AtomicBool>,
-    submitted: Arc<AtomicUsize>,
-    threads: Vec<thread::JoinHandle<()>>,
-}
-
-impl Clients {
-    fn start(address: SocketAddr, count: usize) -> Clients {
-        let (stop, submitted) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
-        let client = |client: usize| {
-            let (stop, submitted) = (stop.clone(), submitted.clone());
-            let destination = LISTED_DESTINATIONS[client % LISTED_DESTINATIONS.len()];
-            thread::spawn(move || {
-                while !stop.load(Ordering::SeqCst) {
-                    let id = submitted.fetch_add(1, Ordering::SeqCst).to_string();
-                    let response = submit_event(address, &id, "status", destination, "", b"1");
-                    let status = response.map(|response| response.status());
-                    assert_eq!(status, Some(204), "event {id}");
-                    thread::sleep(CLIENT_PAUSE);
-                }
-            })
-        };
-        let threads = (0..count).map(client).collect();
-        Clients {
-            stop,
-            submitted,
-            threads,
-        }
-    }
-
-    fn submitted(&self) -> usize {
-        self.submitted.load(Ordering::SeqCst)
-    }
-
-    fn wait_for_submissions(&self, more: usize) {
-        let target = self.submitted() + more;
-        wait_for("traffic", || self.submitted() >= target);
-    }
-
-    /// Stops them, and returns how many events they submitted.
-    fn stop(self) -> usize {
-        self.stop.store(true, Ordering::SeqCst);
-        for thread in self.threads {
-            thread.join().unwrap();
+/// Starts clients that submit events one after the other, all of which must be delivered.
+fn start_clients(address: SocketAddr, count: usize) -> Workers<()> {
+    Workers::start(count, CLIENT_PAUSE, |client| {
+        let destination = LISTED_DESTINATIONS[client % LISTED_DESTINATIONS.len()];
+        move |number| {
+            let id = format!("{client}-{number}");
+            let response = submit_event(address, &id, "status", destination, "", b"1");
+            let status = response.map(|response| response.status());
+            assert_eq!(status, Some(204), "event {id}");
         }
-        self.submitted.load(Ordering::SeqCst)
-    }
+    })
 }
 
 #[test]
@@ -279,7 +242,7 @@
         written_at: Instant::now(),
         stored_at: Instant::now(),
     }];
-    let clients = Clients::start(address, 4);
+    let clients = start_clients(address, 4);
     for turn in 0..500 {
         let replacement = REPLACEMENTS[turn % REPLACEMENTS.len()];
         let last = lists.last().unwrap();
@@ -301,11 +264,11 @@
             replace(&path, &invalid, replacement);
             // Some follow each other at once, most meet traffic.
             if rng.random_bool(0.7) {
-                clients.wait_for_submissions(40);
+                clients.wait_for_completions(40).unwrap();
             }
         }
     }
-    let submitted = clients.stop();
+    let submitted = clients.stop().len();
 
     assert_eq!(trap.request_count(), 0, "an invalid list was followed");
     assert!(lists.len() > 20, "too few lists: {}", lists.len());
@@ -397,24 +360,13 @@
             .status()
     };
     assert_eq!(submit_on_same("same-1"), 204);
-    let stop = Arc::new(AtomicBool::new(false));
-    let callers: Vec<_> = (0..64)
-        .map(|caller| {
-            let stop = stop.clone();
-            thread::spawn(move || {
-                let mut statuses = BTreeMap::<u16, usize>::new();
-                for call in 0.. {
-                    if stop.load(Ordering::SeqCst) {
-                        break;
-                    }
-                    let id = format!("{caller}-{call}");
-                    let response = submit_event(address, &id, "status", "a", "", b"").unwrap();
-                    *statuses.entry(response.status()).or_default() += 1;
-                }
-                statuses
-            })
-        })
-        .collect();
+    let callers = Workers::start(64, Duration::ZERO, |caller| {
+        move |call| {
+            let id = format!("{caller}-{call}");
+            let response = submit_event(address, &id, "status", "a", "", b"");
+            (caller, response.unwrap().status())
+        }
+    });
     wait_for("64 attempts in flight, repeatedly", || {
         one.request_count() > 640
     });
@@ -427,13 +379,13 @@
     wait_for("traffic after the grace period", || {
         Instant::now() > drained_at + 2 * GRACE && two.request_count() > before + 640
     });
-    stop.store(true, Ordering::SeqCst);
-    let statuses: Vec<_> = callers
-        .into_iter()
-        .map(|caller| caller.join().unwrap())
-        .collect();
+    let mut statuses: BTreeMap<usize, BTreeSet<u16>> = BTreeMap::new();
+    for (caller, status) in callers.stop() {
+        statuses.entry(caller).or_default().insert(status);
+    }
+    assert_eq!(statuses.len(), 64);
     assert!(
-        statuses.iter().all(|statuses| statuses.keys().eq([&204])),
+        statuses.values().all(|statuses| statuses.iter().eq([&204])),
         "attempts in flight finish: {statuses:?}"
     );
     assert_eq!(
--- a/crates/cli/tests/open_faults.rs
+++ b/crates/cli/tests/open_faults.rs
@@ -50,6 +50,7 @@
         program.kill();
     }
     open.store(true, Ordering::SeqCst);
+    endpoint.wait_until_disconnected().unwrap();
     let before = endpoint.request_count();
     let lasts = Duration::from_secs(4);
     let (_program, shim) =
--- a/crates/fault-soak/src/proxy.rs
+++ b/crates/fault-soak/src/proxy.rs
@@ -4,7 +4,7 @@
 use crate::plan::{PlannedFaultKind, ProxyFault};
 use crate::schedule::Schedule;
 use marblefall_process_harness::http::is_timeout;
-use marblefall_process_harness::{serve_connections, HarnessError};
+use marblefall_process_harness::{HarnessError, Listener};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -45,10 +45,11 @@
         target,
         schedule,
     };
-    serve_connections("a proxy's port", move |stream| {
+    let listener = Listener::start("a proxy's port", move |stream| {
         // A broken connection is what the proxy is for.
         let _ = proxy.forward(stream);
-    })
+    })?;
+    Ok(listener.address)
 }
 
 /// The direction of a copy.
--- a/crates/process-experiment/src/experiment.rs
+++ b/crates/process-experiment/src/experiment.rs
@@ -2,9 +2,11 @@
 
 mod changes;
 mod driver;
+mod folder_faults;
+mod observe;
 
 use crate::invariants::{self, Violation};
-use crate::schedule::Schedule;
+use crate::schedule::{ProcessSettings, Schedule};
 use driver::Driver;
 use marblefall_process_harness::client::{ClientLoad, Clients};
 use marblefall_process_harness::destination::Destination;
@@ -35,9 +37,9 @@
 pub struct ChangeCounts {
     /// Changes that operators applied.
     pub applied: usize,
-    /// Those that operators were told to be in force.
+    /// Those that `apply` reported to be in force.
     pub in_force: usize,
-    /// Those that operators were told to be withdrawn.
+    /// Those that `apply` reported to be withdrawn.
     pub withdrawn: usize,
 }
 
@@ -48,15 +50,7 @@
 pub fn play(schedule: &Schedule, program: &Path, folder: &Path) -> Result<Report, HarnessError> {
     let settings = &schedule.processes;
     let destination = Destination::start(Duration::from_millis(settings.service_ms))?;
-    let mut group = Group::found(GroupSettings {
-        program: program.to_owned(),
-        folder: folder.to_owned(),
-        members: settings.members,
-        voters: settings.voters,
-        partition_policy: settings.partition_policy.clone(),
-        lease_ms: settings.lease_ms,
-        endpoints: destination.addresses.clone(),
-    })?;
+    let mut group = Group::found(group_settings(settings, &destination, program, folder))?;
     group.start_all()?;
     let load = ClientLoad {
         addresses: group.event_addresses(),
@@ -89,3 +83,20 @@
         submissions: observation.submissions.len(),
     })
 }
+
+fn group_settings(
+    settings: &ProcessSettings,
+    destination: &Destination,
+    program: &Path,
+    folder: &Path,
+) -> GroupSettings {
+    GroupSettings {
+        program: program.to_owned(),
+        folder: folder.to_owned(),
+        members: settings.members,
+        voters: settings.voters,
+        partition_policy: settings.partition_policy.clone(),
+        lease_ms: settings.lease_ms,
+        endpoints: destination.addresses.clone(),
+    }
+}
--- a/crates/process-experiment/src/experiment/driver.rs
+++ b/crates/process-experiment/src/experiment/driver.rs
@@ -1,15 +1,13 @@
 //! Carries out the steps of a schedule, and ends each fault at its time.
 
-use super::changes::{is_operator_name, operator_name, Changes, PlannedChange};
-use super::ChangeCounts;
-use crate::observation::{HistoryEvent, Observation, Outcomes};
+use super::changes::{Changes, PlannedChange};
+use super::folder_faults::new_vote_file;
 use crate::schedule::{Action, FolderFault, Schedule};
 use marblefall_process_harness::group::{member_name, Group};
 use marblefall_process_harness::link_proxy::LinkState;
 use marblefall_process_harness::{wait_for, HarnessError, Signal};
-use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
-use std::path::{Path, PathBuf};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -17,13 +15,8 @@
 const MAX_SHUTDOWN_MS: u64 = 500;
 /// Delay between the starts of two members after all were killed.
 const START_INTERVAL_MS: u64 = 20;
-/// Bytes that are removed from a torn file.
-const TORN_BYTES: usize = 5;
-/// Voters of which one may lose its votes while a majority of the others remains.
-const MIN_VOTERS_FOR_FOLDER_FAULT: usize = 3;
-
 /// What ends a fault.
-enum Reversal {
+pub(super) enum Reversal {
     Start(usize, FolderFault),
     Continue(usize),
     OpenLinks(Vec<(usize, usize)>),
@@ -31,24 +24,24 @@
 }
 
 /// A reversal with its time in the run.
-struct DueReversal {
+pub(super) struct DueReversal {
     at_ms: u64,
-    reversal: Reversal,
+    pub(super) reversal: Reversal,
 }
 
 /// Carries out a schedule.
 pub struct Driver<'a> {
-    group: Group,
-    schedule: &'a Schedule,
+    pub(super) group: Group,
+    pub(super) schedule: &'a Schedule,
     started_at: Instant,
     trace: Vec<String>,
-    reversals: Vec<DueReversal>,
-    suspended: BTreeSet<usize>,
-    changes: Changes,
+    pub(super) reversals: Vec<DueReversal>,
+    pub(super) suspended: BTreeSet<usize>,
+    pub(super) changes: Changes,
     /// The manifest that the group was founded with.
-    founding_manifest: String,
+    pub(super) founding_manifest: String,
     /// The votes of voters as they were at the start.
-    old_votes: BTreeMap<usize, Vec<u8>>,
+    pub(super) old_votes: BTreeMap<usize, Vec<u8>>,
 }
 
 impl<'a> Driver<'a> {
@@ -99,77 +92,6 @@
         })
     }
 
-    /// Returns what members recorded and report. The destination and clients are not part of it.
-    pub fn observe(&self) -> Observation {
-        let mut observation = Observation {
-            applied_outcomes: self.changes.outcomes(),
-            ..Observation::default()
-        };
-        let members = 0..self.group.member_count();
-        let revision = members
-            .clone()
-            .find_map(|member| self.group.status(member)["group"]["revision"].as_u64());
-        for member in members {
-            let history = fs::read_to_string(self.group.history_file(member)).unwrap_or_default();
-            observation.events.extend(HistoryEvent::parse_all(&history));
-            let caught_up = revision.is_some_and(|revision| self.group.is_acting(member, revision));
-            observation.caught_up.push(caught_up);
-            observation
-                .reported_outcomes
-                .push(self.reported_outcomes(member));
-        }
-        observation.drained_endpoints = self.drained_endpoints(&observation.reported_outcomes);
-        observation
-    }
-
-    /// The outcomes of this run's changes, as a member reports them.
-    fn reported_outcomes(&self, member: usize) -> Outcomes {
-        let mut outcomes = Outcomes::new();
-        let history = self.group.change_history(member);
-        for change in history.as_array().into_iter().flatten() {
-            let author = change["by"].as_str().unwrap_or_default();
-            let operator = author.split(' ').next().unwrap_or_default();
-            if is_operator_name(operator) {
-                outcomes.insert(operator.to_owned(), change["revision"].as_u64());
-            }
-        }
-        outcomes
-    }
-
-    /// The endpoints that revisions drain, by the first member that reports the change as in force.
-    fn drained_endpoints(&self, reported: &[Outcomes]) -> BTreeMap<u64, HashSet<usize>> {
-        let mut drained = BTreeMap::new();
-        for step in &self.schedule.steps {
-            let Action::Change {
-                number,
-                drained_endpoint: Some(endpoint),
-                ..
-            } = step.action
-            else {
-                continue;
-            };
-            let name = operator_name(number);
-            let mut revisions = reported
-                .iter()
-                .filter_map(|outcomes| outcomes.get(&name).copied().flatten());
-            if let Some(revision) = revisions.next() {
-                drained.insert(revision, HashSet::from([endpoint]));
-            }
-        }
-        drained
-    }
-
-    /// How many changes had which outcome.
-    pub fn change_counts(&self) -> ChangeCounts {
-        let outcomes = self.changes.outcomes();
-        let in_force = outcomes.values().flatten().count();
-        ChangeCounts {
-            applied: self.changes.applied(),
-            in_force,
-            withdrawn: outcomes.len() - in_force,
-        }
-    }
-
     /// Notes that the run did not come to its end.
     pub fn note_failure(&mut self, error: &HarnessError) {
         self.trace
@@ -272,24 +194,6 @@
         self.reverse_at(now_ms + down_ms, Reversal::Start(member, folder));
     }
 
-    /// Whether a voter's folder may be damaged now. Only one is at a time, and only while all voters run, vote and reach
-    /// each other: otherwise it could not be known what a majority has acknowledged.
-    fn may_inject_folder_fault(&self, member: usize) -> bool {
-        let is_harmless = |due: &DueReversal| {
-            matches!(
-                due.reversal,
-                Reversal::Start(_, FolderFault::None) | Reversal::Continue(_)
-            )
-        };
-        let votes = |voter: usize| self.group.status(voter)["votes"]["takes_part"] == true;
-        let mut voters = 0..self.schedule.processes.voters;
-        voters.len() >= MIN_VOTERS_FOR_FOLDER_FAULT
-            && self.reversals.iter().all(is_harmless)
-            && self.suspended.is_empty()
-            && voters.all(|voter| voter == member || votes(voter))
-            && votes(member)
-    }
-
     fn suspend(&mut self, member: usize, ms: u64) {
         let now_ms = self.now_ms();
         let Some(process) = self.group.process(member) else {
@@ -394,47 +298,6 @@
         }
         Ok(())
     }
-
-    fn inject_folder_fault(
-        &mut self,
-        member: usize,
-        fault: FolderFault,
-    ) -> Result<(), HarnessError> {
-        let votes = self.group.vote_file(member);
-        match fault {
-            FolderFault::None => Ok(()),
-            FolderFault::Lost => self.lose_folder(member),
-            FolderFault::Old => match self.old_votes.get(&member) {
-                Some(old) => write(&votes, old),
-                None => Ok(()),
-            },
-            FolderFault::Torn => {
-                let bytes = fs::read(&votes);
-                let bytes = bytes.map_err(HarnessError::io(votes.display().to_string()))?;
-                let torn = &bytes[..bytes.len().saturating_sub(TORN_BYTES)];
-                write(&votes, torn)
-            }
-        }
-    }
-
-    /// Removes the group's part of a home, and founds it again. The journal stays: messages that an instance accepted are
-    /// another matter than what a voter acknowledged.
-    fn lose_folder(&mut self, member: usize) -> Result<(), HarnessError> {
-        let home = PathBuf::from(self.group.home(member));
-        // What is not there need not be removed.
-        let _ = fs::remove_dir_all(home.join("group"));
-        let _ = fs::remove_file(home.join("applied.json"));
-        self.group.found_member(member, &self.founding_manifest)
-    }
-}
-
-/// The file that a voter writes before it replaces its votes.
-fn new_vote_file(votes: &Path) -> PathBuf {
-    votes.with_file_name("votes.new")
-}
-
-fn write(path: &Path, bytes: &[u8]) -> Result<(), HarnessError> {
-    fs::write(path, bytes).map_err(HarnessError::io(path.display().to_string()))
 }
 
 fn link_pairs(from: &[usize], to: &[usize], both: bool) -> Vec<(usize, usize)> {
--- a/crates/process-experiment/src/invariants.rs
+++ b/crates/process-experiment/src/invariants.rs
@@ -18,7 +18,7 @@
 pub enum Invariant {
     /// Once an instance has acted under a revision, none acts under an earlier one.
     SinglePolicy,
-    /// All members and the operator are told the same outcome of a change.
+    /// All members and `apply` report the same outcome of a change.
     SingleOutcome,
     /// In the end all members act under the revision in force.
     AllCaughtUp,
--- a/crates/process-harness/src/client.rs
+++ b/crates/process-harness/src/client.rs
@@ -1,10 +1,9 @@
 //! Clients that submit events one after the other, follow the responses, and record them.
 
 use crate::cloud_events::CloudEvent;
+use crate::Workers;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::Arc;
-use std::thread::{self, JoinHandle};
+use std::thread;
 use std::time::Duration;
 
 /// How long a client waits for the outcome of an event.
@@ -50,42 +49,31 @@
 }
 
 /// Running clients.
-pub struct Clients {
-    stop: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Vec<Submission>>>,
-}
+pub struct Clients(Workers<Vec<Submission>>);
 
 impl Clients {
     /// Starts clients.
     pub fn start(load: &ClientLoad) -> Clients {
-        let stop = Arc::new(AtomicBool::new(false));
-        let start_client = |client: usize| {
-            let (load, stop) = (load.clone(), Arc::clone(&stop));
-            thread::spawn(move || run_client(&load, client, &stop))
+        let new_client = |client: usize| {
+            let load = load.clone();
+            move |number: usize| load.submit_event(client, number)
         };
-        Clients {
-            threads: (0..load.clients).map(start_client).collect(),
-            stop,
-        }
+        Clients(Workers::start(load.clients, load.pause, new_client))
     }
 
     /// Stops them. Returns all submissions, those of one event in their order.
+    ///
+    /// # Panics
+    /// If a client has panicked.
     pub fn stop(self) -> Vec<Submission> {
-        self.stop.store(true, Ordering::SeqCst);
-        let threads = self.threads.into_iter();
-        threads
-            .flat_map(|thread| thread.join().unwrap_or_default())
-            .collect()
+        self.0.stop().into_iter().flatten().collect()
     }
 }
 
-fn run_client(load: &ClientLoad, client: usize, stop: &AtomicBool) -> Vec<Submission> {
-    let mut submissions = Vec::new();
-    for number in 0.. {
-        if stop.load(Ordering::SeqCst) {
-            break;
-        }
-        let id = format!("e{}-{client}-{number}", load.run);
+impl ClientLoad {
+    /// Submits the next event of a client until a response is final.
+    fn submit_event(&self, client: usize, number: usize) -> Vec<Submission> {
+        let id = format!("e{}-{client}-{number}", self.run);
         let event = CloudEvent {
             id: &id,
             event_type: "order",
@@ -93,10 +81,8 @@
             idempotency_key: &id,
             data: b"{}",
         };
-        submit_until_final(&event, client, &load.addresses, &mut submissions);
-        thread::sleep(load.pause);
+        submit_until_final(&event, client, &self.addresses)
     }
-    submissions
 }
 
 /// Submits an event until a response is final: to the next member where it was rejected, and to the same one where it
@@ -105,8 +91,8 @@
     event: &CloudEvent,
     first_member: usize,
     addresses: &[SocketAddr],
-    submissions: &mut Vec<Submission>,
-) {
+) -> Vec<Submission> {
+    let mut submissions = Vec::new();
     let mut member = first_member % addresses.len();
     for _ in 0..MAX_SUBMISSIONS {
         let response = event.submit(addresses[member], RESPONSE_TIMEOUT);
@@ -118,11 +104,12 @@
         let (is_final, status) = (submission.is_final(), submission.status);
         submissions.push(submission);
         if is_final {
-            return;
+            break;
         }
         if status != NO_RESPONSE {
             member = (member + 1) % addresses.len();
         }
         thread::sleep(RETRY_DELAY);
     }
+    submissions
 }
--- a/crates/process-harness/src/cloud_events.rs
+++ b/crates/process-harness/src/cloud_events.rs
@@ -28,19 +28,15 @@
 impl CloudEvent<'_> {
     /// The request that submits it.
     pub fn to_request(&self) -> Request {
-        let request = Request::post(EVENTS_PATH)
+        Request::post(EVENTS_PATH)
             .header(headers::EVENT_SPEC_VERSION, "1.0")
             .header(headers::EVENT_ID, self.id)
             .header(headers::EVENT_SOURCE, SOURCE)
             .header(headers::EVENT_TYPE, self.event_type)
             .header(headers::EVENT_DESTINATION, self.destination)
             .header(headers::CONTENT_TYPE, "application/json")
-            .body(self.data);
-        if self.idempotency_key.is_empty() {
-            request
-        } else {
-            request.header(headers::IDEMPOTENCY_KEY, self.idempotency_key)
-        }
+            .optional_header(headers::IDEMPOTENCY_KEY, self.idempotency_key)
+            .body(self.data)
     }
 
     /// Submits it, and waits for its outcome; `None` where none is received within a timeout.
--- a/crates/process-harness/src/http.rs
+++ b/crates/process-harness/src/http.rs
@@ -102,6 +102,16 @@
         self
     }
 
+    /// Adds a header field, unless its value is empty.
+    #[must_use]
+    pub fn optional_header(self, name: &str, value: &str) -> Request {
+        if value.is_empty() {
+            self
+        } else {
+            self.header(name, value)
+        }
+    }
+
     /// Sets the body.
     #[must_use]
     pub fn body(mut self, body: &[u8]) -> Request {
--- a/crates/process-harness/src/lib.rs
+++ b/crates/process-harness/src/lib.rs
@@ -12,6 +12,7 @@
 mod listener;
 mod process;
 mod wait;
+mod workers;
 
 pub mod client;
 pub mod cloud_events;
@@ -29,6 +30,7 @@
 pub use clock::{monotonic_micros, monotonic_ms, Micros, MILLISECOND};
 pub use error::HarnessError;
 pub use folder::TemporaryFolder;
-pub use listener::serve_connections;
+pub use listener::Listener;
 pub use process::{run_command, CommandOutput, Process, ResourceUsage, Signal};
 pub use wait::{wait_for, WAIT_LIMIT};
+pub use workers::Workers;
--- a/crates/process-harness/src/link_proxy.rs
+++ b/crates/process-harness/src/link_proxy.rs
@@ -1,6 +1,6 @@
 //! Proxies in front of the members of a group, which disturb what one member sends to another.
 
-use crate::{serve_connections, HarnessError};
+use crate::{HarnessError, Listener};
 use futures_lite::future::block_on;
 use futures_lite::io::AssertAsync;
 use marblefall_control_plane::group::transport::{encode_frame, read_frame, Hello};
@@ -103,10 +103,11 @@
     links: &Links,
 ) -> Result<SocketAddr, HarnessError> {
     let links = links.clone();
-    serve_connections("a link proxy's port", move |stream| {
+    let listener = Listener::start("a link proxy's port", move |stream| {
         // A broken connection is opened again by the member that needs it.
         let _ = forward(stream, member as u32, member_address, &links);
-    })
+    })?;
+    Ok(listener.address)
 }
 
 /// Forwards one connection. Its first frame names the member that opened it.
--- a/crates/process-harness/src/platform.rs
+++ b/crates/process-harness/src/platform.rs
@@ -40,17 +40,13 @@
 impl PlatformMessage<'_> {
     /// The request that submits it.
     pub fn to_request(&self) -> Request {
-        let request = Request::post(SUBMIT_PATH)
+        Request::post(SUBMIT_PATH)
             .header(headers::CALL_ID, self.id)
             .header(headers::CALL_CLASS, self.class)
             .header(headers::BUDGET_MS, self.budget_ms)
             .header(headers::ENVELOPE, &format!("dest={}", self.destination))
-            .body(self.body);
-        if self.idempotency_key.is_empty() {
-            request
-        } else {
-            request.header(headers::IDEMPOTENCY_KEY, self.idempotency_key)
-        }
+            .optional_header(headers::IDEMPOTENCY_KEY, self.idempotency_key)
+            .body(self.body)
     }
 
     /// Submits it; `None` where no response is received within a timeout.
--- a/crates/process-harness/src/server.rs
+++ b/crates/process-harness/src/server.rs
@@ -1,7 +1,7 @@
 //! An HTTP server in place of a system outside.
 
 use crate::http::{is_timeout, write_response, Message};
-use crate::{serve_connections, HarnessError};
+use crate::{HarnessError, Listener};
 use std::io::{self, BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -82,7 +82,11 @@
 /// # Errors
 /// No port is free.
 pub fn start(subject: &str, handler: impl RequestHandler) -> Result<SocketAddr, HarnessError> {
-    serve_connections(subject, move |stream| {
+    Ok(start_listener(subject, handler)?.address)
+}
+
+fn start_listener(subject: &str, handler: impl RequestHandler) -> Result<Listener, HarnessError> {
+    Listener::start(subject, move |stream| {
         // A broken connection is the client's matter.
         let _ = serve(stream, &handler);
     })
@@ -138,6 +142,7 @@
 pub struct TestServer {
     /// Where it listens.
     pub address: SocketAddr,
+    listener: Listener,
     requests: Arc<Mutex<Vec<Message>>>,
 }
 
@@ -151,13 +156,17 @@
     ) -> Result<TestServer, HarnessError> {
         let requests = Arc::<Mutex<Vec<Message>>>::default();
         let recorded = Arc::clone(&requests);
-        let address = start("a stand-in's port", move |request: &Message| {
+        let listener = start_listener("a stand-in's port", move |request: &Message| {
             // Decided before it is recorded, so that whoever waits for the record also sees what was done.
             let reply = respond(request);
             lock(&recorded).push(request.clone());
             reply
         })?;
-        Ok(TestServer { address, requests })
+        Ok(TestServer {
+            address: listener.address,
+            listener,
+            requests,
+        })
     }
 
     /// The requests received until now, in their order.
@@ -165,6 +174,15 @@
         lock(&self.requests)
     }
 
+    /// Waits until all connections that clients opened before are closed, and what was sent on them is recorded. After a
+    /// client was killed, what it left in its connections is read only then.
+    ///
+    /// # Errors
+    /// One is not closed in time.
+    pub fn wait_until_disconnected(&self) -> Result<(), HarnessError> {
+        self.listener.wait_until_disconnected()
+    }
+
     /// How many requests were received.
     pub fn request_count(&self) -> usize {
         self.requests().len()
