--- a/crates/fault-plan/src/count.rs
+++ b/crates/fault-plan/src/count.rs
@@ -29,20 +29,46 @@
 /// Bytes of the file of counts.
 pub const COUNTS_LEN: usize = FaultKind::ALL.len() * COUNT_BYTES;
 
-/// Reads the counts that a process wrote, in the order of [`FaultKind::ALL`]. Words that are missing count as zero.
-pub fn read_counts(bytes: &[u8]) -> Vec<(FaultKind, Count)> {
-    let word = |at: usize| {
-        bytes
-            .get(at..at + WORD_BYTES)
-            .and_then(|word| word.try_into().ok())
-            .map_or(0, u64::from_le_bytes)
-    };
-    let count = |kind: &FaultKind| Count {
-        seen: word(kind.index() * COUNT_BYTES),
-        injected: word(kind.index() * COUNT_BYTES + WORD_BYTES),
-    };
-    FaultKind::ALL
-        .iter()
-        .map(|kind| (*kind, count(kind)))
-        .collect()
+/// The counts of all kinds of faults.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Counts([Count; FaultKind::ALL.len()]);
+
+impl Counts {
+    /// Reads the counts that a process wrote. Words that are missing count as zero.
+    pub fn read(bytes: &[u8]) -> Counts {
+        let mut counts = Counts::default();
+        for (count, bytes) in counts.0.iter_mut().zip(bytes.chunks_exact(COUNT_BYTES)) {
+            let (seen, injected) = bytes.split_at(WORD_BYTES);
+            *count = Count {
+                seen: read_word(seen),
+                injected: read_word(injected),
+            };
+        }
+        counts
+    }
+
+    /// The count of a kind.
+    pub fn of(&self, kind: FaultKind) -> Count {
+        self.0[kind.index()]
+    }
+
+    /// The counts of all kinds, in the order of [`FaultKind::ALL`].
+    pub fn iter(&self) -> impl Iterator<Item = (FaultKind, Count)> + '_ {
+        FaultKind::ALL.iter().map(|kind| (*kind, self.of(*kind)))
+    }
+
+    /// Adds the counts of another process.
+    pub fn add(&mut self, other: &Counts) {
+        for (total, count) in self.0.iter_mut().zip(&other.0) {
+            total.seen += count.seen;
+            total.injected += count.injected;
+        }
+    }
 }
+
+fn read_word(bytes: &[u8]) -> u64 {
+    bytes.try_into().map_or(0, u64::from_le_bytes)
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -11,7 +11,7 @@
 mod fault;
 mod kind;
 
-pub use count::{draw, read_counts, Count, COUNTS_LEN};
+pub use count::{draw, Count, Counts, COUNTS_LEN};
 pub use fault::{Fault, ParseFaultError};
 pub use kind::FaultKind;
 
--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -241,7 +241,7 @@
     }
 }
 
-/// Tells the two ends of a connection apart. One that was closed before the request arrived is reset by it: nothing of
+/// Distinguishes the two ends of a connection. One that was closed before the request arrived is reset by it: nothing of
 /// the request was read, and a client may send it again. One that was closed after the request was read is not.
 fn closed_or_reset(stream: &TcpStream) -> ClientResult {
     thread::sleep(MAX_RESET_DELAY);
--- a/crates/fault-soak/src/discovery.rs
+++ b/crates/fault-soak/src/discovery.rs
@@ -1,13 +1,13 @@
 //! The discovery of one process: it sends the endpoint list, receives notices, and fails as the plan says.
 
 use crate::endpoint::{destination_of, ENDPOINTS, RATE};
-use crate::plan::{DiscoveryFault, PlannedFaultKind};
-use crate::record::{Notice, SharedRecord};
+use crate::plan::{DiscoveryFault, PlannedFault, PlannedFaultKind};
+use crate::record::{ListChange, Notice, SharedRecord};
 use crate::schedule::Schedule;
 use marblefall_process_harness::discovery::{
     DiscoverySource, EndpointList, EndpointPhase, ListedEndpoint, Watch,
 };
-use marblefall_process_harness::monotonic_micros;
+use marblefall_process_harness::{monotonic_micros, Micros};
 use std::io;
 use std::net::SocketAddr;
 use std::thread;
@@ -37,15 +37,52 @@
     pub record: SharedRecord,
 }
 
-/// The phase of an endpoint in the list now.
-pub fn current_phase(schedule: &Schedule, endpoint: usize) -> EndpointPhase {
-    let changed = schedule.active(|fault| match fault.kind {
-        _ if !fault.is_for(endpoint, ENDPOINTS) => None,
+/// The phase of an endpoint in the list at a time.
+pub fn phase_at(schedule: &Schedule, endpoint: usize, at: Micros) -> EndpointPhase {
+    let changed = schedule.active_at(at, |fault| {
+        fault
+            .is_for(endpoint, ENDPOINTS)
+            .then(|| changed_phase(fault))
+            .flatten()
+    });
+    changed.unwrap_or(EndpointPhase::Serving)
+}
+
+/// The phase that a fault gives to its endpoint, if it changes the list.
+fn changed_phase(fault: &PlannedFault) -> Option<EndpointPhase> {
+    match fault.kind {
         PlannedFaultKind::Discovery(DiscoveryFault::DrainEndpoint) => Some(EndpointPhase::Draining),
         PlannedFaultKind::Discovery(DiscoveryFault::RemoveEndpoint) => Some(EndpointPhase::Deleted),
         _ => None,
-    });
-    changed.unwrap_or(EndpointPhase::Serving)
+    }
+}
+
+/// All changes of the list in a run.
+pub fn planned_list_changes(schedule: &Schedule) -> Vec<ListChange> {
+    let mut times: Vec<Micros> = schedule
+        .plan()
+        .faults
+        .iter()
+        .filter(|fault| changed_phase(fault).is_some())
+        .map(|fault| schedule.interval(fault))
+        .flat_map(|interval| [interval.from, interval.until])
+        .collect();
+    times.sort_unstable();
+    let mut phases = [EndpointPhase::Serving; ENDPOINTS];
+    let mut changes = Vec::new();
+    for at in times {
+        for (endpoint, known) in phases.iter_mut().enumerate() {
+            let phase = phase_at(schedule, endpoint, at);
+            if std::mem::replace(known, phase) != phase {
+                changes.push(ListChange {
+                    endpoint,
+                    is_active: phase == EndpointPhase::Serving,
+                    at,
+                });
+            }
+        }
+    }
+    changes
 }
 
 /// The entry of an endpoint in the list.
@@ -67,8 +104,9 @@
     }
 
     fn current_phases(&self) -> Vec<EndpointPhase> {
+        let now = monotonic_micros();
         (0..self.endpoints.len())
-            .map(|endpoint| current_phase(&self.schedule, endpoint))
+            .map(|endpoint| phase_at(&self.schedule, endpoint, now))
             .collect()
     }
 
@@ -146,3 +184,6 @@
         true
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/fault-soak/src/oracle/outcomes.rs
+++ b/crates/fault-soak/src/oracle/outcomes.rs
@@ -18,9 +18,9 @@
         for request in &self.record.requests {
             let late_at = request.expires_at + RESPONSE_GRACE + OBSERVATION_DELAY;
             let problem = match request.result {
-                ClientResult::Closed => "read, and closed with no answer",
-                ClientResult::TimedOut => "no answer",
-                ClientResult::Response(_) if request.ended_at > late_at => "answered too late",
+                ClientResult::Closed => "read, and closed with no response",
+                ClientResult::TimedOut => "no response",
+                ClientResult::Response(_) if request.ended_at > late_at => "responded too late",
                 ClientResult::Response(_) | ClientResult::Reset => continue,
             };
             let (sent_at, ended_at) = (request.sent_at, request.ended_at);
@@ -34,7 +34,7 @@
                     self.ms(sent_at),
                     self.ms(ended_at)
                 );
-                self.report("answer", observed);
+                self.report("response", observed);
             }
         }
     }
@@ -56,7 +56,7 @@
             let due_at = self.outcome_due_at(request);
             let problem = match outcome_at {
                 None => "no outcome".to_owned(),
-                Some(at) if at > due_at => format!("its outcome came at {} ms", self.ms(at)),
+                Some(at) if at > due_at => format!("its outcome was at {} ms", self.ms(at)),
                 Some(_) => continue,
             };
             let observed = format!(
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// The calls that a destination may get within the window that begins so long after its recovery.
+/// The calls that a destination may get within the window that begins at this time after its recovery.
 fn budget(since_recovery: Micros) -> f64 {
     let warm = (since_recovery as f64 / WARM_UP as f64).clamp(0.0, 1.0);
     let capacity = RATE * (COLD_SHARE + (1.0 - COLD_SHARE) * warm);
--- a/crates/fault-soak/src/oracle/retry_after.rs
+++ b/crates/fault-soak/src/oracle/retry_after.rs
@@ -34,13 +34,13 @@
                 };
                 if let Some(call) = calls.iter().find(is_early) {
                     let observed = format!(
-                        "{} to destination {destination} by process {process} at {} ms, told at {} ms to wait \
+                        "{} to destination {destination} by process {process} at {} ms, rejected at {} ms for \
                          {retry_after_ms} ms",
                         call.id,
                         self.ms(call.last_byte_at),
                         self.ms(rejected.ended_at)
                     );
-                    self.report("wait", observed);
+                    self.report("retry-after", observed);
                 }
             }
         }
--- a/crates/fault-soak/src/process.rs
+++ b/crates/fault-soak/src/process.rs
@@ -6,7 +6,7 @@
 use crate::plan::{PlannedFault, PlannedFaultKind};
 use crate::record::{ProcessEvent, ProcessEventKind, SharedRecord};
 use crate::schedule::Schedule;
-use marblefall_fault_plan::{Count, Fault, FaultKind};
+use marblefall_fault_plan::{Counts, Fault, FaultKind};
 use marblefall_process_harness::discovery::EndpointPhase;
 use marblefall_process_harness::fault_shim::FaultShim;
 use marblefall_process_harness::platform::{
@@ -256,7 +256,7 @@
         while !new.log().contains(LISTENING_MARKER) {
             thread::sleep(POLL_INTERVAL);
             if new.exit_status().is_some() || monotonic_micros() >= deadline {
-                // It never served anybody; the old one goes on.
+                // It never served anybody; the old one continues.
                 self.record_unexpected_end(&new);
                 self.record_event(ProcessEventKind::Started);
                 logs.push_str(&new.log());
@@ -346,7 +346,7 @@
     }
 
     /// The counts of the process's shim over all its incarnations.
-    pub fn shim_counts(&self) -> Vec<(FaultKind, Count)> {
+    pub fn shim_counts(&self) -> Counts {
         self.shim.counts()
     }
 }
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -1,20 +1,19 @@
 //! One run: endpoints, proxies, discoveries, processes and clients are put together, played and judged.
 
 use crate::client::Clients;
-use crate::discovery::{current_phase, ProcessDiscovery};
+use crate::discovery::{planned_list_changes, ProcessDiscovery};
 use crate::endpoint::{Destinations, DESTINATIONS, ENDPOINTS};
 use crate::oracle::{Oracle, Violation};
 use crate::plan::{DiscoveryFault, Plan, PlannedFault, PlannedFaultKind, SystemFault};
 use crate::process::{shim_seed, ProcessOwner};
 use crate::proxy;
-use crate::record::{ListChange, Period, Record, SharedRecord};
+use crate::record::{ClientResult, Period, Record, SharedRecord};
 use crate::schedule::{Interval, Schedule};
-use marblefall_fault_plan::{Count, FaultKind};
-use marblefall_process_harness::discovery::{Discovery, EndpointPhase};
+use marblefall_fault_plan::{Counts, FaultKind};
+use marblefall_process_harness::discovery::Discovery;
 use marblefall_process_harness::fault_shim::FaultShim;
 use marblefall_process_harness::network::reserve_addresses;
 use marblefall_process_harness::{monotonic_micros, HarnessError, Micros, MILLISECOND};
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,8 +27,6 @@
 const SETTLING_TIME: Duration = Duration::from_millis(6500);
 /// Correct clients of each process.
 const CLIENTS_PER_PROCESS: u64 = 2;
-/// How often the endpoint list is compared with the one before.
-const LIST_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How long after its fault a silent watch may still leave a process without a change.
 const SILENT_WATCH_GAP: Micros = 6000 * MILLISECOND;
 
@@ -58,7 +55,7 @@
     /// Notices that discovery received.
     pub notices: usize,
     /// How often each fault of the shim could be injected, and was.
-    pub counts: BTreeMap<FaultKind, Count>,
+    pub counts: Counts,
     /// Planned faults that were never injected: the run is inconclusive about them.
     pub idle_faults: Vec<&'static str>,
 }
@@ -70,7 +67,7 @@
 pub fn play(plan: Plan, files: &RunFiles) -> Result<Report, HarnessError> {
     let schedule = Schedule::new(plan, monotonic_micros() + WARM_UP);
     let record = SharedRecord::default();
-    record_planned_periods(&schedule, &record);
+    record_planned(&schedule, &record);
     let endpoints = start_endpoints(&schedule, &record)?;
     let stop_clients = Arc::new(AtomicBool::new(false));
     let stop_processes = Arc::new(AtomicBool::new(false));
@@ -82,13 +79,11 @@
         let owner = owner.clone();
         processes.push(thread::spawn(move || owner.run()));
     }
-    let list_recorder = record_list_changes(&schedule, &record, &stop_clients);
     thread::sleep(Duration::from_secs(schedule.plan().seconds));
     stop_clients.store(true, Ordering::SeqCst);
     for client in clients {
         join(client);
     }
-    join(list_recorder);
     thread::sleep(SETTLING_TIME);
     stop_processes.store(true, Ordering::SeqCst);
     for process in processes {
@@ -178,34 +173,10 @@
     threads
 }
 
-/// Records when the endpoint list changes.
-fn record_list_changes(
-    schedule: &Schedule,
-    record: &SharedRecord,
-    stop: &Arc<AtomicBool>,
-) -> JoinHandle<()> {
-    let (schedule, record, stop) = (schedule.clone(), record.clone(), Arc::clone(stop));
-    thread::spawn(move || {
-        let mut known = [EndpointPhase::Serving; ENDPOINTS];
-        while !stop.load(Ordering::SeqCst) {
-            for (endpoint, known) in known.iter_mut().enumerate() {
-                let phase = current_phase(&schedule, endpoint);
-                if std::mem::replace(known, phase) != phase {
-                    record.lock().list_changes.push(ListChange {
-                        endpoint,
-                        is_active: phase == EndpointPhase::Serving,
-                        at: monotonic_micros(),
-                    });
-                }
-            }
-            thread::sleep(LIST_POLL_INTERVAL);
-        }
-    })
-}
-
-/// Records the periods that follow from the plan alone.
-fn record_planned_periods(schedule: &Schedule, record: &SharedRecord) {
+/// Records what follows from the plan alone: changes of the endpoint list, and periods.
+fn record_planned(schedule: &Schedule, record: &SharedRecord) {
     let mut record = record.lock();
+    record.list_changes = planned_list_changes(schedule);
     let processes = schedule.plan().processes;
     for fault in &schedule.plan().faults {
         let interval = schedule.interval(fault);
@@ -240,23 +211,21 @@
 }
 
 fn report(schedule: &Schedule, record: &Record, owners: &[ProcessOwner]) -> Report {
-    let mut counts: BTreeMap<FaultKind, Count> = BTreeMap::new();
-    for (kind, count) in owners.iter().flat_map(ProcessOwner::shim_counts) {
-        let total = counts.entry(kind).or_default();
-        total.seen += count.seen;
-        total.injected += count.injected;
+    let mut counts = Counts::default();
+    for owner in owners {
+        counts.add(&owner.shim_counts());
     }
     let planned = schedule.plan().faults.iter();
     let planned = planned.filter_map(|fault: &PlannedFault| fault.kind.system_fault());
     let mut idle_faults: Vec<&str> = planned
-        .filter(|kind| counts[kind].injected == 0)
+        .filter(|kind| counts.of(*kind).injected == 0)
         .map(FaultKind::name)
         .collect();
     idle_faults.dedup();
     let accepted = record
         .requests
         .iter()
-        .filter(|request| request.result == crate::record::ClientResult::Response(202));
+        .filter(|request| request.result == ClientResult::Response(202));
     Report {
         violations: Oracle::judge(record, schedule.started_at()),
         requests: record.requests.len(),
--- a/crates/fault-soak/src/schedule.rs
+++ b/crates/fault-soak/src/schedule.rs
@@ -60,14 +60,19 @@
         }
     }
 
-    /// What `select` returns for the first active fault for which it returns something.
+    /// What `select` returns for the first fault active now for which it returns something.
     pub fn active<T>(&self, select: impl Fn(&PlannedFault) -> Option<T>) -> Option<T> {
-        let now = monotonic_micros();
-        let mut active = self
-            .plan
-            .faults
-            .iter()
-            .filter(|fault| self.interval(fault).contains(now));
+        self.active_at(monotonic_micros(), select)
+    }
+
+    /// What `select` returns for the first fault active at a time for which it returns something.
+    pub fn active_at<T>(
+        &self,
+        at: Micros,
+        select: impl Fn(&PlannedFault) -> Option<T>,
+    ) -> Option<T> {
+        let faults = self.plan.faults.iter();
+        let mut active = faults.filter(|fault| self.interval(fault).contains(at));
         active.find_map(select)
     }
 
--- a/crates/process-harness/src/fault_shim.rs
+++ b/crates/process-harness/src/fault_shim.rs
@@ -3,8 +3,7 @@
 
 use crate::HarnessError;
 use marblefall_fault_plan::{
-    read_counts, Count, Fault, FaultKind, COUNTS_VARIABLE, FOLDER_VARIABLE, PLAN_VARIABLE,
-    SEED_VARIABLE,
+    Counts, Fault, FaultKind, COUNTS_VARIABLE, FOLDER_VARIABLE, PLAN_VARIABLE, SEED_VARIABLE,
 };
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -72,14 +71,14 @@
         Path::new(&self.counts).exists()
     }
 
-    /// The counts of all processes that were started with it, by kind of fault.
-    pub fn counts(&self) -> Vec<(FaultKind, Count)> {
+    /// The counts of all processes that were started with it.
+    pub fn counts(&self) -> Counts {
         // Before a process has started there is no file, and nothing was counted.
-        read_counts(&fs::read(&self.counts).unwrap_or_default())
+        Counts::read(&fs::read(&self.counts).unwrap_or_default())
     }
 
     /// How often a kind of fault was injected.
     pub fn injected(&self, kind: FaultKind) -> u64 {
-        self.counts()[kind.index()].1.injected
+        self.counts().of(kind).injected
     }
 }
