--- a/crates/cli/src/group/status.rs
+++ b/crates/cli/src/group/status.rs
@@ -60,7 +60,7 @@
     match &local.last_leader {
         Some(leader) => println!(
             "nobody leads just now; {} did, heard {} ms ago",
-            leader.name, leader.heard_ms_ago
+            leader.name, leader.contact_ms_ago
         ),
         None => println!("nobody leads just now, and nobody did since this daemon started"),
     }
@@ -75,7 +75,7 @@
     if let Some(pending) = &status.pending {
         println!(
             "open: a change by {}, {}; waits for: {}",
-            pending.author.by,
+            pending.author.name,
             phase_name(pending.phase),
             connection.names(&pending.awaited)
         );
@@ -149,7 +149,7 @@
     let awaited = pending.awaited.iter();
     let awaited: Vec<String> = awaited.map(|member| connection.name(*member)).collect();
     json!({
-        "by": pending.author.by,
+        "by": pending.author.name,
         "stage": phase_name(pending.phase),
         "waits_for": awaited,
     })
--- /dev/null
+++ b/crates/delivery/src/core/message_store/takeover.rs
@@ -0,0 +1,214 @@
+//! How an incarnation begins its part of the journal, and recovers the messages of earlier ones.
+
+use super::{MessageStore, RESERVED_BYTES, SEGMENT_BYTES};
+use crate::core::journal::{Generation, Journal, Tail};
+use crate::core::journal_record::{JournalRecord, RouteRecord};
+use crate::core::message_record::Execution;
+use crate::core::MessageId;
+use crate::system_error::is_transient;
+use marblefall_scheduler::DestinationId;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::path::Path;
+
+/// An incarnation leaves this fraction of the folder to a successor.
+const SUCCESSOR_FRACTION: u64 = 4;
+/// The most that it leaves to a successor, in bytes.
+const MAX_SUCCESSOR_BYTES: u64 = 8 << 20;
+/// Space for what an incarnation writes after it has handed over, in bytes: results of its attempts, and submissions of
+/// its last clients.
+pub(super) const AFTER_HANDOVER_BYTES: u64 = 128 * 1024;
+/// How many segments compaction needs space for.
+const COMPACTION_SEGMENTS: u64 = 2;
+/// How many bits of a message's id count within one incarnation.
+const ID_BITS_PER_GENERATION: u32 = 40;
+
+/// What was recovered besides messages.
+#[derive(Debug, Default)]
+pub struct Recovered {
+    /// The states of routes.
+    pub routes: Vec<RouteRecord>,
+    /// Messages whose attempt is still in flight, at an incarnation that is running.
+    pub in_flight: Vec<MessageId>,
+}
+
+/// What the journal of earlier incarnations has besides messages.
+#[derive(Default)]
+struct Replayed {
+    routes: Vec<RouteRecord>,
+    backoffs: BTreeMap<(DestinationId, String), i64>,
+    segments: BTreeMap<MessageId, u64>,
+}
+
+impl MessageStore {
+    /// Begins this incarnation's part of the journal in a folder of at most `disk` bytes. Until it takes over, it uses only
+    /// the space that its predecessors leave.
+    ///
+    /// # Errors
+    /// The folder cannot be read or written.
+    pub fn begin(
+        folder: &Path,
+        disk: u64,
+        class_names: Vec<String>,
+        generation: Generation,
+    ) -> io::Result<MessageStore> {
+        let usable = disk.saturating_sub(RESERVED_BYTES);
+        let for_successor = (disk / SUCCESSOR_FRACTION).min(MAX_SUCCESSOR_BYTES);
+        let mut used = 0;
+        for file in std::fs::read_dir(folder)? {
+            used += file?.metadata().map_or(0, |file| file.len());
+        }
+        let journal = Journal::begin(folder, SEGMENT_BYTES, generation)?;
+        let for_compaction = COMPACTION_SEGMENTS * SEGMENT_BYTES;
+        let unused = usable.saturating_sub(used + AFTER_HANDOVER_BYTES);
+        let standby_limit = for_successor.saturating_sub(for_compaction).min(unused);
+        Ok(MessageStore {
+            journal,
+            hard_limit: standby_limit,
+            compact_above: standby_limit,
+            messages: BTreeMap::new(),
+            segments: BTreeMap::new(),
+            identities: Default::default(),
+            idempotency_keys: Default::default(),
+            live_cost: 0,
+            open_count: 0,
+            next_id: first_id(generation),
+            retained: Default::default(),
+            retained_cost: 0,
+            class_names,
+            backoffs: BTreeMap::new(),
+            tails: Vec::new(),
+            unwritten: BTreeSet::new(),
+            handed_over: false,
+            exclusive_limit: usable.saturating_sub(for_successor),
+        })
+    }
+
+    /// Recovers the messages of all earlier incarnations, in their order. Those that are `running` have handed over: their
+    /// journals are followed from here on, and their attempts in flight remain theirs. Incarnations from
+    /// `first_concurrent` on were running when this one started. Only their backoffs remain in force, and only their
+    /// states of routes are returned, as a restart ends a backoff.
+    ///
+    /// Records that the journal does not accept meanwhile are left to [`MessageStore::retry_unwritten`].
+    ///
+    /// # Errors
+    /// The journal cannot be read. After a transient error nothing is recovered, otherwise what is before the error is.
+    pub fn take_over(
+        &mut self,
+        running: &[Generation],
+        first_concurrent: Option<Generation>,
+    ) -> io::Result<Recovered> {
+        let own: Vec<MessageId> = self.messages.keys().copied().collect();
+        let mut replayed = Replayed::default();
+        let replay = self.replay(running, first_concurrent, &mut replayed);
+        // What was read before an error is recovered, with none of its attempts in flight.
+        let (tails, read) = match replay {
+            Ok(tails) => (tails, Ok(())),
+            Err(error) if is_transient(&error) => return Err(error),
+            Err(error) => (Vec::new(), Err(error)),
+        };
+        let some_are_running = !tails.is_empty();
+        self.tails.extend(tails);
+        self.use_exclusive_limit();
+        replayed
+            .segments
+            .retain(|id, _| self.messages.contains_key(id));
+        self.segments.extend(replayed.segments);
+        let all = self.messages.keys().copied();
+        let found: Vec<MessageId> = all.filter(|id| own.binary_search(id).is_err()).collect();
+        for &id in &found {
+            self.index(id);
+        }
+        let in_flight = self.settle_in_flight(found, some_are_running);
+        self.record_backoffs_again(replayed.backoffs);
+        let routes = replayed.routes;
+        read.map(|()| Recovered { routes, in_flight })
+    }
+
+    /// Uses the space of an incarnation that is the only one, from now on.
+    fn use_exclusive_limit(&mut self) {
+        self.hard_limit = self.exclusive_limit;
+        self.compact_above = self
+            .exclusive_limit
+            .saturating_sub(COMPACTION_SEGMENTS * SEGMENT_BYTES);
+    }
+
+    /// Journals the backoffs of predecessors as this incarnation's, so that the next one need not know when this one
+    /// started.
+    fn record_backoffs_again(&mut self, backoffs: BTreeMap<(DestinationId, String), i64>) {
+        for ((destination, endpoint), until_ms) in backoffs {
+            // A backoff that is not journalled is in force for this incarnation alone, and a restart ends a backoff.
+            let _ = self.record_backoff(destination, endpoint, until_ms);
+        }
+    }
+
+    /// Applies the journal of earlier incarnations to the messages.
+    fn replay(
+        &mut self,
+        running: &[Generation],
+        first_concurrent: Option<Generation>,
+        replayed: &mut Replayed,
+    ) -> io::Result<Vec<Tail>> {
+        let class_names = &self.class_names;
+        let messages = &mut self.messages;
+        let was_concurrent =
+            |segment: u64| first_concurrent.is_some_and(|first| Generation::of(segment) >= first);
+        self.journal.take_over(running, |segment, payload| {
+            let Some((id, record)) = JournalRecord::decode(payload, class_names) else {
+                return;
+            };
+            match record {
+                JournalRecord::Backoff(backoff) if was_concurrent(segment) => {
+                    let route = (backoff.destination, backoff.endpoint);
+                    replayed.backoffs.insert(route, backoff.until_ms);
+                }
+                JournalRecord::Route(route) if was_concurrent(segment) => {
+                    replayed.routes.push(route)
+                }
+                JournalRecord::Backoff(_) | JournalRecord::Route(_) => {}
+                JournalRecord::Message(_) => {
+                    replayed.segments.insert(id, segment);
+                    record.apply(id, messages);
+                }
+                record => record.apply(id, messages),
+            }
+        })
+    }
+
+    /// Ends the attempts whose incarnation has exited, as they may have been executed. Where some incarnations are
+    /// running, the messages with an attempt in flight are returned instead.
+    fn settle_in_flight(
+        &mut self,
+        found: Vec<MessageId>,
+        some_are_running: bool,
+    ) -> Vec<MessageId> {
+        let mut in_flight = Vec::new();
+        for id in found {
+            if self.messages[&id].in_flight().is_none() {
+                continue;
+            }
+            if some_are_running {
+                in_flight.push(id);
+            } else {
+                // If this is not journalled, the next incarnation finds the attempt in flight and does the same.
+                let _ = self.attempt_finished(id, Execution::Possible);
+            }
+        }
+        in_flight
+    }
+
+    /// Continues under a later generation, so that the messages of incarnations in between can be recovered.
+    ///
+    /// # Errors
+    /// The journal cannot be written.
+    pub fn renew(&mut self, generation: Generation) -> io::Result<()> {
+        self.journal.renew(generation)?;
+        self.next_id = first_id(generation);
+        Ok(())
+    }
+}
+
+/// The first message id of an incarnation.
+fn first_id(generation: Generation) -> MessageId {
+    MessageId((generation.0 << ID_BITS_PER_GENERATION) + 1)
+}
--- a/crates/delivery/src/instance/state_folder.rs
+++ b/crates/delivery/src/instance/state_folder.rs
@@ -1,7 +1,7 @@
-//! Claiming the state folder, however long its disk fails.
+//! Claims the state folder, and retries for as long as its disk fails.
 //!
-//! A process that gave up because its disk was full for a moment would leave what an earlier one accepted. It waits
-//! instead, accepts nothing meanwhile, and ends if it is told to.
+//! A process that exited on a transient error would leave the messages of earlier incarnations undelivered. It retries
+//! instead, accepts nothing meanwhile, and can be shut down.
 
 use super::admin::read_disabled;
 use super::{InstanceCommand, InstanceError, StateFolder};
@@ -17,98 +17,92 @@
 use std::io;
 use std::time::Duration;
 
-/// How often a disk that fails is tried again.
+/// Delay before a failed operation is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What an incarnation owns of the state folder.
+/// How an incarnation starts.
+pub(super) enum StartMode {
+    /// No other incarnation is running: it is active at once, with the messages of earlier ones.
+    Alone {
+        /// The endpoints that operators have disabled.
+        disabled_endpoints: BTreeSet<String>,
+    },
+    /// As a standby beside predecessors, which may still change messages and disabled endpoints.
+    Standby(RunningPredecessors),
+}
+
+/// The state that an incarnation has claimed.
 pub(super) struct ClaimedState {
     pub(super) incarnation: Incarnation,
-    pub(super) predecessors: Option<RunningPredecessors>,
-    /// With what earlier incarnations left, unless some of them are running.
     pub(super) store: MessageStore,
     pub(super) clock: SteadyClock,
-    /// Endpoints that operators have disabled, unless earlier incarnations are running, which may still change them.
-    pub(super) disabled_endpoints: BTreeSet<String>,
+    pub(super) start_mode: StartMode,
 }
 
-/// Claims the folder, and keeps the commands that come meanwhile.
+/// Why the folder is not claimed.
+pub(super) enum ClaimInterrupt {
+    /// The process was shut down before the disk worked.
+    ShutDown,
+    /// The folder cannot be used.
+    Failed(InstanceError),
+}
+
+/// Claims the folder, and queues the commands that are received meanwhile.
 pub(super) struct Claim<'a> {
     pub(super) folder: &'a StateFolder,
     pub(super) commands: &'a Receiver<InstanceCommand>,
-    /// Commands that came, to be handled once the instance runs.
+    /// The queued commands, to be handled once the instance is running.
     pub(super) early_commands: Vec<InstanceCommand>,
 }
 
 impl Claim<'_> {
-    /// Claims the folder; `None` if the process is to end before the disk works.
+    /// Claims the folder.
     ///
     /// # Errors
-    /// One that does not pass by itself: the folder is no folder, or belongs to somebody else.
+    /// The process is shut down, or an error is not transient, such as missing permissions.
     pub(super) async fn run(
         &mut self,
         class_names: &[String],
-    ) -> Result<Option<ClaimedState>, InstanceError> {
+    ) -> Result<ClaimedState, ClaimInterrupt> {
         let path = &self.folder.path;
-        let Some(mut incarnation) = self.retry(|| Incarnation::claim(path)).await? else {
-            return Ok(None);
-        };
-        let Some(clock) = self.retry(|| SteadyClock::open(path)).await? else {
-            return Ok(None);
-        };
-        let announced = self.retry(|| driver::announce(&mut incarnation)).await?;
-        let Some(predecessors) = announced else {
-            return Ok(None);
-        };
-        let generation = incarnation.generation();
         let max_bytes = self.folder.max_bytes;
+        let mut incarnation = self.retry(|| Incarnation::claim(path)).await?;
+        let clock = self.retry(|| SteadyClock::open(path)).await?;
+        let predecessors = self.retry(|| driver::announce(&mut incarnation)).await?;
+        let generation = incarnation.generation();
         let begin = || MessageStore::begin(path, max_bytes, class_names.to_vec(), generation);
-        let Some(mut store) = self.retry(begin).await? else {
-            return Ok(None);
+        let mut store = self.retry(begin).await?;
+        let start_mode = match predecessors {
+            Some(predecessors) => StartMode::Standby(predecessors),
+            None => {
+                self.retry(|| store.take_over(&[], None)).await?;
+                let disabled_endpoints = self.retry(|| read_disabled(path)).await?;
+                StartMode::Alone { disabled_endpoints }
+            }
         };
-        let mut disabled_endpoints = BTreeSet::new();
-        if predecessors.is_none() {
-            let Some(disabled) = self.take_over(&mut store).await? else {
-                return Ok(None);
-            };
-            disabled_endpoints = disabled;
-        }
-        Ok(Some(ClaimedState {
+        Ok(ClaimedState {
             incarnation,
-            predecessors,
             store,
             clock,
-            disabled_endpoints,
-        }))
-    }
-
-    /// Takes over what earlier incarnations left, none of which is running; returns the endpoints that are disabled.
-    async fn take_over(
-        &mut self,
-        store: &mut MessageStore,
-    ) -> Result<Option<BTreeSet<String>>, InstanceError> {
-        let taken_over = self.retry(|| store.take_over(&[], None)).await?;
-        if taken_over.is_none() {
-            return Ok(None);
-        }
-        let path = &self.folder.path;
-        self.retry(|| read_disabled(path)).await
+            start_mode,
+        })
     }
 
-    /// Tries until it succeeds; `None` if the process is to end first.
+    /// Retries an operation until it succeeds.
     async fn retry<T>(
         &mut self,
         mut attempt: impl FnMut() -> io::Result<T>,
-    ) -> Result<Option<T>, InstanceError> {
+    ) -> Result<T, ClaimInterrupt> {
         loop {
             let error = match attempt() {
-                Ok(done) => return Ok(Some(done)),
+                Ok(value) => return Ok(value),
                 Err(error) => error,
             };
             if !is_transient(&error) {
-                return Err(InstanceError::StateFolder {
+                return Err(ClaimInterrupt::Failed(InstanceError::StateFolder {
                     path: self.folder.path.clone(),
                     source: error,
-                });
+                }));
             }
             log_line!(
                 code = "state-folder-fails",
@@ -116,14 +110,15 @@
                 self.folder.path.display()
             );
             Timer::after(RETRY_INTERVAL).await;
-            if self.is_to_end() {
-                log_line!("ends before its state folder works");
-                return Ok(None);
+            if self.is_shut_down() {
+                log_line!("shut down before its state folder works");
+                return Err(ClaimInterrupt::ShutDown);
             }
         }
     }
 
-    fn is_to_end(&mut self) -> bool {
+    /// Whether the process is shut down. Other commands are queued.
+    fn is_shut_down(&mut self) -> bool {
         while let Ok(command) = self.commands.try_recv() {
             if matches!(command, InstanceCommand::Shutdown { .. }) {
                 return true;
