--- a/crates/cli/tests/common/clients.rs
+++ b/crates/cli/tests/common/clients.rs
@@ -13,7 +13,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause of a client between two requests: a pace for the load, nothing waits for it.
 const CLIENT_PAUSE: Duration = Duration::from_millis(40);
-/// Most messages must be accepted for a test to show anything.
+/// With this many accepted messages or fewer a test shows nothing.
 const MIN_ACCEPTED: usize = 20;
 
 /// How a request ended for its client.
