--- a/crates/control-plane/src/supervisor.rs
+++ b/crates/control-plane/src/supervisor.rs
@@ -245,10 +245,7 @@
         while let Ok(command) = self.commands.try_recv() {
             match command {
                 InstanceCommand::ReloadConfig => self.reload(),
-                InstanceCommand::Shutdown {
-                    timeout,
-                    restart: _,
-                } => {
+                InstanceCommand::Shutdown { timeout, reason: _ } => {
                     self.instances.shut_down(timeout);
                     self.phase = Phase::ShuttingDown;
                 }
--- a/crates/control-plane/src/supervisor/instance_handle.rs
+++ b/crates/control-plane/src/supervisor/instance_handle.rs
@@ -6,7 +6,9 @@
 use crate::manifest::InstanceManifest;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use marblefall_delivery::instance::{self, InstanceCommand, InstanceConfig, LeaseConfig};
+use marblefall_delivery::instance::{
+    self, InstanceCommand, InstanceConfig, LeaseConfig, ShutdownReason,
+};
 use marblefall_delivery::lease_guard::LeaseGuard;
 use marblefall_delivery::log_line;
 use marblefall_delivery::net::spawner::Spawner;
@@ -126,7 +128,7 @@
     pub fn shut_down(&mut self, timeout: Duration) {
         self.send(InstanceCommand::Shutdown {
             timeout,
-            restart: false,
+            reason: ShutdownReason::Stop,
         });
         self.shutting_down = true;
     }
@@ -135,7 +137,7 @@
     pub fn shut_down_for_restart(&mut self, timeout: Duration) {
         self.send(InstanceCommand::Shutdown {
             timeout,
-            restart: true,
+            reason: ShutdownReason::Restart,
         });
         self.shutting_down = true;
     }
--- a/crates/delivery/src/instance.rs
+++ b/crates/delivery/src/instance.rs
@@ -19,7 +19,7 @@
 mod signals;
 mod state_folder;
 
-pub use command::InstanceCommand;
+pub use command::{InstanceCommand, ShutdownReason};
 pub use config::{
     CloudEventsFrontendConfig, InstanceConfig, LeaseConfig, PlatformFrontendConfig, PolicyUpdate,
     StateFolder,
--- a/crates/delivery/src/instance/command.rs
+++ b/crates/delivery/src/instance/command.rs
@@ -37,11 +37,20 @@
     Shutdown {
         /// How long the shutdown may take.
         timeout: Duration,
-        /// Whether another incarnation is started once this one has ended: no attempt is started any more then.
-        restart: bool,
+        /// Why the instance is shut down.
+        reason: ShutdownReason,
     },
 }
 
+/// Why an instance is shut down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ShutdownReason {
+    /// It is stopped: messages are still delivered as far as the time permits.
+    Stop,
+    /// Another incarnation is started once this one has ended: no further attempt is started.
+    Restart,
+}
+
 /// Handles the commands to a running instance.
 pub(super) struct CommandLoop {
     pub(super) counters: Rc<Counters>,
@@ -84,8 +93,8 @@
             InstanceCommand::LeaseChanged => self.send(EngineEvent::LeaseChanged).await,
             // An instance without a configuration file of its own has nothing to reload.
             InstanceCommand::ReloadConfig => {}
-            InstanceCommand::Shutdown { timeout, restart } => {
-                self.shut_down(timeout, restart).await;
+            InstanceCommand::Shutdown { timeout, reason } => {
+                self.shut_down(timeout, reason).await;
             }
         }
     }
@@ -123,15 +132,14 @@
             .await;
     }
 
-    async fn shut_down(&self, timeout: Duration, restart: bool) {
+    async fn shut_down(&self, timeout: Duration, reason: ShutdownReason) {
         if self.shutdown.has_begun() {
             return;
         }
         log_line!("shutdown requested");
-        let successor = if restart {
-            Successor::Restart
-        } else {
-            Successor::None
+        let successor = match reason {
+            ShutdownReason::Stop => Successor::None,
+            ShutdownReason::Restart => Successor::Restart,
         };
         let event = self.shutdown.begin(timeout, successor);
         self.clients.send(event).await;
--- a/crates/delivery/src/instance/shutdown.rs
+++ b/crates/delivery/src/instance/shutdown.rs
@@ -85,7 +85,7 @@
         };
         self.deadline.set(Some(now + timeout));
         if successor.takes_over() {
-            // The successor accepts connections at once.
+            // New connections are the successor's from now on.
             self.clients.begin_closing(now);
             self.clients.stop_accepting();
         } else {
--- a/crates/delivery/src/instance/signals.rs
+++ b/crates/delivery/src/instance/signals.rs
@@ -1,6 +1,6 @@
 //! Signals of the process as commands to its instance.
 
-use super::{InstanceCommand, InstanceError, SHUTDOWN_TIMEOUT};
+use super::{InstanceCommand, InstanceError, ShutdownReason, SHUTDOWN_TIMEOUT};
 use crate::log_line;
 use async_channel::Sender;
 use async_io::Timer;
@@ -37,7 +37,7 @@
             Signal::Hup => InstanceCommand::ReloadConfig,
             _ => InstanceCommand::Shutdown {
                 timeout: SHUTDOWN_TIMEOUT,
-                restart: false,
+                reason: ShutdownReason::Stop,
             },
         };
         if commands.send(command).await.is_err() {
