--- a/crates/delivery/src/core/engine/attempts.rs
+++ b/crates/delivery/src/core/engine/attempts.rs
@@ -94,7 +94,7 @@
         rules::may_start(record, class, now)
     }
 
-    /// When an attempt's first byte must have been written: within the deduplication window for a repeat, and before the
+    /// When an attempt's last byte must have been written: within the deduplication window for a repeat, and before the
     /// time-out.
     fn write_deadline(
         &self,
--- a/crates/delivery/src/core/engine/command.rs
+++ b/crates/delivery/src/core/engine/command.rs
@@ -21,7 +21,7 @@
     pub message: Rc<Message>,
     /// When it is abandoned.
     pub timeout_at: m::Time,
-    /// Its first byte is written before this time or not at all.
+    /// Its last byte is written before this time or not at all.
     pub write_by: m::Time,
 }
 
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Hands over: the states of routes are journalled, and the results of attempts in flight are reported
-    /// through the journal from now on. An engine that was never active has nothing to hand over; the messages that it
+    /// Hands over: the states of routes are journalled, and the results of attempts in flight are reported through the
+    /// journal from now on. An engine that was never active has nothing to hand over; the messages that it
     /// accepted are adopted once it exits.
     fn hand_over(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         if self.role == Role::Active {
--- a/crates/delivery/src/core/journal/segment.rs
+++ b/crates/delivery/src/core/journal/segment.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 /// Length of what is in front of each record: its length and its checksum.
-const HEADER_BYTES: usize = 8;
+const HEADER_BYTES: usize = 2 * NUMBER_BYTES;
 /// Length of each of the two numbers.
 const NUMBER_BYTES: usize = 4;
 /// No record is longer than this; a greater length means that the segment is corrupt.
--- a/crates/delivery/src/core/message_store.rs
+++ b/crates/delivery/src/core/message_store.rs
@@ -66,15 +66,19 @@
 }
 
 impl MessageStore {
-    /// Opens the journal in a folder of at most `disk` bytes that no other incarnation writes to, and recovers the messages
+    /// Opens the journal in a folder of at most `max_bytes` that no other incarnation writes to, and recovers the messages
     /// of earlier ones. Classes are journalled by name, as their order may change between two incarnations.
     ///
     /// # Errors
     /// The folder cannot be created, read or written.
-    pub fn open(folder: &Path, disk: u64, class_names: Vec<String>) -> io::Result<MessageStore> {
+    pub fn open(
+        folder: &Path,
+        max_bytes: u64,
+        class_names: Vec<String>,
+    ) -> io::Result<MessageStore> {
         std::fs::create_dir_all(folder)?;
         let generation = journal::latest_generation(folder)?.next();
-        let mut store = MessageStore::begin(folder, disk, class_names, generation)?;
+        let mut store = MessageStore::begin(folder, max_bytes, class_names, generation)?;
         store.take_over(&[], None)?;
         Ok(store)
     }
--- a/crates/delivery/src/core/message_store/takeover.rs
+++ b/crates/delivery/src/core/message_store/takeover.rs
@@ -11,8 +11,8 @@
 use std::io;
 use std::path::Path;
 
-/// An incarnation leaves this fraction of the folder to a successor.
-const SUCCESSOR_FRACTION: u64 = 4;
+/// An incarnation leaves one in this many parts of the folder to a successor.
+const SUCCESSOR_DIVISOR: u64 = 4;
 /// The most that it leaves to a successor, in bytes.
 const MAX_SUCCESSOR_BYTES: u64 = 8 << 20;
 /// Space for what an incarnation writes after it has handed over, in bytes: results of its attempts, and submissions of
@@ -41,19 +41,19 @@
 }
 
 impl MessageStore {
-    /// Begins this incarnation's part of the journal in a folder of at most `disk` bytes. Until it takes over, it uses only
+    /// Begins this incarnation's part of the journal in a folder of at most `max_bytes`. Until it takes over, it uses only
     /// the space that its predecessors leave.
     ///
     /// # Errors
     /// The folder cannot be read or written.
     pub fn begin(
         folder: &Path,
-        disk: u64,
+        max_bytes: u64,
         class_names: Vec<String>,
         generation: Generation,
     ) -> io::Result<MessageStore> {
-        let usable = disk.saturating_sub(RESERVED_BYTES);
-        let for_successor = (disk / SUCCESSOR_FRACTION).min(MAX_SUCCESSOR_BYTES);
+        let usable = max_bytes.saturating_sub(RESERVED_BYTES);
+        let for_successor = (max_bytes / SUCCESSOR_DIVISOR).min(MAX_SUCCESSOR_BYTES);
         let mut used = 0;
         for file in std::fs::read_dir(folder)? {
             used += file?.metadata().map_or(0, |file| file.len());
--- a/crates/delivery/src/hot_restart/incarnation.rs
+++ b/crates/delivery/src/hot_restart/incarnation.rs
@@ -9,8 +9,8 @@
 
 use crate::core::journal::Generation;
 use lock_file::{
-    claim_generation, lock_generations, lock_path, try_lock, LockAttempt, UNNUMBERED,
-    UNNUMBERED_SUCCESSOR,
+    claim_generation, lock_generations, lock_path, try_lock, LockAttempt, LockedGeneration,
+    UNNUMBERED, UNNUMBERED_SUCCESSOR,
 };
 use marks::{
     predecessor_state, read_marks, FENCED, HANDED_OVER, HANDOVER_REQUESTED, STANDBY_STARTED,
@@ -50,10 +50,9 @@
 #[derive(Debug)]
 pub struct Incarnation {
     folder: PathBuf,
-    generation: Generation,
-    lock_file: File,
-    /// Locks of incarnations that have exited, held until this one has their messages.
-    exited: Vec<(Generation, File)>,
+    own: LockedGeneration,
+    /// The generations of incarnations that have exited, which are locked until this one has their messages.
+    exited: Vec<LockedGeneration>,
 }
 
 impl Incarnation {
@@ -63,18 +62,16 @@
     /// The folder or the lock file cannot be created.
     pub fn claim(folder: &Path) -> io::Result<Incarnation> {
         std::fs::create_dir_all(folder)?;
-        let (generation, lock_file) = claim_generation(folder, UNNUMBERED)?;
         Ok(Incarnation {
             folder: folder.to_owned(),
-            generation,
-            lock_file,
+            own: claim_generation(folder, UNNUMBERED)?,
             exited: Vec::new(),
         })
     }
 
     /// The generation of this incarnation.
     pub fn generation(&self) -> Generation {
-        self.generation
+        self.own.generation
     }
 
     /// The earlier incarnations that are running, the latest first. The locks of those that have exited are held until
@@ -87,13 +84,15 @@
         for generation in lock_generations(&self.folder)?
             .into_iter()
             .rev()
-            .filter(|found| *found < self.generation)
+            .filter(|found| *found < self.own.generation)
         {
             if self.has_exited(generation) {
                 continue;
             }
             match try_lock(&self.folder, generation)? {
-                LockAttempt::Acquired(file) => self.exited.push((generation, file)),
+                LockAttempt::Acquired(file) => {
+                    self.exited.push(LockedGeneration { generation, file })
+                }
                 LockAttempt::HeldByOther(mut file) => running.push(Predecessor {
                     generation,
                     state: predecessor_state(&read_marks(&mut file)?),
@@ -106,15 +105,17 @@
 
     /// Whether a predecessor has exited.
     pub fn has_exited(&self, generation: Generation) -> bool {
-        self.exited.iter().any(|(exited, _)| *exited == generation)
+        self.exited
+            .iter()
+            .any(|exited| exited.generation == generation)
     }
 
     /// Removes the lock files of exited incarnations and releases their locks, once this one has their messages.
     pub fn release_exited(&mut self) {
-        for (generation, _lock) in self.exited.drain(..) {
+        for exited in self.exited.drain(..) {
             // The file is removed while it is locked. If it remains, the next incarnation finds it unlocked.
-            let _ = std::fs::remove_file(lock_path(&self.folder, generation));
-            if generation == UNNUMBERED {
+            let _ = std::fs::remove_file(lock_path(&self.folder, exited.generation));
+            if exited.generation == UNNUMBERED {
                 let _ = std::fs::remove_file(self.folder.join(UNNUMBERED_SUCCESSOR));
             }
         }
@@ -153,16 +154,16 @@
     /// # Errors
     /// The mark cannot be written.
     pub fn mark_handed_over(&mut self) -> io::Result<()> {
-        self.lock_file.write_all(&[HANDED_OVER])
+        self.own.file.write_all(&[HANDED_OVER])
     }
 
     /// The marks of successors. Where there has been none, only the length of a file is read. A file that cannot be read
     /// counts as empty.
     pub fn successor_requests(&mut self) -> SuccessorRequests {
-        if self.lock_file.metadata().map_or(0, |file| file.len()) == 0 {
+        if self.own.file.metadata().map_or(0, |file| file.len()) == 0 {
             return SuccessorRequests::default();
         }
-        let marks = read_marks(&mut self.lock_file).unwrap_or_default();
+        let marks = read_marks(&mut self.own.file).unwrap_or_default();
         SuccessorRequests {
             standby_started: marks.contains(&STANDBY_STARTED),
             hand_over: marks
@@ -176,7 +177,7 @@
         lock_generations(&self.folder)
             .unwrap_or_default()
             .into_iter()
-            .filter(|found| *found > self.generation)
+            .filter(|found| *found > self.own.generation)
             .rev()
             .any(|later| {
                 // If its lock cannot be tested, it may be running.
@@ -195,10 +196,13 @@
         let mut exited = Vec::new();
         for later in lock_generations(&self.folder)?
             .into_iter()
-            .filter(|found| *found > self.generation)
+            .filter(|found| *found > self.own.generation)
         {
             match try_lock(&self.folder, later)? {
-                LockAttempt::Acquired(file) => exited.push((later, file)),
+                LockAttempt::Acquired(file) => exited.push(LockedGeneration {
+                    generation: later,
+                    file,
+                }),
                 LockAttempt::HeldByOther(_) => return Ok(None),
                 LockAttempt::NoFile => {}
             }
@@ -206,10 +210,9 @@
         if exited.is_empty() {
             return Ok(None);
         }
-        let (generation, lock_file) = claim_generation(&self.folder, self.generation)?;
-        let previous_file = std::mem::replace(&mut self.lock_file, lock_file);
-        let previous = std::mem::replace(&mut self.generation, generation);
-        exited.push((previous, previous_file));
+        let claimed = claim_generation(&self.folder, self.own.generation)?;
+        let generation = claimed.generation;
+        exited.push(std::mem::replace(&mut self.own, claimed));
         self.exited.extend(exited);
         Ok(Some(generation))
     }
--- a/crates/delivery/src/hot_restart/incarnation/lock_file.rs
+++ b/crates/delivery/src/hot_restart/incarnation/lock_file.rs
@@ -24,8 +24,15 @@
     NoFile,
 }
 
+/// A generation whose lock file this process has locked.
+#[derive(Debug)]
+pub(super) struct LockedGeneration {
+    pub(super) generation: Generation,
+    pub(super) file: File,
+}
+
 /// Creates and locks the file of the generation after `after` and all existing ones.
-pub(super) fn claim_generation(folder: &Path, after: Generation) -> io::Result<(Generation, File)> {
+pub(super) fn claim_generation(folder: &Path, after: Generation) -> io::Result<LockedGeneration> {
     let mut generation = lock_generations(folder)?
         .into_iter()
         .chain([latest_generation(folder)?, after])
@@ -44,9 +51,9 @@
             Err(error) => return Err(error),
         };
         match file.try_lock() {
-            Ok(()) => return Ok((generation, file)),
+            Ok(()) => return Ok(LockedGeneration { generation, file }),
             Err(TryLockError::Error(error)) if has_no_locks(&error) => {
-                return Ok((generation, file))
+                return Ok(LockedGeneration { generation, file })
             }
             Err(TryLockError::Error(error)) => {
                 // An unlocked file would mean that the incarnation has exited.
--- a/crates/delivery/src/instance/admin.rs
+++ b/crates/delivery/src/instance/admin.rs
@@ -6,6 +6,7 @@
 use crate::hot_restart::driver::HotRestartInstance;
 use crate::log_line;
 use crate::net::admin::{AdminCall, AdminHandler};
+use crate::net::http::status::{NOT_FOUND, OK, SERVICE_UNAVAILABLE};
 use crate::net::server::ClientConnections;
 use crate::system_error::is_transient;
 use async_channel::Sender;
@@ -19,12 +20,6 @@
 
 /// The name of the file in the state folder, with one endpoint name a line.
 const FILE: &str = "held-out.txt";
-/// HTTP status of a call that was executed.
-const OK: u16 = 200;
-/// HTTP status of a call for an unknown endpoint.
-const NOT_FOUND: u16 = 404;
-/// HTTP status of a call that cannot be executed at present.
-const UNAVAILABLE: u16 = 503;
 
 /// The state that operators have set on one instance.
 pub struct AdminState {
@@ -101,7 +96,7 @@
     /// Disables or enables an endpoint; returns the HTTP status of the response.
     fn switch_endpoint(&self, name: &str, switch: EndpointSwitch) -> u16 {
         if !self.is_active.get() {
-            return UNAVAILABLE;
+            return SERVICE_UNAVAILABLE;
         }
         let is_listed = self.listed.borrow().values().any(|listed| listed == name);
         let is_changed = match switch {
@@ -120,7 +115,7 @@
                 self.folder.join(FILE).display()
             );
             self.undo(name, switch);
-            return UNAVAILABLE;
+            return SERVICE_UNAVAILABLE;
         }
         self.send_disabled();
         match switch {
@@ -200,7 +195,7 @@
     fn handle(&self, call: AdminCall<'_>) -> u16 {
         match call {
             // Clients are served by now, as the operators' listener is started after the clients'.
-            AdminCall::Ready if self.clients.is_draining() => UNAVAILABLE,
+            AdminCall::Ready if self.clients.is_draining() => SERVICE_UNAVAILABLE,
             AdminCall::Ready => OK,
             AdminCall::Disable(name) => self.switch_endpoint(name, EndpointSwitch::Disable),
             AdminCall::Enable(name) => self.switch_endpoint(name, EndpointSwitch::Enable),
--- a/crates/delivery/src/instance/assembly.rs
+++ b/crates/delivery/src/instance/assembly.rs
@@ -42,7 +42,7 @@
 /// File descriptors reserved for the journal, discovery, notices and the runtime.
 const RESERVED_SOCKETS: usize = 24;
 /// Connections of clients use at most one in this many file descriptors; the rest is for connections to endpoints.
-const CLIENT_FRACTION: usize = 3;
+const CLIENT_SOCKETS_DIVISOR: usize = 3;
 /// Idle connections are closed after this fraction of the endpoints' own time-out, as a request that is sent while the
 /// endpoint closes its connection is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.85;
@@ -172,7 +172,7 @@
         tasks: Spawner,
     ) -> Assembly {
         let counters = Rc::new(Counters::default());
-        let max_clients = (config.max_sockets / CLIENT_FRACTION).max(1);
+        let max_clients = (config.max_sockets / CLIENT_SOCKETS_DIVISOR).max(1);
         let pool_limits = PoolLimits {
             connect_timeout: config.connect_timeout,
             idle_timeout: config.idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION),
@@ -235,9 +235,9 @@
     }
 
     fn restore_snapshot(&self, engine: &mut Engine) -> SnapshotWriter {
-        let (store, records) = SnapshotStore::open(LocalDisk, &self.folder);
-        engine.restore_destinations(self.clock.now(), &records);
-        SnapshotWriter::new(store)
+        let snapshot = SnapshotStore::open(LocalDisk, &self.folder);
+        engine.restore_destinations(self.clock.now(), &snapshot.records);
+        SnapshotWriter::new(snapshot.store)
     }
 
     fn start_hot_restart(&self) {
--- a/crates/delivery/src/instance/executor/attempt_execution.rs
+++ b/crates/delivery/src/instance/executor/attempt_execution.rs
@@ -34,9 +34,11 @@
         add(&self.counters.attempts);
         let started_at = self.clock.now().monotonic;
         let address = self.address_of(request.endpoint);
-        let encode = |budget_ms| -> EncodedRequest<'_> {
+        let encode = |response_timeout_ms| -> EncodedRequest<'_> {
             match message.origin {
-                Origin::Platform => platform::encode_attempt(&message, &address, budget_ms),
+                Origin::Platform => {
+                    platform::encode_attempt(&message, &address, response_timeout_ms)
+                }
                 Origin::CloudEvents => self.cloudevents.get().encode_attempt(&message, &address),
             }
         };
--- a/crates/delivery/src/net/frontend.rs
+++ b/crates/delivery/src/net/frontend.rs
@@ -54,14 +54,14 @@
     }
 }
 
-/// What a request asks for.
+/// A request as its frontend has parsed it.
 #[derive(Debug, PartialEq)]
 pub enum ParsedRequest {
-    /// Nothing beyond this response.
+    /// It gets this response at once.
     Respond(Response),
-    /// To submit a message.
+    /// It submits a message.
     Submit(Message),
-    /// Whether the instance accepts clients, which it does unless operators drain it.
+    /// It asks whether the instance accepts clients, which it does unless operators drain it.
     Readiness,
 }
 
--- a/crates/delivery/src/net/pool/run.rs
+++ b/crates/delivery/src/net/pool/run.rs
@@ -105,8 +105,8 @@
         cancelled: &Receiver<()>,
         now: Instant,
     ) -> RequestWrite {
-        let budget_ms = (attempt.timeout_at - now).as_millis() as u64;
-        let EncodedRequest { head, body } = (attempt.encode)(budget_ms);
+        let response_timeout_ms = (attempt.timeout_at - now).as_millis() as u64;
+        let EncodedRequest { head, body } = (attempt.encode)(response_timeout_ms);
         let address = pooled.address;
         // An endpoint that reads slowly may delay the last byte for long.
         let write_all = async {
--- a/crates/delivery/src/net/server/session.rs
+++ b/crates/delivery/src/net/server/session.rs
@@ -43,7 +43,7 @@
     Close,
 }
 
-/// A request, and what its client wants of the connection.
+/// A request, and whether its client keeps the connection open after the response.
 struct ReceivedRequest {
     request: ParsedRequest,
     after_response: AfterResponse,
--- a/crates/delivery/src/net/server/session/request_reader.rs
+++ b/crates/delivery/src/net/server/session/request_reader.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Reads one request, asking for its body where the client awaits that.
+/// Reads one request. A client that expects `100 Continue` receives it before its body is read.
 pub(super) async fn read_request(connection: &mut Connection) -> Result<RequestExtent, ReadError> {
     let head_len = connection.read_head(MAX_HEAD_LEN).await?;
     let request = http::parse_request(&connection.bytes()[..head_len])?;
--- a/crates/delivery/src/snapshot_store.rs
+++ b/crates/delivery/src/snapshot_store.rs
@@ -31,10 +31,19 @@
     failed: bool,
 }
 
+/// A snapshot that was opened.
+#[derive(Debug)]
+pub struct OpenedSnapshot<D = LocalDisk> {
+    /// The store that replaces the records from now on.
+    pub store: SnapshotStore<D>,
+    /// The records of an earlier incarnation.
+    pub records: Vec<DestinationRecord>,
+}
+
 impl<D: Disk> SnapshotStore<D> {
-    /// Opens the snapshot in a state folder, and reads the records of an earlier incarnation. A snapshot that cannot be
-    /// used is ignored with a log line.
-    pub fn open(disk: D, folder: &Path) -> (SnapshotStore<D>, Vec<DestinationRecord>) {
+    /// Opens the snapshot in a state folder, and reads its records. A snapshot that cannot be used is ignored with a log
+    /// line.
+    pub fn open(disk: D, folder: &Path) -> OpenedSnapshot<D> {
         let path = folder.join(FILE);
         let (last_written, records) = match read(&disk, folder) {
             Ok(records) => (encode(&records), records),
@@ -49,7 +58,7 @@
             last_written,
             failed: false,
         };
-        (store, records)
+        OpenedSnapshot { store, records }
     }
 
     /// The disk that it writes to.
@@ -58,8 +67,8 @@
     }
 
     /// Writes the records, if they have changed. The instance works without a snapshot, so a failure is only logged, once
-    /// until a write succeeds again. The file is not synced, as it may be lost with the power: the checksum detects a
-    /// torn file.
+    /// until a write succeeds again. The file is not synced: it may be lost or torn in a power failure, and the checksum
+    /// detects a torn one.
     pub fn write(&mut self, records: &[DestinationRecord]) {
         let bytes = encode(records);
         if bytes == self.last_written {
--- a/crates/delivery/tests/snapshot_store.rs
+++ b/crates/delivery/tests/snapshot_store.rs
@@ -3,7 +3,7 @@
 use marblefall_atomic_file::faulty_disk::{Fault, FaultyDisk, Unsynced};
 use marblefall_atomic_file::Disk;
 use marblefall_delivery::core::snapshot::{encode, DestinationRecord, VERSION};
-use marblefall_delivery::snapshot_store::{read, SnapshotStore};
+use marblefall_delivery::snapshot_store::{read, OpenedSnapshot, SnapshotStore};
 use std::path::Path;
 
 const FOLDER: &str = "/home/instances/one";
@@ -33,14 +33,20 @@
         for after in 0..4 {
             let disk = FaultyDisk::new();
             disk.inject_fault(after, fault);
-            let (mut store, restored) = SnapshotStore::open(disk.clone(), folder);
+            let OpenedSnapshot {
+                mut store,
+                records: restored,
+            } = SnapshotStore::open(disk.clone(), folder);
             assert_eq!(restored, []);
             let (old, new) = (records(1), records(2));
             store.write(&old);
             store.write(&new);
             for unsynced in [Unsynced::Survives, Unsynced::Lost, Unsynced::NamesSurvive] {
                 let after_crash = store.disk().after_restart(unsynced);
-                let (mut reopened, restored) = SnapshotStore::open(after_crash, folder);
+                let OpenedSnapshot {
+                    store: mut reopened,
+                    records: restored,
+                } = SnapshotStore::open(after_crash, folder);
                 assert!(
                     restored.is_empty() || restored == old || restored == new,
                     "{fault:?} at {after}, {unsynced:?}: {restored:?}"
@@ -78,7 +84,10 @@
             .contains(&format!("version {}", VERSION + 1)),
         "{cause}"
     );
-    let (mut store, restored) = SnapshotStore::open(disk, folder);
+    let OpenedSnapshot {
+        mut store,
+        records: restored,
+    } = SnapshotStore::open(disk, folder);
     assert_eq!(restored, []);
     store.write(&records(1));
     assert_eq!(read(store.disk(), folder).unwrap(), records(1));
