--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,11 +1,11 @@
-//! Hosts the instances: turns lines into events and actions into lines. It takes no decisions.
+//! Runs the instances: turns lines into events and actions into lines. It takes no decisions.
 //!
 //! A batch starts with a line that has its time and ends with a line of its own. Each instance that is named in it
 //! handles its events at the end, in the order in which the instances were first named.
 
 use crate::error::InputError;
 use crate::instance::Instance;
-use crate::wire::{EndpointEntry, Line, Reply, UpdateKind};
+use crate::wire::{EndpointEntry, Line, ListUpdate, Reply, StartedInstance, UpdateKind};
 use marblefall_scheduler::{Event, Time};
 use std::any::Any;
 use std::collections::{BTreeMap, HashMap};
@@ -61,8 +61,8 @@
         self.batch.is_some()
     }
 
-    /// Takes one line; the end of a batch returns the reply to it.
-    pub fn take(&mut self, line: Line) -> Result<Option<String>, InputError> {
+    /// Handles one line; the end of a batch returns the reply to it.
+    pub fn handle_line(&mut self, line: Line) -> Result<Option<String>, InputError> {
         match (line, self.batch.take()) {
             (Line::BatchStart { time_ms }, None) => {
                 self.batch = Some(Batch::new(Time::from_ms(time_ms)));
@@ -81,86 +81,83 @@
     /// Adds a line within a batch.
     fn add_line(&mut self, line: Line, batch: &mut Batch) -> Result<(), InputError> {
         match line {
+            // `handle_line` handles the limits of a batch.
             Line::BatchStart { .. } | Line::BatchEnd {} => {}
-            Line::InstanceStarted {
-                instance,
-                seed,
-                settings,
-            } => {
-                batch.forget(&instance);
-                batch.push(&instance, None);
-                let started = Instance::new(*settings, seed);
-                self.instances.insert(instance, started);
-            }
-            Line::InstanceStopped { instance } => {
-                batch.forget(&instance);
-                if self.instances.remove(&instance).is_none() {
-                    return Err(InputError::UnknownInstance(instance));
-                }
-            }
+            Line::InstanceStarted(started) => self.start_instance(started, batch),
+            Line::InstanceStopped { instance } => self.stop_instance(instance, batch)?,
             Line::EndpointList { number, entries } => {
                 self.endpoint_lists.insert(number, entries);
             }
-            Line::EndpointListUpdate {
-                instance,
-                number,
-                kind,
-            } => {
-                let event = self.list_update(&instance, number, kind)?;
-                batch.push(&instance, Some(event));
+            Line::EndpointListUpdate(update) => {
+                let event = self.list_update(&update)?;
+                batch.push(&update.instance, Some(event));
             }
             Line::MessageAccepted(accepted) => {
-                let event = find(&mut self.instances, &accepted.instance)?.accepted(&accepted)?;
+                let event = self.instance(&accepted.instance)?.accepted(&accepted)?;
                 batch.push(&accepted.instance, Some(event));
             }
             Line::AttemptFinished(attempt) => {
-                let instance = find(&mut self.instances, &attempt.instance)?;
+                let instance = self.instance(&attempt.instance)?;
                 let event = instance.attempt_finished(&attempt)?;
                 batch.push(&attempt.instance, Some(event));
             }
             Line::MessageCancelled { instance, message } => {
-                let message = find(&mut self.instances, &instance)?.message(&message);
+                let message = self.instance(&instance)?.message(&message);
                 batch.push(&instance, Some(Event::Cancelled(message)));
             }
             Line::TimerFired { instance, token } => {
-                find(&mut self.instances, &instance)?;
+                self.instance(&instance)?;
                 batch.push(&instance, Some(Event::TimerFired(token)));
             }
             Line::HealthChecked(check) => {
-                let event = find(&mut self.instances, &check.instance)?.health_checked(&check)?;
+                let event = self.instance(&check.instance)?.health_checked(&check)?;
                 batch.push(&check.instance, Some(event));
             }
             Line::LeaderElected { instance } | Line::PeerMessage { instance } => {
-                find(&mut self.instances, &instance)?;
+                self.instance(&instance)?;
                 batch.push(&instance, None);
             }
         }
         Ok(())
     }
 
+    fn start_instance(&mut self, started: StartedInstance, batch: &mut Batch) {
+        batch.forget(&started.instance);
+        batch.push(&started.instance, None);
+        let instance = Instance::new(*started.settings, started.seed);
+        self.instances.insert(started.instance, instance);
+    }
+
+    fn stop_instance(&mut self, name: String, batch: &mut Batch) -> Result<(), InputError> {
+        batch.forget(&name);
+        match self.instances.remove(&name) {
+            Some(_) => Ok(()),
+            None => Err(InputError::UnknownInstance(name)),
+        }
+    }
+
     /// The event of an instance that receives an endpoint list.
-    fn list_update(
-        &mut self,
-        name: &str,
-        number: u64,
-        kind: UpdateKind,
-    ) -> Result<Event, InputError> {
-        let instance = find(&mut self.instances, name)?;
+    fn list_update(&mut self, update: &ListUpdate) -> Result<Event, InputError> {
+        let instance = find(&mut self.instances, &update.instance)?;
         let mut updates = || {
-            let entries = self.endpoint_lists.get(&number);
-            let entries = entries.ok_or(InputError::UnknownList(number))?;
+            let entries = self.endpoint_lists.get(&update.number);
+            let entries = entries.ok_or(InputError::UnknownList(update.number))?;
             entries
                 .iter()
                 .map(|entry| instance.endpoint_update(entry))
                 .collect::<Result<Vec<_>, InputError>>()
         };
-        Ok(match kind {
+        Ok(match update.kind {
             UpdateKind::Error => Event::EndpointListFailed,
             UpdateKind::Partial => Event::EndpointsUpdated(updates()?),
             UpdateKind::Complete | UpdateKind::Persisted => Event::EndpointsReplaced(updates()?),
         })
     }
 
+    fn instance(&mut self, name: &str) -> Result<&mut Instance, InputError> {
+        find(&mut self.instances, name)
+    }
+
     /// Lets all instances of a batch handle their events; returns the lines of the reply.
     fn handle_batch(&mut self, batch: &Batch) -> String {
         let mut lines = String::new();
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -66,7 +66,7 @@
         }
         let event = serde_json::from_slice(&text)
             .map_err(|source| AdapterError::Syntax { line, source })?;
-        let reply = adapter.take(event);
+        let reply = adapter.handle_line(event);
         let reply = reply.map_err(|source| AdapterError::Input { line, source })?;
         if let Some(reply) = reply {
             let written = output
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire as types: the lines of the input and of the output. The wire's own names stand in the
-//! `rename` attributes here and nowhere else.
+//! The simulator's wire as types: the lines of the input and of the output. The wire's own names are written in
+//! the `rename` attributes here and nowhere else.
 
 use marblefall_settings::InstanceSettings;
 use serde::{Deserialize, Serialize};
@@ -17,14 +17,7 @@
     BatchEnd {},
     /// An instance starts.
     #[serde(rename = "begin")]
-    InstanceStarted {
-        #[serde(rename = "courier_id")]
-        instance: String,
-        #[serde(rename = "random_seed")]
-        seed: u64,
-        #[serde(rename = "boot_info")]
-        settings: Box<InstanceSettings>,
-    },
+    InstanceStarted(StartedInstance),
     /// An instance stops.
     #[serde(rename = "halt")]
     InstanceStopped {
@@ -41,14 +34,7 @@
     },
     /// An instance receives an endpoint list.
     #[serde(rename = "update")]
-    EndpointListUpdate {
-        #[serde(rename = "courier_id")]
-        instance: String,
-        /// The list's number; absent and meaningless if `kind` is [`UpdateKind::Error`].
-        #[serde(rename = "buffer", default)]
-        number: u64,
-        kind: UpdateKind,
-    },
+    EndpointListUpdate(ListUpdate),
     /// A message was accepted.
     #[serde(rename = "accept")]
     MessageAccepted(AcceptedMessage),
@@ -87,6 +73,33 @@
     },
 }
 
+/// An instance that starts.
+#[derive(Debug, Deserialize)]
+pub struct StartedInstance {
+    /// Its name.
+    #[serde(rename = "courier_id")]
+    pub instance: String,
+    /// Seed of its random numbers.
+    #[serde(rename = "random_seed")]
+    pub seed: u64,
+    /// Its settings.
+    #[serde(rename = "boot_info")]
+    pub settings: Box<InstanceSettings>,
+}
+
+/// An endpoint list that an instance receives.
+#[derive(Debug, Deserialize)]
+pub struct ListUpdate {
+    /// The instance that receives it.
+    #[serde(rename = "courier_id")]
+    pub instance: String,
+    /// The list's number; absent and meaningless if `kind` is [`UpdateKind::Error`].
+    #[serde(rename = "buffer", default)]
+    pub number: u64,
+    /// What the list contains.
+    pub kind: UpdateKind,
+}
+
 /// What an endpoint list contains.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub enum UpdateKind {
