--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -6,6 +6,10 @@
 
 use std::ops::{Add, Sub};
 
+const MICROS_PER_MS: f64 = 1000.0;
+const MICROS_PER_S: f64 = 1e6;
+const MS_PER_S: f64 = 1000.0;
+
 /// A point in time on a monotonic clock, in microseconds. Its zero is arbitrary: only differences are meaningful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Time(pub i64);
@@ -20,12 +24,12 @@
 
     /// The point in time `ms` milliseconds after the clock's zero, rounded to a microsecond.
     pub fn from_ms(ms: f64) -> Time {
-        Time((ms * 1000.0).round() as i64)
+        Time((ms * MICROS_PER_MS).round() as i64)
     }
 
     /// Milliseconds since the clock's zero.
     pub fn ms(self) -> f64 {
-        self.0 as f64 / 1000.0
+        self.0 as f64 / MICROS_PER_MS
     }
 }
 
@@ -35,22 +39,22 @@
 
     /// A span of `ms` milliseconds, rounded to a microsecond.
     pub fn from_ms(ms: f64) -> Span {
-        Span((ms * 1000.0).round() as i64)
+        Span((ms * MICROS_PER_MS).round() as i64)
     }
 
     /// A span of `secs` seconds, rounded to a microsecond.
     pub fn from_secs(secs: f64) -> Span {
-        Span::from_ms(secs * 1000.0)
+        Span::from_ms(secs * MS_PER_S)
     }
 
     /// Length in milliseconds.
     pub fn ms(self) -> f64 {
-        self.0 as f64 / 1000.0
+        self.0 as f64 / MICROS_PER_MS
     }
 
     /// Length in seconds.
     pub fn secs(self) -> f64 {
-        self.0 as f64 / 1e6
+        self.0 as f64 / MICROS_PER_S
     }
 }
 
