--- a/crates/scheduler/src/connection_pressure.rs
+++ b/crates/scheduler/src/connection_pressure.rs
@@ -16,7 +16,7 @@
 /// Pressure above which idle connections of the kind are closed.
 const MAX_PRESSURE: f64 = 0.03;
 /// How long a lost connection is held against the next call that succeeds.
-const LOSS_MEMORY: Span = Span(4_000_000);
+const LOSS_MEMORY: Span = Span::from_secs(4.0);
 
 /// A call that got no connection, or was lost on a reused idle one.
 #[derive(Clone, Copy, Debug)]
--- a/crates/scheduler/src/failure_detector.rs
+++ b/crates/scheduler/src/failure_detector.rs
@@ -15,7 +15,7 @@
 /// Consecutive rejections that eject a route if they last for [`MIN_REJECTION_RUN`].
 const REJECTIONS_TO_EJECT: u32 = 6;
 /// How long a run of rejections must last to show that the route is out of service.
-const MIN_REJECTION_RUN: Span = Span(2_500_000);
+const MIN_REJECTION_RUN: Span = Span::from_secs(2.5);
 
 /// Rejections since the last success.
 #[derive(Clone, Copy, Debug)]
--- a/crates/scheduler/src/policy/silence.rs
+++ b/crates/scheduler/src/policy/silence.rs
@@ -7,7 +7,7 @@
 use crate::state::RouteId;
 
 /// How long a route must have answered nothing.
-const MIN_SILENCE: Span = Span(5_000_000);
+const MIN_SILENCE: Span = Span::from_secs(5.0);
 /// Backlog at all instances together from which on the silence matters, in messages.
 const MIN_BACKLOG: f64 = 24.0;
 /// Backlog at each instance from which on it matters, in messages.
--- a/crates/scheduler/src/rate_limiter.rs
+++ b/crates/scheduler/src/rate_limiter.rs
@@ -23,7 +23,7 @@
 /// The highest rate, as a multiple of the full rate, which may be too low if the first rejection came in a lull.
 const MAX_RATE_FACTOR: f64 = 1.5;
 /// Time without a rejection, for each cut, after which successes raise the full rate: it may be far too low.
-const QUIET_TIME: Span = Span(1_000_000);
+const QUIET_TIME: Span = Span::from_secs(1.0);
 /// Growth of the full rate in that time, as a fraction per second.
 const QUIET_GROWTH_PER_S: f64 = 0.3;
 /// The longest time between two successes that counts for that growth, in seconds.
@@ -35,7 +35,7 @@
 /// Tolerance for rounding errors, in calls.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 /// Time without a rejection after which the limiter is dropped.
-const RETENTION: Span = Span(10_000_000);
+const RETENTION: Span = Span::from_secs(10.0);
 /// Calls that a measurement needs at a rate set by cuts.
 const REGULATED_CALLS: u32 = 16;
 /// Calls that a measurement needs at an increased rate, for each instance: one of many changes the share less.
--- a/crates/scheduler/src/state/endpoint.rs
+++ b/crates/scheduler/src/state/endpoint.rs
@@ -5,11 +5,11 @@
 use crate::mean_latency::MeanLatency;
 
 /// A connection unused for longer counts as idle: the endpoint may have dropped it without closing it.
-const MIN_IDLE_TIME: Span = Span(500_000);
+const MIN_IDLE_TIME: Span = Span::from_secs(0.5);
 /// How long a failure counts against an endpoint.
-const FAILURE_MEMORY: Span = Span(4_000_000);
+const FAILURE_MEMORY: Span = Span::from_secs(4.0);
 /// Time after which each success raises a connection cap by one.
-const CAP_GROWTH_DELAY: Span = Span(1_000_000);
+const CAP_GROWTH_DELAY: Span = Span::from_secs(1.0);
 
 /// An endpoint of a destination.
 #[derive(Default)]
--- a/crates/scheduler/src/state/route.rs
+++ b/crates/scheduler/src/state/route.rs
@@ -11,9 +11,9 @@
 use std::fmt;
 
 /// Window over which the recent send rate of a route is measured.
-pub(crate) const RECENT_WINDOW: Span = Span(3_000_000);
+pub(crate) const RECENT_WINDOW: Span = Span::from_secs(3.0);
 /// The least time over which it is measured, where the first send in the window is younger.
-const MIN_RECENT_WINDOW: Span = Span(1_000_000);
+const MIN_RECENT_WINDOW: Span = Span::from_secs(1.0);
 
 /// Identity of a route: limits, backoffs, health and recovery apply to each route apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/scheduler/tests/recovery_model/ramp.rs
+++ b/crates/scheduler/tests/recovery_model/ramp.rs
@@ -8,9 +8,9 @@
 use marblefall_scheduler::{Rules, Span, Time};
 use stateright::{Checker, Model, Property};
 
-const STEP: Span = Span(500_000);
+const STEP: Span = Span::from_secs(0.5);
 /// The least time between two half-open trial calls.
-const MIN_TRIAL_INTERVAL: Span = Span(700_000);
+const MIN_TRIAL_INTERVAL: Span = Span::from_secs(0.7);
 /// Consecutive failures that eject the route.
 const FAILURES_TO_EJECT: u8 = 2;
 const MAX_PENDING: u8 = 3;
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -23,12 +23,12 @@
     pub const MIN: Time = Time(i64::MIN);
 
     /// The point in time `ms` milliseconds after the clock's zero, rounded to a microsecond.
-    pub fn from_ms(ms: f64) -> Time {
+    pub const fn from_ms(ms: f64) -> Time {
         Time((ms * MICROS_PER_MS).round() as i64)
     }
 
     /// Milliseconds since the clock's zero.
-    pub fn ms(self) -> f64 {
+    pub const fn ms(self) -> f64 {
         self.0 as f64 / MICROS_PER_MS
     }
 }
@@ -38,22 +38,22 @@
     pub const ZERO: Span = Span(0);
 
     /// A span of `ms` milliseconds, rounded to a microsecond.
-    pub fn from_ms(ms: f64) -> Span {
+    pub const fn from_ms(ms: f64) -> Span {
         Span((ms * MICROS_PER_MS).round() as i64)
     }
 
     /// A span of `secs` seconds, rounded to a microsecond.
-    pub fn from_secs(secs: f64) -> Span {
+    pub const fn from_secs(secs: f64) -> Span {
         Span::from_ms(secs * MS_PER_S)
     }
 
     /// Length in milliseconds.
-    pub fn ms(self) -> f64 {
+    pub const fn ms(self) -> f64 {
         self.0 as f64 / MICROS_PER_MS
     }
 
     /// Length in seconds.
-    pub fn secs(self) -> f64 {
+    pub const fn secs(self) -> f64 {
         self.0 as f64 / MICROS_PER_S
     }
 }
