--- /dev/null
+++ b/crates/simulation/src/mutants.rs
@@ -0,0 +1,197 @@
+//! Mutants of the scheduler, with one defect each, to test the invariant checker: every invariant is violated by at least
+//! one mutant.
+
+use crate::invariants::Invariant;
+use crate::simulation::Node;
+use marblefall_scheduler::{
+    Action, EndpointStatus, Event, Idempotency, MessageId, Outcome, Scheduler, Settings, Span, Time,
+};
+use std::collections::BTreeMap;
+
+/// [`Mutation::DuplicatesAttempts`] duplicates one attempt in this many.
+const DUPLICATED_ATTEMPTS: u64 = 100;
+/// [`Mutation::DropsFinalOutcomes`] drops one final outcome in this many.
+const DROPPED_OUTCOMES: u64 = 10;
+/// A deduplication window that never ends.
+const ENDLESS_WINDOW: Span = Span(i64::MAX / 4);
+/// An overload factor that no load exceeds.
+const ENDLESS_OVERLOAD_FACTOR: f64 = 1000.0;
+
+/// A defect.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Mutation {
+    /// Retry-After is ignored.
+    IgnoresRetryAfter,
+    /// Some attempts are sent twice.
+    DuplicatesAttempts,
+    /// Messages of an earlier incarnation are not resumed.
+    LosesMessagesOnRestart,
+    /// Every endpoint is taken as active.
+    IgnoresDraining,
+    /// Every rejection is reported twice.
+    FinishesTwice,
+    /// Some rejections and failures are not reported.
+    DropsFinalOutcomes,
+    /// An attempt that timed out or was reset is taken as not executed.
+    TreatsResetAsNotExecuted,
+    /// After a restart, earlier attempts are taken as not executed.
+    ForgetsAttemptsOnRestart,
+    /// A recovering destination receives the full load at once.
+    IgnoresRecoveryRamp,
+    /// Idempotency keys are taken as valid for ever.
+    IgnoresDeduplicationWindow,
+}
+
+impl Mutation {
+    /// All mutations.
+    pub const ALL: [Mutation; 10] = [
+        Mutation::IgnoresRetryAfter,
+        Mutation::DuplicatesAttempts,
+        Mutation::LosesMessagesOnRestart,
+        Mutation::IgnoresDraining,
+        Mutation::FinishesTwice,
+        Mutation::DropsFinalOutcomes,
+        Mutation::TreatsResetAsNotExecuted,
+        Mutation::ForgetsAttemptsOnRestart,
+        Mutation::IgnoresRecoveryRamp,
+        Mutation::IgnoresDeduplicationWindow,
+    ];
+
+    /// The invariant that it violates.
+    pub fn violates(self) -> Invariant {
+        match self {
+            Mutation::IgnoresRetryAfter => Invariant::RetryAfterObserved,
+            Mutation::DuplicatesAttempts => Invariant::SingleAttemptInFlight,
+            Mutation::LosesMessagesOnRestart | Mutation::DropsFinalOutcomes => {
+                Invariant::NoMessageLost
+            }
+            Mutation::IgnoresDraining => Invariant::DrainingObserved,
+            Mutation::FinishesTwice => Invariant::SingleFinalOutcome,
+            Mutation::TreatsResetAsNotExecuted
+            | Mutation::ForgetsAttemptsOnRestart
+            | Mutation::IgnoresDeduplicationWindow => Invariant::RetriesPermitted,
+            Mutation::IgnoresRecoveryRamp => Invariant::NoRecoveryOverload,
+        }
+    }
+
+    /// A node with this defect.
+    pub fn node(self, mut settings: Settings, seed: u64) -> Box<dyn Node> {
+        self.change_settings(&mut settings);
+        Box::new(Mutant {
+            mutation: self,
+            scheduler: Scheduler::new(settings, seed),
+            attempts: 0,
+            final_outcomes: 0,
+            duplicates_in_flight: BTreeMap::new(),
+        })
+    }
+
+    fn change_settings(self, settings: &mut Settings) {
+        match self {
+            Mutation::IgnoresRecoveryRamp => {
+                settings.rules.ramp_start = 1.0;
+                settings.rules.overload_factor = ENDLESS_OVERLOAD_FACTOR;
+            }
+            Mutation::IgnoresDeduplicationWindow => {
+                for class in &mut settings.classes {
+                    if let Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
+                        *window = ENDLESS_WINDOW;
+                    }
+                }
+            }
+            _ => {}
+        }
+    }
+}
+
+/// A scheduler whose events and actions are changed on their way.
+struct Mutant {
+    mutation: Mutation,
+    scheduler: Scheduler,
+    attempts: u64,
+    final_outcomes: u64,
+    /// Duplicates in flight of each message, which the scheduler does not know.
+    duplicates_in_flight: BTreeMap<MessageId, u32>,
+}
+
+impl Mutant {
+    /// The event as the scheduler receives it, if it does.
+    fn change_event(&mut self, event: &Event) -> Option<Event> {
+        let mut event = event.clone();
+        match (&mut event, self.mutation) {
+            (
+                Event::AttemptFinished {
+                    outcome: Outcome::Rejected { retry_after },
+                    ..
+                },
+                Mutation::IgnoresRetryAfter,
+            ) => *retry_after = None,
+            (Event::AttemptFinished { outcome, .. }, Mutation::TreatsResetAsNotExecuted)
+                if matches!(outcome, Outcome::TimedOut | Outcome::Reset) =>
+            {
+                *outcome = Outcome::ConnectFailed;
+            }
+            (Event::AttemptFinished { message, .. }, Mutation::DuplicatesAttempts)
+                if self.is_duplicate(*message) =>
+            {
+                return None;
+            }
+            (Event::Resumed(..), Mutation::LosesMessagesOnRestart) => return None,
+            (Event::Resumed(_, prior), Mutation::ForgetsAttemptsOnRestart) => {
+                prior.first_possible_execution = None;
+            }
+            (Event::EndpointsUpdated(updates), Mutation::IgnoresDraining) => {
+                for update in updates {
+                    update.status = EndpointStatus::Active;
+                }
+            }
+            _ => {}
+        }
+        Some(event)
+    }
+
+    /// Whether an attempt of a message that ended counts as a duplicate, which is in flight no more.
+    fn is_duplicate(&mut self, message: MessageId) -> bool {
+        let in_flight = self.duplicates_in_flight.get_mut(&message);
+        let Some(duplicates) = in_flight.filter(|duplicates| **duplicates > 0) else {
+            return false;
+        };
+        *duplicates -= 1;
+        true
+    }
+
+    /// How often an action of the scheduler is executed.
+    fn repetitions(&mut self, action: &Action) -> usize {
+        match (action, self.mutation) {
+            (Action::Send { message, .. }, Mutation::DuplicatesAttempts) => {
+                self.attempts += 1;
+                if !self.attempts.is_multiple_of(DUPLICATED_ATTEMPTS) {
+                    return 1;
+                }
+                *self.duplicates_in_flight.entry(*message).or_default() += 1;
+                2
+            }
+            (Action::Reject { .. }, Mutation::FinishesTwice) => 2,
+            (Action::Reject { .. } | Action::Fail(_), Mutation::DropsFinalOutcomes) => {
+                self.final_outcomes += 1;
+                usize::from(!self.final_outcomes.is_multiple_of(DROPPED_OUTCOMES))
+            }
+            _ => 1,
+        }
+    }
+}
+
+impl Node for Mutant {
+    fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
+        let changed: Vec<Event> = events
+            .iter()
+            .filter_map(|event| self.change_event(event))
+            .collect();
+        let mut scheduled = Vec::new();
+        self.scheduler.handle(now, &changed, &mut scheduled);
+        for action in scheduled {
+            let repetitions = self.repetitions(&action);
+            actions.extend(std::iter::repeat_n(action, repetitions));
+        }
+    }
+}
