--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -6,6 +6,10 @@
 
 use std::ops::{Add, Sub};
 
+const MICROS_PER_MS: f64 = 1000.0;
+const MICROS_PER_S: f64 = 1e6;
+const MS_PER_S: f64 = 1000.0;
+
 /// A point in time on a monotonic clock, in microseconds. Its zero is arbitrary: only differences are meaningful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Time(pub i64);
@@ -19,13 +23,13 @@
     pub const MIN: Time = Time(i64::MIN);
 
     /// The point in time `ms` milliseconds after the clock's zero, rounded to a microsecond.
-    pub fn from_ms(ms: f64) -> Time {
-        Time((ms * 1000.0).round() as i64)
+    pub const fn from_ms(ms: f64) -> Time {
+        Time((ms * MICROS_PER_MS).round() as i64)
     }
 
     /// Milliseconds since the clock's zero.
-    pub fn ms(self) -> f64 {
-        self.0 as f64 / 1000.0
+    pub const fn ms(self) -> f64 {
+        self.0 as f64 / MICROS_PER_MS
     }
 }
 
@@ -34,23 +38,23 @@
     pub const ZERO: Span = Span(0);
 
     /// A span of `ms` milliseconds, rounded to a microsecond.
-    pub fn from_ms(ms: f64) -> Span {
-        Span((ms * 1000.0).round() as i64)
+    pub const fn from_ms(ms: f64) -> Span {
+        Span((ms * MICROS_PER_MS).round() as i64)
     }
 
     /// A span of `secs` seconds, rounded to a microsecond.
-    pub fn from_secs(secs: f64) -> Span {
-        Span::from_ms(secs * 1000.0)
+    pub const fn from_secs(secs: f64) -> Span {
+        Span::from_ms(secs * MS_PER_S)
     }
 
     /// Length in milliseconds.
-    pub fn ms(self) -> f64 {
-        self.0 as f64 / 1000.0
+    pub const fn ms(self) -> f64 {
+        self.0 as f64 / MICROS_PER_MS
     }
 
     /// Length in seconds.
-    pub fn secs(self) -> f64 {
-        self.0 as f64 / 1e6
+    pub const fn secs(self) -> f64 {
+        self.0 as f64 / MICROS_PER_S
     }
 }
 
