--- a/crates/cli/src/endpoint_lists.rs
+++ b/crates/cli/src/endpoint_lists.rs
@@ -5,7 +5,7 @@
 
 use crate::arguments::{EndpointListCommand, OutputFormat};
 use crate::error::CommandError;
-use marblefall_control_plane::list_watcher::{read_bounded, LastGoodLists};
+use marblefall_control_plane::list_watcher::{read_bounded, FileContent, LastGoodLists};
 use marblefall_control_plane::manifest::Manifest;
 use marblefall_control_plane::plan::Applied;
 use marblefall_endpoint_lists::{
@@ -85,7 +85,8 @@
 
 fn read_list(path: &Path) -> Result<EndpointList, CommandError> {
     let max_bytes = ListRules::default().max_bytes;
-    let (bytes, _) = read_bounded(path, max_bytes).map_err(CommandError::of_file(path))?;
+    let FileContent { bytes, .. } =
+        read_bounded(path, max_bytes).map_err(CommandError::of_file(path))?;
     let name = path.display().to_string();
     let parsed = EndpointList::parse(&bytes, max_bytes)
         .map_err(|faults| CommandError::List(Box::new(Report::new(&name, &bytes, faults))))?;
--- a/crates/cli/src/endpoint_lists/check.rs
+++ b/crates/cli/src/endpoint_lists/check.rs
@@ -3,7 +3,7 @@
 use super::{applied_manifest, last_good_lists, summary};
 use crate::arguments::OutputFormat;
 use crate::error::CommandError;
-use marblefall_control_plane::list_watcher::{list_files, read_bounded};
+use marblefall_control_plane::list_watcher::{list_files, read_bounded, FileContent};
 use marblefall_control_plane::manifest::Manifest;
 use marblefall_endpoint_lists::{ActiveLists, Diagnostic, EndpointChange, ListRules, Report};
 use serde_json::{json, Value};
@@ -129,7 +129,7 @@
             path.display().to_string()
         };
         match read_bounded(&path, max_bytes) {
-            Ok((bytes, _)) => contents.push(Content { name, bytes }),
+            Ok(FileContent { bytes, .. }) => contents.push(Content { name, bytes }),
             Err(error) => {
                 let help = "make it a plain file that the daemon may read";
                 let fault = Diagnostic::error("unreadable", None, error.to_string(), help);
--- a/crates/cli/tests/group_links.rs
+++ b/crates/cli/tests/group_links.rs
@@ -190,18 +190,21 @@
     let link = group.link_address(0);
     let other = encode_frame(&Hello::from_operator("strangers"));
     let later = encode_frame(&(9u16, "clinics", 1u8));
-    let mut torn = encode_frame(&Hello::from_operator("clinics"));
-    *torn.last_mut().unwrap() ^= 1;
+    let mut corrupted = encode_frame(&Hello::from_operator("clinics"));
+    *corrupted.last_mut().unwrap() ^= 1;
     let long = [u32::MAX.to_le_bytes(), [0; 4]].concat();
     let stranger = encode_frame(&Hello::from_member("clinics", MemberId(77)));
     let codes = [
         "link-other-group",
         "link-version",
-        "frame-torn",
+        "frame-corrupted",
         "frame-too-long",
         "link-no-member",
     ];
-    for (bytes, code) in [other, later, torn, long, stranger].into_iter().zip(codes) {
+    for (bytes, code) in [other, later, corrupted, long, stranger]
+        .into_iter()
+        .zip(codes)
+    {
         let mut stream = TcpStream::connect(link).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         // The connection may be closed before all is written.
--- a/crates/control-plane/src/group/driver.rs
+++ b/crates/control-plane/src/group/driver.rs
@@ -15,9 +15,9 @@
 use super::Membership;
 use crate::manifest::Manifest;
 use async_channel::Sender;
-use inbox::{DriverEvent, Inbox};
+use inbox::{CheckedProposal, DriverEvent, Inbox};
 use lease::PublishedLease;
-use marblefall_coordination::identifiers::{ClockReading, Policy, ProposalId, Revision};
+use marblefall_coordination::identifiers::{ClockReading, Policy, Revision};
 use marblefall_coordination::message::PolicyVerdict;
 use marblefall_coordination::node::{Node, NodeAction};
 use marblefall_delivery::clock::Clock;
@@ -49,7 +49,7 @@
     lease_guard: Arc<LeaseGuard>,
     published_lease: Option<PublishedLease>,
     peers: Peers,
-    verdicts: Sender<(ProposalId, PolicyVerdict)>,
+    verdicts: Sender<CheckedProposal>,
     group_events: Sender<GroupEvent>,
     tasks: Spawner,
     open_requests: OpenRequests,
@@ -111,7 +111,7 @@
                 let number = self.open_requests.open(responses);
                 self.node.handle_request(now, number, request, &mut actions);
             }
-            DriverEvent::Checked(proposal, verdict) => {
+            DriverEvent::Checked(CheckedProposal { proposal, verdict }) => {
                 self.node
                     .handle_checked(now, proposal, verdict, &mut actions);
             }
--- a/crates/control-plane/src/group/driver/inbox.rs
+++ b/crates/control-plane/src/group/driver/inbox.rs
@@ -8,12 +8,18 @@
 use marblefall_coordination::message::PolicyVerdict;
 use std::time::Instant;
 
+/// The instances' verdict on a proposed policy.
+pub(super) struct CheckedProposal {
+    pub proposal: ProposalId,
+    pub verdict: PolicyVerdict,
+}
+
 /// An event for the driver.
 pub(super) enum DriverEvent {
     /// An event of the transport.
     Transport(TransportEvent),
     /// The instances have checked a proposed policy.
-    Checked(ProposalId, PolicyVerdict),
+    Checked(CheckedProposal),
     /// The time to wake has come.
     Timer,
 }
@@ -23,7 +29,7 @@
     /// Events of the transport.
     pub transport: Receiver<TransportEvent>,
     /// Verdicts on proposed policies.
-    pub verdicts: Receiver<(ProposalId, PolicyVerdict)>,
+    pub verdicts: Receiver<CheckedProposal>,
 }
 
 impl Inbox {
@@ -34,10 +40,8 @@
             event.map_or(DriverEvent::Timer, DriverEvent::Transport)
         };
         let verdict = async {
-            match self.verdicts.recv().await {
-                Ok((proposal, verdict)) => DriverEvent::Checked(proposal, verdict),
-                Err(_) => DriverEvent::Timer,
-            }
+            let checked = self.verdicts.recv().await;
+            checked.map_or(DriverEvent::Timer, DriverEvent::Checked)
         };
         let timer = async {
             Timer::at(wake).await;
--- a/crates/control-plane/src/group/driver/policy.rs
+++ b/crates/control-plane/src/group/driver/policy.rs
@@ -1,5 +1,6 @@
 //! Policies of the group: a proposed policy is checked, and a policy in force is stored in the home.
 
+use super::inbox::CheckedProposal;
 use super::{Driver, GroupEvent};
 use crate::manifest::{GroupSpec, Manifest};
 use crate::plan::Applied;
@@ -24,18 +25,24 @@
     /// Checks whether a proposed policy can be decoded, whether this member can act under it, and whether it permits the
     /// messages that the instances hold. The verdict arrives as an event.
     pub(super) fn check_policy(&self, proposal: ProposalId, follows: Revision, policy: &[u8]) {
-        match self.check_form(follows, policy) {
+        match self.check_without_instances(follows, policy) {
             Ok(manifest) => self.check_with_instances(proposal, manifest),
             Err(error) => {
                 let verdict = rejection(&self.membership.name, &error.to_string());
                 // The queue is unbounded, and open as long as this driver exists.
-                let _ = self.verdicts.try_send((proposal, verdict));
+                let _ = self
+                    .verdicts
+                    .try_send(CheckedProposal { proposal, verdict });
             }
         }
     }
 
     /// Checks everything that does not depend on the instances.
-    fn check_form(&self, follows: Revision, policy: &[u8]) -> Result<Manifest, PolicyError> {
+    fn check_without_instances(
+        &self,
+        follows: Revision,
+        policy: &[u8],
+    ) -> Result<Manifest, PolicyError> {
         let manifest: Manifest = serde_json::from_slice(policy)?;
         let group = manifest.group.as_ref().ok_or(PolicyError::NoGroup)?;
         if fixed_settings(group) != fixed_settings(&self.membership.group) {
@@ -64,7 +71,7 @@
                 // The supervisor has ended. The leader repeats the request.
                 Err(_) => return,
             };
-            let _ = verdicts.try_send((proposal, verdict));
+            let _ = verdicts.try_send(CheckedProposal { proposal, verdict });
         });
     }
 
--- a/crates/control-plane/src/group/driver/voter_state.rs
+++ b/crates/control-plane/src/group/driver/voter_state.rs
@@ -16,8 +16,8 @@
 /// The file that contains the persistent state of the member's voter.
 pub(super) struct VoterStateFile {
     path: PathBuf,
-    /// The last write failed.
-    write_failing: bool,
+    /// Whether the last write failed.
+    last_write_failed: bool,
 }
 
 impl VoterStateFile {
@@ -25,7 +25,7 @@
     pub fn new(home: &Path) -> VoterStateFile {
         VoterStateFile {
             path: group_file(home, VOTER_STATE_FILE),
-            write_failing: false,
+            last_write_failed: false,
         }
     }
 
@@ -50,8 +50,8 @@
         };
         let state = PersistentState::decode(&bytes, owner).unwrap_or_else(|error| {
             log_line!(
-                code = "votes-unreadable",
-                "{}: {error}; this voter asks to be admitted as a new one",
+                code = "voter-state-unreadable",
+                "{}: {error}; this voter requests admission as a new one",
                 self.path.display()
             );
             // Preserved for analysis. If it cannot be renamed, the next write replaces it.
@@ -65,15 +65,18 @@
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         match replace_in_folder(&self.path, bytes) {
             Ok(()) => {
-                if std::mem::take(&mut self.write_failing) {
-                    log_line!(code = "votes-written", "votes can be written again");
+                if std::mem::take(&mut self.last_write_failed) {
+                    log_line!(
+                        code = "voter-state-written",
+                        "the voter's state can be written again"
+                    );
                 }
                 true
             }
             Err(error) => {
-                if !std::mem::replace(&mut self.write_failing, true) {
+                if !std::mem::replace(&mut self.last_write_failed, true) {
                     log_line!(
-                        code = "votes-not-written",
+                        code = "voter-state-not-written",
                         "{}: {error}; this voter sends nothing until it can be written",
                         self.path.display()
                     );
--- a/crates/control-plane/src/group/error.rs
+++ b/crates/control-plane/src/group/error.rs
@@ -53,7 +53,7 @@
     },
     /// The home is a member, but none of its manifests declares the group.
     #[error(
-        "{}: the home is a member, and neither what is applied nor {initial_manifest} says of what group",
+        "{}: the home is a member of a group, and neither the applied manifest nor {initial_manifest} declares the group",
         path.display()
     )]
     UnknownGroup {
--- a/crates/control-plane/src/group/transport/frame.rs
+++ b/crates/control-plane/src/group/transport/frame.rs
@@ -21,7 +21,7 @@
     #[error("a frame of {0} bytes")]
     TooLong(usize),
     /// Its checksum does not match its content.
-    #[error("a frame whose checksum does not fit")]
+    #[error("a frame whose checksum does not match its content")]
     Checksum,
     /// Its content cannot be decoded.
     #[error("a frame that cannot be read")]
@@ -32,9 +32,9 @@
     /// The reason code for log lines.
     pub(super) fn code(&self) -> &'static str {
         match self {
-            FrameError::Connection(_) => "link-broke",
+            FrameError::Connection(_) => "link-failed",
             FrameError::TooLong(_) => "frame-too-long",
-            FrameError::Checksum => "frame-torn",
+            FrameError::Checksum => "frame-corrupted",
             FrameError::Undecodable(_) => "frame-unreadable",
         }
     }
--- a/crates/control-plane/src/group/transport/listener.rs
+++ b/crates/control-plane/src/group/transport/listener.rs
@@ -39,11 +39,11 @@
 enum ConnectionError {
     #[error("no hello was received")]
     NoHello,
-    #[error("it speaks version {0}, this is {VERSION}")]
+    #[error("its protocol version is {0}, this daemon has {VERSION}")]
     OtherVersion(u16),
-    #[error("it is of group {0:?}")]
+    #[error("it belongs to group {0:?}")]
     OtherGroup(String),
-    #[error("there is no member {}", .0 .0)]
+    #[error("the group has no member {}", .0 .0)]
     NoSuchMember(MemberId),
     #[error(transparent)]
     Frame(#[from] FrameError),
@@ -53,7 +53,7 @@
     /// The reason code for log lines.
     fn code(&self) -> &'static str {
         match self {
-            ConnectionError::NoHello => "link-silent",
+            ConnectionError::NoHello => "link-no-hello",
             ConnectionError::OtherVersion(_) => "link-version",
             ConnectionError::OtherGroup(_) => "link-other-group",
             ConnectionError::NoSuchMember(_) => "link-no-member",
--- a/crates/control-plane/src/list_watcher.rs
+++ b/crates/control-plane/src/list_watcher.rs
@@ -3,7 +3,7 @@
 //! stays in force.
 //!
 //! The operating system reports most changes, and a slow poll finds the others. Correctness does not depend on when a scan
-//! runs: a half-written file is detected by its form.
+//! runs: a partially written file is detected by its format.
 
 mod file_states;
 mod folder_watch;
@@ -15,7 +15,7 @@
 mod status_reporter;
 mod wakeup;
 
-pub use list_files::{list_files, read_bounded};
+pub use list_files::{list_files, read_bounded, FileContent};
 pub use status::{FileState, FileStatus, ListStatus};
 
 use crate::manifest::Manifest;
--- a/crates/control-plane/src/list_watcher/list_files.rs
+++ b/crates/control-plane/src/list_watcher/list_files.rs
@@ -1,4 +1,4 @@
-//! The files of endpoint lists: finding them, reading them, and telling whether one has changed since it was read.
+//! The files of endpoint lists: finding and reading them, and detecting whether one has changed since it was read.
 
 use std::collections::BTreeMap;
 use std::fs::{self, Metadata, OpenOptions};
@@ -33,12 +33,20 @@
         .collect())
 }
 
+/// The content of a file, and its metadata when it was opened.
+pub struct FileContent {
+    /// The content, of at most one byte more than the limit.
+    pub bytes: Vec<u8>,
+    /// The metadata.
+    pub metadata: Metadata,
+}
+
 /// Reads a regular file to its end, but at most one byte more than `max_bytes`. Other files are rejected: a pipe might
 /// never end.
 ///
 /// # Errors
 /// The file cannot be read, or is not a regular file.
-pub fn read_bounded(path: &Path, max_bytes: usize) -> io::Result<(Vec<u8>, Metadata)> {
+pub fn read_bounded(path: &Path, max_bytes: usize) -> io::Result<FileContent> {
     let nonblock = rustix::fs::OFlags::NONBLOCK.bits() as i32;
     let file = OpenOptions::new()
         .read(true)
@@ -50,10 +58,10 @@
     }
     let mut bytes = Vec::with_capacity(max_bytes.min(metadata.len() as usize) + 1);
     file.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
-    Ok((bytes, metadata))
+    Ok(FileContent { bytes, metadata })
 }
 
-/// The metadata by which a change of a file shows.
+/// The metadata by which a change of a file is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileIdentity {
     device: u64,
--- a/crates/control-plane/src/list_watcher/scanner.rs
+++ b/crates/control-plane/src/list_watcher/scanner.rs
@@ -4,7 +4,7 @@
 use super::file_states::{FileStates, SOURCE_PATH};
 use super::folder_watch::FolderWatch;
 use super::last_good_writer::{LastGoodWriter, StoreChange};
-use super::list_files::{list_files, read_bounded, FileFingerprint};
+use super::list_files::{list_files, read_bounded, FileContent, FileFingerprint};
 use super::shared_lists::SharedLists;
 use super::status::FileState;
 use super::status_reporter::StatusReporter;
@@ -202,8 +202,8 @@
         if self.is_unchanged(file, path) {
             return Observation::Settled;
         }
-        let (bytes, metadata) = match read_bounded(path, max_bytes) {
-            Ok(read) => read,
+        let FileContent { bytes, metadata } = match read_bounded(path, max_bytes) {
+            Ok(content) => content,
             Err(error) => {
                 let cause = error.to_string();
                 self.states.record(file, FileState::Unreadable { cause });
@@ -254,7 +254,7 @@
             "in force, but not stored yet for the next start",
         );
         self.put_in_force(file, candidate);
-        // Only now: a slow disk must not keep traffic on the list before.
+        // Synced last, so that a slow disk does not delay the traffic's change to the new list.
         self.last_good.sync(file);
         self.states.record(file, FileState::InForce);
     }
--- a/crates/control-plane/src/manifest/group/tests.rs
+++ b/crates/control-plane/src/manifest/group/tests.rs
@@ -4,58 +4,79 @@
 
 const GOOD: &str = include_str!("../../../../../examples/group/fleet.toml");
 
-/// An entry, its replacement, a part of the error message, and the line that the message names.
-const INVALID: [(&str, &str, &str, usize); 10] = [
-    (
-        "instances = [\"north-1\"]",
-        "instances = [\"nowhere\"]",
-        "unknown instance",
-        25,
-    ),
-    (
-        "instances = [\"north-1\"]",
-        "instances = [\"east-1\"]",
-        "as does member east",
-        25,
-    ),
-    (
-        "instances = [\"north-1\"]",
-        "instances = []",
-        "no member of the group runs it",
-        38,
-    ),
-    (
-        "127.0.0.1:7302",
-        "127.0.0.1:7301",
-        "same link as member east",
-        25,
-    ),
-    ("127.0.0.1:7302", "127.0.0.1:0", "no port", 25),
-    ("votes = true", "votes = false", "no member has votes", 15),
-    (
-        "term_ms = 3000",
-        "term_ms = 6000",
-        "check_ms is 8500 at least",
-        15,
-    ),
-    (
-        "term_ms = 3000",
-        "term_ms = 1",
-        "term_ms is 200 at least",
-        15,
-    ),
-    (
-        "[group.member.south]",
-        "[group.member.north]",
-        "duplicate key",
-        30,
-    ),
-    (
-        "on_cut = \"stop\"",
-        "on_cut = \"wait\"",
-        "unknown variant",
-        17,
-    ),
+/// A change of [`GOOD`] that makes it invalid.
+struct InvalidChange {
+    /// The text that is replaced.
+    from: &'static str,
+    /// Its replacement.
+    to: &'static str,
+    /// A part of the error message.
+    message: &'static str,
+    /// The line that the message names.
+    line: usize,
+}
+
+const INVALID_CHANGES: [InvalidChange; 10] = [
+    InvalidChange {
+        from: "instances = [\"north-1\"]",
+        to: "instances = [\"nowhere\"]",
+        message: "unknown instance",
+        line: 25,
+    },
+    InvalidChange {
+        from: "instances = [\"north-1\"]",
+        to: "instances = [\"east-1\"]",
+        message: "as does member east",
+        line: 25,
+    },
+    InvalidChange {
+        from: "instances = [\"north-1\"]",
+        to: "instances = []",
+        message: "no member of the group runs it",
+        line: 38,
+    },
+    InvalidChange {
+        from: "127.0.0.1:7302",
+        to: "127.0.0.1:7301",
+        message: "same link as member east",
+        line: 25,
+    },
+    InvalidChange {
+        from: "127.0.0.1:7302",
+        to: "127.0.0.1:0",
+        message: "no port",
+        line: 25,
+    },
+    InvalidChange {
+        from: "votes = true",
+        to: "votes = false",
+        message: "no member has votes",
+        line: 15,
+    },
+    InvalidChange {
+        from: "term_ms = 3000",
+        to: "term_ms = 6000",
+        message: "check_ms is 8500 at least",
+        line: 15,
+    },
+    InvalidChange {
+        from: "term_ms = 3000",
+        to: "term_ms = 1",
+        message: "term_ms is 200 at least",
+        line: 15,
+    },
+    InvalidChange {
+        from: "[group.member.south]",
+        to: "[group.member.north]",
+        message: "duplicate key",
+        line: 30,
+    },
+    InvalidChange {
+        from: "on_cut = \"stop\"",
+        to: "on_cut = \"wait\"",
+        message: "unknown variant",
+        line: 17,
+    },
 ];
 
 #[test]
@@ -67,15 +88,21 @@
 
 #[test]
 fn invalid_group_is_an_error_with_its_line() {
-    for (from, to, why, line) in INVALID {
-        let text = GOOD.replace(from, to);
+    for change in INVALID_CHANGES {
+        let InvalidChange { from, line, .. } = change;
+        let text = GOOD.replace(from, change.to);
         assert_ne!(text, GOOD, "{from}");
         let message = Manifest::parse(&text).unwrap_err().to_string();
         assert!(
-            message.contains(why) && message.contains(&format!("line {line}")),
-            "{why}, line {line}: {message}"
+            message.contains(change.message) && message.contains(&format!("line {line}")),
+            "{}, line {line}: {message}",
+            change.message
         );
     }
+}
+
+#[test]
+fn even_number_of_voters_is_a_warning() {
     let even = GOOD.replacen("votes = true", "votes = false", 1);
     let warning = Manifest::parse(&even)
         .unwrap()
--- a/crates/control-plane/src/manifest/tests.rs
+++ b/crates/control-plane/src/manifest/tests.rs
@@ -4,6 +4,63 @@
 
 const GOOD: &str = include_str!("../../../../deploy/partners.toml");
 
+/// A change of [`GOOD`] that makes it invalid.
+struct InvalidChange {
+    /// The text that is replaced.
+    from: &'static str,
+    /// Its replacement.
+    to: &'static str,
+    /// A part of the error message.
+    message: &'static str,
+    /// A text on the line that the message names.
+    on_line: &'static str,
+}
+
+const INVALID_CHANGES: [InvalidChange; 7] = [
+    InvalidChange {
+        from: "worth = 1",
+        to: "worht = 1",
+        message: "worht",
+        on_line: "worht",
+    },
+    InvalidChange {
+        from: "[limits]",
+        to: "[fleet]\nelsewhere = 20000\n[limits]",
+        message: "elsewhere is 10000 at most",
+        on_line: "[fleet]",
+    },
+    InvalidChange {
+        from: "window_ms = 6000",
+        to: "",
+        message: "needs window_ms",
+        on_line: "[class.refill-order]",
+    },
+    InvalidChange {
+        from: "repeats = \"free\"",
+        to: "repeats = \"free\"\nwindow_ms = 5",
+        message: "window_ms",
+        on_line: "[class.refill-status]",
+    },
+    InvalidChange {
+        from: "= \"refill-status\"",
+        to: "= \"nothing\"",
+        message: "unknown class",
+        on_line: "[instance.clinics-1]",
+    },
+    InvalidChange {
+        from: "wanted_ms = 2500",
+        to: "wanted_ms = 250000",
+        message: "beyond give_up_ms",
+        on_line: "[class.refill-order]",
+    },
+    InvalidChange {
+        from: "127.0.0.1:8192",
+        to: "127.0.0.1:8191",
+        message: "listened at twice",
+        on_line: "[instance.clinics-2]",
+    },
+];
+
 #[test]
 fn deployed_manifest_is_valid() {
     let manifest = Manifest::parse(GOOD).unwrap();
@@ -12,56 +69,23 @@
     );
 }
 
+/// The number of the line that contains a text, counted from 1.
+fn line_of(text: &str, part: &str) -> usize {
+    text[..text.find(part).unwrap()].matches('\n').count() + 1
+}
+
 #[test]
 fn invalid_entry_is_an_error_with_its_line() {
-    let line_of =
-        |text: &str, part: &str| text[..text.find(part).unwrap()].matches('\n').count() + 1;
-    for (from, to, why, table) in [
-        ("worth = 1", "worht = 1", "worht", "worht"),
-        (
-            "[limits]",
-            "[fleet]\nelsewhere = 20000\n[limits]",
-            "elsewhere is 10000 at most",
-            "[fleet]",
-        ),
-        (
-            "window_ms = 6000",
-            "",
-            "needs window_ms",
-            "[class.refill-order]",
-        ),
-        (
-            "repeats = \"free\"",
-            "repeats = \"free\"\nwindow_ms = 5",
-            "window_ms",
-            "[class.refill-status]",
-        ),
-        (
-            "= \"refill-status\"",
-            "= \"nothing\"",
-            "unknown class",
-            "[instance.clinics-1]",
-        ),
-        (
-            "wanted_ms = 2500",
-            "wanted_ms = 250000",
-            "beyond give_up_ms",
-            "[class.refill-order]",
-        ),
-        (
-            "127.0.0.1:8192",
-            "127.0.0.1:8191",
-            "listened at twice",
-            "[instance.clinics-2]",
-        ),
-    ] {
-        let text = GOOD.replacen(from, to, 1);
+    for change in INVALID_CHANGES {
+        let InvalidChange { from, on_line, .. } = change;
+        let text = GOOD.replacen(from, change.to, 1);
         assert_ne!(text, GOOD, "{from}");
         let message = Manifest::parse(&text).unwrap_err().to_string();
-        let place = format!("line {}", line_of(&text, table));
+        let place = format!("line {}", line_of(&text, on_line));
         assert!(
-            message.contains(why) && message.contains(&place),
-            "{place}, {why}: {message}"
+            message.contains(change.message) && message.contains(&place),
+            "{place}, {}: {message}",
+            change.message
         );
     }
 }
--- a/crates/control-plane/src/supervisor/policy_check.rs
+++ b/crates/control-plane/src/supervisor/policy_check.rs
@@ -16,9 +16,9 @@
 /// Why the instances cannot act under a proposed policy.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PolicyCheckError {
-    #[error("instance {0} is only starting")]
+    #[error("instance {0} is still starting")]
     Starting(String),
-    #[error("instance {0}: does not answer")]
+    #[error("instance {0}: does not respond")]
     NoResponse(String),
     #[error("instance {instance}: {source}")]
     Mismatch {
--- a/crates/coordination/src/leader.rs
+++ b/crates/coordination/src/leader.rs
@@ -115,14 +115,11 @@
         self.lease_end = self.lease_end.max(until);
     }
 
-    /// The number of a change that is proposed now.
-    ///
-    /// # Errors
-    /// Another proposal is pending, which is returned.
-    pub fn next_proposal(&self) -> Result<ProposalId, ProposalId> {
+    /// The number of a change that is proposed now; `None` while another change is pending.
+    pub fn next_proposal(&self) -> Option<ProposalId> {
         match &self.pending {
-            Some(change) => Err(change.proposal),
-            None => Ok(ProposalId(self.resolved.0 + 1)),
+            Some(_) => None,
+            None => Some(ProposalId(self.resolved.0 + 1)),
         }
     }
 
--- a/crates/coordination/src/leader/leases.rs
+++ b/crates/coordination/src/leader/leases.rs
@@ -86,7 +86,7 @@
 }
 
 /// When every lease that any leader has granted up to now has expired; `None` is never. A lease ends with its leader's own,
-/// so that a new leader finds all leases expired, as long as leaders' leases do not overlap. This does not rely on it.
+/// so that a new leader finds all leases expired, as long as leaders' leases do not overlap. The expiry computed here does not depend on that.
 pub(super) fn latest_lease_expiry(settings: &CoordinationSettings, now: Time) -> Option<Time> {
     match settings.partition_policy {
         PartitionPolicy::Stop => Some(now + settings.max_elapsed(settings.lease_duration)),
--- a/crates/coordination/src/leader/progress.rs
+++ b/crates/coordination/src/leader/progress.rs
@@ -4,7 +4,7 @@
 use crate::identifiers::ProposalId;
 use marblefall_time::Time;
 
-/// A member's progress, as far as this leader knows it.
+/// A member's progress, as received by this leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct MemberProgress {
     /// When the member's last lease has surely expired; `None` is never.
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -8,6 +8,11 @@
 use crate::settings::CoordinationSettings;
 use marblefall_time::{Span, Time};
 
+/// Number of requests after which a released member without a lease counts as partitioned from the group.
+const MAX_REQUESTS_AFTER_RELEASE: i64 = 4;
+/// Number of requests within one lease, so that two responses may be lost.
+const REQUESTS_PER_LEASE: i64 = 3;
+
 /// An action that the member's driver must take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
@@ -20,11 +25,6 @@
     ApplyPolicy(Revision, Policy),
 }
 
-/// Number of requests after which a released member without a lease counts as partitioned from the group.
-const MAX_REQUESTS_AFTER_RELEASE: i64 = 4;
-/// Number of requests within one lease, so that two responses may be lost.
-const REQUESTS_PER_LEASE: i64 = 3;
-
 /// The permission to act under a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
--- a/crates/coordination/src/node/actions.rs
+++ b/crates/coordination/src/node/actions.rs
@@ -157,7 +157,7 @@
         author: Author,
         actions: &mut Vec<NodeAction>,
     ) {
-        let Some(Ok(proposal)) = self.leader.as_ref().map(Leader::next_proposal) else {
+        let Some(proposal) = self.leader.as_ref().and_then(Leader::next_proposal) else {
             return;
         };
         self.proposal_in_flight = Some(author.clone());
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -18,7 +18,7 @@
 
 pub use message::{KnownStorage, PaxosMessage, VoterMessage};
 
-use crate::identifiers::{Epoch, MemberId};
+use crate::identifiers::{Epoch, MemberId, StorageId};
 use crate::log_storage::LogStorage;
 use crate::persistent_state::PersistentState;
 use crate::replicated_state::{LeaderEntry, LogEntry, ReplicatedState};
@@ -70,7 +70,7 @@
     pub lease_duration: Span,
     /// The content of its storage.
     pub state: PersistentState,
-    /// A random number of this process.
+    /// A random number of this process, from which the identities of new storages are derived.
     pub seed: u64,
 }
 
@@ -107,8 +107,8 @@
     next_lease_round: Time,
     /// When the configuration was last sent to each other voter.
     configuration_sent: BTreeMap<MemberId, Time>,
-    /// The identity of the next new storage.
-    seed: u64,
+    /// The identity of the storage that replaces this one, if it has lost writes.
+    next_storage_id: StorageId,
 }
 
 impl Voter {
@@ -132,7 +132,7 @@
             last_lease_round: 0,
             next_lease_round: now,
             configuration_sent: BTreeMap::new(),
-            seed: setup.seed,
+            next_storage_id: StorageId(setup.seed),
         };
         // The identity of the storage must be on disk before anything is sent.
         voter.storage.mark_unsaved();
--- a/crates/coordination/src/voter/amnesia.rs
+++ b/crates/coordination/src/voter/amnesia.rs
@@ -16,9 +16,9 @@
 use std::collections::BTreeMap;
 
 /// Multiplier of the linear congruential generator that derives the identities of further new storages.
-const SEED_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+const ID_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 /// Increment of that generator.
-const SEED_INCREMENT: u64 = 1;
+const ID_INCREMENT: u64 = 1;
 
 impl Voter {
     /// Records another voter's storage version, and responds with the one that was known.
@@ -228,18 +228,20 @@
         } else {
             "a later state of this storage"
         };
-        *state = PersistentState::new(state.owner, StorageId(self.seed));
+        *state = PersistentState::new(state.owner, self.next_storage_id);
         drop(state);
-        self.seed = self
-            .seed
-            .wrapping_mul(SEED_MULTIPLIER)
-            .wrapping_add(SEED_INCREMENT);
+        self.next_storage_id = derived_storage_id(self.next_storage_id);
         self.storage.mark_unsaved();
         self.participation = Participation::AwaitingAdmission;
         self.next_hello = now;
         actions.push(VoterAction::Log(
             "storage-amnesia",
-            format!("another voter knows {cause}: no vote from here until it is admitted as new"),
+            format!("another voter has recorded {cause}: this voter does not vote until it is admitted as a new one"),
         ));
     }
 }
+
+fn derived_storage_id(id: StorageId) -> StorageId {
+    let next = id.0.wrapping_mul(ID_MULTIPLIER).wrapping_add(ID_INCREMENT);
+    StorageId(next)
+}
--- a/crates/coordination/tests/model/state.rs
+++ b/crates/coordination/tests/model/state.rs
@@ -77,7 +77,7 @@
     pub fn propose(&mut self) -> Option<()> {
         self.is_proposed = true;
         let leader = self.leaders.last()?;
-        let proposal = leader.next_proposal().ok()?;
+        let proposal = leader.next_proposal()?;
         let policy = Policy::from(&b"second"[..]);
         let entry = LeaderEntry::Proposed(proposal, policy, Author::default());
         self.appended.push((leader.epoch(), entry));
--- a/crates/coordination/tests/nodes/simulation.rs
+++ b/crates/coordination/tests/nodes/simulation.rs
@@ -40,6 +40,8 @@
 const CONNECT_TIME: i64 = 20 * MS;
 /// Maximum reading of a clock at the start of the simulation.
 const MAX_CLOCK_OFFSET: i64 = 1_000_000;
+/// The difference between the incarnations of two processes.
+const INCARNATION_STEP: u64 = 1000;
 /// The owner of all voters' storage.
 pub const OWNER: u64 = 7;
 /// Number of times within a step that a node handles the frames that it sends to itself.
@@ -275,7 +277,7 @@
 
     fn start(&mut self, member: MemberId) {
         self.starts += 1;
-        let incarnation = ProcessIncarnation(self.starts * 1000 + 1);
+        let incarnation = ProcessIncarnation(self.starts * INCARNATION_STEP + 1);
         let new_storage = StorageId(self.rng.random_range(1..u64::MAX));
         let members = self.daemons.keys().copied().collect();
         let voters = (0..self.voters).map(MemberId).collect();
--- a/crates/coordination/tests/policy_change/simulation.rs
+++ b/crates/coordination/tests/policy_change/simulation.rs
@@ -298,7 +298,7 @@
         let Some(leader) = self.leaders.last() else {
             return;
         };
-        let Ok(proposal) = leader.next_proposal() else {
+        let Some(proposal) = leader.next_proposal() else {
             return;
         };
         let is_proposed = |appended: &Appended| matches!(appended.entry, LeaderEntry::Proposed(..));
--- a/crates/endpoint-lists/src/last_good_store.rs
+++ b/crates/endpoint-lists/src/last_good_store.rs
@@ -6,6 +6,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
+/// The extension of stored lists.
+const EXTENSION: &str = "good";
+
 /// A list could not be stored, removed or read back.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {cause}")]
@@ -30,9 +33,6 @@
 #[derive(Clone, Debug)]
 pub struct LastGoodStore(PathBuf);
 
-/// The extension of stored lists.
-const EXTENSION: &str = "good";
-
 impl LastGoodStore {
     /// The store in a folder, which is created with the first list.
     pub fn at(folder: &Path) -> LastGoodStore {
--- a/crates/endpoint-lists/src/report.rs
+++ b/crates/endpoint-lists/src/report.rs
@@ -7,7 +7,7 @@
 use snippet::SourceText;
 use std::fmt;
 
-/// The most diagnostics of one file. A file of another format may have one on each line.
+/// Maximum number of diagnostics of one file.
 const MAX_DIAGNOSTICS: usize = 40;
 
 /// The diagnostics of one file. `Display` renders them for people.
@@ -15,7 +15,7 @@
 pub struct Report {
     /// The file's name.
     pub file: String,
-    /// Errors before warnings, each in the order of the file; at most 40.
+    /// Errors before warnings, each in the order of the file. There is a limit on their number, since a file of another format may have one on each line.
     #[serde(rename = "faults")]
     pub diagnostics: Vec<Diagnostic>,
     #[serde(skip)]
--- a/crates/endpoint-lists/tests/checks.rs
+++ b/crates/endpoint-lists/tests/checks.rs
@@ -7,48 +7,126 @@
 use common::{active_lists, codes, reject, FILE, VALID_LIST};
 
 /// A change of [`VALID_LIST`] for which it is rejected.
-type InvalidChange = (&'static str, &'static str, &'static str, &'static str);
+struct InvalidChange {
+    /// The code of the diagnostic.
+    code: &'static str,
+    /// The text that is replaced.
+    from: &'static str,
+    /// Its replacement.
+    to: &'static str,
+    /// A text on the line of the diagnostic; `None` where the diagnostic is about a part that is missing.
+    on_line: Option<&'static str>,
+}
 
-/// The code, the text that is replaced, its replacement, and a text on the line of the diagnostic if that is certain.
 const INVALID_CHANGES: &[InvalidChange] = &[
-    ("unknown-field", "weight = 3", "wieght = 3", "wieght"),
-    (
-        "unknown-partner",
-        "[destination.kazanchis]",
-        "[destination.kazanchi]",
-        "[destination.kazanchi]",
-    ),
-    (
-        "fixed-partner",
-        "[destination.kazanchis]",
-        "[destination.own]",
-        "[destination.own]",
-    ),
-    ("same-name", "\"bole-2\"", "\"bole-1\"", "127.0.0.1:9102"),
-    ("same-address", "127.0.0.1:9102", "127.0.0.1:9101", "bole-2"),
-    ("bad-name", "\"bole-2\"", "\"bole/2\"", "bole/2"),
-    ("bad-weight", "weight = 3", "weight = -1", "weight"),
-    ("bad-weight", "weight = 3", "weight = nan", "weight"),
-    ("bad-weight", "weight = 3", "weight = 1000.5", "weight"),
-    ("bad-address", "127.0.0.1:9102", "127.0.0.1:0", "bole-2"),
-    ("bad-address", "127.0.0.1:9102", "0.0.0.0:80", "bole-2"),
-    ("bad-address", "127.0.0.1:9102", "bole:80", "bole-2"),
-    ("bad-address", "127.0.0.1:9102", "224.0.0.1:80", "bole-2"),
-    (
-        "torn",
-        "[end]\nrevision = 8",
-        "[end]\nrevision = 7",
-        "revision = 7",
-    ),
-    ("cut-off", "[end]\nrevision = 8\n", "", ""),
-    (
-        "not-last",
-        "[end]\nrevision = 8\n",
-        "[end]\nrevision = 8\n\n",
-        "",
-    ),
-    ("no-revision", "revision = 8\n\n", "\n\n", ""),
-    ("not-readable", "weight = 3", "weight = ", "weight"),
+    InvalidChange {
+        code: "unknown-field",
+        from: "weight = 3",
+        to: "wieght = 3",
+        on_line: Some("wieght"),
+    },
+    InvalidChange {
+        code: "unknown-partner",
+        from: "[destination.kazanchis]",
+        to: "[destination.kazanchi]",
+        on_line: Some("[destination.kazanchi]"),
+    },
+    InvalidChange {
+        code: "fixed-partner",
+        from: "[destination.kazanchis]",
+        to: "[destination.own]",
+        on_line: Some("[destination.own]"),
+    },
+    InvalidChange {
+        code: "same-name",
+        from: "\"bole-2\"",
+        to: "\"bole-1\"",
+        on_line: Some("127.0.0.1:9102"),
+    },
+    InvalidChange {
+        code: "same-address",
+        from: "127.0.0.1:9102",
+        to: "127.0.0.1:9101",
+        on_line: Some("bole-2"),
+    },
+    InvalidChange {
+        code: "bad-name",
+        from: "\"bole-2\"",
+        to: "\"bole/2\"",
+        on_line: Some("bole/2"),
+    },
+    InvalidChange {
+        code: "bad-weight",
+        from: "weight = 3",
+        to: "weight = -1",
+        on_line: Some("weight"),
+    },
+    InvalidChange {
+        code: "bad-weight",
+        from: "weight = 3",
+        to: "weight = nan",
+        on_line: Some("weight"),
+    },
+    InvalidChange {
+        code: "bad-weight",
+        from: "weight = 3",
+        to: "weight = 1000.5",
+        on_line: Some("weight"),
+    },
+    InvalidChange {
+        code: "bad-address",
+        from: "127.0.0.1:9102",
+        to: "127.0.0.1:0",
+        on_line: Some("bole-2"),
+    },
+    InvalidChange {
+        code: "bad-address",
+        from: "127.0.0.1:9102",
+        to: "0.0.0.0:80",
+        on_line: Some("bole-2"),
+    },
+    InvalidChange {
+        code: "bad-address",
+        from: "127.0.0.1:9102",
+        to: "bole:80",
+        on_line: Some("bole-2"),
+    },
+    InvalidChange {
+        code: "bad-address",
+        from: "127.0.0.1:9102",
+        to: "224.0.0.1:80",
+        on_line: Some("bole-2"),
+    },
+    InvalidChange {
+        code: "torn",
+        from: "[end]\nrevision = 8",
+        to: "[end]\nrevision = 7",
+        on_line: Some("revision = 7"),
+    },
+    InvalidChange {
+        code: "cut-off",
+        from: "[end]\nrevision = 8\n",
+        to: "",
+        on_line: None,
+    },
+    InvalidChange {
+        code: "not-last",
+        from: "[end]\nrevision = 8\n",
+        to: "[end]\nrevision = 8\n\n",
+        on_line: None,
+    },
+    InvalidChange {
+        code: "no-revision",
+        from: "revision = 8\n\n",
+        to: "\n\n",
+        on_line: None,
+    },
+    InvalidChange {
+        code: "not-readable",
+        from: "weight = 3",
+        to: "weight = ",
+        on_line: Some("weight"),
+    },
 ];
 
 /// The number of the line that contains a text, counted from 1.
@@ -58,21 +136,22 @@
 
 #[test]
 fn diagnostic_names_its_line_and_help() {
-    for (code, from, to, place) in INVALID_CHANGES {
+    for change in INVALID_CHANGES {
+        let InvalidChange { code, from, to, .. } = *change;
         let text = VALID_LIST.replacen(from, to, 1);
         assert_ne!(text, VALID_LIST, "{from}");
         let report = reject(&active_lists(), text.as_bytes());
         let diagnostic = report
             .diagnostics
             .iter()
-            .find(|diagnostic| diagnostic.code == *code)
+            .find(|diagnostic| diagnostic.code == code)
             .unwrap_or_else(|| panic!("{code}: {report}"));
         assert!(
             !diagnostic.help.is_empty() && report.to_string().contains(&diagnostic.help),
             "{report}"
         );
-        if !place.is_empty() {
-            assert_eq!(diagnostic.line, line_of(&text, place), "{report}");
+        if let Some(on_line) = change.on_line {
+            assert_eq!(diagnostic.line, line_of(&text, on_line), "{report}");
             assert!(report.to_string().contains(FILE), "{report}");
         }
     }
