--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,35 +1,35 @@
-//! The decisions: which message is sent where and when, and how a message ends that cannot be delivered.
-//! The types of events, actions and settings are in `interface.rs`.
+//! The delivery policy: decides which message is sent to which endpoint at what time, and how a message ends
+//! that can't be delivered. The types of events, actions and settings are in `interface.rs`.
 //!
-//! Each module holds one concern. Which message is sent where:
+//! Each module implements one concern. Modules that choose the message and the endpoint of a call:
 //!
 //! - [`selection`]: the pending message to send next, by decayed weight and expected latency;
 //! - [`message_value`]: how the weight of a message decays;
-//! - [`ordering`]: messages with one ordering key are sent one at a time;
+//! - [`ordering`]: sequential sending of messages with the same ordering key;
 //! - [`batching`]: messages that share a call;
 //! - [`endpoint_choice`]: the endpoint of a call, by its cost;
-//! - [`weighted_round_robin`]: the endpoint of a call, by given weights;
-//! - [`retry`]: what the idempotency of a message permits;
-//! - [`timeouts`]: when an attempt is abandoned.
+//! - [`weighted_round_robin`]: the endpoint of a call, by the weights of the endpoint list;
+//! - [`retry`]: retries that the idempotency of a message permits;
+//! - [`timeouts`]: time-outs of attempts.
 //!
-//! When a route may be sent a call:
+//! Modules that decide when a route may be sent a call:
 //!
 //! - [`capacity`]: the earliest time of the next call, from every limit on the route;
 //! - [`concurrency`]: concurrent calls of one route and of all failing routes;
 //! - [`route_rate`]: this instance's share of a route's rate;
-//! - [`rejection_hold`]: how long a destination is left alone after rejections;
-//! - [`connection_pressure`]: when idle connections are closed;
-//! - [`ejection`]: when a route is ejected, and when it begins to recover;
-//! - [`silence`]: routes that may have been out of service without being ejected;
-//! - [`health_checks`]: which ejected routes are sent a health check;
-//! - [`latency`]: the latency to expect of a route;
-//! - [`call_outcome`]: what the outcome of a call changes.
+//! - [`rejection_hold`]: pauses of a destination after rejections;
+//! - [`connection_pressure`]: closing of idle connections;
+//! - [`ejection`]: ejection of failing routes, and the start of their recovery;
+//! - [`silence`]: recovery of routes that may have been out of service without being ejected;
+//! - [`health_checks`]: health checks of ejected routes;
+//! - [`latency`]: the expected latency of a route;
+//! - [`call_outcome`]: updates of health, limits and latencies after a call.
 //!
-//! How a message ends without a delivery:
+//! Modules that end a message without a delivery:
 //!
 //! - [`give_up`]: messages that can no longer be delivered in time;
 //! - [`load_shedding`]: messages that exceed the limit on open messages;
-//! - [`tenant_quota`]: messages beyond their tenant's quota.
+//! - [`tenant_quota`]: lower weights for messages beyond their tenant's quota.
 
 pub(crate) mod batching;
 pub(crate) mod call_outcome;
--- a/crates/scheduler/src/policy/batching.rs
+++ b/crates/scheduler/src/policy/batching.rs
@@ -5,7 +5,7 @@
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// The messages of one call to an endpoint: the first, then others by decreasing value.
+    /// Returns the messages of one call to an endpoint: `first`, then others by decreasing decayed weight.
     pub(super) fn batch(
         &self,
         now: Time,
--- a/crates/scheduler/src/policy/call_outcome.rs
+++ b/crates/scheduler/src/policy/call_outcome.rs
@@ -1,11 +1,12 @@
-//! What the outcome of a call or health check changes: the health of its endpoint and route, their limits and
-//! latencies.
+//! Effects of the outcome of a call or health check on the health, limits and latencies of its
+//! endpoint and route.
 
 use crate::interface::{Outcome, Span, Time};
 use crate::scheduler::Scheduler;
 use crate::state::{EndedCall, RouteId};
 
-/// The least rate of a rate limiter, in calls per second of all instances together: no route may be starved.
+/// Minimum rate of the rate limiters of all instances together, in calls per second, so that no route is
+/// starved.
 const MIN_LIMITED_RATE: f64 = 1.2;
 
 impl Scheduler {
@@ -29,7 +30,7 @@
             Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
                 self.observe_failure(now, route, call);
             }
-            // Endpoints drop many idle connections at once; counted as failures, these would eject routes.
+            // Endpoints drop many idle connections at once. Counting these as failures would eject routes.
             Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection => {}
         }
         let answered = call.outcome == Outcome::Delivered;
@@ -58,7 +59,7 @@
         let route = self.route_mut(id);
         route.back_off(now + retry_after.unwrap_or(Span::ZERO));
         route.rejected(now, sent, min_rate, view);
-        // No rate limit requests a longer wait than its window: the route is out of service.
+        // A rate limit never requests a longer wait than its window, so the route is out of service.
         if retry_after.is_some_and(|wait| wait > overload_window) {
             route.failures.reach_ejection_threshold();
         }
--- a/crates/scheduler/src/policy/capacity.rs
+++ b/crates/scheduler/src/policy/capacity.rs
@@ -1,16 +1,17 @@
-//! When a route may be sent its next call: the latest of the times that its limits set.
+//! Capacity of a route: its next call is permitted at the latest of the times that its limits set.
 
 use crate::interface::Time;
 use crate::recovery_ramp::{RampSettings, RouteCapacity};
 use crate::scheduler::Scheduler;
 use crate::state::Route;
 
-/// Rate of a route after its ramp while messages wait for it, as a multiple of its listed or baseline rate.
+/// Maximum rate of a route that still has a backlog after its ramp, as a multiple of its listed or baseline
+/// rate.
 const CATCH_UP_FACTOR: f64 = 1.2;
 
 impl Scheduler {
-    /// Earliest time at which a route may be sent one more call; `None` while that depends on the outcome of
-    /// a call in flight.
+    /// Returns the earliest time at which a route may be sent one more call, or `None` while that depends on
+    /// the outcome of a call in flight.
     pub(crate) fn next_call_at(&self, now: Time, route: &Route) -> Option<Time> {
         if !self.admits_concurrent_call(now, route) {
             return None;
@@ -31,7 +32,7 @@
         limits.into_iter().max()
     }
 
-    /// Earliest time at which the recovery ramp permits the next call.
+    /// Returns the earliest time at which the recovery ramp permits the next call.
     fn ramp_permits_at(&self, now: Time, route: &Route) -> Time {
         let settings = RampSettings {
             rules: &self.settings.rules,
--- a/crates/scheduler/src/policy/concurrency.rs
+++ b/crates/scheduler/src/policy/concurrency.rs
@@ -1,26 +1,28 @@
-//! Concurrent calls: how many calls one route and all failing routes may have in flight.
+//! Concurrency limits: the number of calls that one route and all failing routes may have in flight.
 
 use crate::interface::{Span, Time};
 use crate::scheduler::Scheduler;
 use crate::state::Route;
 
-/// Fraction of all concurrent calls that one route may have, so that a hanging route leaves some to others.
+/// Fraction of all concurrent calls that one route may have, so that a hanging route does not block
+/// the others.
 const MAX_ROUTE_FRACTION: f64 = 0.6;
-/// Fraction of all concurrent calls that the failing routes may have together, as several often hang at once.
+/// Fraction of all concurrent calls that the failing routes may have together: several often hang at once.
 const MAX_FAILING_FRACTION: f64 = 0.34;
-/// Concurrent calls to a route that has not answered yet.
+/// Maximum number of concurrent calls to a route that has not answered yet.
 const MAX_FIRST_CALLS: f64 = 2.0;
-/// Concurrent half-open trial calls to an ejected route: one that hangs must not hide the recovery.
+/// Maximum number of concurrent half-open trial calls to an ejected route. With one, a call that hangs would
+/// delay the detection of the recovery.
 const MAX_HALF_OPEN_CALLS: usize = 2;
 /// A call is overdue once it is in flight for this multiple of the expected latency, plus
 /// [`OVERDUE_MARGIN_MS`].
 const OVERDUE_FACTOR: f64 = 3.0;
-/// Margin for network delays on routes with a low latency, in ms.
+/// Allowance for network delays on routes with a low latency, in ms.
 const OVERDUE_MARGIN_MS: f64 = 300.0;
-/// Overdue calls that stop further calls to a route: a single one may be lost, or belong to the tail of the
-/// latencies.
+/// Number of overdue calls that blocks further calls to a route. A single one may be lost, or belong to the
+/// tail of the latency distribution.
 const MAX_OVERDUE_CALLS: usize = 2;
-/// Consecutive failures from which on a route counts as failing.
+/// Number of consecutive failures at which a route counts as failing.
 const MIN_FAILURES: f64 = 1.0;
 
 impl Scheduler {
@@ -40,7 +42,7 @@
         } else {
             MAX_FIRST_CALLS
         };
-        // Each consecutive failure lowers the limit, long before the route is ejected.
+        // Each consecutive failure lowers the limit, well before the route is ejected.
         let max_calls = (max_calls / (1.0 + route.failures.consecutive_failures()))
             .ceil()
             .max(1.0) as usize;
@@ -48,13 +50,13 @@
         route.in_flight.len() < max_calls && !is_hanging
     }
 
-    /// Whether a route is ejected, fails calls, or has overdue ones.
+    /// Whether a route is ejected, fails calls, or has overdue calls.
     fn is_failing(&self, now: Time, route: &Route) -> bool {
         let has_failed = route.failures.consecutive_failures() >= MIN_FAILURES;
         route.ramp.is_ejected() || has_failed || self.overdue_calls(now, route) > 0
     }
 
-    /// Calls in flight of all failing routes.
+    /// Returns the number of calls in flight of all failing routes.
     fn failing_calls(&self, now: Time) -> usize {
         let calls = self.calls.values();
         calls
@@ -62,7 +64,8 @@
             .count()
     }
 
-    /// Calls of a route that are overdue, with no later call of the route answered.
+    /// Returns the number of overdue calls of a route. Calls sent before the latest answered call are not
+    /// counted.
     fn overdue_calls(&self, now: Time, route: &Route) -> usize {
         let allowed_ms = OVERDUE_FACTOR * self.expected_latency_ms(route) + OVERDUE_MARGIN_MS;
         let overdue_since = now - Span::from_ms(allowed_ms);
--- a/crates/scheduler/src/policy/connection_pressure.rs
+++ b/crates/scheduler/src/policy/connection_pressure.rs
@@ -1,4 +1,4 @@
-//! Connection pressure: when the idle connections to endpoints of a kind are closed.
+//! Connection pressure: closes the idle connections to the endpoints of a kind while the pressure is high.
 
 use crate::connection_pressure::LostConnection;
 use crate::interface::{Action, EndpointId, KindId, Outcome, Time};
@@ -7,14 +7,15 @@
 use crate::state::Attempt;
 
 impl Scheduler {
-    /// Whether idle connections to endpoints of a kind are closed.
+    /// Whether the connection pressure of a kind is high, so that its idle connections are closed.
     pub(crate) fn has_connection_pressure(&self, kind: KindId) -> bool {
         let pressure = self.connection_pressure.get(&kind);
         pressure.is_some_and(|pressure| pressure.is_high())
     }
 
-    /// Updates the connection pressure after an attempt. While it is high, closes the idle connections to the
-    /// attempt's endpoint; when it has just become high, those to all endpoints of the kind.
+    /// Updates the connection pressure after an attempt. While the pressure is high, closes the idle
+    /// connections to the attempt's endpoint. When it has just become high, closes those to all endpoints of
+    /// the kind.
     pub(crate) fn relieve_connection_pressure(
         &mut self,
         now: Time,
--- a/crates/scheduler/src/policy/ejection.rs
+++ b/crates/scheduler/src/policy/ejection.rs
@@ -1,8 +1,8 @@
-//! Ejection: when a route is taken out of service, and when an ejected route begins to recover.
+//! Ejection: takes failing routes out of service, and starts the recovery of an ejected route.
 //!
-//! A busy route is ejected after [`FAILURES_TO_EJECT`] consecutive failures. A route with little traffic
-//! needs fewer: as many as occur in the time that those take at a busy route, and at least the minimum for
-//! the number of instances.
+//! A busy route is ejected after [`FAILURES_TO_EJECT`] consecutive failures. A route with little traffic is
+//! ejected after fewer, in proportion to its baseline rate, but never below a minimum that depends on the
+//! number of instances.
 
 use crate::failure_detector::FAILURES_TO_EJECT;
 use crate::interface::Time;
@@ -11,12 +11,13 @@
 use crate::state::RouteId;
 
 impl Scheduler {
-    /// Judges a route after a call sent at `sent` has ended: ejects it, or lets it recover.
+    /// Updates the health of a route after a call sent at `sent` has ended: ejects the route or starts its
+    /// recovery.
     pub(super) fn judge_health(&mut self, now: Time, id: RouteId, sent: Time, answered: bool) {
         let min_failures = FAILURES_TO_EJECT - self.unseen_load();
         let has_pending = || self.pending.has(id.destination);
         let route = self.routes.get_mut(&id);
-        let route = route.expect("only routes in use are judged");
+        let route = route.expect("an endpoint has a route");
         let needed = (FAILURES_TO_EJECT * route.baseline_rate.per_s())
             .clamp(min_failures, FAILURES_TO_EJECT);
         let observation = Observation {
--- a/crates/scheduler/src/policy/endpoint_choice.rs
+++ b/crates/scheduler/src/policy/endpoint_choice.rs
@@ -1,9 +1,9 @@
-//! Which endpoint of a destination receives a call: the one where it costs least.
+//! Endpoint choice: a call goes to the endpoint of the destination with the lowest cost.
 //!
-//! The cost is the expected latency, with additions for calls in flight, a new connection and a zone's fee.
-//! Endpoints that failed recently come last. Each instance has seeded preferences of its own, in proportion
-//! to the advertised rates, so that instances with the same information don't all choose the same endpoint.
-//! Where the list gives weights, the weighted round robin replaces the cost.
+//! The cost is the expected latency, increased for calls in flight, a new connection and a zone's fee.
+//! Endpoints that failed recently are chosen last. Each instance has its own seeded preferences, in
+//! proportion to the advertised rates, so that instances with the same information don't all choose the same
+//! endpoint. For endpoints with weights in the list, the weighted round robin replaces the cost.
 
 use crate::interface::{DestinationId, EndpointId, EndpointStatus, Time};
 use crate::scheduler::Scheduler;
@@ -11,37 +11,37 @@
 
 /// Cost factor of an endpoint that failed recently.
 const FAILED_COST_FACTOR: f64 = 1000.0;
-/// Addition to the virtual finish time of an endpoint that failed recently, for each unit of its cost factor
+/// Penalty on the virtual finish time of an endpoint that failed recently, for each unit of its cost factor
 /// above 1.
 const FAILED_FINISH_TIME: f64 = 1e9;
-/// Weight of a zone's fee against latency.
+/// Weight of a zone's fee relative to the latency.
 const FEE_WEIGHT: f64 = 20.0;
 /// Cost of a new connection, as a fraction of the route's expected latency.
 const CONNECT_COST: f64 = 0.5;
 /// Cost of each call in flight at the endpoint, as a fraction of its expected latency.
 const QUEUED_CALL_COST: f64 = 0.5;
-/// The least exponent of an instance's preference on a shared route.
+/// Minimum exponent of an instance's preference on a shared route.
 const MIN_PREFERENCE: f64 = 0.03;
-/// The least exponent of an instance's preference on a separate route.
+/// Minimum exponent of an instance's preference on a separate route.
 const MIN_SEPARATE_PREFERENCE: f64 = 0.15;
-/// The least random number that a preference is derived from.
+/// Minimum random number from which a preference is derived.
 const MIN_PREFERENCE_FRACTION: f64 = 0.02;
-/// The largest random number that a preference is derived from.
+/// Maximum random number from which a preference is derived.
 const MAX_PREFERENCE_FRACTION: f64 = 0.98;
-/// The least advertised rate in a preference, in calls per second.
+/// Minimum advertised rate in a preference, in calls per second.
 const MIN_PREFERENCE_RATE: f64 = 0.01;
 
 /// The endpoint that receives a call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointChoice {
     pub endpoint: EndpointId,
-    /// Expected latency of its route, in ms.
+    /// Expected latency of the endpoint's route, in ms.
     pub expected_latency_ms: f64,
 }
 
 impl Scheduler {
-    /// The endpoint that would receive a message now; without a message, one that was never executed and may
-    /// be sent to any endpoint.
+    /// Returns the endpoint that `message` would be sent to now. `None` for `message` stands for any message
+    /// that was never executed and may be sent to every endpoint.
     pub(super) fn choose_endpoint(
         &self,
         now: Time,
@@ -77,7 +77,7 @@
             && self.next_call_at(now, route).is_some_and(|at| at <= now)
     }
 
-    /// Cost of a call to an endpoint, comparable among the endpoints of its destination.
+    /// Returns the cost of a call to an endpoint, comparable among the endpoints of its destination.
     fn call_cost(&self, now: Time, id: EndpointId, endpoint: &Endpoint, route: &Route) -> f64 {
         let route_latency_ms = self.expected_latency_ms(route);
         let latency_ms = endpoint.mean_latency.ms().unwrap_or(route_latency_ms);
@@ -101,8 +101,8 @@
         })
     }
 
-    /// Cost factor by this instance's preference: an exponential random variable over the advertised rate, so
-    /// that each endpoint is preferred by a share of the instances in proportion to its rate.
+    /// Returns the cost factor of this instance's preference: an exponential random variable divided by the
+    /// advertised rate. Each endpoint is preferred by a share of the instances in proportion to its rate.
     fn preference(&self, id: EndpointId, endpoint: &Endpoint, route: &Route) -> f64 {
         let fraction = self
             .seeded_fraction(u64::from(id.0))
--- a/crates/scheduler/src/policy/give_up.rs
+++ b/crates/scheduler/src/policy/give_up.rs
@@ -1,12 +1,13 @@
-//! Giving up: when a message can no longer be delivered, and how it ends then.
+//! Giving up: ends messages that can no longer be delivered.
 
 use crate::interface::{Action, DestinationId, Idempotency, MessageId, Span, Time};
 use crate::scheduler::Scheduler;
 use crate::state::Message;
 
-/// Fraction of its time for which an accepted message that was never executed has a guaranteed attempt.
+/// Fraction of its time to live during which an accepted message that was never executed has a guaranteed
+/// attempt.
 const GUARANTEE_FRACTION: f64 = 0.7;
-/// The least `Retry-After` of a rejected message, in ms.
+/// Minimum `Retry-After` of a rejected message, in ms.
 const MIN_RETRY_AFTER_MS: f64 = 1000.0;
 
 impl Scheduler {
@@ -18,9 +19,8 @@
             let opens_at = self.opens_at(now, destination);
             let routes = self.active_routes(destination);
             let backoff_until = routes.map(|route| route.backoff_until).min().flatten();
-            // The client of a new message is rejected at once, as another instance may have an open route. A
-            // message that may have been executed, or has a guaranteed attempt, waits for an outcome that
-            // opens its route.
+            // A new message is rejected at once, as another instance may have an open route. A message that
+            // may have been executed, or has a guaranteed attempt, waits for an outcome that opens its route.
             let is_undeliverable = |id: &MessageId| {
                 let message = &self.messages[id];
                 let guaranteed = self.has_guaranteed_attempt(now, message);
@@ -29,7 +29,7 @@
                     && closed_until > Some(message.deadline);
                 opens_too_late || self.undeliverable_at(message, fastest) <= now
             };
-            // Messages without an attempt become undeliverable in the order of their deadlines.
+            // Messages without an attempt become undeliverable in deadline order.
             let untried = queue.untried.iter().map(|(_, id)| *id);
             undeliverable.extend(untried.take_while(is_undeliverable));
             undeliverable.extend(queue.tried.iter().copied().filter(is_undeliverable));
@@ -41,7 +41,7 @@
     }
 
     /// Whether a message has a guaranteed attempt: it was accepted before this batch, was never executed, and
-    /// has time left.
+    /// is within [`GUARANTEE_FRACTION`] of its time to live.
     pub(super) fn has_guaranteed_attempt(&self, now: Time, message: &Message) -> bool {
         let time = message.deadline - message.submitted_at;
         let guaranteed_until = message.submitted_at + Span::from_ms(time.ms() * GUARANTEE_FRACTION);
@@ -49,16 +49,16 @@
         !is_new && message.first_possible_execution.is_none() && now < guaranteed_until
     }
 
-    /// Earliest time at which a route of a destination opens; `None` while the outcome of a call may open one
-    /// sooner.
+    /// Returns the earliest time at which a route of a destination opens, or `None` while the outcome of a
+    /// call may open one sooner.
     fn opens_at(&self, now: Time, id: DestinationId) -> Option<Time> {
         let routes = self.active_routes(id);
         let opens = routes.map(|route| self.next_call_at(now, route));
         opens.reduce(|a, b| Some(a?.min(b?))).flatten()
     }
 
-    /// When a pending message becomes undeliverable: too late for the fastest call, at the end of its
-    /// idempotency key's window, or with all attempts used.
+    /// Returns the time at which a pending message becomes undeliverable: its last start for the `fastest`
+    /// call, or the end of its deduplication window; [`Time::MIN`] if no further attempt is permitted.
     pub(crate) fn undeliverable_at(&self, message: &Message, fastest: Span) -> Time {
         if message.attempts >= self.settings.limits.max_attempts {
             return Time::MIN;
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Ends a message undelivered, at once: rejected where the client may submit it again, else failed.
+    /// Ends a message without a delivery: rejects it if the client may submit it again, and fails it
+    /// otherwise.
     pub(super) fn give_up_message(&mut self, now: Time, id: MessageId, actions: &mut Vec<Action>) {
         let message = &self.messages[&id];
         actions.push(if self.may_resubmit(message) && now < message.deadline {
@@ -88,7 +89,7 @@
         self.finish(id);
     }
 
-    /// How long a rejected client should wait: until a route of the destination opens.
+    /// Returns the `Retry-After` of a rejected message: the time until a route of the destination opens.
     fn retry_after(&self, now: Time, message: &Message) -> Span {
         let routes = self.active_routes(message.destination);
         let opens_at = routes
--- a/crates/scheduler/src/policy/health_checks.rs
+++ b/crates/scheduler/src/policy/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: where they are allowed, an ejected route is sent one before any message.
+//! Health checks: an ejected route is sent a health check before any message, if the settings allow it.
 
 use crate::interface::{Action, EndpointId, EndpointStatus, Time};
 use crate::scheduler::Scheduler;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The endpoint that receives the health checks of a route.
+    /// Returns the endpoint that receives the health checks of a route.
     pub(crate) fn health_check_endpoint(&self, route: RouteId) -> Option<EndpointId> {
         let endpoints = self.destinations[&route.destination].iter().copied();
         let active = endpoints.filter(|id| {
--- a/crates/scheduler/src/policy/latency.rs
+++ b/crates/scheduler/src/policy/latency.rs
@@ -1,10 +1,10 @@
-//! Latency: what successful calls add to the means, and what to expect of a route.
+//! Latency: mean latencies of successful calls, and the expected latency of a route.
 
 use crate::interface::{DestinationId, EndpointId, Span};
 use crate::scheduler::Scheduler;
 use crate::state::Route;
 
-/// Latency that is assumed before the first response, in ms.
+/// Latency assumed before the first response, in ms.
 const DEFAULT_LATENCY_MS: f64 = 400.0;
 
 impl Scheduler {
@@ -19,7 +19,7 @@
         self.mean_latency.observe(latency);
     }
 
-    /// Expected latency of a call on a route, in ms.
+    /// Returns the expected latency of a call on a route, in ms.
     pub(crate) fn expected_latency_ms(&self, route: &Route) -> f64 {
         route
             .mean_latency
@@ -28,7 +28,7 @@
             .unwrap_or(DEFAULT_LATENCY_MS)
     }
 
-    /// Expected latency of a destination's fastest active route; zero if it has none.
+    /// Returns the expected latency of a destination's fastest active route, or zero if it has none.
     pub(crate) fn fastest_latency(&self, id: DestinationId) -> Span {
         let latencies = self
             .active_routes(id)
--- a/crates/scheduler/src/policy/load_shedding.rs
+++ b/crates/scheduler/src/policy/load_shedding.rs
@@ -1,18 +1,19 @@
-//! Load shedding: which messages are given up when there are too many open ones.
+//! Load shedding: gives up the least valuable messages while too many are open.
 
 use crate::interface::{Action, MessageId, Time};
 use crate::scheduler::Scheduler;
 use crate::state::Message;
 
-/// Fraction of the limit on open messages above which messages are shed; the rest is reserved for a burst.
+/// Fraction of the limit on open messages above which messages are shed. The rest is reserved for bursts.
 const SHEDDING_THRESHOLD: f64 = 0.95;
 /// Cost of shedding a message with a guaranteed attempt, as a fraction of its weight.
 const GUARANTEED_ATTEMPT_COST: f64 = 0.3;
 
 impl Scheduler {
-    /// Gives up the least valuable pending messages until the open ones are within the limit. It runs after
-    /// the sends: a message of little weight that can be sent at once needs no capacity, even if all that
-    /// wait for a busy destination weigh more.
+    /// Gives up the least valuable pending messages until the number of open messages is within the limit.
+    ///
+    /// This runs after the sends. A message that can be sent at once is then no longer pending, so it is not
+    /// shed even if all messages that wait for a busy destination have a higher weight.
     pub(crate) fn shed_load(&mut self, now: Time, actions: &mut Vec<Action>) {
         let max_open =
             (self.settings.limits.max_open_messages as f64 * SHEDDING_THRESHOLD) as usize;
@@ -27,8 +28,8 @@
         }
     }
 
-    /// What is lost by giving up a message. A message with a guaranteed attempt that was resumed after a
-    /// restart does not decay, so new messages don't displace it for its age.
+    /// Returns the cost of giving up a message. The weight of a message with a guaranteed attempt that was
+    /// resumed after a restart does not decay, so new messages don't displace it because of its age.
     fn shedding_cost(&self, now: Time, message: &Message) -> f64 {
         let guarantee_cost = if self.has_guaranteed_attempt(now, message) {
             GUARANTEED_ATTEMPT_COST * message.priority_weight
--- a/crates/scheduler/src/policy/message_value.rs
+++ b/crates/scheduler/src/policy/message_value.rs
@@ -1,17 +1,17 @@
-//! How the weight of a message decays, which follows the way its value falls after the latency objective.
+//! Value of a message: its priority weight decays as its value falls after the latency objective.
 
 use crate::interface::{Time, ValueDecay};
 use crate::scheduler::Scheduler;
 use crate::state::Message;
 
-/// The least late value that linear decay assumes: no message becomes worthless before its deadline.
+/// Minimum late value in linear decay, so that no message becomes worthless before its deadline.
 const MIN_LATE_VALUE: f64 = 0.05;
-/// The least latency objective or deadline that decay assumes, in ms.
+/// Minimum latency objective or time to live in the computation of the decay, in ms.
 const MIN_DECAY_TIME_MS: f64 = 1.0;
 
 impl Scheduler {
-    /// A message's priority weight after decay. Linear decay is approximated by the exponential from the full
-    /// value to the late value at the deadline.
+    /// Returns a message's priority weight after decay. Linear decay is approximated by an exponential from
+    /// the full value at the submission to the late value at the deadline.
     pub(crate) fn decayed_weight(&self, now: Time, message: &Message) -> f64 {
         let class = &self.settings.classes[message.class.0];
         let halvings_per_ms = match self.settings.value_decay {
--- a/crates/scheduler/src/policy/ordering.rs
+++ b/crates/scheduler/src/policy/ordering.rs
@@ -1,11 +1,12 @@
-//! Ordering: messages with one ordering key are sent one at a time, in the order of their submission.
+//! Ordering: messages with the same ordering key are sent one at a time, in the order of their submission.
 
 use crate::interface::{MessageId, Time};
 use crate::scheduler::Scheduler;
 use crate::state::Message;
 
 impl Scheduler {
-    /// Earliest time at which its ordering key permits a message; `None` while others are before it.
+    /// Returns the earliest time at which the ordering key of a message permits its next attempt, or `None`
+    /// while messages with the same key precede it.
     pub(crate) fn ordering_permits_at(&self, id: MessageId, message: &Message) -> Option<Time> {
         let queue = message
             .ordering_key
--- a/crates/scheduler/src/policy/rejection_hold.rs
+++ b/crates/scheduler/src/policy/rejection_hold.rs
@@ -1,18 +1,17 @@
-//! Rejection hold: how a destination is left alone after it rejected calls, or reported little remaining
-//! quota.
+//! Rejection hold: pauses the calls to a destination that rejected a call or reported a low remaining quota.
 
 use crate::interface::{Span, Time};
 use crate::rejection_hold::{RejectedCall, RejectionHold, MS_PER_S};
 use crate::scheduler::Scheduler;
 use crate::state::RouteId;
 
-/// Share of the quota below which the next call is likely to be rejected.
+/// Remaining share of the quota below which the next call is likely to be rejected.
 const LOW_QUOTA: f64 = 0.3;
-/// Shift of the hold count that separates its random numbers from those of other purposes.
+/// Shift of the hold count in the purpose of its random numbers, which separates them from other purposes.
 const HOLD_PURPOSE_SHIFT: u32 = 20;
 
 impl Scheduler {
-    /// Holds a destination back after one of its routes rejected a call.
+    /// Pauses the calls to a destination after one of its routes rejected a call.
     pub(super) fn hold_after_rejection(
         &mut self,
         now: Time,
@@ -31,7 +30,7 @@
         hold.rejected(now, &call);
     }
 
-    /// Holds a destination back if a response reports that little of the quota remains.
+    /// Pauses the calls to a destination if a response reports a low remaining quota.
     pub(crate) fn hold_if_quota_is_low(&mut self, now: Time, id: RouteId, remaining: Option<f64>) {
         if !remaining.is_some_and(|remaining| remaining < LOW_QUOTA) {
             return;
@@ -44,7 +43,8 @@
         self.rejection_holds.insert(id.destination, hold);
     }
 
-    /// Time between two calls of this instance at its share of all of the destination's routes, in ms.
+    /// Returns the time between two calls of this instance at its share of the rate of all of the
+    /// destination's routes, in ms.
     fn call_interval_ms(&self, now: Time, id: RouteId) -> f64 {
         let routes = id
             .endpoint
@@ -52,7 +52,7 @@
         MS_PER_S / (self.own_rate(now, &self.routes[&id]) * routes as f64)
     }
 
-    /// Random number for the next hold, in 0..1.
+    /// Returns the random number of the next hold, in 0..1.
     fn hold_jitter(&self) -> f64 {
         self.seeded_fraction(self.hold_count << HOLD_PURPOSE_SHIFT)
     }
--- a/crates/scheduler/src/policy/retry.rs
+++ b/crates/scheduler/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: what the idempotency of a message permits once an attempt may have been executed.
+//! Retries: restricts the further attempts of a message that may have been executed, by its idempotency.
 
 use crate::interface::{DeduplicationScope, EndpointId, Idempotency, Time};
 use crate::scheduler::Scheduler;
--- a/crates/scheduler/src/policy/route_rate.rs
+++ b/crates/scheduler/src/policy/route_rate.rs
@@ -1,4 +1,4 @@
-//! Rates of a route: what it is listed or reported to accept, and what this instance may count on of that.
+//! Rates of a route: its listed or reported limit, and the share of it that this instance may use.
 
 use crate::baseline_rate::BASELINE_TIME_S;
 use crate::interface::{RateHints, Time};
@@ -7,30 +7,31 @@
 use crate::scheduler::Scheduler;
 use crate::state::Route;
 
-/// Fraction of an approximate advertised rate that is counted on: it may be half too high.
+/// Fraction of an approximate advertised rate that is assumed to be available: the rate may be half too high.
 const APPROXIMATE_RATE_FACTOR: f64 = 0.67;
-/// Calls per second that a route accepts from all instances, if nothing else is known.
+/// Assumed limit of a route without a known rate, in calls per second of all instances.
 const MIN_RATE: f64 = 1.0;
-/// The least even share that a rate is drawn towards, in calls per second.
+/// Minimum even share towards which a rate is adjusted, in calls per second.
 const MIN_EVEN_SHARE: f64 = 1e-6;
 
 impl Scheduler {
-    /// This instance's share of a reported or listed limit, in calls per second, where many instances share
-    /// it.
+    /// Returns this instance's share of a reported or listed limit, in calls per second, or `None` if no
+    /// limit is known or few instances share it.
     pub(crate) fn rate_share(&self, route: &Route) -> Option<f64> {
         let limit = route.reported_limit.or(self.listed_rate(route))?;
         rate_share::share_of(limit, self.settings.instances, self.unseen_load())
     }
 
-    /// Calls per second that a route accepts from all instances together according to the endpoint list.
+    /// Returns the calls per second that a route accepts from all instances together, according to the
+    /// endpoint list.
     pub(super) fn listed_rate(&self, route: &Route) -> Option<f64> {
         let has_hints = self.settings.rate_hints != RateHints::Absent;
         Some(route.advertised_rate).filter(|rate| has_hints && *rate > MIN_RATE)
     }
 
-    /// Calls per second that this instance may count on of a route's full rate: its baseline rate there,
-    /// drawn towards an even share of the known rate, or of its own traffic over all destinations. The
-    /// shares of all instances add up to no more than the route accepts.
+    /// Returns this instance's part of a route's full rate, in calls per second: its baseline rate on the
+    /// route, adjusted towards an even share of the known rate, or of its own traffic over all destinations.
+    /// The parts of all instances add up to no more than the route accepts.
     pub(crate) fn own_rate(&self, now: Time, route: &Route) -> f64 {
         let (instances, unseen) = (self.instances(), self.unseen_load());
         let has_hints = self.settings.rate_hints != RateHints::Absent;
@@ -44,14 +45,14 @@
             .max(MIN_EVEN_SHARE);
         let drawn = (1.0 + baseline * BASELINE_TIME_S) / (1.0 / even + BASELINE_TIME_S);
         let own = ((1.0 - unseen) * least).max(drawn);
-        // One of many instances counts on its even share of a reported limit, whatever it delivered before.
+        // With many instances, each uses its even share of a reported limit, regardless of its baseline rate.
         route
             .reported_limit
             .map_or(own, |limit| own + unseen * (limit / instances - own))
     }
 
-    /// Calls per second that this instance delivers on a healthy route. On a settled route the rate falls
-    /// while no call succeeds.
+    /// Returns the calls per second that this instance delivers on a healthy route. On a route at full
+    /// capacity the rate falls while no call succeeds.
     fn baseline_rate(&self, now: Time, route: &Route) -> f64 {
         let ramp_duration = self.settings.rules.ramp_duration;
         if route.ramp.is_settled(now, ramp_duration) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// This instance's even share of a known rate; where none is known, its traffic for each destination.
+    /// Returns this instance's even share of a known rate, or its traffic per destination if none is known.
     fn even_share(&self, now: Time, rate: Option<f64>) -> f64 {
         let reliable_fraction = if self.settings.rate_hints == RateHints::Exact {
             1.0
@@ -74,7 +75,7 @@
         )
     }
 
-    /// Messages per second that this instance has accepted for each destination on average.
+    /// Returns the mean number of messages per second that this instance has accepted for each destination.
     fn traffic_per_destination(&self, now: Time) -> f64 {
         let age_s = self
             .started_at
@@ -83,8 +84,9 @@
         self.accepted_count.max(1.0) / age_s / self.destinations.len().max(1) as f64
     }
 
-    /// What this instance knows of a route's limit, for its rate limiter. `None` where it can't tell a limit
-    /// from random rejections: it sees only a part of the load, or shares a route without a listed rate.
+    /// Returns this instance's view of a route's limit, for the rate limiter. `None` if the instance can't
+    /// distinguish a limit from random rejections: it receives only a part of the load, or shares a route
+    /// without a listed rate.
     pub(super) fn limit_view(&self, route: &Route) -> Option<LimitView> {
         if self.unseen_load() != 0.0 {
             return None;
--- a/crates/scheduler/src/policy/selection.rs
+++ b/crates/scheduler/src/policy/selection.rs
@@ -1,5 +1,5 @@
-//! Which message is sent next: the pending message with the highest decayed weight per expected latency whose
-//! destination has an endpoint that may be called.
+//! Message selection: the next message sent is the one with the highest decayed weight per expected latency
+//! among the pending messages with an endpoint that may be called.
 
 use crate::interface::{Action, EndpointId, MessageId, Time};
 use crate::scheduler::Scheduler;
@@ -12,14 +12,14 @@
 }
 
 impl Candidate {
-    /// Whether it is sent before another candidate; equal scores are decided by the message's identity.
+    /// Whether this candidate is sent before another one. Ties are broken by the message's identity.
     fn precedes(&self, other: &Candidate) -> bool {
         self.score > other.score || self.score == other.score && self.message < other.message
     }
 }
 
 impl Scheduler {
-    /// Sends pending messages while further calls may be in flight.
+    /// Sends pending messages until the limit on calls in flight is reached or no message may be sent.
     pub(crate) fn send_pending(&mut self, now: Time, actions: &mut Vec<Action>) {
         while self.calls.len() < self.settings.limits.max_in_flight {
             let Some(best) = self.best_candidate(now) else {
@@ -30,12 +30,12 @@
         }
     }
 
-    /// The pending message to send now, and its endpoint.
+    /// Returns the pending message to send now, with its endpoint.
     fn best_candidate(&self, now: Time) -> Option<Candidate> {
         let mut best: Option<Candidate> = None;
         for (destination, queue) in self.pending.by_destination() {
-            // A message that was never executed may go anywhere. If no endpoint may receive it, none may
-            // receive others.
+            // A message that was never executed may be sent to every endpoint. If no endpoint may receive it,
+            // none may receive any other message.
             let Some(unrestricted) = self.choose_endpoint(now, destination, None) else {
                 continue;
             };
--- a/crates/scheduler/src/policy/silence.rs
+++ b/crates/scheduler/src/policy/silence.rs
@@ -1,21 +1,22 @@
-//! Silence: a route that answered nothing for long may have been out of service although too few calls failed
-//! to eject it, as where calls hang. When it answers again, its backlog is sent along the recovery ramp.
+//! Silence: a route without successful calls for a while may have been out of service although too few calls
+//! failed to eject it, for example because calls hang. When the route answers again, its backlog is sent
+//! along the recovery ramp.
 
 use crate::interface::{DestinationId, Span, Time};
 use crate::pending_queue::DestinationQueue;
 use crate::scheduler::Scheduler;
 use crate::state::RouteId;
 
-/// How long a route must have answered nothing.
+/// Minimum time without a successful call after which a route counts as silent.
 const MIN_SILENCE: Span = Span::from_secs(5.0);
-/// Backlog at all instances together from which on the silence matters, in messages.
+/// Minimum backlog at all instances together for which a silence starts the ramp, in messages.
 const MIN_BACKLOG: f64 = 24.0;
-/// Backlog at each instance from which on it matters, in messages.
+/// Minimum backlog at each instance for which a silence starts the ramp, in messages.
 const MIN_BACKLOG_PER_INSTANCE: f64 = 2.0;
 
 impl Scheduler {
-    /// Starts the recovery ramp of a route that answers after a silence, or after rejecting every call. To be
-    /// called before the success is recorded.
+    /// Starts the recovery ramp of a route that answers after a silence, or after rejecting every call. Must
+    /// be called before the success is recorded.
     pub(super) fn ramp_after_silence(&mut self, now: Time, id: RouteId) {
         let min_backlog = (MIN_BACKLOG / self.instances())
             .ceil()
@@ -29,8 +30,8 @@
         }
     }
 
-    /// Treats the routes of a destination as silent unless they have answered: an earlier incarnation made
-    /// attempts there without success.
+    /// Treats the routes of a destination as silent unless they have answered this incarnation. Called for a
+    /// message that an earlier incarnation attempted without success.
     pub(crate) fn assume_silence(&mut self, now: Time, id: DestinationId) {
         for endpoint in self.destinations.get(&id).into_iter().flatten() {
             let route = self.routes.get_mut(&self.endpoints[endpoint].route);
--- a/crates/scheduler/src/policy/timeouts.rs
+++ b/crates/scheduler/src/policy/timeouts.rs
@@ -1,4 +1,4 @@
-//! Time-outs: when an attempt is abandoned.
+//! Time-outs of attempts.
 
 use crate::interface::{Idempotency, Span, Time};
 use crate::scheduler::Scheduler;
@@ -6,26 +6,27 @@
 
 /// Time-out of an attempt as a multiple of the route's expected latency.
 const LATENCY_FACTOR: f64 = 6.0;
-/// The least time-out, in ms: short latencies say little about a busy moment.
+/// Minimum time-out, in ms: a low mean latency does not predict the latency under load.
 const MIN_TIMEOUT_MS: f64 = 1200.0;
-/// Factor of a route's time-out for each consecutive attempt that timed out there.
+/// Factor of a route's time-out for each consecutive attempt that timed out on the route.
 const TIMEOUT_BACKOFF: f64 = 1.7;
-/// How many consecutive time-outs raise the time-out.
+/// Maximum number of consecutive time-outs that raise the time-out.
 const MAX_TIMEOUT_BACKOFFS: i32 = 3;
-/// Factor of the time-out of a non-idempotent message, which can't be retried after it.
+/// Factor of the time-out of a non-idempotent message, which can't be retried after a time-out.
 const NON_IDEMPOTENT_FACTOR: f64 = 3.0;
-/// Factor of all time-outs while calls are lost regularly and later ones answered.
+/// Factor of all time-outs while calls are regularly lost although later calls are answered.
 const LOSSY_FACTOR: f64 = 0.35;
 
-/// When an attempt is abandoned.
+/// End of an attempt that gets no response.
 pub(crate) struct AttemptTimeout {
+    /// Time at which the attempt is abandoned.
     pub at: Time,
-    /// Whether the message's deadline comes before the route's time-out.
+    /// Whether the message's deadline precedes the route's time-out.
     pub cut_by_deadline: bool,
 }
 
 impl Scheduler {
-    /// Time-out of attempts on a route, in ms.
+    /// Returns the time-out of attempts on a route, in ms.
     pub(crate) fn route_timeout_ms(&self, route: &Route) -> f64 {
         let backoff = TIMEOUT_BACKOFF.powi(route.consecutive_timeouts.min(MAX_TIMEOUT_BACKOFFS));
         let loss_factor = if self.loss_rate.is_lossy() {
@@ -38,7 +39,7 @@
             * loss_factor
     }
 
-    /// When an attempt for a message that starts now is abandoned, on a route with this time-out.
+    /// Returns the time-out of an attempt that starts now, on a route with this time-out.
     pub(crate) fn attempt_timeout(
         &self,
         now: Time,
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Records the time-out of a call sent at `sent`. If a later call of the route was answered, the call was
-    /// lost and says nothing about the route.
+    /// Records the time-out of a call sent at `sent`. If a later call of the route was answered, the call
+    /// counts as lost and does not raise the route's time-out.
     pub(super) fn observe_timeout(&mut self, id: RouteId, sent: Time) {
         if self.routes[&id].failures.is_overtaken(sent) {
             self.loss_rate.call_lost();
--- a/crates/scheduler/src/policy/weighted_round_robin.rs
+++ b/crates/scheduler/src/policy/weighted_round_robin.rs
@@ -1,20 +1,20 @@
-//! Weighted round robin: where the list gives weights, each endpoint of a destination gets its share of the
-//! calls.
+//! Weighted round robin: each endpoint of a destination gets a share of the calls in proportion to its weight
+//! in the list.
 //!
-//! Each call defers its endpoint's next one by the inverse of the endpoint's weight, in virtual time. No call
-//! finishes before the last one of the destination: an endpoint does not make up for calls that it missed
-//! while it was ejected or weighed less.
+//! Each call defers the endpoint's next call by the inverse of the endpoint's weight, in virtual time. The
+//! virtual finish time of a call is never before the latest one of the destination, so an endpoint does not
+//! catch up on calls that it missed while it was ejected or had a lower weight.
 
 use crate::interface::Time;
 use crate::scheduler::Scheduler;
 use crate::state::Endpoint;
 
-/// The least effective weight of an endpoint.
+/// Minimum effective weight of an endpoint.
 const MIN_EFFECTIVE_WEIGHT: f64 = 1e-9;
 
 impl Scheduler {
-    /// Virtual finish time of the next call to an endpoint; `None` if it has no weight. An endpoint that
-    /// recovers from a failure has the share of its weight that the ramp gives.
+    /// Returns the virtual finish time of the next call to an endpoint, or `None` if the endpoint has no
+    /// weight. While the endpoint recovers from a failure, its weight is reduced to the ramp's share of it.
     pub(crate) fn finish_time(&self, now: Time, endpoint: &Endpoint) -> Option<f64> {
         let weight = endpoint.weight?;
         let recovered_at = endpoint.failed_at.map(|_| now).or(endpoint.recovered_at);
