--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,8 +1,8 @@
-//! The scheduler of one instance: it applies batches of events to its state and lets the policy decide.
+//! The scheduler of one instance: applies batches of events to its state and executes the policy.
 //!
-//! Its state is in [`state`](crate::state), its decisions are in [`policy`](crate::policy). [`Scheduler::handle`]
-//! shows the order within a batch: events, messages that can no longer be delivered, health checks, sends, load
-//! shedding.
+//! The types of its state are in [`state`](crate::state), the decisions in [`policy`](crate::policy).
+//! [`Scheduler::handle`] defines the order within a batch: events, messages that can no longer be delivered, health
+//! checks, sends, load shedding.
 
 mod calls;
 mod endpoint_list;
@@ -38,22 +38,22 @@
     pub(crate) messages: BTreeMap<MessageId, Message>,
     pub(crate) pending: PendingQueue,
     pub(crate) ordering_queues: BTreeMap<OrderingKey, OrderingQueue>,
-    /// Messages accepted since the start.
+    /// Number of messages accepted since the start.
     pub(crate) accepted_count: f64,
-    /// By index of the tenant.
+    /// Message rates, indexed by tenant.
     pub(crate) tenant_rates: Vec<TenantRate>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) destinations: BTreeMap<DestinationId, Vec<EndpointId>>,
-    /// Whether removed endpoints may still have to be forgotten.
+    /// Whether `endpoints` may still hold removed endpoints.
     has_removed_endpoints: bool,
     subscription: ListSubscription,
     pub(crate) routes: BTreeMap<RouteId, Route>,
     pub(crate) ejected_routes: BTreeSet<RouteId>,
     pub(crate) rejection_holds: BTreeMap<DestinationId, RejectionHold>,
-    /// Rejection holds so far; each gets a random number of its own.
+    /// Number of rejection holds so far, from which the random number of each is derived.
     pub(crate) hold_count: u64,
     pub(crate) connection_pressure: BTreeMap<KindId, ConnectionPressure>,
-    /// Calls in flight.
+    /// The calls in flight.
     pub(crate) calls: BTreeMap<CallId, Call>,
     next_call: CallId,
     /// Mean latency over all routes.
@@ -66,7 +66,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler in its initial state. Its random numbers are drawn from `seed`.
+    /// Creates a scheduler in its initial state. Its random numbers are derived from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Scheduler {
         let tenant_rates = vec![TenantRate::default(); settings.tenants.len()];
         Scheduler {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Applies the events of one batch, then decides; adds the resulting actions to `actions`.
+    /// Applies the events of one batch, takes the decisions that are due, and appends the resulting actions to
+    /// `actions`.
     pub fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.subscribe_if_due(now, actions);
         self.started_at.get_or_insert(now);
@@ -142,7 +143,7 @@
         }
     }
 
-    /// The routes of a destination's active endpoints.
+    /// Returns the route of each active endpoint of a destination.
     pub(crate) fn active_routes(&self, id: DestinationId) -> impl Iterator<Item = &Route> {
         let ids = self.destinations.get(&id).into_iter().flatten();
         let endpoints = ids.map(|id| &self.endpoints[id]);
@@ -150,7 +151,7 @@
         active.map(|endpoint| &self.routes[&endpoint.route])
     }
 
-    /// The latest virtual finish time of a destination's endpoints, 0 if it has none.
+    /// Returns the latest virtual finish time of a destination's endpoints, or 0 if it has none.
     pub(crate) fn latest_finish_time(&self, id: DestinationId) -> f64 {
         let endpoints = self.destinations.get(&id).into_iter().flatten();
         endpoints
@@ -158,17 +159,17 @@
             .fold(0.0, f64::max)
     }
 
-    /// A listed endpoint. Panics if it is not listed.
+    /// Returns a listed endpoint. Panics if it is not listed.
     pub(crate) fn endpoint_mut(&mut self, id: EndpointId) -> &mut Endpoint {
         self.endpoints.get_mut(&id).expect("the endpoint is listed")
     }
 
-    /// The route of a listed endpoint. Panics if there is none.
+    /// Returns the route of a listed endpoint. Panics if there is none.
     pub(crate) fn route_mut(&mut self, id: RouteId) -> &mut Route {
         self.routes.get_mut(&id).expect("an endpoint has a route")
     }
 
-    /// How long the sends of a route are remembered.
+    /// Returns the time for which the sends of a route are recorded.
     pub(crate) fn send_retention(&self) -> Span {
         RECENT_WINDOW.max(self.settings.rules.overload_window)
     }
--- a/crates/scheduler/src/scheduler/calls.rs
+++ b/crates/scheduler/src/scheduler/calls.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts, calls and health checks.
+//! Handling of finished attempts, calls and health checks, and of cancellations.
 
 use super::Scheduler;
 use crate::interface::{
@@ -17,7 +17,7 @@
 }
 
 impl Scheduler {
-    /// Handles the end of an attempt. A call changes health and limits once, with its last attempt.
+    /// Handles the end of an attempt. The last attempt of a call updates the health and limits of the route.
     pub(super) fn attempt_finished(
         &mut self,
         now: Time,
@@ -34,7 +34,7 @@
         if let Some(route) = self.routes.get_mut(&route) {
             route.limit_reported(reported_limit, even_share);
         }
-        // A call that its message's deadline cut short says nothing about the route.
+        // A time-out at the message's deadline, before the route's time-out, is no evidence against the route.
         let cut_short = attempt.cut_by_deadline && end.outcome == Outcome::TimedOut;
         let outcome = if cut_short {
             Outcome::Cancelled
@@ -54,7 +54,7 @@
         self.relieve_connection_pressure(now, &attempt, outcome, actions);
     }
 
-    /// Closes an attempt; returns it if its whole call has ended with it.
+    /// Closes an attempt. Returns the attempt if it was the last open one of its call.
     fn close_attempt(&mut self, now: Time, end: &AttemptEnd) -> Option<Attempt> {
         let message = self.messages.get_mut(&end.message)?;
         let has_outcome = end.is_final || matches!(message.state, MessageState::Finished(_));
@@ -69,7 +69,7 @@
             self.pending
                 .insert(destination, deadline, end.message, Tried::Yes);
         }
-        // A backoff binds at once, whatever the outcome of the other messages of the call.
+        // A backoff applies at once, regardless of the outcomes of the other messages of the call.
         if let Outcome::Rejected {
             retry_after: Some(wait),
         } = end.outcome
@@ -80,7 +80,7 @@
         self.close_call(attempt.call).then_some(attempt)
     }
 
-    /// Closes one attempt of a call; returns whether it was the last one.
+    /// Closes one attempt of a call. Returns whether it was the last open one.
     fn close_call(&mut self, id: CallId) -> bool {
         let Some(call) = self.calls.get_mut(&id) else {
             return false;
@@ -93,7 +93,7 @@
         is_over
     }
 
-    /// Pauses an ordering key after an attempt that may still be running.
+    /// Pauses an ordering key after an attempt that the receiver may still be executing.
     fn pause_ordering(&mut self, now: Time, key: OrderingKey) {
         if let Some(queue) = self.ordering_queues.get_mut(&key) {
             queue.paused_until = now + self.settings.rules.ordering_pause;
@@ -126,7 +126,7 @@
         self.observe_outcome(now, &check);
     }
 
-    /// Withdraws a message on the client's request, and cancels its attempt where that is allowed.
+    /// Withdraws a message on the client's request, and cancels its attempt in flight if the settings allow it.
     pub(super) fn cancel(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get(&id) else {
             return;
--- a/crates/scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/scheduler/src/scheduler/endpoint_list.rs
@@ -1,16 +1,17 @@
-//! The endpoint list: its entries, removed endpoints, and failed requests for it.
+//! The endpoint list: added, changed and removed entries, and failed requests for the list.
 
 use super::Scheduler;
 use crate::interface::{DiscoveryMode, EndpointStatus, EndpointUpdate, Time};
 use crate::state::{Endpoint, Route, RouteId};
 
-/// Purpose of the random numbers of subscription retries, apart from all others.
+/// Purpose of the random numbers of subscription retries, distinct from all other purposes.
 const RESUBSCRIBE_PURPOSE: u64 = u64::MAX >> 8;
-/// Shift of an endpoint's number that separates its route's random number from the endpoint's own.
+/// Shift of an endpoint's number in the purpose of its route's random number, which separates it from the endpoint's
+/// own random number.
 const ROUTE_JITTER_SHIFT: u32 = 32;
 
 impl Scheduler {
-    /// Applies the complete list: endpoints that it lacks are removed.
+    /// Applies a complete list: endpoints that are missing from it are removed.
     pub(super) fn replace_endpoints(&mut self, updates: &[EndpointUpdate]) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.status = EndpointStatus::Removed;
@@ -19,7 +20,7 @@
         self.update_endpoints(updates);
     }
 
-    /// Applies changes of the list.
+    /// Applies changes to the list.
     pub(super) fn update_endpoints(&mut self, updates: &[EndpointUpdate]) {
         self.subscription.updated();
         for update in updates {
@@ -36,7 +37,7 @@
             endpoint: Some(update.endpoint).filter(|_| is_separate),
         };
         let jitter = self.seeded_fraction(u64::from(update.endpoint.0) << ROUTE_JITTER_SHIFT);
-        // The head start differs by instance, so that not all begin with the same endpoint.
+        // The head start differs between instances, so that they don't all begin with the same endpoint.
         let head_start = update.weight.map_or(0.0, |weight| jitter / weight);
         let virtual_finish_time = self.latest_finish_time(update.destination) - head_start;
         let endpoint = self.endpoints.entry(update.endpoint).or_insert(Endpoint {
@@ -60,7 +61,7 @@
         route.advertised_rate = update.advertised_rate;
     }
 
-    /// Forgets the removed endpoints without a call in flight, with their routes where these are separate.
+    /// Deletes the removed endpoints without a call in flight, and their separate routes.
     pub(super) fn forget_removed_endpoints(&mut self) {
         if !std::mem::take(&mut self.has_removed_endpoints) {
             return;
@@ -86,10 +87,10 @@
         });
     }
 
-    /// Schedules a retry after the request for the list failed or the subscription broke.
+    /// Schedules a retry after a request for the list failed or the subscription broke.
     pub(super) fn list_request_failed(&mut self, now: Time) {
         if self.settings.discovery != DiscoveryMode::Subscribe {
-            // Lists that are pushed are not requested, and a retry would never be cleared.
+            // A pushed list is never requested, so the retry would never be cleared.
             return;
         }
         let failures = self.subscription.consecutive_failures() as u64;
--- a/crates/scheduler/src/scheduler/fleet.rs
+++ b/crates/scheduler/src/scheduler/fleet.rs
@@ -1,8 +1,9 @@
-//! This instance among all instances: how many there are, the load that it does not see, and its random numbers.
+//! The instance's place in the fleet: the number of instances, the load that goes to the others, and random numbers
+//! that differ between instances.
 
 use super::Scheduler;
 
-/// Number of instances up to which each sees enough of the load to rely on what it sees.
+/// Number of instances up to which each receives enough of the load to rely on its own observations.
 const FEW_INSTANCES: f64 = 4.0;
 /// Multiplier of the hash function: 2^64 divided by the golden ratio.
 const GOLDEN_RATIO: u64 = 0x9E37_79B9_7F4A_7C15;
@@ -14,17 +15,18 @@
 const FRACTION_BITS: u32 = 24;
 
 impl Scheduler {
-    /// Number of instances, at least 1.
+    /// Returns the number of instances, at least 1.
     pub(crate) fn instances(&self) -> f64 {
         self.settings.instances.max(1) as f64
     }
 
-    /// Fraction of the load that this instance does not see, from 0 to 1.
+    /// Returns the fraction of the load that this instance does not see, from 0 to 1. It is 0 for up to
+    /// [`FEW_INSTANCES`].
     pub(crate) fn unseen_load(&self) -> f64 {
         (1.0 - FEW_INSTANCES / self.instances()).max(0.0)
     }
 
-    /// Random number in 0..1 that depends on this instance's seed and `purpose` alone.
+    /// Returns a random number in 0..1 that depends only on this instance's seed and `purpose`.
     pub(crate) fn seeded_fraction(&self, purpose: u64) -> f64 {
         let input = purpose.wrapping_add(1).wrapping_mul(GOLDEN_RATIO);
         let mixed = (self.seed ^ input).wrapping_mul(MULTIPLIER);
--- a/crates/scheduler/src/scheduler/hot_restart.rs
+++ b/crates/scheduler/src/scheduler/hot_restart.rs
@@ -1,12 +1,13 @@
-//! What one incarnation of an instance takes over from another that runs beside it: the state of routes, backoffs and
-//! calls in flight.
+//! Hot restart: exchange of the state of routes, backoffs and calls in flight between two incarnations of an instance
+//! that run at the same time.
 
 use super::Scheduler;
 use crate::interface::{AttemptStart, DestinationId, EndpointId, KnownRoute, Time};
 use crate::state::{Attempt, RouteId};
 
 impl Scheduler {
-    /// State of each listed route that differs from a new one, for an incarnation that takes over.
+    /// Returns the record of each listed route whose state differs from that of a new one, for the incarnation that takes
+    /// over.
     pub fn route_records(&self, now: Time) -> Vec<KnownRoute> {
         let routes = self.routes.iter().map(|(id, route)| {
             let has_pending = self.pending.has(id.destination);
@@ -21,7 +22,7 @@
             .collect()
     }
 
-    /// Applies a backoff that another incarnation received. If the endpoint has been removed, it binds the
+    /// Applies a backoff that another incarnation received. If the endpoint has been removed, the backoff applies to the
     /// destination's shared route.
     pub(super) fn note_backoff(
         &mut self,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Counts an attempt of another incarnation as in flight, like one of this incarnation. `None` if its endpoint is
+    /// Counts an attempt of another incarnation as an attempt in flight of this one. Returns `None` if its endpoint is
     /// not listed.
     pub(super) fn adopt_attempt(&mut self, start: AttemptStart) -> Option<Attempt> {
         let endpoint = self.endpoints.get_mut(&start.endpoint)?;
--- a/crates/scheduler/src/scheduler/idle.rs
+++ b/crates/scheduler/src/scheduler/idle.rs
@@ -1,4 +1,5 @@
-//! Idle destinations: the state of one is compacted into a small record, and restored with the next message for it.
+//! Idle destinations: the state of an idle destination is compacted into a small record, and restored before its next
+//! message.
 
 use super::Scheduler;
 use crate::baseline_rate::BaselineRate;
@@ -10,8 +11,8 @@
 use crate::state::{Route, RouteId};
 
 impl Scheduler {
-    /// Forgets a destination without pending messages and calls in flight, and its endpoints; returns its state.
-    /// `None` if the destination is in use, unknown, or has endpoints that are separate routes.
+    /// Removes a destination without pending messages and calls in flight, with its endpoints, and returns its state.
+    /// Returns `None` if the destination is in use, unknown, or has endpoints that are separate routes.
     ///
     /// Before the next message for the destination, the embedding program lists its endpoints again and reports the
     /// record with [`Event::RouteRestored`](crate::Event::RouteRestored).
@@ -45,7 +46,7 @@
         Some(CompactedDestination { endpoints, record })
     }
 
-    /// The state of a route that outlasts it.
+    /// Returns the state of a route that is kept when the route is removed.
     pub(super) fn idle_record(&self, now: Time, route: &Route, has_pending: bool) -> IdleRecord {
         let (ejected_since, recovering_since) = match route.ramp.health() {
             RouteHealth::Ejected(since) => (Some(since), None),
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Restores the state of a listed route. A backoff that the route requested meanwhile stays.
+    /// Restores the state of a listed route. A later backoff that the route has requested since then stays.
     pub(super) fn restore_route(&mut self, now: Time, known: &KnownRoute) {
         let id = RouteId {
             destination: known.destination,
@@ -88,8 +89,8 @@
         }
     }
 
-    /// The state of a listed destination, for operators and for a snapshot that outlasts the process. `None` if the
-    /// destination is not listed or has separate routes only.
+    /// Returns the state of a listed destination, for status output and for a persistent snapshot. Returns `None` if the
+    /// destination is not listed or has only separate routes.
     pub fn destination_state(&self, now: Time, id: DestinationId) -> Option<DestinationState> {
         let route = self.routes.get(&RouteId::shared(id))?;
         let pending = self
--- a/crates/scheduler/src/scheduler/messages.rs
+++ b/crates/scheduler/src/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! Accepted messages: how they are added and forgotten.
+//! Adding of accepted messages, and removal of finished ones.
 
 use super::Scheduler;
 use crate::interface::{Action, MessageId, NewMessage, OrderingKey, PriorAttempts, TenantId, Time};
@@ -17,14 +17,14 @@
         let Some(class) = self.settings.classes.get(new.class.0) else {
             return actions.push(Action::Fail(new.message));
         };
-        // A message may have a later deadline than its class gives, but it is never younger than new.
+        // The deadline may be later than the class permits, but the submission is never in the future.
         let submitted_at = (new.deadline - class.deadline).min(now);
         let ordering_key = new.ordering_key.filter(|_| class.ordered);
         let class_weight = class.priority_weight;
         let priority_weight = self.weight_by_quota(now, new.tenant, class_weight);
         self.join_ordering_queue(ordering_key, new.message);
         self.accepted_count += 1.0;
-        // The idempotency window and the number of attempts hold across incarnations.
+        // The deduplication window and the number of attempts apply across incarnations.
         let attempts = prior.map_or(0, |prior| prior.attempts);
         if attempts > 0 {
             self.assume_silence(now, new.destination);
@@ -45,8 +45,8 @@
         self.messages.insert(new.message, message);
     }
 
-    /// Adopts the attempt of an earlier incarnation that is still in flight. Without one, the message becomes pending.
-    /// An earlier submission of the message is no longer pending in either case.
+    /// Adopts the attempt of an earlier incarnation that is still in flight, or queues the message if there is none. In
+    /// both cases an earlier submission of the message is removed from the queue.
     fn adopt_or_queue(&mut self, new: &NewMessage, prior: Option<&PriorAttempts>) -> MessageState {
         let in_flight = prior.and_then(|prior| self.adopt_attempt(prior.in_flight?));
         self.forget_resubmitted(new.message);
@@ -61,7 +61,7 @@
         MessageState::Pending
     }
 
-    /// Counts a message against its tenant's quota; returns its weight, which is lower beyond the quota.
+    /// Counts a message against its tenant's quota. Returns the message's weight, which is lower beyond the quota.
     fn weight_by_quota(&mut self, now: Time, tenant: Option<TenantId>, class_weight: f64) -> f64 {
         if tenant.is_some_and(|tenant| self.is_over_quota(now, tenant)) {
             class_weight * self.settings.over_quota_weight
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Removes the earlier submission of a message from the pending ones: its deadline may differ.
+    /// Removes the earlier submission of a message from the pending queue, where its deadline may differ.
     fn forget_resubmitted(&mut self, id: MessageId) {
         if let Some(known) = self.messages.get(&id) {
             self.pending.remove(known.destination, known.deadline, id);
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Forgets a message that has its final outcome, once no attempt of it is in flight.
+    /// Removes a message that has its final outcome. If an attempt is in flight, the message is marked as finished and
+    /// removed at the end of the attempt.
     pub(crate) fn finish(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
@@ -104,7 +105,7 @@
         self.messages.remove(&id);
     }
 
-    /// Forgets the ordering queues that neither hold messages nor are paused.
+    /// Removes the ordering queues that neither hold messages nor are paused.
     pub(super) fn forget_ordering_queues(&mut self, now: Time) {
         self.ordering_queues
             .retain(|_, queue| !queue.messages.is_empty() || queue.paused_until > now);
--- a/crates/scheduler/src/scheduler/sending.rs
+++ b/crates/scheduler/src/scheduler/sending.rs
@@ -1,4 +1,4 @@
-//! Starting calls: the one place where attempts are sent.
+//! Starting of calls. All attempts are sent from this module.
 
 use super::Scheduler;
 use crate::interface::{Action, EndpointId, MessageId, Time};
@@ -13,7 +13,7 @@
 }
 
 impl Scheduler {
-    /// Sends one call with these messages to an endpoint.
+    /// Sends the messages of `batch` to an endpoint in one call.
     pub(crate) fn send(
         &mut self,
         now: Time,
@@ -39,7 +39,7 @@
         self.call_sent(now, id);
     }
 
-    /// Adds a call in flight with this number of attempts.
+    /// Adds a call in flight with `open_attempts` attempts.
     pub(super) fn start_call(&mut self, route: RouteId, open_attempts: usize) -> CallId {
         let id = self.next_call;
         self.next_call = CallId(id.0 + 1);
@@ -60,7 +60,7 @@
     ) {
         let timeout = self.attempt_timeout(now, &self.messages[&id], call.route_timeout_ms);
         let message = self.messages.get_mut(&id);
-        let message = message.expect("pending messages are known");
+        let message = message.expect("a pending message is stored");
         message.attempts += 1;
         message.state = MessageState::InFlight(Attempt {
             call: call.id,
@@ -78,7 +78,7 @@
         });
     }
 
-    /// Records a call at its endpoint and route.
+    /// Records a sent call at its endpoint and route.
     fn call_sent(&mut self, now: Time, id: EndpointId) {
         let endpoint = &self.endpoints[&id];
         let finish_time = self.finish_time(now, endpoint);
--- a/crates/scheduler/src/scheduler/timer.rs
+++ b/crates/scheduler/src/scheduler/timer.rs
@@ -1,10 +1,10 @@
-//! The one timer: set for the next time at which something can change without an event.
+//! The scheduler's single timer, set to the next time at which a decision may change without an event.
 
 use super::Scheduler;
 use crate::interface::{Action, Time};
 use crate::state::Route;
 
-/// The timer that is set.
+/// A timer that was requested and has not fired.
 #[derive(Clone, Copy)]
 pub(super) struct Timer {
     at: Time,
@@ -16,7 +16,7 @@
         self.timer = self.timer.filter(|timer| timer.token != token);
     }
 
-    /// Sets the timer, unless one is set for the same time or an earlier one.
+    /// Sets the timer, unless it is already set for the same or an earlier time.
     pub(super) fn set_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
         let earliest = now + self.settings.min_batch_interval;
         let next = self.next_change(now).map(|at| at.max(earliest));
@@ -29,7 +29,7 @@
         actions.push(Action::SetTimer { at, token });
     }
 
-    /// When something can change without an event.
+    /// Returns the next time at which a decision may change without an event.
     fn next_change(&self, now: Time) -> Option<Time> {
         let mut times: Vec<Time> = self.subscription.retry_at().into_iter().collect();
         self.extend_with_undeliverable_times(&mut times);
@@ -38,7 +38,7 @@
         times.into_iter().min()
     }
 
-    /// When pending messages become undeliverable.
+    /// Adds the times at which pending messages become undeliverable.
     fn extend_with_undeliverable_times(&self, times: &mut Vec<Time>) {
         for (destination, queue) in self.pending.by_destination() {
             let fastest = self.fastest_latency(destination);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// When pauses of ordering keys end.
+    /// Adds the times at which pauses of ordering keys end.
     fn extend_with_ordering_times(&self, now: Time, times: &mut Vec<Time>) {
         if self.ordering_queues.is_empty() {
             return;
@@ -58,7 +58,7 @@
         times.extend(permitted.filter(|at| *at > now));
     }
 
-    /// When routes may be sent a call or a health check.
+    /// Adds the times at which routes may be sent a call or a health check.
     fn extend_with_next_calls(&self, now: Time, times: &mut Vec<Time>) {
         let next_call_at = |route: &Route| self.next_call_at(now, route).filter(|at| *at > now);
         if self.calls.len() < self.settings.limits.max_in_flight {
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,4 +1,4 @@
-//! State that a scheduler keeps of messages, endpoints, routes and calls. Nothing is decided here.
+//! State of messages, endpoints, routes and calls. The decisions are in [`policy`](crate::policy).
 
 mod call;
 mod endpoint;
--- a/crates/scheduler/src/state/call.rs
+++ b/crates/scheduler/src/state/call.rs
@@ -10,19 +10,18 @@
 /// A call in flight, which carries one message or a batch.
 pub(crate) struct Call {
     pub route: RouteId,
-    /// Messages of the call whose attempt has not ended.
+    /// Number of messages of the call whose attempt has not ended.
     pub open_attempts: usize,
 }
 
 /// A call or health check that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedCall {
-    /// Where it was sent.
+    /// The endpoint to which it was sent.
     pub endpoint: EndpointId,
-    /// When it was sent.
+    /// Send time of the call. A health check counts as sent when it ends.
     pub sent: Time,
-    /// How long it was in flight; `None` for a health check.
+    /// Time in flight; `None` for a health check.
     pub duration: Option<Span>,
-    /// How it ended.
     pub outcome: Outcome,
 }
--- a/crates/scheduler/src/state/endpoint.rs
+++ b/crates/scheduler/src/state/endpoint.rs
@@ -4,9 +4,9 @@
 use crate::interface::{EndpointStatus, KindId, Limits, Span, Time, ZoneId};
 use crate::mean_latency::MeanLatency;
 
-/// A connection unused for longer counts as idle: the endpoint may have dropped it without closing it.
+/// Time without use after which a connection counts as idle: the endpoint may have dropped it without closing it.
 const MIN_IDLE_TIME: Span = Span::from_secs(0.5);
-/// How long a failure counts against an endpoint.
+/// Time for which a failure counts against an endpoint.
 const FAILURE_MEMORY: Span = Span::from_secs(4.0);
 /// Time after which each success raises a connection cap by one.
 const CAP_GROWTH_DELAY: Span = Span::from_secs(1.0);
@@ -19,14 +19,15 @@
     pub status: EndpointStatus,
     pub route: RouteId,
     pub mean_latency: MeanLatency,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub in_flight: usize,
     /// Estimated number of open connections.
     pub connections: usize,
+    /// Time of the last send or end of a call; `None` if unused or if its idle connections were closed.
     pub last_used: Option<Time>,
     /// Time of the last failure, until the endpoint answers again.
     pub failed_at: Option<Time>,
-    /// When the endpoint first answered after a failure.
+    /// Time of the first success after the last failure.
     pub recovered_at: Option<Time>,
     pub connection_cap: Option<ConnectionCap>,
     pub weight: Option<f64>,
@@ -34,14 +35,14 @@
     pub virtual_finish_time: f64,
 }
 
-/// Maximum number of calls that the endpoint has connections for.
+/// Limit on the calls in flight to an endpoint that refused a further connection.
 pub(crate) struct ConnectionCap {
     calls: usize,
     since: Time,
 }
 
 impl Endpoint {
-    /// Records a call that is sent.
+    /// Records a sent call.
     pub fn call_sent(&mut self, now: Time, limits: &Limits) {
         if self.is_unused(now, limits) {
             self.connections = 0;
@@ -68,13 +69,13 @@
         }
     }
 
-    /// Records a failure: only the connections of the calls in flight are left.
+    /// Records a failure, after which only the connections of the calls in flight are assumed to be open.
     pub fn failed(&mut self, now: Time) {
         self.failed_at = Some(now);
         self.connections = self.in_flight;
     }
 
-    /// Records that the endpoint has connections for the calls in flight and no more.
+    /// Records that the endpoint accepts no more connections than those of the calls in flight.
     pub fn cap_connections(&mut self, now: Time) {
         self.connection_cap = Some(ConnectionCap {
             calls: self.in_flight,
@@ -93,7 +94,7 @@
         self.failed_at.is_some_and(|at| now - at < FAILURE_MEMORY)
     }
 
-    /// Whether an endpoint that refuses a connection serves calls on others.
+    /// Whether the endpoint serves calls on other connections, so that a refused connection is no failure.
     pub fn serves_other_connections(&self) -> bool {
         self.in_flight > 0 && self.failed_at.is_none()
     }
--- a/crates/scheduler/src/state/message.rs
+++ b/crates/scheduler/src/state/message.rs
@@ -1,4 +1,4 @@
-//! State of one message and its attempt in flight.
+//! State of a message, its attempt in flight and its ordering queue.
 
 use super::CallId;
 use crate::interface::{
@@ -6,17 +6,17 @@
 };
 use std::collections::VecDeque;
 
-/// A message without a final outcome, or one whose attempt has not ended.
+/// A message without a final outcome, or with an attempt that has not ended.
 pub(crate) struct Message {
     pub class: ClassId,
     pub destination: DestinationId,
     pub ordering_key: Option<OrderingKey>,
     pub priority_weight: f64,
     pub submitted_at: Time,
-    /// When this incarnation accepted the message; `None` if an earlier one did.
+    /// Time at which this incarnation accepted the message; `None` if an earlier incarnation did.
     pub accepted_at: Option<Time>,
     pub deadline: Time,
-    /// Number of attempts made.
+    /// Number of attempts made, the one in flight included.
     pub attempts: u32,
     pub state: MessageState,
     /// The first attempt that may have been executed.
@@ -24,7 +24,8 @@
 }
 
 impl Message {
-    /// Ends the attempt in flight, so that the message is pending again; `None` if there is no such attempt.
+    /// Ends and returns the attempt in flight, so that the message is pending again. Returns `None` if no attempt is in
+    /// flight.
     pub fn end_attempt(&mut self, outcome: Outcome) -> Option<Attempt> {
         let attempt = self.state.attempt()?;
         self.state = MessageState::Pending;
@@ -38,19 +39,19 @@
     }
 }
 
-/// Where a message stands.
+/// Delivery state of a message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum MessageState {
-    /// It waits for its first or next attempt.
+    /// The message waits for its first or next attempt.
     Pending,
-    /// Its attempt is in flight.
+    /// An attempt of the message is in flight.
     InFlight(Attempt),
-    /// It has its final outcome, but its last attempt is still in flight.
+    /// The message has its final outcome, but its last attempt is still in flight.
     Finished(Attempt),
 }
 
 impl MessageState {
-    /// The attempt in flight.
+    /// Returns the attempt in flight, if any.
     pub fn attempt(self) -> Option<Attempt> {
         match self {
             MessageState::Pending => None,
@@ -65,16 +66,16 @@
     pub call: CallId,
     pub endpoint: EndpointId,
     pub sent: Time,
-    /// Whether it was sent on a connection that had been idle.
+    /// Whether the attempt was sent on a connection that had been idle.
     pub reused_idle: bool,
-    /// Whether the message's deadline ends it before the route's time-out.
+    /// Whether the message's deadline ends the attempt before the route's time-out.
     pub cut_by_deadline: bool,
 }
 
-/// The messages with one ordering key, in their order.
+/// The messages with the same ordering key, in the order of their submission.
 #[derive(Default)]
 pub(crate) struct OrderingQueue {
     pub messages: VecDeque<MessageId>,
-    /// No message of the queue is sent before this time, as an earlier attempt may still be running.
+    /// Time before which no new message of the queue is sent, as an earlier attempt may still be running.
     pub paused_until: Time,
 }
--- a/crates/scheduler/src/state/route.rs
+++ b/crates/scheduler/src/state/route.rs
@@ -10,21 +10,21 @@
 use crate::recovery_ramp::RecoveryRamp;
 use std::fmt;
 
-/// Window over which the recent send rate of a route is measured.
+/// Length of the window over which the recent send rate of a route is measured.
 pub(crate) const RECENT_WINDOW: Span = Span::from_secs(3.0);
-/// The least time over which it is measured, where the first send in the window is younger.
+/// Minimum time over which the recent send rate is measured, even if the first send in the window is younger.
 const MIN_RECENT_WINDOW: Span = Span::from_secs(1.0);
 
-/// Identity of a route: limits, backoffs, health and recovery apply to each route apart.
+/// Identity of a route. Each route has its own limits, backoff, health and recovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RouteId {
     pub destination: DestinationId,
-    /// The endpoint, where it is a separate route.
+    /// The endpoint of a separate route; `None` for the shared route of a destination.
     pub endpoint: Option<EndpointId>,
 }
 
 impl RouteId {
-    /// The route that all endpoints of a destination share.
+    /// Returns the route that the endpoints of a destination share.
     pub fn shared(destination: DestinationId) -> RouteId {
         RouteId {
             destination,
@@ -46,10 +46,10 @@
 pub(crate) struct Route {
     pub destination: DestinationId,
     pub advertised_rate: f64,
-    /// Random number of this instance for the route, in 0..1.
+    /// This instance's random number for the route, in 0..1.
     pub jitter: f64,
     pub mean_latency: MeanLatency,
-    /// Attempts that timed out since the last success.
+    /// Number of attempts that timed out since the last success.
     pub consecutive_timeouts: i32,
     pub failures: FailureDetector,
     pub ramp: RecoveryRamp,
@@ -60,13 +60,13 @@
     pub backoff_until: Option<Time>,
     pub baseline_rate: BaselineRate,
     pub rate_limiter: Option<RateLimiter>,
-    /// Calls per second that the latest response with a limit reported.
+    /// Limit in the latest response that reported one, in calls per second.
     pub reported_limit: Option<f64>,
     pub rate_share: RateShare,
 }
 
 impl Route {
-    /// Records a call or health check that is sent. Sends older than `retention` are forgotten.
+    /// Records a sent call or health check, and drops the records of sends older than `retention`.
     pub fn sent(&mut self, now: Time, retention: Span) {
         self.ramp.sent(now, retention);
         if let Some(limiter) = &mut self.rate_limiter {
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Records a call that is sent, against this instance's share of the route's limit if it has one.
+    /// Records a sent call. It counts against `rate_share`, this instance's share of the route's limit in calls per
+    /// second, if there is one.
     pub fn call_sent(&mut self, now: Time, retention: Span, rate_share: Option<f64>) {
         self.in_flight.push(now);
         if let Some(rate) = rate_share {
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Records the limit that a response reported, if it did.
+    /// Records the limit that a response reported, if any. `even_share` is the even share of one instance, as a fraction
+    /// of the limit.
     pub fn limit_reported(&mut self, reported: Option<f64>, even_share: f64) {
         self.reported_limit = reported.or(self.reported_limit);
         if let (Some(limit), Some(limiter)) = (reported, &mut self.rate_limiter) {
@@ -98,12 +100,12 @@
         }
     }
 
-    /// Records that the route requested a backoff.
+    /// Records a backoff that the route requested.
     pub fn back_off(&mut self, until: Time) {
         self.backoff_until = self.backoff_until.max(Some(until));
     }
 
-    /// Records a success.
+    /// Records the success of a call sent at `sent`.
     pub fn succeeded(
         &mut self,
         now: Time,
@@ -124,7 +126,8 @@
             .take_if(|limiter| !limiter.accepted(now, call, view));
     }
 
-    /// Records a rejection. The rate limiter's rate stays at or above `min_rate`, in calls per second.
+    /// Records the rejection of a call sent at `sent`. The rate limiter's rate stays at or above `min_rate`, in calls per
+    /// second.
     pub fn rejected(&mut self, now: Time, sent: Time, min_rate: f64, view: Option<LimitView>) {
         self.failures.rejected(now, sent);
         let call = RejectedCall {
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Calls per second in the recent window.
+    /// Returns the number of calls and health checks sent per second within [`RECENT_WINDOW`].
     fn recent_send_rate(&self, now: Time) -> f64 {
         let recent = self.ramp.recent_sends(now, RECENT_WINDOW);
         recent.count as f64 / recent.age_of_first.max(MIN_RECENT_WINDOW).secs()
