--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -1,4 +1,4 @@
-//! The scheduler's interface: events in, actions out, and the settings that it starts with. Types only.
+//! Types of the scheduler's interface: events, actions and settings.
 
 mod action;
 mod attempt;
--- a/crates/scheduler/src/interface/action.rs
+++ b/crates/scheduler/src/interface/action.rs
@@ -1,38 +1,38 @@
-//! Actions that the scheduler requests.
+//! Actions that the scheduler requests from the embedding program.
 
 use super::{AttemptNumber, EndpointId, MessageId, Span, Time};
 
-/// One action for the embedding program to execute. The actions of a batch are executed in their order.
+/// An action for the embedding program to execute. The actions of a batch must be executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The message to send.
         message: MessageId,
-        /// The endpoint that receives it.
+        /// The endpoint that receives the message.
         endpoint: EndpointId,
-        /// When to abandon the attempt.
+        /// Time at which the attempt is abandoned if there is no response.
         timeout_at: Time,
     },
-    /// Stop waiting for an attempt.
+    /// Stop waiting for the response to an attempt.
     Cancel {
         /// The message of the attempt.
         message: MessageId,
         /// The attempt to abandon.
         attempt: AttemptNumber,
     },
-    /// End the message undelivered. The client may safely submit it again, preferably after `retry_after`.
+    /// Reject the message without a delivery. The client may safely submit it again, preferably after `retry_after`.
     Reject {
-        /// The message to end.
+        /// The message to reject.
         message: MessageId,
-        /// How long the client should wait.
+        /// Time that the client should wait before it submits the message again.
         retry_after: Span,
     },
-    /// End the message as failed.
+    /// End the message with the final outcome "failed".
     Fail(MessageId),
-    /// Report `token` with [`Event::TimerFired`](crate::Event::TimerFired) at the given time.
+    /// Start a timer that reports `token` with [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
-        /// When the timer fires.
+        /// Time at which the timer fires.
         at: Time,
         /// The token to report.
         token: u64,
--- a/crates/scheduler/src/interface/attempt.rs
+++ b/crates/scheduler/src/interface/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::{ClassId, DestinationId, EndpointId, MessageId, OrderingKey, Span, TenantId, Time};
 
-/// How an attempt ended.
+/// Outcome of an attempt or health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The message was delivered.
@@ -16,16 +16,16 @@
     },
     /// No response arrived before the time-out.
     TimedOut,
-    /// No connection could be established: the message was not executed.
+    /// No connection could be established, so the message was not executed.
     ConnectFailed,
     /// The connection broke; the message may have been executed.
     Reset,
-    /// A reused idle connection broke at its first use: the message may have been executed, and the endpoint may be
+    /// A reused idle connection broke at its first use. The message may have been executed, and the endpoint may be
     /// healthy.
     StaleConnection,
     /// This instance cancelled the attempt.
     Cancelled,
-    /// The request was never written.
+    /// The request was never written to a connection.
     NotSent,
 }
 
@@ -45,12 +45,12 @@
     }
 }
 
-/// The state of a route's rate limit as a response reports it; late and approximate.
+/// State of a route's rate limit as reported in a response. It may be out of date and imprecise.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct RateLimitReport {
-    /// Share of the quota that remains.
+    /// Remaining share of the quota; `None` if the response does not report it.
     pub remaining: Option<f64>,
-    /// Calls per second that the limit allows; 0 where there is none.
+    /// Calls per second that the limit allows, or 0 if there is no limit; `None` if the response does not report it.
     pub limit: Option<f64>,
 }
 
@@ -59,36 +59,36 @@
 pub struct NewMessage {
     /// Identity of the message.
     pub message: MessageId,
-    /// Its class.
+    /// Class of the message.
     pub class: ClassId,
-    /// Its tenant, if it has one.
+    /// Tenant of the message, if any.
     pub tenant: Option<TenantId>,
-    /// Its ordering key; ignored unless the class is ordered.
+    /// Ordering key of the message; ignored unless the class is ordered.
     pub ordering_key: Option<OrderingKey>,
     /// No delivery starts after this time.
     pub deadline: Time,
-    /// The destination that receives it.
+    /// The destination that receives the message.
     pub destination: DestinationId,
 }
 
-/// When and where an attempt was sent.
+/// Send time and endpoint of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptStart {
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent: Time,
-    /// The endpoint that received it.
+    /// The endpoint to which it was sent.
     pub endpoint: EndpointId,
 }
 
 /// Attempts that an earlier incarnation of this instance made for a message that outlived it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PriorAttempts {
-    /// Number of attempts made, which is the number of the next one.
+    /// Number of attempts made, which is also the [`AttemptNumber`](crate::AttemptNumber) of the next one.
     pub attempts: u32,
-    /// The first attempt that may have been executed. An attempt in flight when the earlier incarnation ended counts
-    /// as one.
+    /// The first attempt that may have been executed. An attempt that was in flight when the earlier incarnation ended
+    /// may have been executed.
     pub first_possible_execution: Option<AttemptStart>,
-    /// The latest attempt, if the incarnation that sent it still waits for the response. Its outcome is then reported
-    /// as if this incarnation had sent it.
+    /// The latest attempt, if the incarnation that sent it still waits for the response. In that case its outcome is
+    /// reported as if this incarnation had sent the attempt.
     pub in_flight: Option<AttemptStart>,
 }
--- a/crates/scheduler/src/interface/endpoint.rs
+++ b/crates/scheduler/src/interface/endpoint.rs
@@ -8,9 +8,9 @@
     /// The endpoint may be used.
     #[default]
     Active,
-    /// The endpoint receives nothing new.
+    /// The endpoint receives no new calls.
     Draining,
-    /// The endpoint has left the list.
+    /// The endpoint was removed from the list.
     Removed,
 }
 
@@ -19,7 +19,7 @@
 pub struct EndpointUpdate {
     /// Identity of the endpoint.
     pub endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// The destination to which the endpoint belongs.
     pub destination: DestinationId,
     /// The destination's kind.
     pub kind: KindId,
@@ -27,9 +27,9 @@
     pub zone: ZoneId,
     /// Whether the endpoint may be used.
     pub status: EndpointStatus,
-    /// A rate in calls per second; [`Settings::rate_hints`](crate::Settings::rate_hints) defines its meaning.
+    /// Advertised rate in calls per second; [`Settings::rate_hints`](crate::Settings::rate_hints) defines its meaning.
     pub advertised_rate: f64,
-    /// Share of the destination's calls relative to the weights of its other endpoints, above 0; `None` where the
-    /// list has no weights.
+    /// Weight of the endpoint, above 0: its share of the destination's calls relative to the other endpoints' weights.
+    /// `None` if the list has no weights.
     pub weight: Option<f64>,
 }
--- a/crates/scheduler/src/interface/event.rs
+++ b/crates/scheduler/src/interface/event.rs
@@ -1,28 +1,28 @@
-//! Events that the scheduler receives.
+//! Events that the embedding program reports to the scheduler.
 
 use super::{
     AttemptNumber, DestinationId, EndpointId, EndpointUpdate, KnownRoute, MessageId, NewMessage,
     Outcome, PriorAttempts, RateLimitReport, Span, Time,
 };
 
-/// One event; a batch holds them in the order in which they occurred.
+/// An event. The events of a batch are in the order in which they occurred.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message was accepted and must get one final outcome.
+    /// A message was accepted and must get exactly one final outcome.
     Accepted(NewMessage),
-    /// A message that an earlier incarnation accepted still has no final outcome.
+    /// A message that was accepted by an earlier incarnation and has no final outcome yet.
     Resumed(NewMessage, PriorAttempts),
-    /// An attempt ended; reported once for each send.
+    /// An attempt ended. Reported exactly once for each [`Action::Send`](crate::Action::Send).
     AttemptFinished {
         /// The message of the attempt.
         message: MessageId,
         /// Number of the attempt.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// How long it was in flight.
+        /// Time for which the attempt was in flight.
         duration: Span,
-        /// Whether the outcome is the message's final one.
+        /// Whether the message has its final outcome with this attempt.
         is_final: bool,
         /// The rate limit that the response reports.
         rate_limit: RateLimitReport,
@@ -35,17 +35,17 @@
     HealthChecked {
         /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How the check ended.
+        /// Outcome of the health check.
         outcome: Outcome,
         /// The rate limit that the response reports.
         rate_limit: RateLimitReport,
     },
-    /// The complete endpoint list: endpoints that it lacks are removed.
+    /// The complete endpoint list. Endpoints that are missing from it are removed.
     EndpointsReplaced(Vec<EndpointUpdate>),
     /// Changes to the endpoint list.
     EndpointsUpdated(Vec<EndpointUpdate>),
-    /// State of a route from before its destination was compacted, or from another incarnation. The endpoints of the
-    /// route are listed already.
+    /// State of a route from before its destination was compacted, or from another incarnation. Reported only after the
+    /// route's endpoints have been listed.
     RouteRestored(KnownRoute),
     /// Another incarnation of this instance received a backoff from an endpoint.
     BackoffNotified {
@@ -53,9 +53,9 @@
         destination: DestinationId,
         /// The endpoint that requested the backoff.
         endpoint: EndpointId,
-        /// When the backoff ends.
+        /// End of the backoff.
         until: Time,
     },
-    /// The request for the endpoint list failed, or the subscription broke.
+    /// A request for the endpoint list failed, or the subscription broke.
     EndpointListFailed,
 }
--- a/crates/scheduler/src/interface/ids.rs
+++ b/crates/scheduler/src/interface/ids.rs
@@ -1,6 +1,6 @@
-//! A type for each identity.
+//! Types of identities and indices.
 
-/// Identity of a message; an instance never reuses one.
+/// Identity of a message. An instance never reuses an identity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(pub u64);
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// Identity of a destination: a remote system that is reached through its endpoints.
+/// Identity of a destination, a remote system that is reached through its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DestinationId(pub u64);
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// Ordering key of a message: messages with equal keys are sent one at a time.
+/// Ordering key of a message. Messages with equal keys are sent one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderingKey(pub u64);
 
--- a/crates/scheduler/src/interface/route.rs
+++ b/crates/scheduler/src/interface/route.rs
@@ -1,24 +1,24 @@
-//! State of routes and destinations that leaves the scheduler.
+//! State of routes and destinations that is exported from the scheduler.
 
 use super::{DestinationId, EndpointId, Time};
 
-/// State of a route that is kept while its destination is idle, and handed to the next incarnation.
+/// State of a route that is kept while its destination is idle, and that is handed over to the next incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct IdleRecord {
-    /// End of the backoff that the route requested.
+    /// End of the backoff that the route requested; `None` if there is no backoff.
     pub backoff_until: Option<Time>,
-    /// Since when the route has been ejected.
+    /// Start of the present ejection; `None` if the route is not ejected.
     pub ejected_since: Option<Time>,
-    /// Since when the route has been recovering.
+    /// Start of the present recovery; `None` if the route is not recovering.
     pub recovering_since: Option<Time>,
-    /// Mean latency, in milliseconds.
+    /// Mean latency, in milliseconds; `None` before the first success.
     pub mean_latency_ms: Option<f64>,
-    /// Calls per second that this instance delivers on the route while it is healthy.
+    /// Calls per second that this instance delivers on the route while the route is healthy.
     pub baseline_rate: f64,
 }
 
 impl IdleRecord {
-    /// Converts every time of the record to another clock.
+    /// Converts every time in the record with `clock`.
     pub fn map_times(self, clock: impl Fn(Time) -> Time) -> IdleRecord {
         IdleRecord {
             backoff_until: self.backoff_until.map(&clock),
@@ -37,18 +37,18 @@
     }
 }
 
-/// The record of one route, with the route's identity.
+/// The record of a route, with the route's identity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KnownRoute {
     /// The destination of the route.
     pub destination: DestinationId,
-    /// The endpoint, where it is a separate route.
+    /// The endpoint of a separate route; `None` for the shared route of the destination.
     pub endpoint: Option<EndpointId>,
     /// State of the route.
     pub record: IdleRecord,
 }
 
-/// A destination that the scheduler has compacted: its endpoints are no longer listed, its state is the record.
+/// A destination that the scheduler has compacted and no longer lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompactedDestination {
     /// The endpoints that the scheduler no longer lists.
@@ -60,18 +60,18 @@
 /// State of a listed destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DestinationState {
-    /// Since when the destination has been ejected.
+    /// Start of the present ejection; `None` if the destination is not ejected.
     pub ejected_since: Option<Time>,
-    /// Since when the destination has been recovering.
+    /// Start of the present recovery; `None` if the destination is not recovering.
     pub recovering_since: Option<Time>,
-    /// End of the backoff that the destination requested.
+    /// End of the backoff that the destination requested; `None` if there is no backoff.
     pub backoff_until: Option<Time>,
-    /// Mean latency, in milliseconds.
+    /// Mean latency, in milliseconds; `None` before the first success.
     pub mean_latency_ms: Option<f64>,
-    /// Calls per second that this instance delivers there while the destination is healthy.
+    /// Calls per second that this instance delivers to the destination while it is healthy.
     pub baseline_rate: f64,
-    /// Messages for the destination without a final outcome.
+    /// Number of messages for the destination without a final outcome, those in flight included.
     pub pending: usize,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub in_flight: usize,
 }
--- a/crates/scheduler/src/interface/settings.rs
+++ b/crates/scheduler/src/interface/settings.rs
@@ -1,51 +1,52 @@
-//! Settings that a scheduler starts with.
+//! Settings of a scheduler.
 
 use super::Span;
 
-/// What a second execution of the same message does.
+/// Effect of executing the same message more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: the message may be repeated freely.
+    /// A repeated execution has no further effect, so the message may be retried freely.
     Idempotent,
-    /// The endpoints in `scope` drop repeats by an idempotency key.
+    /// The endpoints in `scope` recognise repeats by an idempotency key and do not execute them.
     IdempotencyKey {
-        /// Which endpoints recognise the key.
+        /// The endpoints that recognise the key.
         scope: DeduplicationScope,
-        /// How long they recognise it, counted from the first attempt that may have been executed.
+        /// Deduplication window: time for which the key is recognised, counted from the first attempt that may have been
+        /// executed.
         window: Span,
     },
-    /// It takes effect again: never repeated once an attempt may have been executed.
+    /// A repeated execution takes effect again, so the message is not retried once an attempt may have been executed.
     NonIdempotent,
 }
 
-/// Which endpoints of a destination drop each other's repeats.
+/// The endpoints of a destination that recognise the idempotency key of an executed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All endpoints of the destination.
     All,
-    /// The endpoints in the same zone.
+    /// The endpoints in the zone of the endpoint that executed the message.
     Zone,
-    /// Only the same endpoint.
+    /// Only the endpoint that executed the message.
     Endpoint,
 }
 
-/// How a message's value falls once its latency objective has passed.
+/// Decay of a message's value after its latency objective has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ValueDecay {
-    /// Linearly, down to the late value at the deadline.
+    /// The value falls linearly to the late value at the deadline.
     Linear,
-    /// By half with each further latency objective, but not below the late value.
+    /// The value halves with each further latency objective, but does not fall below the late value.
     #[default]
     Halving,
 }
 
-/// How changes of the endpoint list arrive.
+/// Delivery of changes to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Pushed without a request.
+    /// Changes are pushed without a request.
     #[default]
     Push,
-    /// Only after a subscription was requested.
+    /// Changes are sent only after a subscription was requested.
     Subscribe,
 }
 
@@ -55,24 +56,24 @@
     /// The rate has no meaning.
     #[default]
     Absent,
-    /// The calls per second that the route accepts from all instances together.
+    /// The rate is the number of calls per second that the route accepts from all instances together.
     Exact,
-    /// The same, up to half too high or too low.
+    /// Like [`RateHints::Exact`], but the rate may be up to half too high or too low.
     Approximate,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MessageClass {
-    /// Value of one message delivered within the latency objective.
+    /// Value of a message that is delivered within the latency objective.
     pub priority_weight: f64,
     /// Time within which a delivery earns the full value.
     pub latency_objective: Span,
-    /// How long a message may be delivered, counted from its first submission.
+    /// Time to live of a message, counted from its first submission.
     pub deadline: Span,
     /// Share of the value that remains at the deadline.
     pub late_value: f64,
-    /// What a repeat does.
+    /// Effect of executing a message of the class more than once.
     pub idempotency: Idempotency,
     /// Whether messages with the same ordering key are delivered one at a time, in order.
     pub ordered: bool,
@@ -81,7 +82,7 @@
 /// A tenant: a client with a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Messages per second, over all instances, within the tenant's quota.
+    /// Quota in messages per second, for all instances together.
     pub quota_per_s: f64,
 }
 
@@ -99,13 +100,13 @@
 pub struct Limits {
     /// Maximum number of calls in flight.
     pub max_in_flight: usize,
-    /// Maximum number of messages without a final outcome, sent or not.
+    /// Maximum number of open messages: those without a final outcome, pending or in flight.
     pub max_open_messages: usize,
     /// Maximum number of attempts for one message.
     pub max_attempts: u32,
-    /// Concurrent calls that one connection carries.
+    /// Number of concurrent calls that one connection carries.
     pub streams_per_connection: usize,
-    /// How long an unused connection stays open.
+    /// Time for which an unused connection stays open.
     pub idle_timeout: Span,
     /// The longest `Retry-After` that clients honour.
     pub max_retry_after: Span,
@@ -118,18 +119,18 @@
 /// Parameters of the delivery rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// Share of its capacity that a route has when it begins to recover.
+    /// Share of its full capacity that a route has at the start of its recovery.
     pub ramp_start: f64,
     /// Time from the start of a recovery to full capacity.
     pub ramp_duration: Span,
-    /// Load, as a multiple of a recovering route's present capacity, that makes it fail again.
+    /// Load that makes a recovering route fail again, as a multiple of the route's present capacity.
     pub overload_factor: f64,
-    /// Time over which that load is measured.
+    /// Length of the window over which the load of a recovering route is measured.
     pub overload_window: Span,
-    /// How long an ordering key is paused after an attempt that may still be running.
+    /// Time for which an ordering key is paused after an attempt that the receiver may still be executing.
     pub ordering_pause: Span,
-    /// With [`DiscoveryMode::Subscribe`]: an instance that has not requested the list for this long counts as
-    /// informed.
+    /// With [`DiscoveryMode::Subscribe`]: maximum time between two requests for the list. An instance that has not
+    /// requested the list for this long counts as informed of a change.
     pub max_poll_interval: Span,
 }
 
@@ -144,20 +145,20 @@
     pub over_quota_weight: f64,
     /// Kinds of destinations.
     pub kinds: Vec<DestinationKind>,
-    /// For each zone, the fee of a separate route there.
+    /// For each zone, the fee of a separate route in it.
     pub zone_fees: Vec<f64>,
-    /// How value falls after the latency objective.
+    /// Decay of a message's value after the latency objective.
     pub value_decay: ValueDecay,
     /// Limits of the deployment.
     pub limits: Limits,
     /// Parameters of the delivery rules.
     pub rules: Rules,
-    /// How the endpoint list arrives.
+    /// Delivery of changes to the endpoint list.
     pub discovery: DiscoveryMode,
     /// Meaning of the rates in the endpoint list.
     pub rate_hints: RateHints,
     /// Number of instances, this one included.
     pub instances: usize,
-    /// The least time between two batches of events.
+    /// Minimum time between a batch and the timer that it sets.
     pub min_batch_interval: Span,
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,11 +1,11 @@
-//! Chooses, for one instance, which message is sent where and when.
+//! Delivery scheduler of one instance: decides which message is sent to which endpoint, and when.
 //!
-//! A [`Scheduler`] receives batches of [`Event`]s and returns [`Action`]s for each. It has no clock, no network and
-//! no threads: time enters as the `now` of a batch and randomness as the seed given at its start, so the same events
-//! always cause the same actions.
+//! A [`Scheduler`] receives batches of [`Event`]s and returns [`Action`]s for each. It uses no clock, network or
+//! threads. The current time is an argument of each batch, and random numbers are derived from a seed given at the start,
+//! so the same events always cause the same actions.
 //!
-//! The decisions are in the modules under `policy`. The state machines beside it observe and limit: they are free of
-//! I/O, clocks and threads, and every call receives the current time.
+//! The decisions are in the modules under `policy`. The other modules are state machines for limits, rates and health.
+//! They perform no I/O and receive the current time as an argument.
 //!
 //! ```
 //! use marblefall_scheduler::*;
@@ -49,26 +49,26 @@
 //! assert!(matches!(actions[0], Action::Send { message: MessageId(1), endpoint: EndpointId(0), .. }));
 //! ```
 //!
-//! # What the embedding program guarantees
+//! # Guarantees of the embedding program
 //!
 //! - `now` never decreases, and the events of a batch are in the order in which they occurred.
 //! - Each [`Action::Send`] is followed by exactly one [`Event::AttemptFinished`], even after the message has its
-//!   final outcome. The attempt is abandoned at `timeout_at` at the latest. Attempts are numbered 0, 1, 2 and so on
-//!   in the order of the sends.
+//!   final outcome. The attempt is abandoned at `timeout_at` at the latest. The attempts of a message are numbered 0, 1, 2
+//!   and so on in the order of the sends.
 //! - A delivery is reported to the client by the embedding program, and to the scheduler with `is_final` set.
-//! - Each [`Action::SetTimer`] is followed by one [`Event::TimerFired`] in a later batch. [`Action::Cancel`] makes an
-//!   outcome arrive sooner and does not replace it.
-//! - A [`MessageId`] is never reused. The sends of one batch to one endpoint travel as one call where its
+//! - Each [`Action::SetTimer`] is followed by one [`Event::TimerFired`] in a later batch. [`Action::Cancel`] may make the
+//!   outcome of an attempt arrive sooner, but the outcome is still reported.
+//! - A [`MessageId`] is never reused. The sends of one batch to one endpoint are made as one call if the kind's
 //!   [`DestinationKind::max_batch`] is above 1.
 //!
-//! # What the scheduler guarantees
+//! # Guarantees of the scheduler
 //!
-//! - Every accepted message ends once: by a delivery, [`Action::Reject`] or [`Action::Fail`].
+//! - Every accepted message ends exactly once: by a delivery, [`Action::Reject`] or [`Action::Fail`].
 //! - Late or repeated outcomes, stale timers, unknown messages and endpoints, and settings with zeros or missing
-//!   parts never cause a panic. Contradictory settings have a safe reading. Without allowed attempts nothing is sent
-//!   and each message ends before its deadline. A message of an undefined class fails at once. An undefined kind has
-//!   neither separate routes nor batches, and an undefined zone has no fee.
-//! - Two schedulers share nothing.
+//!   parts never cause a panic. Contradictory settings are interpreted safely: if no attempts are allowed, nothing is
+//!   sent and each message ends before its deadline; a message of an undefined class fails at once; an undefined kind has
+//!   neither separate routes nor batches; an undefined zone has no fee.
+//! - Two schedulers share no state.
 
 #![forbid(unsafe_code)]
 
