--- a/crates/scheduler/src/failure_detector.rs
+++ b/crates/scheduler/src/failure_detector.rs
@@ -1,20 +1,20 @@
-//! Failure detector of one route: counts consecutive failures and rejections since the last success.
+//! Failure detector of a route: counts failures and rejections since the last success.
 //!
-//! A failure counts only if no call that was sent later has succeeded. Rejections count for a fraction of a failure,
-//! as they are usually the effect of a rate limit; a long run of them shows that the route is out of service, because
-//! no limit rejects every call for longer than its own window.
+//! A failure counts only if no call that was sent later has succeeded. A rejection counts as a fraction of a failure, as
+//! it is usually caused by a rate limit. A long run of rejections shows that the route is out of service, because no rate
+//! limit rejects every call for longer than its own window.
 
 use crate::interface::{Span, Time};
 
-/// Consecutive failures that eject a busy route: fewer are likely to be random losses.
+/// Number of consecutive failures that eject a busy route. Fewer are likely to be random losses.
 pub(crate) const FAILURES_TO_EJECT: f64 = 3.0;
 /// Weight of a failed call.
 const FAILURE_WEIGHT: f64 = 1.0;
 /// Weight of a rejected call.
 const REJECTION_WEIGHT: f64 = 0.1;
-/// Consecutive rejections that eject a route if they last for [`MIN_REJECTION_RUN`].
+/// Number of consecutive rejections that eject a route if they last for at least [`MIN_REJECTION_RUN`].
 const REJECTIONS_TO_EJECT: u32 = 6;
-/// How long a run of rejections must last to show that the route is out of service.
+/// Minimum duration of a run of rejections that shows that the route is out of service.
 const MIN_REJECTION_RUN: Span = Span::from_secs(2.5);
 
 /// Rejections since the last success.
@@ -34,12 +34,12 @@
 }
 
 impl FailureDetector {
-    /// Weighted number of failures since the last success.
+    /// Returns the weighted number of failures and rejections since the last success.
     pub fn consecutive_failures(&self) -> f64 {
         self.consecutive_failures
     }
 
-    /// Send time of the latest call that succeeded.
+    /// Returns the send time of the latest call that succeeded.
     pub fn last_success_sent(&self) -> Option<Time> {
         self.last_success_sent
     }
@@ -49,8 +49,8 @@
         Some(sent) < self.last_success_sent
     }
 
-    /// Whether the route has rejected every call for longer than a limit does. It was out of service then, even if
-    /// this instance sent too few calls to eject it.
+    /// Whether the route has rejected every call for longer than a rate limit does. In that case it was out of service,
+    /// even if this instance sent too few calls to eject it.
     pub fn was_rejecting_all(&self, now: Time) -> bool {
         self.rejections
             .is_some_and(|run| now - run.since >= MIN_REJECTION_RUN)
@@ -81,7 +81,7 @@
         self.consecutive_failures = 0.0;
     }
 
-    /// Raises the count of failures to the number that ejects any route.
+    /// Raises the count of failures to the number that ejects every route.
     pub fn reach_ejection_threshold(&mut self) {
         self.consecutive_failures = self.consecutive_failures.max(FAILURES_TO_EJECT);
     }
--- a/crates/scheduler/src/loss_rate.rs
+++ b/crates/scheduler/src/loss_rate.rs
@@ -1,10 +1,10 @@
-//! Loss rate: the share of calls that never got a response although later calls on the same route did.
+//! Loss rate: the share of calls without a response although later calls on the same route were answered.
 
 /// Weight of one call in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.02;
-/// Loss rate above which calls are lost regularly, not by chance.
+/// Loss rate above which losses are regular rather than random.
 const LOSSY_RATE: f64 = 0.022;
-/// What a lost call counts for while calls are lost regularly, as a fraction of one.
+/// Value of the sample for a lost call while calls are lost regularly; otherwise it is 1.
 const LOSSY_SAMPLE: f64 = 0.5;
 
 /// Moving average of the share of lost calls.
--- a/crates/scheduler/src/pending_queue.rs
+++ b/crates/scheduler/src/pending_queue.rs
@@ -1,5 +1,7 @@
-//! The pending messages, by destination. Messages without an attempt are in the order of their deadlines, so that a
-//! check of the first covers all of them. The queue takes no decisions.
+//! Queue of the pending messages, by destination.
+//!
+//! Messages without an attempt are in the order of their deadlines: if the first one is not yet undeliverable, none of
+//! them is.
 
 use crate::interface::{DestinationId, MessageId, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,12 +18,12 @@
 pub(crate) struct DestinationQueue {
     /// Messages without an attempt, by deadline.
     pub untried: BTreeSet<(Time, MessageId)>,
-    /// Messages with attempts, each of which may permit other ones.
+    /// Messages with attempts. The permitted endpoints differ between them.
     pub tried: BTreeSet<MessageId>,
 }
 
 impl DestinationQueue {
-    /// All messages, those without an attempt first.
+    /// Returns all messages, those without an attempt first.
     pub fn all(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.untried
             .iter()
@@ -29,7 +31,7 @@
             .chain(self.tried.iter().copied())
     }
 
-    /// Number of messages.
+    /// Returns the number of messages.
     pub fn len(&self) -> usize {
         self.untried.len() + self.tried.len()
     }
@@ -67,7 +69,7 @@
         }
     }
 
-    /// The pending messages of a destination, if there are any.
+    /// Returns the pending messages of a destination, or `None` if there are none.
     pub fn of_destination(&self, destination: DestinationId) -> Option<&DestinationQueue> {
         self.0.get(&destination)
     }
@@ -77,14 +79,14 @@
         self.0.contains_key(&destination)
     }
 
-    /// The destinations with pending messages.
+    /// Returns the destinations with pending messages.
     pub fn by_destination(&self) -> impl Iterator<Item = (DestinationId, &DestinationQueue)> {
         self.0
             .iter()
             .map(|(destination, queue)| (*destination, queue))
     }
 
-    /// All messages.
+    /// Returns the messages of all destinations.
     pub fn all(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.0.values().flat_map(DestinationQueue::all)
     }
--- a/crates/scheduler/src/rate_limiter.rs
+++ b/crates/scheduler/src/rate_limiter.rs
@@ -1,18 +1,18 @@
-//! Adaptive rate limiter of one instance towards one route that rejects calls.
+//! Adaptive rate limiter of one instance for a route that rejects calls.
 //!
-//! The limiter starts with a rejection, at the recent send rate. Each rejection cuts the rate and each success raises
-//! it a little, so that it stays near the route's limit.
+//! The limiter is created on a rejection, with the recent send rate. Each rejection cuts the rate and each success raises
+//! it slightly, so that the rate stays near the route's limit.
 //!
-//! Some routes reject calls at random, at any rate. There a cut is useless and the rate would sink without end. To
-//! tell such rejections from a limit, the limiter tentatively doubles its rate for a few calls while many calls are
-//! rejected. Under a limit the share of rejected calls rises with the rate, and the increase is reverted. If the
-//! share stays the same, the rejections are random, and the rate is doubled again until it no longer restrains the
-//! traffic. From then on the rejected share is watched, as a limit may begin to bind later. Each reverted increase
-//! doubles the number of calls before the next one.
+//! Some routes reject calls at random, at any rate. For them cuts are useless, and the rate would fall without bound. To
+//! distinguish such rejections from a limit, the limiter tentatively doubles its rate for a few calls while many calls are
+//! rejected. Under a limit the share of rejected calls rises with the rate, and the increase is reverted. If the share
+//! stays the same, the rejections are random, and the rate is doubled again until it no longer limits the traffic. After
+//! that the rejected share is still measured, as a limit may take effect later. Each reverted increase doubles the number
+//! of calls before the next one.
 //!
-//! Only an instance that sees most of the load can tell: among many instances, the rate of one hardly changes the
-//! rejected share. No increase is tried near the listed rate of the route, where rejections most likely come from its
-//! limit.
+//! Only an instance that sees most of the load can make this distinction: with many instances, the rate of one hardly
+//! changes the rejected share. No increase is tried near the listed rate of the route, where rejections are most likely
+//! caused by its limit.
 
 use crate::interface::{Span, Time};
 
@@ -20,93 +20,100 @@
 const CUT_FACTOR: f64 = 0.8;
 /// Increase of the rate for each success, as a fraction of the full rate.
 const INCREASE_FRACTION: f64 = 0.04;
-/// The highest rate, as a multiple of the full rate, which may be too low if the first rejection came in a lull.
+/// Maximum rate, as a multiple of the full rate. The full rate may be too low if the first rejection occurred while the
+/// traffic was low.
 const MAX_RATE_FACTOR: f64 = 1.5;
-/// Time without a rejection, for each cut, after which successes raise the full rate: it may be far too low.
+/// Time without a rejection after which successes raise the full rate, which may be far too low. It is multiplied by 1 +
+/// the number of cuts.
 const QUIET_TIME: Span = Span::from_secs(1.0);
-/// Growth of the full rate in that time, as a fraction per second.
+/// Growth of the full rate after [`QUIET_TIME`], as a fraction per second.
 const QUIET_GROWTH_PER_S: f64 = 0.3;
-/// The longest time between two successes that counts for that growth, in seconds.
+/// Maximum time between two successes that counts towards the growth of the full rate, in seconds.
 const MAX_GROWTH_GAP_S: f64 = 1.0;
 /// Fraction of its even share of a reported limit that an instance may rely on.
 const EVEN_SHARE_FACTOR: f64 = 0.8;
-/// Calls that the limiter permits at once after a pause.
+/// Capacity of the token bucket: calls that the limiter permits at once after a pause.
 const BURST_CALLS: f64 = 1.5;
 /// Tolerance for rounding errors, in calls.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// Time without a rejection after which the limiter is dropped.
+/// Time without a rejection after which the limiter is removed.
 const RETENTION: Span = Span::from_secs(10.0);
-/// Calls that a measurement needs at a rate set by cuts.
+/// Number of calls in a measurement at a rate that rejections and successes set.
 const REGULATED_CALLS: u32 = 16;
-/// Calls that a measurement needs at an increased rate, for each instance: one of many changes the share less.
+/// Number of calls in a measurement at an increased rate, for each instance: with more instances, the rate of one has less
+/// effect on the rejected share.
 const INCREASED_CALLS: u32 = 8;
-/// Factor of that number once the rejections have been found random, so that chance does not revert the rate.
+/// Factor of [`INCREASED_CALLS`] after the rejections were found to be random, so that chance does not revert the rate.
 const UNRESTRAINED_FACTOR: u32 = 3;
-/// How many reverted increases double the calls before the next one.
+/// Maximum number of reverted increases that double the number of calls before the next increase.
 const MAX_REVERSALS: u32 = 7;
-/// The least rejected share at which a higher rate is tried.
+/// Minimum rejected share at which a higher rate is tried.
 const MIN_RANDOM_SHARE: f64 = 0.15;
-/// Fraction of the headroom up to which a higher rate is tried.
+/// Fraction of the headroom below which a higher rate is tried.
 const HEADROOM_FACTOR: f64 = 0.6;
 /// Factor of the rate in a tentative increase.
 const INCREASE_FACTOR: f64 = 2.0;
-/// Fraction of the rate that must be used for the limiter to restrain the traffic.
+/// Fraction of the rate that must be in use for the limiter to count as limiting the traffic.
 const RESTRAINING_USE: f64 = 0.5;
-/// The shortest time over which a rate is measured, in seconds.
+/// Minimum time over which a rate is measured, in seconds.
 const MIN_MEASUREMENT_S: f64 = 1e-3;
 
-/// What an instance that sees the whole load knows of a route's limit.
+/// Data on a route's limit, available to an instance that sees all of the load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitView {
     /// Number of instances, this one included.
     pub instances: f64,
-    /// Calls per second of this instance up to which rejections may be random: its even share of the listed rate,
-    /// infinite if there is one instance and no listed rate.
+    /// Rate of this instance up to which rejections may be random, in calls per second: its even share of the listed rate,
+    /// or infinity if there is only one instance and no listed rate.
     pub headroom: f64,
 }
 
 /// A call that was accepted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AcceptedCall {
-    /// When it was sent.
+    /// Send time of the call.
     pub sent: Time,
-    /// Seconds since the last success before it.
+    /// Time since the previous success, in seconds.
     pub since_last_s: f64,
-    /// Whether its route is ejected.
+    /// Whether the call's route is ejected.
     pub route_is_ejected: bool,
 }
 
 /// A call that was rejected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RejectedCall {
-    /// When it was sent.
+    /// Send time of the call.
     pub sent: Time,
     /// Send time of the latest call that was accepted.
     pub last_accepted_sent: Option<Time>,
-    /// The least rate that the limiter may set.
+    /// Minimum rate that the limiter may set, in calls per second.
     pub min_rate: f64,
 }
 
-/// How the route responded to a call.
+/// Response of the route to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Response {
     Accepted,
     Rejected,
 }
 
-/// The rate limiter of one instance towards one route. Rates are in calls per second.
+/// Rate limiter of one instance for one route. Rates are in calls per second.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimiter {
+    /// Rate at which calls are permitted.
     rate: f64,
+    /// Estimate of the rate that the route accepts; bounds `rate` and its increases.
     full_rate: f64,
     tokens: f64,
     refilled_at: Time,
+    /// Time of the last rejection that could cut the rate.
     last_rejection: Time,
+    /// Number of cuts so far.
     cuts: i64,
     measurement: Measurement,
 }
 
-/// State before a tentative increase, to which a limiter reverts.
+/// State before a tentative increase, which the limiter restores if it reverts the increase.
 #[derive(Clone, Copy, Debug)]
 struct Baseline {
     rejected_share: f64,
@@ -114,14 +121,14 @@
     full_rate: f64,
 }
 
-/// How the present rate came about.
+/// Origin of the present rate.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// Rejections and successes set it.
+    /// Rejections and successes set the rate.
     Regulated,
-    /// It was tentatively increased.
+    /// The rate was tentatively increased.
     Increased(Baseline),
-    /// Rejections were found random, and it does not restrain the traffic.
+    /// Rejections were found to be random, and the rate does not limit the traffic.
     Unrestrained(Baseline),
 }
 
@@ -147,7 +154,7 @@
         }
     }
 
-    /// Number of calls that the measurement needs.
+    /// Returns the number of calls after which the measurement is complete.
     fn needed_calls(&self, instances: f64) -> u32 {
         match self.phase {
             Phase::Regulated => REGULATED_CALLS << self.reversals,
@@ -158,8 +165,8 @@
 }
 
 impl RateLimiter {
-    /// A limiter after the first rejection, at the recent send rate, or higher where a route with a high listed rate
-    /// has hardly been used.
+    /// Creates a limiter after the first rejection. It starts at the recent send rate, or higher if the route has a high
+    /// listed rate and has hardly been used.
     pub fn new(now: Time, recent_rate: f64, view: Option<LimitView>) -> RateLimiter {
         let headroom = view
             .map(|view| view.headroom)
@@ -176,19 +183,19 @@
         }
     }
 
-    /// Earliest time of the next call.
+    /// Returns the earliest time of the next call.
     pub fn next_call_at(&self, now: Time) -> Time {
         let missing = 1.0 - ROUNDING_TOLERANCE - self.tokens(now);
         now + Span::from_secs(missing.max(0.0) / self.rate)
     }
 
-    /// Records a call that is sent.
+    /// Records a sent call.
     pub fn sent(&mut self, now: Time) {
         self.refill(now, 1.0, BURST_CALLS);
     }
 
-    /// Adjusts the rates to a limit that a response reports: to the whole limit at most, as others may leave this
-    /// instance more than its `even_share`, and to most of that share at least.
+    /// Adjusts the rates to a limit that a response reports. The full rate becomes at most the entire limit, as other
+    /// instances may leave this one more than its `even_share`. Both rates become at least most of that share.
     pub fn limit_reported(&mut self, limit: f64, even_share: f64) {
         self.full_rate = self
             .full_rate
@@ -217,7 +224,8 @@
     /// Records a rejected call.
     pub fn rejected(&mut self, now: Time, call: RejectedCall, view: Option<LimitView>) {
         self.refill(now, 0.0, 0.0);
-        // While no call is accepted, further cuts would only leave the rate at its minimum for when the route opens.
+        // While no call is accepted, further cuts would only lower the rate to its minimum, and the route would still be
+        // limited to that rate when it accepts calls again.
         let accepts_calls = call.last_accepted_sent >= Some(self.last_rejection);
         if call.sent > self.last_rejection && accepts_calls {
             if matches!(self.measurement.phase, Phase::Regulated) {
@@ -240,7 +248,8 @@
         self.refilled_at = now;
     }
 
-    /// Counts a call in the measurement of the rate that it was sent at, and evaluates a complete measurement.
+    /// Counts a call in the measurement of the present rate, unless it was sent at an earlier rate. Evaluates the
+    /// measurement once it is complete.
     fn measure(&mut self, now: Time, sent: Time, response: Response, view: LimitView) {
         let measurement = &mut self.measurement;
         if sent < measurement.since {
@@ -253,7 +262,7 @@
         }
     }
 
-    /// Increases the rate tentatively, keeps an increase, or reverts it.
+    /// Evaluates a complete measurement: increases the rate tentatively, keeps an increase, or reverts it.
     fn evaluate(&mut self, now: Time, view: LimitView) {
         let Measurement {
             phase,
@@ -302,7 +311,7 @@
         self.full_rate = self.full_rate.max(self.rate);
     }
 
-    /// Reverts an increase: the rejections come from a limit.
+    /// Reverts an increase, as the rejections are caused by a limit.
     fn revert(&mut self, now: Time, before: Baseline) {
         self.rate = before.rate;
         self.full_rate = before.full_rate;
@@ -310,8 +319,8 @@
         self.measurement = Measurement::new(now, Phase::Regulated, reversals);
     }
 
-    /// Keeps an increase that no longer restrains the traffic. If the rejected share rises later, the limiter reverts
-    /// to a slightly lower rate.
+    /// Keeps an increased rate that no longer limits the traffic. If the rejected share rises later, the limiter reverts to
+    /// a slightly lower rate.
     fn keep_increase(&mut self, now: Time, before: Baseline) {
         let baseline = Baseline {
             rejected_share: before.rejected_share,
@@ -322,8 +331,8 @@
     }
 }
 
-/// Rise of the rejected share above which an increase has met a limit: half of what doubling the calls of one
-/// instance causes under a limit that all instances share.
+/// Returns the rise of the rejected share above which an increase has exceeded a limit: half of the rise that is caused by
+/// doubling the calls of one instance under a limit that all instances share.
 fn limit_rise(before: Baseline, view: LimitView) -> f64 {
     (1.0 - before.rejected_share) / (view.instances + 1.0) / 2.0
 }
--- a/crates/scheduler/src/rate_share/tests.rs
+++ b/crates/scheduler/src/rate_share/tests.rs
@@ -1,8 +1,9 @@
-//! The token bucket of an instance's share, with an explicit clock.
+//! Tests of the token bucket with explicit times.
 
 use super::*;
 
-/// An instance of 300 at a limit of 15 calls per second has one call in 20 s, while messages wait for 5 to 24 s.
+/// One of 300 instances that share a limit of 15 calls per second has one call every 20 s, while messages may wait for 5
+/// to 24 s.
 #[test]
 fn saved_tokens_serve_a_burst_after_a_lull() {
     let rate = share_of(15.0, 300, 0.99).unwrap();
@@ -12,7 +13,7 @@
         assert_eq!(share.next_call_at(lull, rate), lull, "call {call}");
         share.sent(lull, rate);
     }
-    // However long the lull, a longer stream keeps to the rate.
+    // The length of the idle period does not matter: a longer stream of calls stays within the rate.
     let (mut now, mut calls) = (lull, 3);
     while now < lull + Span(600_000_000) {
         now = share.next_call_at(now, rate).max(now + Span(1));
--- a/crates/scheduler/src/recovery_ramp.rs
+++ b/crates/scheduler/src/recovery_ramp.rs
@@ -1,27 +1,29 @@
-//! Recovery ramp: how a route that was ejected returns to service.
+//! Recovery ramp: gradual return of an ejected route to service.
 //!
-//! A route is [`RouteHealth::Healthy`] until it is [`RouteHealth::Ejected`]. Then it is sent rare half-open trial
-//! calls, as by a circuit breaker, which carry its own messages. The first one that is answered makes it
-//! [`RouteHealth::Recovering`]. Over the ramp's duration the permitted rate rises from the ramp's start to the
-//! route's full capacity, and continues to rise until nothing is pending for the route. Only then it is healthy;
-//! otherwise the whole backlog of the outage would be sent at the end of the ramp.
+//! A route is [`RouteHealth::Healthy`] until it is [`RouteHealth::Ejected`]. An ejected route is sent half-open trial
+//! calls at long intervals, as by a circuit breaker. They carry regular messages. The first trial call that is answered
+//! makes the route [`RouteHealth::Recovering`]. Over the ramp's duration the permitted rate rises from the ramp's start to
+//! the route's full capacity, and continues to rise until nothing is pending for the route. Only then does the route
+//! become healthy. Otherwise the entire backlog of the outage would be sent at the end of the ramp.
 //!
-//! Instances don't coordinate: each has its own share of the ramp and its own jitter.
+//! Instances don't coordinate. Each has its own share of the ramp and its own jitter.
 
 use crate::interface::{Rules, Span, Time};
 use std::collections::VecDeque;
 
-/// The least time between two half-open trial calls of an instance, in ms.
+/// Minimum time between two half-open trial calls of an instance, in ms.
 const MIN_TRIAL_INTERVAL_MS: f64 = 700.0;
-/// The longest time between two half-open trial calls, in ms for each instance: all together send about one in it.
+/// Maximum time between two half-open trial calls of an instance, in ms, to be multiplied by the number of instances:
+/// all instances together send about one trial call in the time stated here.
 const MAX_TRIAL_INTERVAL_MS: f64 = 1000.0;
-/// Calls that all instances together may send a recovering route in the overload window, at least.
+/// Minimum number of calls that all instances together may send to a recovering route in the overload window.
 const MIN_RECOVERING_BUDGET: f64 = 4.0;
-/// Calls that all instances together may send an ejected route in the overload window, besides half-open trial calls.
+/// Number of calls that all instances together may send to an ejected route in the overload window, besides half-open
+/// trial calls.
 const MIN_EJECTED_BUDGET: f64 = 1e-6;
-/// Equal parts of the overload window over which a recovering route's calls are spread.
+/// Number of equal parts of the overload window over which a recovering route's calls are spread.
 const WINDOW_PARTS: usize = 4;
-/// The shortest ramp duration, in ms.
+/// Minimum ramp duration, in ms.
 const MIN_RAMP_DURATION_MS: f64 = 1.0;
 /// Mean of the jitter.
 const MEAN_JITTER: f64 = 0.5;
@@ -29,16 +31,16 @@
 /// Health of a route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum RouteHealth {
-    /// In service, without any limit from an outage.
+    /// The route is in service, and the ramp does not limit it.
     #[default]
     Healthy,
-    /// Out of service since that time, except for half-open trial calls.
+    /// The route has been out of service since this time, except for half-open trial calls.
     Ejected(Time),
-    /// Answering again since that time.
+    /// The route has been answering again since this time.
     Recovering(Time),
 }
 
-/// A change of a route's health that matters outside the ramp.
+/// A change of a route's health that is reported to the caller of the ramp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
     /// The route was ejected.
@@ -63,7 +65,7 @@
 pub struct RouteCapacity {
     /// This instance's share of the healthy route's capacity, in calls per second.
     pub own_rate: f64,
-    /// Upper bound of the rate once the ramp is over, in calls per second, as far as it is known.
+    /// Upper bound of the rate after the end of the ramp, in calls per second; `None` if no bound is known.
     pub max_rate: Option<f64>,
     /// This instance's random number for the route, in 0..1.
     pub jitter: f64,
@@ -74,20 +76,20 @@
 /// The end of a call or health check.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
-    /// When it was sent.
+    /// Send time of the call or health check.
     pub sent: Time,
-    /// Whether it was answered.
+    /// Whether the call or health check succeeded.
     pub answered: bool,
-    /// Whether the route fails by now.
+    /// Whether the route has reached the number of failures that ejects it.
     pub failing: bool,
 }
 
-/// The calls and health checks sent within a window.
+/// Summary of the calls and health checks sent within a window.
 #[derive(Clone, Copy, Debug)]
 pub struct RecentSends {
-    /// How many there are.
+    /// Number of calls and health checks.
     pub count: usize,
-    /// Age of the first of them; the length of the window if there are none.
+    /// Age of the first one, or the length of the window if there are none.
     pub age_of_first: Span,
 }
 
@@ -95,17 +97,18 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RecoveryRamp {
     health: RouteHealth,
-    /// Send times of the calls and health checks within the latest retention.
+    /// Send times of the recent calls and health checks, oldest first.
     sends: VecDeque<Time>,
 }
 
 impl Rules {
-    /// Fraction of its capacity that a route has after recovering for this long, from the ramp's start to 1.
+    /// Returns the fraction of its full capacity that a route has after recovering for this long, from the ramp's start
+    /// to 1.
     pub(crate) fn capacity_share(&self, recovering_for: Span) -> f64 {
         self.ramp(recovering_for).min(1.0)
     }
 
-    /// The same without the upper bound of 1.
+    /// Returns the value of [`Rules::capacity_share`] without its upper bound of 1.
     fn ramp(&self, recovering_for: Span) -> f64 {
         self.ramp_start
             + (1.0 - self.ramp_start) * recovering_for.ms()
@@ -114,7 +117,7 @@
 }
 
 impl RecoveryRamp {
-    /// The ramp of a route in this state of health, without sends.
+    /// Creates the ramp of a route with this health and without recorded sends.
     pub fn with_health(health: RouteHealth) -> RecoveryRamp {
         RecoveryRamp {
             health,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// The route's health.
+    /// Returns the route's health.
     pub fn health(&self) -> RouteHealth {
         self.health
     }
@@ -132,7 +135,7 @@
         matches!(self.health, RouteHealth::Ejected(_))
     }
 
-    /// Whether the route's deliveries show its full capacity: it is healthy, or its ramp is over.
+    /// Whether the route is at full capacity: it is healthy, or its ramp is over.
     pub fn is_settled(&self, now: Time, ramp_duration: Span) -> bool {
         match self.health {
             RouteHealth::Healthy => true,
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Records a call or health check. Sends older than `retention` are forgotten.
+    /// Records a sent call or health check, and drops the records of sends older than `retention`.
     pub fn sent(&mut self, now: Time, retention: Span) {
         while self
             .sends
@@ -153,7 +156,7 @@
         self.sends.push_back(now);
     }
 
-    /// The calls and health checks sent within a window that ends now.
+    /// Returns a summary of the calls and health checks sent within a window that ends now.
     pub fn recent_sends(&self, now: Time, window: Span) -> RecentSends {
         let recent = self.sends.iter().filter(|sent| now - **sent < window);
         let first = recent.clone().next();
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Records the end of a call or health check. `has_pending` reports whether messages are pending for the route;
-    /// it is called only where that matters.
+    /// Records the end of a call or health check, and returns the change of the route's health that results. `has_pending`
+    /// returns whether messages are pending for the route. It is called only if the result depends on it.
     pub fn observe(
         &mut self,
         now: Time,
@@ -194,15 +197,16 @@
         change
     }
 
-    /// Records that a healthy route answers after a silence in which it may have been out of service: its backlog is
-    /// sent along the ramp.
+    /// Records that a healthy route answers after a silence in which it may have been out of service. The route begins to
+    /// recover, so its backlog is sent along the ramp.
     pub fn answered_after_silence(&mut self, now: Time) {
         if self.health == RouteHealth::Healthy {
             self.health = RouteHealth::Recovering(now);
         }
     }
 
-    /// Earliest time at which the ramp permits the next call; a time in the past if it sets no limit.
+    /// Returns the earliest time at which the ramp permits the next call. The time is in the past if the ramp sets no
+    /// limit.
     pub fn next_call_at(
         &self,
         now: Time,
@@ -228,8 +232,8 @@
         self.next_trial_at(budget, settings, capacity)
     }
 
-    /// Earliest time at which a budget of calls in the overload window permits the next one. The same holds for each
-    /// part of the window, as otherwise the whole budget would be spent at its start.
+    /// Returns the earliest time at which a budget of calls in the overload window permits the next call. Each part of the
+    /// window has its part of the budget, as otherwise all of it would be spent at the start of the window.
     fn next_within_budget(&self, budget: usize, window: Span) -> Time {
         let part_budget = budget.div_ceil(WINDOW_PARTS);
         let part = Span(window.0 / WINDOW_PARTS as i64);
@@ -237,15 +241,15 @@
         whole_window.max(self.next_in_window(part_budget, part))
     }
 
-    /// Earliest time at which a window of this length holds fewer sends than `max_calls`.
+    /// Returns the earliest time at which a window of this length contains fewer than `max_calls` sends.
     fn next_in_window(&self, max_calls: usize, window: Span) -> Time {
         let index = self.sends.len().checked_sub(max_calls);
         index.map_or(Time::MIN, |index| self.sends[index] + window)
     }
 
-    /// Earliest time of the next half-open trial call, or of the next call to a recovering route with a budget below
-    /// one call: a budget of at least one, times hundreds of instances, would overload the route. The jitter keeps
-    /// instances that learn of an outage or its end together from sending together.
+    /// Returns the earliest time of the next half-open trial call, or of the next call to a recovering route whose budget
+    /// is below one call. A minimum budget of one call for each of hundreds of instances would overload the route. The
+    /// jitter prevents instances that detect an outage or its end at the same time from sending at the same time.
     fn next_trial_at(
         &self,
         budget: f64,
@@ -268,7 +272,7 @@
             .map_or(Time::MIN, |last| *last + since_last);
         let at = after_last.max(backoff_over);
         match self.health {
-            // Early in the ramp the interval is long, but the end of the ramp ends the wait.
+            // The interval is long early in the ramp, but the wait never extends beyond the end of the ramp.
             RouteHealth::Recovering(since) => at.min(since + rules.ramp_duration),
             RouteHealth::Healthy | RouteHealth::Ejected(_) => at,
         }
--- a/crates/scheduler/src/tenant_rate.rs
+++ b/crates/scheduler/src/tenant_rate.rs
@@ -1,4 +1,4 @@
-//! Rate of a tenant's messages, measured against its quota.
+//! Rate of a tenant's messages, which is compared with the tenant's quota.
 
 use crate::interface::Time;
 
@@ -13,12 +13,12 @@
 }
 
 impl TenantRate {
-    /// Messages per second as of now.
+    /// Returns the messages per second as of now.
     pub fn per_s(&self, now: Time) -> f64 {
         self.per_s * (-(now - self.updated_at).secs() / TENANT_RATE_TIME_S).exp()
     }
 
-    /// Counts one message; returns the messages per second including it.
+    /// Counts a message and returns the messages per second, that message included.
     pub fn count_message(&mut self, now: Time) -> f64 {
         self.per_s = self.per_s(now) + 1.0 / TENANT_RATE_TIME_S;
         self.updated_at = now;
