--- a/crates/scheduler/src/baseline_rate.rs
+++ b/crates/scheduler/src/baseline_rate.rs
@@ -51,8 +51,8 @@
     }
 
     /// Records a success. The rate changes only if the route is at full capacity.
-    pub fn succeeded(&mut self, now: Time, is_settled: bool) {
-        if is_settled {
+    pub fn succeeded(&mut self, now: Time, is_at_full_capacity: bool) {
+        if is_at_full_capacity {
             let gap = self.seconds_since_update(now);
             self.per_s = self.per_s * (-gap / BASELINE_TIME_S).exp() + 1.0 / BASELINE_TIME_S;
         }
--- a/crates/scheduler/src/policy/route_rate.rs
+++ b/crates/scheduler/src/policy/route_rate.rs
@@ -55,7 +55,7 @@
     /// capacity the rate falls while no call succeeds.
     fn baseline_rate(&self, now: Time, route: &Route) -> f64 {
         let ramp_duration = self.settings.rules.ramp_duration;
-        if route.ramp.is_settled(now, ramp_duration) {
+        if route.ramp.is_at_full_capacity(now, ramp_duration) {
             route.baseline_rate.current_per_s(now)
         } else {
             route.baseline_rate.per_s()
--- a/crates/scheduler/src/recovery_ramp.rs
+++ b/crates/scheduler/src/recovery_ramp.rs
@@ -136,7 +136,7 @@
     }
 
     /// Whether the route is at full capacity: it is healthy, or its ramp is over.
-    pub fn is_settled(&self, now: Time, ramp_duration: Span) -> bool {
+    pub fn is_at_full_capacity(&self, now: Time, ramp_duration: Span) -> bool {
         match self.health {
             RouteHealth::Healthy => true,
             RouteHealth::Recovering(since) => now - since >= ramp_duration,
--- a/crates/scheduler/src/state/route.rs
+++ b/crates/scheduler/src/state/route.rs
@@ -121,7 +121,7 @@
             route_is_ejected: self.ramp.is_ejected(),
         };
         self.baseline_rate
-            .succeeded(now, self.ramp.is_settled(now, ramp_duration));
+            .succeeded(now, self.ramp.is_at_full_capacity(now, ramp_duration));
         self.rate_limiter
             .take_if(|limiter| !limiter.accepted(now, call, view));
     }
