--- a/crates/scheduler/src/connection_pressure.rs
+++ b/crates/scheduler/src/connection_pressure.rs
@@ -17,7 +17,7 @@
 /// Pressure above which idle connections of the kind are closed.
 const MAX_PRESSURE: f64 = 0.03;
 /// Time for which a lost connection is recorded until the next call succeeds.
-const LOSS_MEMORY: Span = Span::from_secs(4.0);
+const LOSS_RETENTION: Span = Span::from_secs(4.0);
 
 /// A call that got no connection, or was lost on a reused idle connection.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +39,7 @@
 
     /// Returns the weight of the loss in the pressure, or `None` if the loss is too old.
     pub fn recent_weight(self, now: Time) -> Option<f64> {
-        (now - self.at < LOSS_MEMORY).then_some(self.weight)
+        (now - self.at < LOSS_RETENTION).then_some(self.weight)
     }
 }
 
--- a/crates/scheduler/src/failure_detector.rs
+++ b/crates/scheduler/src/failure_detector.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether a call that was sent later than `sent` has succeeded.
-    pub fn is_overtaken(&self, sent: Time) -> bool {
+    pub fn has_later_success(&self, sent: Time) -> bool {
         Some(sent) < self.last_success_sent
     }
 
@@ -87,7 +87,7 @@
     }
 
     fn count(&mut self, sent: Time, weight: f64) {
-        if !self.is_overtaken(sent) {
+        if !self.has_later_success(sent) {
             self.consecutive_failures += weight;
         }
     }
--- a/crates/scheduler/src/policy/call_outcome.rs
+++ b/crates/scheduler/src/policy/call_outcome.rs
@@ -34,7 +34,7 @@
             Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection => {}
         }
         let answered = call.outcome == Outcome::Delivered;
-        self.judge_health(now, route, call.sent, answered);
+        self.update_health(now, route, call.sent, answered);
     }
 
     fn observe_success(&mut self, now: Time, id: RouteId, call: &EndedCall) {
--- a/crates/scheduler/src/policy/concurrency.rs
+++ b/crates/scheduler/src/policy/concurrency.rs
@@ -23,7 +23,7 @@
 /// tail of the latency distribution.
 const MAX_OVERDUE_CALLS: usize = 2;
 /// Number of consecutive failures at which a route counts as failing.
-const MIN_FAILURES: f64 = 1.0;
+const FAILING_THRESHOLD: f64 = 1.0;
 
 impl Scheduler {
     /// Whether a route may have one more call in flight.
@@ -52,7 +52,7 @@
 
     /// Whether a route is ejected, fails calls, or has overdue calls.
     fn is_failing(&self, now: Time, route: &Route) -> bool {
-        let has_failed = route.failures.consecutive_failures() >= MIN_FAILURES;
+        let has_failed = route.failures.consecutive_failures() >= FAILING_THRESHOLD;
         route.ramp.is_ejected() || has_failed || self.overdue_calls(now, route) > 0
     }
 
--- a/crates/scheduler/src/policy/ejection.rs
+++ b/crates/scheduler/src/policy/ejection.rs
@@ -13,7 +13,7 @@
 impl Scheduler {
     /// Updates the health of a route after a call sent at `sent` has ended: ejects the route or starts its
     /// recovery.
-    pub(super) fn judge_health(&mut self, now: Time, id: RouteId, sent: Time, answered: bool) {
+    pub(super) fn update_health(&mut self, now: Time, id: RouteId, sent: Time, answered: bool) {
         let min_failures = FAILURES_TO_EJECT - self.unseen_load();
         let has_pending = || self.pending.has(id.destination);
         let route = self.routes.get_mut(&id);
--- a/crates/scheduler/src/policy/endpoint_choice.rs
+++ b/crates/scheduler/src/policy/endpoint_choice.rs
@@ -58,7 +58,7 @@
             }
             let route = &self.routes[&endpoint.route];
             let cost = self.call_cost(now, id, endpoint, route);
-            if cheapest.is_none_or(|(least, _)| cost < least) {
+            if cheapest.is_none_or(|(lowest, _)| cost < lowest) {
                 let choice = EndpointChoice {
                     endpoint: id,
                     expected_latency_ms: self.expected_latency_ms(route),
--- a/crates/scheduler/src/policy/latency.rs
+++ b/crates/scheduler/src/policy/latency.rs
@@ -33,7 +33,7 @@
         let latencies = self
             .active_routes(id)
             .map(|route| self.expected_latency_ms(route));
-        let least = latencies.fold(f64::INFINITY, f64::min);
-        Span::from_ms(if least.is_finite() { least } else { 0.0 })
+        let lowest = latencies.fold(f64::INFINITY, f64::min);
+        Span::from_ms(if lowest.is_finite() { lowest } else { 0.0 })
     }
 }
--- a/crates/scheduler/src/policy/route_rate.rs
+++ b/crates/scheduler/src/policy/route_rate.rs
@@ -19,7 +19,7 @@
     /// limit is known or few instances share it.
     pub(crate) fn rate_share(&self, route: &Route) -> Option<f64> {
         let limit = route.reported_limit.or(self.listed_rate(route))?;
-        rate_share::share_of(limit, self.settings.instances, self.unseen_load())
+        rate_share::instance_share(limit, self.settings.instances, self.unseen_load())
     }
 
     /// Returns the calls per second that a route accepts from all instances together, according to the
@@ -37,14 +37,14 @@
         let has_hints = self.settings.rate_hints != RateHints::Absent;
         let listed = Some(route.advertised_rate.max(MIN_RATE)).filter(|_| has_hints);
         let baseline = self.baseline_rate(now, route);
-        let least = baseline
+        let min_rate = baseline
             .max(self.even_share(now, listed))
             .max(MIN_RATE / instances);
         let even = self
             .even_share(now, route.reported_limit.or(listed))
             .max(MIN_EVEN_SHARE);
-        let drawn = (1.0 + baseline * BASELINE_TIME_S) / (1.0 / even + BASELINE_TIME_S);
-        let own = ((1.0 - unseen) * least).max(drawn);
+        let adjusted = (1.0 + baseline * BASELINE_TIME_S) / (1.0 / even + BASELINE_TIME_S);
+        let own = ((1.0 - unseen) * min_rate).max(adjusted);
         // With many instances, each uses its even share of a reported limit, regardless of its baseline rate.
         route
             .reported_limit
--- a/crates/scheduler/src/policy/timeouts.rs
+++ b/crates/scheduler/src/policy/timeouts.rs
@@ -60,7 +60,7 @@
     /// Records the time-out of a call sent at `sent`. If a later call of the route was answered, the call
     /// counts as lost and does not raise the route's time-out.
     pub(super) fn observe_timeout(&mut self, id: RouteId, sent: Time) {
-        if self.routes[&id].failures.is_overtaken(sent) {
+        if self.routes[&id].failures.has_later_success(sent) {
             self.loss_rate.call_lost();
         } else {
             self.route_mut(id).consecutive_timeouts += 1;
--- a/crates/scheduler/src/rate_limiter.rs
+++ b/crates/scheduler/src/rate_limiter.rs
@@ -44,7 +44,7 @@
 /// effect on the rejected share.
 const INCREASED_CALLS: u32 = 8;
 /// Factor of [`INCREASED_CALLS`] after the rejections were found to be random, so that chance does not revert the rate.
-const UNRESTRAINED_FACTOR: u32 = 3;
+const NOT_LIMITING_FACTOR: u32 = 3;
 /// Maximum number of reverted increases that double the number of calls before the next increase.
 const MAX_REVERSALS: u32 = 7;
 /// Minimum rejected share at which a higher rate is tried.
@@ -54,7 +54,7 @@
 /// Factor of the rate in a tentative increase.
 const INCREASE_FACTOR: f64 = 2.0;
 /// Fraction of the rate that must be in use for the limiter to count as limiting the traffic.
-const RESTRAINING_USE: f64 = 0.5;
+const LIMITING_USE: f64 = 0.5;
 /// Minimum time over which a rate is measured, in seconds.
 const MIN_MEASUREMENT_S: f64 = 1e-3;
 
@@ -115,7 +115,7 @@
 
 /// State before a tentative increase, which the limiter restores if it reverts the increase.
 #[derive(Clone, Copy, Debug)]
-struct Baseline {
+struct SavedState {
     rejected_share: f64,
     rate: f64,
     full_rate: f64,
@@ -127,9 +127,9 @@
     /// Rejections and successes set the rate.
     Regulated,
     /// The rate was tentatively increased.
-    Increased(Baseline),
+    Increased(SavedState),
     /// Rejections were found to be random, and the rate does not limit the traffic.
-    Unrestrained(Baseline),
+    NotLimiting(SavedState),
 }
 
 /// The calls sent since the rate was set, and how many of them were rejected.
@@ -159,7 +159,7 @@
         match self.phase {
             Phase::Regulated => REGULATED_CALLS << self.reversals,
             Phase::Increased(_) => INCREASED_CALLS * instances as u32,
-            Phase::Unrestrained(_) => INCREASED_CALLS * instances as u32 * UNRESTRAINED_FACTOR,
+            Phase::NotLimiting(_) => INCREASED_CALLS * instances as u32 * NOT_LIMITING_FACTOR,
         }
     }
 }
@@ -273,21 +273,21 @@
         } = self.measurement;
         let rejected_share = f64::from(rejected) / f64::from(calls);
         let observed_rate = f64::from(calls) / (now - since).secs().max(MIN_MEASUREMENT_S);
-        let restrains = observed_rate >= RESTRAINING_USE * self.rate;
+        let is_limiting = observed_rate >= LIMITING_USE * self.rate;
         match phase {
             Phase::Regulated => {
                 let may_be_random = (MIN_RANDOM_SHARE..1.0).contains(&rejected_share);
                 let has_headroom = observed_rate <= HEADROOM_FACTOR * view.headroom;
-                if restrains && has_headroom && may_be_random {
+                if is_limiting && has_headroom && may_be_random {
                     self.increase(now, rejected_share, observed_rate, view);
                 } else {
                     self.measurement = Measurement::new(now, Phase::Regulated, reversals);
                 }
             }
-            Phase::Increased(before) | Phase::Unrestrained(before) => {
-                if rejected_share > before.rejected_share + limit_rise(before, view) {
+            Phase::Increased(before) | Phase::NotLimiting(before) => {
+                if rejected_share > before.rejected_share + rejection_rise_threshold(before, view) {
                     self.revert(now, before);
-                } else if restrains && observed_rate < view.headroom {
+                } else if is_limiting && observed_rate < view.headroom {
                     self.increase(now, before.rejected_share, observed_rate, view);
                 } else {
                     self.keep_increase(now, before);
@@ -298,13 +298,13 @@
 
     /// Tentatively increases the rate, up to the headroom.
     fn increase(&mut self, now: Time, rejected_share: f64, observed_rate: f64, view: LimitView) {
-        let baseline = Baseline {
+        let saved = SavedState {
             rejected_share,
             rate: self.rate,
             full_rate: self.full_rate,
         };
         let reversals = self.measurement.reversals;
-        self.measurement = Measurement::new(now, Phase::Increased(baseline), reversals);
+        self.measurement = Measurement::new(now, Phase::Increased(saved), reversals);
         self.rate = self
             .rate
             .max((INCREASE_FACTOR * observed_rate).min(view.headroom));
@@ -312,7 +312,7 @@
     }
 
     /// Reverts an increase, as the rejections are caused by a limit.
-    fn revert(&mut self, now: Time, before: Baseline) {
+    fn revert(&mut self, now: Time, before: SavedState) {
         self.rate = before.rate;
         self.full_rate = before.full_rate;
         let reversals = (self.measurement.reversals + 1).min(MAX_REVERSALS);
@@ -321,18 +321,18 @@
 
     /// Keeps an increased rate that no longer limits the traffic. If the rejected share rises later, the limiter reverts to
     /// a slightly lower rate.
-    fn keep_increase(&mut self, now: Time, before: Baseline) {
-        let baseline = Baseline {
+    fn keep_increase(&mut self, now: Time, before: SavedState) {
+        let saved = SavedState {
             rejected_share: before.rejected_share,
             rate: self.rate * CUT_FACTOR,
             full_rate: self.full_rate * CUT_FACTOR,
         };
-        self.measurement = Measurement::new(now, Phase::Unrestrained(baseline), 0);
+        self.measurement = Measurement::new(now, Phase::NotLimiting(saved), 0);
     }
 }
 
 /// Returns the rise of the rejected share above which an increase has exceeded a limit: half of the rise that is caused by
 /// doubling the calls of one instance under a limit that all instances share.
-fn limit_rise(before: Baseline, view: LimitView) -> f64 {
+fn rejection_rise_threshold(before: SavedState, view: LimitView) -> f64 {
     (1.0 - before.rejected_share) / (view.instances + 1.0) / 2.0
 }
--- a/crates/scheduler/src/rate_share/tests.rs
+++ b/crates/scheduler/src/rate_share/tests.rs
@@ -6,7 +6,7 @@
 /// to 24 s.
 #[test]
 fn saved_tokens_serve_a_burst_after_a_lull() {
-    let rate = share_of(15.0, 300, 0.99).unwrap();
+    let rate = instance_share(15.0, 300, 0.99).unwrap();
     let mut share = RateShare::default();
     let lull = Time(600_000_000);
     for call in 0..3 {
--- a/crates/scheduler/src/recovery_ramp.rs
+++ b/crates/scheduler/src/recovery_ramp.rs
@@ -237,8 +237,8 @@
     fn next_within_budget(&self, budget: usize, window: Span) -> Time {
         let part_budget = budget.div_ceil(WINDOW_PARTS);
         let part = Span(window.0 / WINDOW_PARTS as i64);
-        let whole_window = self.next_in_window(budget, window);
-        whole_window.max(self.next_in_window(part_budget, part))
+        let within_window = self.next_in_window(budget, window);
+        within_window.max(self.next_in_window(part_budget, part))
     }
 
     /// Returns the earliest time at which a window of this length contains fewer than `max_calls` sends.
--- a/crates/scheduler/src/rejection_hold.rs
+++ b/crates/scheduler/src/rejection_hold.rs
@@ -10,7 +10,7 @@
 /// Length of a hold if this instance's share of the limit is known, in intervals between two calls at that share.
 const KNOWN_SHARE_INTERVALS: f64 = 1.0;
 /// Length of a hold if the share is an estimate, in the same intervals.
-const GUESSED_SHARE_INTERVALS: f64 = 0.25;
+const ESTIMATED_SHARE_INTERVALS: f64 = 0.25;
 /// Maximum number of consecutive rejections that double the hold.
 const MAX_DOUBLINGS: u32 = 2;
 /// Minimum random factor of a hold; the maximum is 1 more.
@@ -61,7 +61,7 @@
         let intervals = if call.share_is_known {
             KNOWN_SHARE_INTERVALS
         } else {
-            GUESSED_SHARE_INTERVALS
+            ESTIMATED_SHARE_INTERVALS
         };
         let doubled = f64::from(1u32 << self.consecutive_rejections.min(MAX_DOUBLINGS));
         self.consecutive_rejections += 1;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -85,13 +85,13 @@
         for event in events {
             self.apply(now, event, actions);
         }
-        self.forget_removed_endpoints();
+        self.purge_removed_endpoints();
         self.give_up_undeliverable(now, actions);
         self.send_health_checks(now, actions);
         self.send_pending(now, actions);
         self.shed_load(now, actions);
         self.set_timer(now, actions);
-        self.forget_ordering_queues(now);
+        self.purge_ordering_queues(now);
         actions.extend(self.log_lines.drain(..).map(Action::Log));
     }
 
@@ -128,7 +128,7 @@
                 destination,
                 endpoint,
                 until,
-            } => self.note_backoff(destination, endpoint, until),
+            } => self.backoff_notified(destination, endpoint, until),
             Event::EndpointListFailed => self.list_request_failed(now),
         }
     }
--- a/crates/scheduler/src/scheduler/endpoint_list.rs
+++ b/crates/scheduler/src/scheduler/endpoint_list.rs
@@ -62,7 +62,7 @@
     }
 
     /// Deletes the removed endpoints without a call in flight, and their separate routes.
-    pub(super) fn forget_removed_endpoints(&mut self) {
+    pub(super) fn purge_removed_endpoints(&mut self) {
         if !std::mem::take(&mut self.has_removed_endpoints) {
             return;
         }
--- a/crates/scheduler/src/scheduler/hot_restart.rs
+++ b/crates/scheduler/src/scheduler/hot_restart.rs
@@ -24,7 +24,7 @@
 
     /// Applies a backoff that another incarnation received. If the endpoint has been removed, the backoff applies to the
     /// destination's shared route.
-    pub(super) fn note_backoff(
+    pub(super) fn backoff_notified(
         &mut self,
         destination: DestinationId,
         endpoint: EndpointId,
--- a/crates/scheduler/src/scheduler/messages.rs
+++ b/crates/scheduler/src/scheduler/messages.rs
@@ -49,7 +49,7 @@
     /// both cases an earlier submission of the message is removed from the queue.
     fn adopt_or_queue(&mut self, new: &NewMessage, prior: Option<&PriorAttempts>) -> MessageState {
         let in_flight = prior.and_then(|prior| self.adopt_attempt(prior.in_flight?));
-        self.forget_resubmitted(new.message);
+        self.remove_earlier_submission(new.message);
         if let Some(attempt) = in_flight {
             return MessageState::InFlight(attempt);
         }
@@ -71,7 +71,7 @@
     }
 
     /// Removes the earlier submission of a message from the pending queue, where its deadline may differ.
-    fn forget_resubmitted(&mut self, id: MessageId) {
+    fn remove_earlier_submission(&mut self, id: MessageId) {
         if let Some(known) = self.messages.get(&id) {
             self.pending.remove(known.destination, known.deadline, id);
         }
@@ -106,7 +106,7 @@
     }
 
     /// Removes the ordering queues that neither hold messages nor are paused.
-    pub(super) fn forget_ordering_queues(&mut self, now: Time) {
+    pub(super) fn purge_ordering_queues(&mut self, now: Time) {
         self.ordering_queues
             .retain(|_, queue| !queue.messages.is_empty() || queue.paused_until > now);
     }
--- a/crates/scheduler/src/state/endpoint.rs
+++ b/crates/scheduler/src/state/endpoint.rs
@@ -7,7 +7,7 @@
 /// Time without use after which a connection counts as idle: the endpoint may have dropped it without closing it.
 const MIN_IDLE_TIME: Span = Span::from_secs(0.5);
 /// Time for which a failure counts against an endpoint.
-const FAILURE_MEMORY: Span = Span::from_secs(4.0);
+const FAILURE_RETENTION: Span = Span::from_secs(4.0);
 /// Time after which each success raises a connection cap by one.
 const CAP_GROWTH_DELAY: Span = Span::from_secs(1.0);
 
@@ -91,7 +91,8 @@
 
     /// Whether the endpoint has failed recently and not answered since.
     pub fn has_failed_recently(&self, now: Time) -> bool {
-        self.failed_at.is_some_and(|at| now - at < FAILURE_MEMORY)
+        self.failed_at
+            .is_some_and(|at| now - at < FAILURE_RETENTION)
     }
 
     /// Whether the endpoint serves calls on other connections, so that a refused connection is no failure.
