--- a/crates/scheduler/tests/backoff.rs
+++ b/crates/scheduler/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! `Retry-After` binds every message to the route that sent it.
+//! Backoffs from `Retry-After` apply to every message of the route that requested them.
 
 mod common;
 
@@ -19,12 +19,12 @@
     assert_eq!(
         sends(&scheduler.submit(0, 1).1).len(),
         1,
-        "another destination is not bound"
+        "the backoff does not apply to another destination"
     );
     assert_eq!(
         sends(&scheduler.idle(6000.0)).len(),
         1,
-        "once it is over the best one is sent"
+        "one message is sent after the end of the backoff"
     );
 }
 
--- a/crates/scheduler/tests/common/fleet.rs
+++ b/crates/scheduler/tests/common/fleet.rs
@@ -1,14 +1,14 @@
-//! A fleet: many instances that share nothing but the endpoint list.
+//! A fleet of many instances that share nothing but the endpoint list.
 
 use super::*;
 use std::collections::BTreeMap;
 
 /// Number of instances in the fleet.
 pub const INSTANCES: usize = 200;
-/// Seed of the first instance; the others follow.
+/// Seed of the first instance. Those of the others follow in sequence.
 const FIRST_SEED: u64 = 1000;
 
-/// Settings of one instance of the fleet.
+/// Returns the settings of an instance of the fleet.
 pub fn fleet_settings() -> Settings {
     let mut set = settings();
     (set.instances, set.limits.max_in_flight, set.rate_hints) =
@@ -16,7 +16,7 @@
     set
 }
 
-/// Instances with a seed each and the same endpoint list.
+/// Instances with different seeds and the same endpoint list.
 pub struct Fleet {
     pub instances: Vec<Scheduler>,
     attempts: BTreeMap<(usize, MessageId), u32>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The event of a new message.
+    /// Returns the event of a new message.
     pub fn message(&mut self, now: Time) -> Event {
         self.last_message += 1;
         Event::Accepted(NewMessage {
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Handles a batch of events at one instance.
+    /// Handles a batch of events at one instance. Returns the attempts that the instance sent.
     pub fn handle(&mut self, instance: usize, now: Time, events: &[Event]) -> Vec<SentAttempt> {
         let mut actions = Vec::new();
         self.instances[instance].handle(now, events, &mut actions);
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Test support: settings, a scheduler with a clock, and readers of its actions.
-#![allow(dead_code, reason = "each test program uses a part of it")]
+//! Test support: settings, a scheduler with a clock, and functions that extract data from its actions.
+#![allow(dead_code, reason = "each test program uses a part of this module")]
 
 pub mod fleet;
 pub mod scenario;
@@ -8,7 +8,7 @@
 
 /// Seed of the scheduler under test.
 const SEED: u64 = 7;
-/// Deadline of a new message, in ms after its submission.
+/// Time to live of a new message, in ms.
 pub const DEADLINE_MS: f64 = 16_000.0;
 
 pub fn class(priority_weight: f64, idempotency: Idempotency) -> MessageClass {
@@ -22,7 +22,7 @@
     }
 }
 
-/// A xorshift generator, so that every run draws the same numbers. The seed must not be 0.
+/// A xorshift generator, which draws the same numbers in every test run. The seed must not be 0.
 pub struct SeededRandom(pub u64);
 
 impl SeededRandom {
@@ -33,19 +33,19 @@
         self.0 >> 11
     }
 
-    /// A number in `0..bound`.
+    /// Returns a number in `0..bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 
-    /// A number in 0..1.
+    /// Returns a number in 0..1.
     pub fn fraction(&mut self) -> f64 {
         self.next() as f64 / (1u64 << 53) as f64
     }
 }
 
-/// Class 0 is idempotent, 1 has idempotency keys within a zone for 4 s, 2 is non-idempotent with weight 4, 3 is
-/// ordered.
+/// Returns the default test settings. Class 0 is idempotent. Class 1 has idempotency keys with the scope of a zone and a
+/// window of 4 s. Class 2 is non-idempotent with priority weight 4. Class 3 is ordered.
 pub fn settings() -> Settings {
     let zone_key = Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Zone,
@@ -99,7 +99,7 @@
     }
 }
 
-/// The same settings with one call in flight at most.
+/// Returns the default test settings with at most one call in flight.
 pub fn one_call_at_a_time() -> Settings {
     let mut set = settings();
     set.limits.max_in_flight = 1;
@@ -122,8 +122,8 @@
         }
     }
 
-    /// A scheduler with one endpoint for each of these destinations, of kind 0 in zone 0; endpoint n is destination
-    /// n's.
+    /// Creates a scheduler with `count` destinations. Destination n has one endpoint, with the number n, of kind 0 in
+    /// zone 0.
     pub fn with_destinations(settings: Settings, count: u64) -> TestScheduler {
         let mut scheduler = TestScheduler::new(settings);
         let endpoints = (0..count)
@@ -159,12 +159,12 @@
         self.at(ms).handle_all(&[])
     }
 
-    /// A new message and its event.
+    /// Returns a new message and its event.
     pub fn message(&mut self, class: usize, destination: u64) -> (MessageId, Event) {
         self.submitted_earlier(class, destination, 0.0)
     }
 
-    /// A message that was first submitted `age` ms ago, and its event.
+    /// Returns a message that was first submitted `age` ms ago, and its event.
     pub fn submitted_earlier(
         &mut self,
         class: usize,
@@ -175,7 +175,7 @@
         (new_message.message, Event::Accepted(new_message))
     }
 
-    /// A message that was first submitted `age` ms ago.
+    /// Returns a message that was first submitted `age` ms ago.
     pub fn new_message(&mut self, class: usize, destination: u64, age: f64) -> NewMessage {
         self.last_message += 1;
         NewMessage {
@@ -188,18 +188,18 @@
         }
     }
 
-    /// The events of `count` new messages of class 0.
+    /// Returns the events of `count` new messages of class 0.
     pub fn messages(&mut self, count: usize, destination: u64) -> Vec<Event> {
         (0..count).map(|_| self.message(0, destination).1).collect()
     }
 
-    /// Submits a message; returns it and the scheduler's actions.
+    /// Submits a message. Returns the message and the scheduler's actions.
     pub fn submit(&mut self, class: usize, destination: u64) -> (MessageId, Vec<Action>) {
         let (message, event) = self.message(class, destination);
         (message, self.handle(event))
     }
 
-    /// Delivers one message after 100 ms, so that the destination's latency is known.
+    /// Delivers a message after 100 ms, so that the destination's latency is known.
     pub fn warm_up(&mut self, destination: u64) {
         let (message, actions) = self.submit(0, destination);
         assert_eq!(sends(&actions).len(), 1);
@@ -225,12 +225,12 @@
     }
 }
 
-/// The end of an attempt after 100 ms; a delivery is final.
+/// Returns the event of an attempt that ended after 100 ms. A delivery is the message's final outcome.
 pub fn attempt_finished(message: MessageId, attempt: u32, outcome: Outcome) -> Event {
     attempt_reported(message, attempt, outcome, RateLimitReport::default())
 }
 
-/// The same with the rate limit that the response reports.
+/// Like [`attempt_finished`], with the rate limit that the response reports.
 pub fn attempt_reported(
     message: MessageId,
     attempt: u32,
@@ -250,14 +250,14 @@
 /// A rejection without a `Retry-After`.
 pub const REJECTED: Outcome = Outcome::Rejected { retry_after: None };
 
-/// A rejection with a `Retry-After`.
+/// Returns a rejection with a `Retry-After` in ms.
 pub fn rejected_for(ms: f64) -> Outcome {
     Outcome::Rejected {
         retry_after: Some(Span::from_ms(ms)),
     }
 }
 
-/// The messages sent, each with its endpoint.
+/// Returns the messages sent, each with its endpoint.
 pub fn sends(actions: &[Action]) -> Vec<(MessageId, EndpointId)> {
     let send = |action: &Action| match action {
         Action::Send {
@@ -268,7 +268,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// The messages rejected or failed.
+/// Returns the messages that were rejected or failed.
 pub fn given_up(actions: &[Action]) -> Vec<MessageId> {
     let end = |action: &Action| match action {
         Action::Reject { message, .. } | Action::Fail(message) => Some(*message),
@@ -277,7 +277,7 @@
     actions.iter().filter_map(end).collect()
 }
 
-/// The time-out of the first attempt that is sent, in ms.
+/// Returns the time-out of the first attempt in `actions`, in ms.
 pub fn timeout_ms(now: Time, actions: &[Action]) -> f64 {
     let timeout_at = actions.iter().find_map(|action| match action {
         Action::Send { timeout_at, .. } => Some(*timeout_at),
--- a/crates/scheduler/tests/common/scenario.rs
+++ b/crates/scheduler/tests/common/scenario.rs
@@ -1,13 +1,13 @@
-//! A scenario: some instances and destinations, and a stream of messages, played in steps of 10 ms.
+//! A scenario: some instances, some destinations and a stream of messages, run in steps of 10 ms.
 
 use super::*;
 use std::collections::BTreeMap;
 
 const STEP_MS: f64 = 10.0;
-/// Seed of the first instance; the others follow.
+/// Seed of the first instance. Those of the others follow in sequence.
 const FIRST_SEED: u64 = 31;
 
-/// Instances, destinations with one endpoint each, and the stream of messages.
+/// Parameters of the instances, of the destinations with one endpoint each, and of the stream of messages.
 pub struct Scenario {
     pub settings: Settings,
     pub destinations: u64,
@@ -15,7 +15,7 @@
     pub duration_s: f64,
     /// Messages per second for each destination, from all clients together.
     pub offered_rate: f64,
-    /// Messages are submitted until this time, in seconds.
+    /// End of the submissions, in seconds.
     pub offered_until_s: f64,
 }
 
@@ -26,29 +26,29 @@
     pub latency_ms: f64,
 }
 
-/// One call that was sent.
+/// A call that was sent.
 pub struct SentCall {
     pub sent_at_s: f64,
     pub destination: u64,
     pub outcome: Outcome,
 }
 
-/// One message that was delivered.
+/// A message that was delivered.
 pub struct Delivery {
     pub delivered_at_s: f64,
     pub destination: u64,
 }
 
-/// What was observed while a scenario was played.
+/// Observations of a scenario run.
 #[derive(Default)]
 pub struct Observations {
     pub calls: Vec<SentCall>,
     pub deliveries: Vec<Delivery>,
-    /// Messages given up.
+    /// Number of messages given up.
     pub given_up: usize,
 }
 
-/// Calls per second in the window that ends with one call.
+/// Calls per second in a window that ends with a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     pub end_s: f64,
@@ -56,7 +56,7 @@
 }
 
 impl Observations {
-    /// The load in a window of this length before each call.
+    /// Returns the load in the window of this length that ends with each call.
     pub fn loads(&self, window_s: f64) -> impl Iterator<Item = Load> + '_ {
         let load = move |end_s: f64| {
             let in_window =
@@ -78,23 +78,23 @@
     outcome: Outcome,
 }
 
-/// A scenario while it is played.
+/// State of a scenario run.
 struct Player<'a> {
     scenario: &'a Scenario,
     instances: Vec<Scheduler>,
     observations: Observations,
     attempts: BTreeMap<MessageId, u32>,
     destinations: BTreeMap<MessageId, u64>,
-    /// By the time of the response, then by the order of the calls.
+    /// Attempts in flight, by the time of the response and then by the order of the calls.
     in_flight: BTreeMap<(i64, u64), InFlight>,
-    /// Messages that are due, in fractions of one.
+    /// Number of messages due for submission, including a fraction.
     due: f64,
     last_message: u64,
     call_count: u64,
 }
 
 impl Scenario {
-    /// Plays the scenario. `respond` returns the response to a call that is sent at a time, in seconds, to a
+    /// Runs the scenario. `respond` returns the response to a call. Its arguments are the send time in seconds and the
     /// destination.
     pub fn play(&self, mut respond: impl FnMut(f64, u64) -> Response) -> Observations {
         let mut player = Player::new(self);
@@ -173,7 +173,8 @@
                 deadline: now + Span::from_ms(DEADLINE_MS),
                 destination: DestinationId(destination),
             };
-            // Runs of messages, so that instances and destinations do not keep step.
+            // Consecutive messages go to the same instance in runs, so that the assignment of instances is not aligned with
+            // that of destinations.
             let instance = (self.last_message * 7 / 3) as usize % events.len();
             events[instance].push(Event::Accepted(new_message));
         }
@@ -232,7 +233,7 @@
     }
 }
 
-/// Settings of a small deployment with a slow ramp.
+/// Returns the settings of a small deployment with a slow ramp.
 pub fn three_instances() -> Settings {
     let mut set = settings();
     (set.instances, set.rate_hints) = (3, RateHints::Approximate);
@@ -243,7 +244,7 @@
     set
 }
 
-/// Capacity of a recovering destination under [`three_instances`], as a fraction of its full rate.
+/// Returns the capacity of a recovering destination under [`three_instances`], as a fraction of its full rate.
 pub fn ramp_capacity(recovering_for_s: f64) -> f64 {
     0.27 + 0.73 * (recovering_for_s / 10.0).clamp(0.0, 1.0)
 }
--- a/crates/scheduler/tests/concurrency.rs
+++ b/crates/scheduler/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! Limits on concurrent calls.
+//! Limits on concurrent calls: for a new route, under a connection cap, and for hanging routes.
 
 mod common;
 
@@ -14,7 +14,7 @@
     assert_eq!(
         sends(&scheduler.submit(0, 1).1).len(),
         1,
-        "a call is left for the other destination"
+        "the other destination is sent a call"
     );
 }
 
@@ -27,7 +27,7 @@
     let refused = scheduler.handle(attempt_finished(MessageId(2), 0, Outcome::ConnectFailed));
     assert!(
         sends(&refused).is_empty(),
-        "one call in flight, and no more"
+        "no call beyond the one in flight"
     );
     scheduler
         .after(2000.0)
@@ -36,11 +36,11 @@
     assert_eq!(
         sends(&scheduler.handle_all(&two)).len(),
         1,
-        "two concurrent calls again"
+        "two concurrent calls are permitted again"
     );
 }
 
-/// Three destinations hang while a fourth answers at once.
+/// Three destinations that hang, and a fourth that answers at once.
 struct HangingDestinations {
     scheduler: TestScheduler,
     attempts: BTreeMap<MessageId, u32>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Submits a message to each destination; returns whether the healthy destination's was sent at once.
+    /// Submits a message to each destination. Returns whether the message to the healthy destination was sent at once.
     fn step(&mut self) -> bool {
         let scheduler = &mut self.scheduler;
         scheduler.now = scheduler.now + Span::from_ms(20.0);
--- a/crates/scheduler/tests/connections.rs
+++ b/crates/scheduler/tests/connections.rs
@@ -5,7 +5,7 @@
 use common::*;
 use marblefall_scheduler::*;
 
-/// The settings of one of many instances.
+/// Returns the settings of one of `instances` instances.
 fn many_instances(instances: usize) -> Settings {
     Settings {
         instances,
@@ -28,11 +28,15 @@
             attempt,
             Outcome::StaleConnection,
         ));
-        assert_eq!(sends(&actions).len(), 1, "retried at once, {attempt}");
+        assert_eq!(
+            sends(&actions).len(),
+            1,
+            "attempt {attempt} was not retried at once"
+        );
     }
 }
 
-/// Where endpoints drop idle connections without closing them, the first call after a pause is lost.
+/// If endpoints drop idle connections without closing them, the first call after each pause is lost.
 #[test]
 fn idle_connections_that_lose_calls_are_closed() {
     let mut scheduler = TestScheduler::with_destinations(many_instances(50), 2);
@@ -49,7 +53,7 @@
             .after(100.0)
             .handle(attempt_finished(lost, 1, Outcome::Delivered));
     }
-    // The other destination is of the same kind.
+    // Destination 1 is of the same kind as destination 0.
     scheduler.warm_up(1);
     let (last, _) = scheduler.submit(0, 1);
     let delivered = scheduler
@@ -72,7 +76,10 @@
         .after(50.0)
         .handle(attempt_finished(message, 1, Outcome::Delivered));
     for endpoint in 0..3 {
-        assert!(closes(&delivered, endpoint), "{endpoint}: {delivered:?}");
+        assert!(
+            closes(&delivered, endpoint),
+            "endpoint {endpoint}: {delivered:?}"
+        );
     }
 }
 
@@ -84,7 +91,7 @@
     scheduler.warm_up(0);
     let (message, _) = scheduler.submit(0, 0);
     let delivered = scheduler.handle(attempt_finished(message, 0, Outcome::Delivered));
-    assert!(!closes(&delivered, 0), "no pressure yet");
+    assert!(!closes(&delivered, 0), "closed without pressure");
     let (message, _) = scheduler.submit(0, 0);
     scheduler.handle(attempt_finished(message, 0, Outcome::ConnectFailed));
     scheduler
--- a/crates/scheduler/tests/endpoint_weights.rs
+++ b/crates/scheduler/tests/endpoint_weights.rs
@@ -1,4 +1,4 @@
-//! Weights of endpoints decide their shares of a destination's calls.
+//! The weights of endpoints determine their shares of a destination's calls.
 
 mod common;
 
@@ -14,7 +14,7 @@
     endpoint: usize,
 }
 
-/// One destination with weighted endpoints under an even stream of messages.
+/// A destination with weighted endpoints under an even stream of messages.
 struct Stream {
     scheduler: TestScheduler,
     /// Latency of each endpoint, in ms.
@@ -23,7 +23,7 @@
     failing: Vec<bool>,
     in_flight: Vec<InFlight>,
     attempts: BTreeMap<MessageId, u32>,
-    /// Endpoints of the calls of the latest play, in their order.
+    /// Endpoints of the calls in the latest run, in the order of the calls.
     calls: Vec<usize>,
 }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Submits one message each 10 ms; returns each endpoint's share of the calls.
+    /// Submits one message every 10 ms. Returns each endpoint's share of the calls.
     fn play(&mut self, messages: usize) -> Vec<f64> {
         self.calls.clear();
         for _ in 0..messages {
@@ -122,7 +122,7 @@
         [1.0, 99.0, 1000.0],
         [0.5, 0.25, 0.01],
     ] {
-        // The heaviest is the slowest and the fastest in turn.
+        // The endpoint with the highest weight is the slowest in one run and the fastest in the other.
         for latencies_ms in [[30.0, 90.0, 160.0], [160.0, 90.0, 30.0]] {
             let shares = Stream::new(&weights, &latencies_ms).play(10_000);
             assert_shares(&shares, &weights, 0.02);
@@ -135,19 +135,20 @@
     let mut stream = Stream::new(&[3.0, 1.0], &[50.0, 50.0]);
     stream.play(1000);
     stream.set_weights(&[1.0, 3.0]);
-    // The calls of the next 250 ms.
+    // 25 messages are submitted in the next 250 ms.
     assert_shares(&stream.play(25), &[1.0, 3.0], 0.1);
     assert!(
         stream.calls.iter().take(8).any(|endpoint| *endpoint == 0),
         "{:?}",
         stream.calls
     );
-    // From almost nothing to half: the endpoint neither waits for its old turn nor makes up for missed calls.
+    // The weight rises from almost nothing to half. The endpoint neither waits for the turn that its old weight gave, nor
+    // does it catch up on missed calls.
     let mut stream = Stream::new(&[100.0, 0.001], &[50.0, 50.0]);
     stream.play(1000);
     stream.set_weights(&[100.0, 100.0]);
     assert_shares(&stream.play(24), &[1.0, 1.0], 0.1);
-    // A new endpoint gets its share, not all calls.
+    // A new endpoint receives its share of the calls, not all of them.
     stream.set_weights(&[100.0, 100.0, 100.0]);
     (stream.latencies_ms, stream.failing) = (vec![50.0; 3], vec![false; 3]);
     assert_shares(&stream.play(30), &[1.0, 1.0, 1.0], 0.1);
@@ -159,7 +160,7 @@
     stream.play(500);
     stream.failing[0] = true;
     stream.play(100);
-    // Hardly a call goes to the failed endpoint, and the others keep their proportion.
+    // The failed endpoint receives almost no calls, and the others keep their proportion.
     let shares = stream.play(300);
     assert!(shares[0] < 0.05, "{shares:?}");
     assert!((shares[1] - shares[2]).abs() < 0.05, "{shares:?}");
@@ -167,7 +168,7 @@
     let shares: Vec<f64> = (0..9).map(|_| stream.play(200)[0]).collect();
     let recovered = shares.iter().position(|share| *share > 0.05);
     let recovered = recovered.expect("the endpoint recovers");
-    // The ramp gives 0.2 of its capacity at the start of the recovery, and all of it 9 s later.
+    // The ramp gives the endpoint 0.2 of its capacity at the start of the recovery, and all of it 9 s later.
     assert!(
         shares[recovered] < 0.3 && shares[recovered] < shares[recovered + 2],
         "{shares:?}"
@@ -189,7 +190,7 @@
         instance.handle(messages.now, &events, &mut actions);
         counts[sends(&actions)[0].1 .0 as usize] += 1;
     }
-    // The first call of each instance: the heaviest endpoint gets most of them, but far from all.
+    // Of the first calls of the instances, the endpoint with the highest weight receives most, but far from all.
     assert!(
         counts[0] > counts[1] && counts[1] > counts[2] && counts[2] > 30,
         "{counts:?}"
--- a/crates/scheduler/tests/give_up.rs
+++ b/crates/scheduler/tests/give_up.rs
@@ -1,4 +1,4 @@
-//! Messages that end without a delivery: too late, without time for a call, or shed under load.
+//! Messages that end without a delivery: those past their deadline, without time for a call, or shed under load.
 
 mod common;
 
@@ -84,7 +84,7 @@
     let mut scheduler = TestScheduler::with_destinations(set, 2);
     scheduler.warm_up(0);
     scheduler.warm_up(1);
-    // Heavy messages for a destination in backoff fill the instance.
+    // Messages with a high weight for a destination in backoff use up the limit on open messages.
     let (first, _) = scheduler.submit(2, 0);
     scheduler.handle(attempt_finished(first, 0, rejected_for(1500.0)));
     let pending: Vec<_> = (0..8).map(|_| scheduler.message(2, 0).1).collect();
@@ -93,7 +93,7 @@
     assert_eq!(
         sends(&actions),
         [(light, EndpointId(1))],
-        "it needs no capacity"
+        "a message that can be sent at once is not shed"
     );
     assert!(!given_up(&actions).contains(&light));
 }
--- a/crates/scheduler/tests/many_instances.rs
+++ b/crates/scheduler/tests/many_instances.rs
@@ -1,4 +1,4 @@
-//! Hundreds of instances that share nothing but a route: what they do together.
+//! Combined behaviour of hundreds of instances that share nothing but a route.
 
 mod common;
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// Plays one destination that is listed with `rate` calls per second, under messages at `load` times that rate.
-/// `respond` returns the outcome of a call that is sent at a time.
+/// Runs one destination that is listed with `rate` calls per second and receives messages at `load` times that rate.
+/// `respond` returns the outcome of a call that is sent at the given time.
 fn play(
     seconds: u64,
     rate: f64,
@@ -57,13 +57,14 @@
     calls
 }
 
-/// Half-open trial calls and a budget of at least one call per instance would overload a recovering destination.
+/// Guards against an overload of a recovering destination by half-open trial calls, or by a budget of at least one call
+/// for each instance.
 #[test]
 fn many_instances_keep_a_recovering_routes_budget() {
     play_outage(|_| Outcome::ConnectFailed);
 }
 
-/// Instances whose `Retry-After` ends at the same instant stay within the recovering destination's budget together.
+/// Instances whose `Retry-After` ends at the same time must together stay within the recovering destination's budget.
 #[test]
 fn many_instances_ramp_up_after_the_same_backoff() {
     play_outage(|remaining| Outcome::Rejected {
@@ -71,8 +72,8 @@
     });
 }
 
-/// Plays an outage whose calls have the given outcome, by the time that remains of it, and checks the budget after
-/// it.
+/// Runs an outage and checks the budget after it. `outcome` returns the outcome of a call from the remaining time of the
+/// outage.
 fn play_outage(outcome: impl Fn(Span) -> Outcome) {
     let (rate, down, up) = (60.0, Time::from_ms(6000.0), Time::from_ms(22000.0));
     let rules = settings().rules;
@@ -90,11 +91,11 @@
         let in_window =
             |call: &&CallRecord| call.at >= from && call.at < from + rules.overload_window;
         let sent = calls.iter().filter(in_window).count() as f64;
-        // Instances that never saw the outage send as usual; the rule does not count their calls.
+        // The tolerance allows for instances that never detected the outage and send as usual.
         let most = rules.overload_factor * capacity * rules.overload_window.secs();
         assert!(
             sent <= most * 1.1,
-            "{sent} calls in the window from {step}, at most {most}"
+            "{sent} calls in the window from step {step}, at most {most} permitted"
         );
     }
     let later = calls
@@ -107,7 +108,7 @@
     );
 }
 
-/// Where rejected calls count against a shared limit, retries must not keep it used up.
+/// If rejected calls count against a shared limit, retries must not keep the limit exhausted.
 #[test]
 fn rejections_fade_where_they_count_against_a_shared_limit() {
     let (limit, mut tokens, mut last) = (20.0, 20.0f64, Time::from_ms(1000.0));
@@ -115,7 +116,7 @@
     let calls = play(60, limit, 0.8, |now| {
         tokens = (tokens + (now - last).secs() * limit).min(limit) - 1.0;
         last = now;
-        // For a while every call is rejected, so that every instance has messages to retry.
+        // All calls are rejected for a while, so that every instance has messages to retry.
         let is_closed = now >= closed.0 && now < closed.1;
         tokens = tokens.max(-2.0 * limit);
         if tokens < 0.0 || is_closed {
@@ -137,7 +138,7 @@
     );
 }
 
-/// Under an overload no single instance sees enough rejections to slow down, while rejected calls use up the limit.
+/// Under an overload, each instance receives too few rejections to slow down, while rejected calls use up the limit.
 #[test]
 fn overloaded_shared_limit_is_used_by_accepted_calls() {
     let (limit, mut tokens, mut last) = (50.0, 25.0f64, Time::from_ms(1000.0));
@@ -169,7 +170,7 @@
     );
 }
 
-/// Calls that one instance sends in the first 8 s after an outage of 4 s, where responses report this limit.
+/// Returns the number of calls that one instance sends in the first 8 s after an outage of 4 s. Responses report `limit`.
 fn sent_after_outage(limit: Option<f64>) -> usize {
     let (down_ms, up_ms) = (2000.0, 6000.0);
     let set = Settings {
@@ -208,7 +209,8 @@
     sent_after_outage
 }
 
-/// An instance that seldom called a destination does not ramp by that low rate where a higher limit is reported.
+/// The ramp of an instance that rarely called a destination must follow a higher reported limit, not the low rate of its
+/// own calls.
 #[test]
 fn recovery_is_ramped_by_the_reported_limit() {
     let guessed = sent_after_outage(None);
@@ -219,7 +221,7 @@
     );
 }
 
-/// Time until the next call after a response that reports this remaining share of the quota, in ms.
+/// Returns the time until the next call after a response that reports this remaining share of the quota, in ms.
 fn delay_after_report(remaining: f64) -> f64 {
     let mut scheduler = TestScheduler::with_destinations(fleet_settings(), 1);
     let (first, _) = scheduler.submit(0, 0);
@@ -243,7 +245,7 @@
     let delay_ms = delay_after_report(0.1);
     assert!(
         (400.0..=1700.0).contains(&delay_ms),
-        "{delay_ms} ms, where a share of the limit is one call per second"
+        "{delay_ms} ms, although the instance's share of the limit is one call per second"
     );
 }
 
@@ -266,11 +268,11 @@
     assert!(counts.iter().all(|count| *count >= 20), "{counts:?}");
     assert!(
         counts[2] >= 95 && counts[2] <= 145,
-        "three fifths of the rate: {counts:?}"
+        "not three fifths of the instances: {counts:?}"
     );
 }
 
-/// Time until the next call after a run of rejections, where responses report this limit, in ms.
+/// Returns the time until the next call after a run of rejections, in ms. Responses report `limit`.
 fn hold_after_rejections(limit: Option<f64>) -> f64 {
     let mut set = fleet_settings();
     set.rate_hints = RateHints::Absent;
@@ -281,7 +283,7 @@
         limit,
     };
     scheduler.handle(attempt_reported(first, 0, Outcome::Delivered, report));
-    // Rejections of calls that were in flight together, so that the rate limiter is cut once.
+    // The rejected calls were in flight at the same time, so that the rate limiter cuts its rate only once.
     let calls: Vec<MessageId> = (0..2).map(|_| scheduler.submit(0, 0).0).collect();
     scheduler.after(50.0);
     for round in 0..2 {
@@ -307,7 +309,7 @@
     assert!(reported < 5000.0, "{reported} ms with a reported limit");
 }
 
-/// Instances whose requests for the list failed together must not repeat them together.
+/// Instances whose requests for the list failed at the same time must not retry at the same time.
 #[test]
 fn failed_list_requests_are_retried_apart_and_in_time() {
     let mut set = fleet_settings();
@@ -341,6 +343,6 @@
     let most = most.expect("the list is requested again");
     assert!(
         *most < INSTANCES / 2,
-        "{most} of {INSTANCES} in a quarter of a second"
+        "{most} of {INSTANCES} instances sent a request in the same quarter of a second"
     );
 }
--- a/crates/scheduler/tests/message_selection.rs
+++ b/crates/scheduler/tests/message_selection.rs
@@ -1,4 +1,4 @@
-//! Which pending message is sent first.
+//! Order in which pending messages are sent.
 
 mod common;
 
@@ -40,7 +40,8 @@
     assert_eq!(sends(&scheduler.handle_all(&[slow, event]))[0].0, fast);
 }
 
-/// Under linear decay to a high late value, a heavy message stays heavy for long.
+/// Under linear decay to a high late value, an old message with a high priority weight precedes a new one with a low
+/// weight. Under halving it does not.
 #[test]
 fn weight_decay_follows_the_settings() {
     for (value_decay, old_is_first) in [(ValueDecay::Halving, false), (ValueDecay::Linear, true)] {
--- a/crates/scheduler/tests/ordering.rs
+++ b/crates/scheduler/tests/ordering.rs
@@ -1,14 +1,14 @@
-//! Messages with one ordering key.
+//! Messages with the same ordering key are sent one at a time, with a pause after an attempt that may still be running.
 
 mod common;
 
 use common::*;
 use marblefall_scheduler::*;
 
-/// The ordered class.
+/// Index of the ordered class in the test settings.
 const ORDERED: usize = 3;
 
-/// A message with the one ordering key of these tests, and its event.
+/// Returns a message with the ordering key that all of these tests use, and its event.
 fn ordered_message(scheduler: &mut TestScheduler, destination: u64) -> (MessageId, Event) {
     let new_message = NewMessage {
         ordering_key: Some(OrderingKey(5)),
@@ -65,7 +65,7 @@
         let (second, event) = ordered_message(scheduler.at(1200.0), 1);
         assert!(
             sends(&scheduler.handle(event)).is_empty(),
-            "{outcome:?}: no pause"
+            "{outcome:?}: sent within the pause"
         );
         assert!(sends(&scheduler.idle(1799.0)).is_empty());
         assert_eq!(
--- a/crates/scheduler/tests/policy_files.rs
+++ b/crates/scheduler/tests/policy_files.rs
@@ -1,19 +1,20 @@
-//! The policy is read after outages: every file of it holds one concern, is short, and is named in the deploy file.
+//! Layout of the policy files. Operators read them after outages, so each file must have one concern, be short, and be
+//! named in the deploy file.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The longest policy file, in lines that are not blank.
+/// Maximum length of a policy file, in lines that are not blank.
 const MAX_LINES: usize = 120;
-/// The longest function of a policy file, from its first line to its closing brace.
+/// Maximum length of a function in a policy file, from its first line to its closing brace.
 const MAX_FUNCTION_LINES: usize = 40;
-/// The policy has at least this many functions; fewer are found only if the search for them fails.
+/// Minimum number of functions in the policy. A lower count means that the search for functions is broken.
 const MIN_FUNCTIONS: usize = 50;
-/// The widest line, in characters.
+/// Maximum length of a line, in characters.
 const MAX_WIDTH: usize = 110;
 
-/// One file of the policy.
+/// A file of the policy.
 struct PolicyFile {
     /// Path from the root of the repository.
     path: String,
@@ -24,7 +25,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// `policy.rs` and every file below `policy`, at any depth.
+/// Returns `policy.rs` and every file below the folder `policy`, at any depth.
 fn policy_files() -> Vec<PolicyFile> {
     let source = package_root().join("src");
     let mut paths = vec![source.join("policy.rs")];
@@ -52,14 +53,14 @@
     path.display().to_string()
 }
 
-/// The module that a file holds.
+/// Returns the name of the module in a file.
 fn module_name(file: &PolicyFile) -> &str {
     let stem = Path::new(&file.path).file_stem();
     let name = stem.and_then(|stem| stem.to_str());
     name.expect("a file has a name")
 }
 
-/// The policy files that the deploy file names.
+/// Returns the paths of the policy files that the deploy file names.
 fn deployed_files() -> Vec<String> {
     let path = package_root().join("../../deploy/balancer.toml");
     let deploy = fs::read_to_string(path).expect("the deploy file is text");
@@ -89,7 +90,7 @@
     }
 }
 
-/// The name of the function that begins on a line.
+/// Returns the name of the function that begins on a line, if any.
 fn function_name(line: &str) -> Option<&str> {
     let declaration = line.trim_start();
     let (modifiers, rest) = declaration.split_once("fn ")?;
@@ -99,13 +100,15 @@
         .map(|(name, _)| name)
 }
 
-/// A function of the policy, from its first line to its closing brace.
+/// A function of the policy.
 struct Function {
     name: String,
+    /// Number of lines, from the first line to the closing brace.
     lines: usize,
 }
 
-/// All functions of a formatted file: a function ends with the first brace that is indented as its declaration is.
+/// Returns all functions of a formatted file. A function ends with the first closing brace that has the indentation of
+/// its declaration.
 fn functions(text: &str) -> Vec<Function> {
     let lines: Vec<&str> = text.lines().collect();
     let mut functions = Vec::new();
@@ -139,8 +142,7 @@
     assert!(count >= MIN_FUNCTIONS, "only {count} functions were found");
 }
 
-/// Each module states its concern in its first line, adds its decisions to the scheduler in one block, and is listed
-/// with its concern in `policy.rs`.
+/// Each module states its concern in its first line, has one `impl Scheduler` block, and is listed once in `policy.rs`.
 #[test]
 fn each_policy_file_holds_one_concern() {
     let files = policy_files();
@@ -158,7 +160,7 @@
             "{path}: {concern} is stated twice"
         );
         let blocks = text.matches("\nimpl Scheduler {").count();
-        assert_eq!(blocks, 1, "{path}: decisions in {blocks} blocks");
+        assert_eq!(blocks, 1, "{path}: {blocks} impl blocks of Scheduler");
         let name = module_name(file);
         let listed = format!("//! - [`{name}`]: ");
         let entries = index.text.lines().filter(|line| line.starts_with(&listed));
@@ -166,13 +168,13 @@
         let declared = format!("pub(crate) mod {name};");
         assert!(
             index.text.contains(&declared),
-            "{path} is not part of the program"
+            "{path} is not declared as a module"
         );
     }
     let head: String = index.text.lines().take(4).collect();
     assert!(
         head.contains("interface.rs"),
-        "the head names the interface file"
+        "the module documentation names the interface file"
     );
 }
 
--- a/crates/scheduler/tests/random_events.rs
+++ b/crates/scheduler/tests/random_events.rs
@@ -1,5 +1,5 @@
-//! Random legal events with fixed seeds; the rules are checked on every action. Destinations have no model: any
-//! outcome may follow any send.
+//! Random legal events with fixed seeds. The delivery rules are checked on every action. Destinations are not modelled:
+//! any outcome may follow any send.
 
 mod common;
 
@@ -9,11 +9,11 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=24;
 const STEPS: u64 = 6000;
-/// Messages are submitted until this step.
+/// Step at which the submissions end.
 const LAST_SUBMISSION: u64 = 4000;
-/// Endpoint n belongs to destination n / 2 and zone n % 2.
+/// Number of endpoints. Endpoint n belongs to destination n / 2 and zone n % 2.
 const ENDPOINTS: u32 = 10;
-/// The endpoints of destinations from this one on are separate routes.
+/// First destination whose endpoints are separate routes.
 const FIRST_SEPARATE: u64 = 3;
 
 fn destination_of(endpoint: u32) -> u64 {
@@ -24,7 +24,7 @@
     endpoint as usize % 2
 }
 
-/// A route, as the rules see it.
+/// Identity of a route in the rule checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Route {
     Shared { destination: u64 },
@@ -70,7 +70,7 @@
     destination: u64,
     ordering_key: Option<OrderingKey>,
     deadline: Time,
-    /// Number of the submission.
+    /// Sequence number of the submission.
     number: usize,
     attempts: u32,
     in_flight: Option<InFlight>,
@@ -78,7 +78,7 @@
     has_outcome: bool,
 }
 
-/// Checks the rules on every action.
+/// Checks the delivery rules on every action.
 struct RuleChecker {
     settings: Settings,
     messages: BTreeMap<MessageId, Submitted>,
@@ -123,8 +123,11 @@
     }
 
     fn check_send(&self, now: Time, message: &Submitted, endpoint: u32) {
-        assert!(!message.has_outcome, "sent after its final outcome");
-        assert!(message.in_flight.is_none(), "two attempts in flight");
+        assert!(!message.has_outcome, "sent after the final outcome");
+        assert!(
+            message.in_flight.is_none(),
+            "two attempts of one message in flight"
+        );
         assert_eq!(destination_of(endpoint), message.destination);
         assert!(
             self.active_endpoints.contains(&endpoint),
@@ -137,10 +140,10 @@
         );
         let idempotency = self.settings.classes[message.class].idempotency;
         match (idempotency, message.first_possible_execution) {
-            (Idempotency::NonIdempotent, Some(_)) => panic!("non-idempotent message repeated"),
+            (Idempotency::NonIdempotent, Some(_)) => panic!("non-idempotent message retried"),
             (Idempotency::IdempotencyKey { window, .. }, Some(first)) => assert!(
                 now - first.sent < window && first.zone == zone_of(endpoint),
-                "repeated beyond the scope of the idempotency key"
+                "retried outside the scope or window of the idempotency key"
             ),
             _ => {}
         }
@@ -156,7 +159,10 @@
                 && other.number < message.number
                 && (!other.has_outcome || other.in_flight.is_some())
         };
-        assert!(!self.messages.values().any(precedes), "out of order");
+        assert!(
+            !self.messages.values().any(precedes),
+            "sent before an earlier message with the same ordering key"
+        );
         let pause = self.ordering_pauses.get(&key);
         let is_over = pause.is_none_or(|until| *until <= now);
         assert!(
@@ -174,7 +180,10 @@
     }
 
     fn sent(&mut self, now: Time, id: MessageId, endpoint: u32) {
-        let message = self.messages.get_mut(&id).expect("it was checked");
+        let message = self
+            .messages
+            .get_mut(&id)
+            .expect("only submitted messages are sent");
         message.in_flight = Some(InFlight {
             attempt: message.attempts,
             endpoint,
@@ -192,7 +201,7 @@
     fn given_up(&mut self, now: Time, id: MessageId) {
         let message = self.messages.get_mut(&id);
         let message = message.expect("only submitted messages are given up");
-        assert!(!message.has_outcome, "two final outcomes");
+        assert!(!message.has_outcome, "a message has two final outcomes");
         assert!(
             now <= message.deadline + Span::from_ms(20.0),
             "given up too late"
@@ -202,11 +211,17 @@
 
     /// Ends the attempt of a message with a random outcome.
     fn finish_attempt(&mut self, id: MessageId, now: Time, random: &mut SeededRandom) -> Event {
-        let message = self.messages.get_mut(&id).expect("it is in flight");
-        let attempt = message.in_flight.take().expect("it is in flight");
+        let message = self
+            .messages
+            .get_mut(&id)
+            .expect("the message was submitted");
+        let attempt = message
+            .in_flight
+            .take()
+            .expect("the message has an attempt in flight");
         self.in_flight -= 1;
         let outcome = random_outcome(random, now >= message.deadline);
-        // Stated here independently of the implementation.
+        // This list is kept independent of the implementation on purpose.
         let is_not_executed = matches!(
             outcome,
             Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent
@@ -250,7 +265,7 @@
     }
 }
 
-/// A random outcome, most often a delivery; a time-out once the deadline is over.
+/// Returns a random outcome, most often a delivery, or a time-out if the deadline has passed.
 fn random_outcome(random: &mut SeededRandom, deadline_is_over: bool) -> Outcome {
     let draw = random.below(24);
     if deadline_is_over {
@@ -268,7 +283,7 @@
     }
 }
 
-/// The scheduler under random events.
+/// A run of the scheduler with random events.
 struct RandomRun {
     scheduler: TestScheduler,
     random: SeededRandom,
@@ -369,7 +384,8 @@
         let index = self.random.below(open.len().max(1) as u64) as usize;
         let id = *open.get(index)?;
         let message = self.rules.messages.get_mut(&id);
-        message.expect("it is open").has_outcome = true;
+        let message = message.expect("the message was submitted");
+        message.has_outcome = true;
         Some(Event::Cancelled(id))
     }
 }
@@ -382,7 +398,7 @@
             run.step(step);
             assert!(
                 !run.rules.is_any_overdue(run.scheduler.now),
-                "seed {seed}: a message was left without an outcome"
+                "seed {seed}: a message has no outcome after its deadline"
             );
         }
         let mut messages = run.rules.messages.values();
--- a/crates/scheduler/tests/rate_limiting.rs
+++ b/crates/scheduler/tests/rate_limiting.rs
@@ -1,4 +1,4 @@
-//! The rate limiter of a route that rejects calls.
+//! Rate limiter of a route that rejects calls.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use marblefall_scheduler::*;
 use std::collections::BTreeMap;
 
-/// Whether each attempt was rejected by a destination that accepts `limit` calls per second, over 20 s at 10 messages
-/// per second.
+/// Runs a destination that accepts `limit` calls per second for 20 s at 10 messages per second. Returns for each attempt
+/// whether it was rejected.
 fn rejections_under_limit(limit: f64) -> Vec<bool> {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     let (mut tokens, mut rejections) = (1.0f64, Vec::new());
@@ -45,7 +45,7 @@
     let share = rejected as f64 / later.len() as f64;
     assert!(share < 0.35, "{share} of the later attempts rejected");
     let accepted = rejections.iter().filter(|rejected| !**rejected).count();
-    assert!(accepted > 40, "{accepted} of at most 80 accepted");
+    assert!(accepted > 40, "{accepted} of at most 80 calls accepted");
 }
 
 #[test]
@@ -55,7 +55,7 @@
     assert!(rejections.iter().all(|rejected| !rejected));
 }
 
-/// A single rejection, as from an endpoint that drains, may start the limiter far below the traffic.
+/// A single rejection, for example from a draining endpoint, may start the limiter at a rate far below the traffic.
 #[test]
 fn too_low_rate_limit_grows_without_rejections() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
@@ -68,7 +68,7 @@
     let mut in_flight: Vec<Event> = Vec::new();
     for step in 1..=180 {
         scheduler.at(start + f64::from(step) * 50.0);
-        // Four messages per second, each delivered by the next step.
+        // Four messages are submitted per second. Each is delivered by the next step.
         let mut events = std::mem::take(&mut in_flight);
         events.extend((step % 5 == 0).then(|| scheduler.message(0, 0).1));
         for (message, _) in sends(&scheduler.handle_all(&events)) {
@@ -112,11 +112,11 @@
     }
     assert!(
         sent >= 18,
-        "{sent} of 20 sent in 2 s, at half of an even share of the limit"
+        "{sent} of 20 sent in 2 s, although that is half of an even share of the limit"
     );
 }
 
-/// The least rates of all instances together must not use up a small limit.
+/// The minimum rate is divided among the instances, as the sum of their minimum rates must not use up a low limit.
 #[test]
 fn instances_share_the_minimum_rate_limit() {
     let sent_by_one_of = |instances: usize| {
--- a/crates/scheduler/tests/rate_limiting_over_time.rs
+++ b/crates/scheduler/tests/rate_limiting_over_time.rs
@@ -1,4 +1,4 @@
-//! Rate limiters over time: destinations that reject calls at random, and destinations with a real limit.
+//! Rate limiters over time, for destinations that reject calls at random and for destinations with a rate limit.
 
 mod common;
 
@@ -6,7 +6,8 @@
 use common::*;
 use marblefall_scheduler::*;
 
-/// Messages given up in 8 runs of 40 s, by a destination that rejects a quarter of the calls at random.
+/// Returns the number of messages given up in 8 runs with 40 s of submissions, for a destination that rejects a quarter of
+/// the calls at random.
 fn given_up_under_random_rejections(instances: usize, offered_rate: f64) -> usize {
     let runs = (0..8).map(|seed| {
         let scenario = Scenario {
@@ -33,10 +34,10 @@
     runs.sum()
 }
 
-/// Where the destination has room for all calls, a lower rate would only lose messages.
+/// The destination has capacity for all calls, so that a lower rate would only lose messages.
 #[test]
 fn random_rejections_do_not_lower_the_rate() {
-    // Of 8 runs with 600 or 240 messages each.
+    // The bounds apply to 8 runs with 600 or 240 messages each.
     for (instances, offered_rate, most) in
         [(1, 15.0, 48), (3, 15.0, 480), (1, 6.0, 5), (3, 6.0, 10)]
     {
@@ -48,7 +49,7 @@
     }
 }
 
-/// A limit of ten calls in any second, also where the listed rate is half too high.
+/// The limiters must stay near a limit of ten calls in any second, even if the listed rate is half too high.
 #[test]
 fn real_limit_is_kept() {
     const LIMIT: usize = 10;
@@ -85,11 +86,11 @@
         let rejected = rejected.count() as f64 / calls.len() as f64;
         assert!(
             rejected <= most,
-            "{instances} instances, listed at {advertised_rate}: {rejected:.2} rejected"
+            "{instances} instances, listed at {advertised_rate}: {rejected:.2} of the calls rejected"
         );
         assert!(
             observed.deliveries.len() >= 540,
-            "{} of 600 delivered",
+            "{} of at most 600 accepted messages delivered",
             observed.deliveries.len()
         );
     }
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Ejected and silent routes, and how they return to service.
+//! Return of ejected and silent routes to service.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use marblefall_scheduler::*;
 use std::collections::BTreeMap;
 
-/// A destination that rejects every call for 8 s: its rate limiter must not sink meanwhile.
+/// While a destination rejects every call for 8 s, the rate of its limiter must not fall to the minimum.
 #[test]
 fn recovered_destination_is_served_soon() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
@@ -32,7 +32,7 @@
     }
     assert!(
         sent_after_recovery >= 10,
-        "{sent_after_recovery} sent from 2 s to 4 s after the recovery, of 10 per second"
+        "{sent_after_recovery} sent from 2 s to 4 s after the recovery, with 10 messages per second submitted"
     );
 }
 
@@ -72,18 +72,18 @@
     assert_eq!(sends(&actions).len(), 1);
 }
 
-/// Settings with many concurrent calls, so that only a ramp restrains a backlog.
+/// Returns settings with many concurrent calls, so that only a ramp limits the sending of a backlog.
 fn thirty_calls() -> Settings {
     let mut set = settings();
     set.limits.max_in_flight = 30;
     set
 }
 
-/// Calls that the first answer of a silent route permits, with this backlog.
+/// Returns the number of calls that are sent at the first answer of a silent route with this backlog.
 fn sent_after_silence(backlog: usize) -> usize {
     let mut scheduler = TestScheduler::with_destinations(thirty_calls(), 1);
     scheduler.warm_up(0);
-    // Calls that hang: none of them fails in the time, but nothing is answered.
+    // These calls hang: none of them fails during the test, but the route answers nothing.
     for at in [2000.0, 2001.0] {
         scheduler.at(at).submit(0, 0);
     }
@@ -107,11 +107,11 @@
         sent_after_silence(7) >= 7,
         "a small backlog is sent at once"
     );
-    assert!(sent_after_silence(8) <= 1, "a large one is ramped");
+    assert!(sent_after_silence(8) <= 1, "a large backlog is ramped");
 }
 
-/// Calls that the first answer of a destination permits, with a backlog of 12 messages that have these prior
-/// attempts.
+/// Returns the number of calls that are sent at the first answer of a destination with a backlog of 12 messages. Each
+/// message has the given prior attempts.
 fn sent_after_first_answer(prior: Option<PriorAttempts>) -> usize {
     let mut scheduler = TestScheduler::with_destinations(thirty_calls(), 1);
     let events: Vec<Event> = (0..12)
@@ -124,7 +124,10 @@
         })
         .collect();
     let sent = sends(&scheduler.handle_all(&events));
-    assert!(sent.len() <= 2, "few are sent before an answer: {sent:?}");
+    assert!(
+        sent.len() <= 2,
+        "too many sent before the first answer: {sent:?}"
+    );
     let attempt = prior.map_or(0, |prior| prior.attempts);
     let (first, _) = sent[0];
     let answered =
@@ -146,7 +149,7 @@
     assert!(sent_after_first_answer(None) > 5);
 }
 
-/// A destination that refuses connections from 5 s to 20 s, with a message each 300 ms.
+/// A destination that refuses connections from 5 s to 20 s and receives a message every 300 ms.
 struct Outage {
     scheduler: TestScheduler,
     attempts: BTreeMap<MessageId, u32>,
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Plays 30 s; returns the times of all sends and health checks, in seconds.
+    /// Runs 30 s. Returns the times of all sends and health checks, in seconds.
     fn play(mut self) -> Vec<f64> {
         for step in 0..6000u64 {
             self.scheduler.now = Time::from_ms(1000.0 + step as f64 * 5.0);
@@ -192,7 +195,7 @@
         self.sent_at_s
     }
 
-    /// The ends of the attempts and health checks that have been in flight for 100 ms.
+    /// Returns the events of the attempts and health checks that have been in flight for 100 ms.
     fn finished(&mut self) -> Vec<Event> {
         let now = self.scheduler.now;
         let is_due = |sent: Time| now - sent >= Span::from_ms(100.0);
@@ -244,7 +247,8 @@
             let sent = times.iter().filter(|at| window.contains(*at));
             sent.count()
         };
-        // The usual rate is 10 in 3 s. The rule permits 2 x 0.2 of it at the ramp's start: 2.7 in 2 s, chance aside.
+        // The usual rate is 10 sends in 3 s. At the start of the ramp the rule permits 2 x 0.2 of that rate, which is 2.7
+        // sends in 2 s. The bound adds a margin for random variation.
         for start in 0..40 {
             let start = 7.0 + f64::from(start) * 0.35;
             let sent = sent_in(start..start + 2.0);
@@ -255,11 +259,11 @@
         }
         assert!(
             sent_in(20.0..24.0) >= 2,
-            "the recovery is found within seconds, health checks {health_checks}"
+            "the recovery is not detected within seconds, health checks {health_checks}"
         );
         assert!(
             sent_in(29.5..31.0) >= 4,
-            "after the ramp the usual rate is sent, health checks {health_checks}"
+            "the usual rate is not reached after the ramp, health checks {health_checks}"
         );
     }
 }
--- a/crates/scheduler/tests/recovery_model/main.rs
+++ b/crates/scheduler/tests/recovery_model/main.rs
@@ -1,5 +1,5 @@
-//! Model checks of the recovery: every order of events up to a bound, for the recovery ramp alone and for the whole
-//! scheduler. The expected rules are stated here independently of the implementation.
+//! Model checks of the recovery: every order of events up to a bound, for the recovery ramp alone and for the complete
+//! scheduler. The expected rules are implemented here a second time, independently of the scheduler.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -8,8 +8,9 @@
 
 use marblefall_scheduler::{Rules, Span};
 
-/// Calls that may be sent in an overload window to a route that has been recovering for this long. `own_rate` is the
-/// instance's share of its capacity, `max_rate` the upper bound after the ramp.
+/// Returns the number of calls that may be sent in an overload window to a route that has been recovering for
+/// `recovering_for`. `own_rate` is the instance's share of the route's capacity, and `max_rate` the upper bound after the
+/// ramp.
 fn max_calls(rules: &Rules, recovering_for: Span, own_rate: f64, max_rate: f64) -> usize {
     let progress = recovering_for.ms() / rules.ramp_duration.ms();
     let ramp = rules.ramp_start + (1.0 - rules.ramp_start) * progress;
--- a/crates/scheduler/tests/recovery_model/ramp.rs
+++ b/crates/scheduler/tests/recovery_model/ramp.rs
@@ -1,4 +1,4 @@
-//! The recovery ramp of one route alone, in steps of half a second.
+//! Model of the recovery ramp of one route alone, in steps of half a second.
 
 use super::common::settings;
 use super::max_calls;
@@ -9,16 +9,16 @@
 use stateright::{Checker, Model, Property};
 
 const STEP: Span = Span::from_secs(0.5);
-/// The least time between two half-open trial calls.
+/// Minimum time between two half-open trial calls.
 const MIN_TRIAL_INTERVAL: Span = Span::from_secs(0.7);
-/// Consecutive failures that eject the route.
+/// Number of consecutive failures that eject the route.
 const FAILURES_TO_EJECT: u8 = 2;
 const MAX_PENDING: u8 = 3;
 const MAX_IN_FLIGHT: usize = 2;
-/// The model ends at this time, in ms.
+/// End of the model, in ms.
 const END_MS: f64 = 5000.0;
 
-/// A route with this share of capacity.
+/// Model of a route, with the rates of its [`RouteCapacity`].
 struct RampModel {
     own_rate: f64,
     max_rate: f64,
@@ -29,12 +29,12 @@
     now: Time,
     ramp: RecoveryRamp,
     pending: u8,
-    /// Send times of the calls in flight, in their order.
+    /// Send times of the calls in flight, in the order of the sends.
     in_flight: Vec<Time>,
     consecutive_failures: u8,
     /// Send times since the latest ejection.
     sends: Vec<Time>,
-    /// When the route first answered since then.
+    /// Time of the first answer since the latest ejection.
     recovering_since: Option<Time>,
     violation: Option<&'static str>,
 }
@@ -46,7 +46,7 @@
     Send,
     Answer,
     Fail,
-    /// Only the route's health is left, as after a restart.
+    /// Everything except the route's health is lost, as in a restart of the instance.
     Restart,
 }
 
@@ -69,7 +69,7 @@
             (RouteHealth::Ejected(_), _)
                 if since_last.is_some_and(|since| since < MIN_TRIAL_INTERVAL) =>
             {
-                self.violation = Some("half-open trial calls too close to each other");
+                self.violation = Some("too little time between half-open trial calls");
             }
             (RouteHealth::Recovering(_), Some(since)) => {
                 let is_recent = |sent: &&Time| self.now - **sent < rules.overload_window;
@@ -103,7 +103,7 @@
         let after = self.ramp.health();
         match (before, after) {
             (RouteHealth::Ejected(since), RouteHealth::Recovering(_)) if sent < since => {
-                self.violation = Some("a call sent before the outage ended it");
+                self.violation = Some("a call sent before the ejection started the recovery");
             }
             (RouteHealth::Ejected(_), RouteHealth::Recovering(_)) => {
                 self.recovering_since = Some(self.now);
@@ -112,7 +112,7 @@
                 if has_pending || self.now - since < rules.ramp_duration =>
             {
                 self.violation =
-                    Some("healthy before the end of the ramp, or with pending messages");
+                    Some("healthy before the end of the ramp or with pending messages");
             }
             (_, RouteHealth::Ejected(_)) if change.is_some() => {
                 (self.sends, self.recovering_since) = (vec![], None);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Forgets the sends that are older than the window, so that states meet again; the last one is kept.
+    /// Removes the sends that are older than the window, except the last one, so that equivalent states compare equal.
     fn forget_old_sends(&mut self, rules: &Rules) {
         let now = self.now;
         let last = self.sends.last().copied();
--- a/crates/scheduler/tests/recovery_model/scheduler.rs
+++ b/crates/scheduler/tests/recovery_model/scheduler.rs
@@ -1,4 +1,4 @@
-//! The whole scheduler with one destination that is out of service: all orders of events of a given length.
+//! Model of the complete scheduler with one destination that is out of service: all orders of events up to a length.
 
 use super::common::{
     attempt_finished, listed_endpoint, rejected_for, sends, settings, TestScheduler, REJECTED,
@@ -11,11 +11,11 @@
 
 /// Listed rate of the destination, in calls per second.
 const LISTED_RATE: f64 = 6.0;
-/// Consecutive failures that eject the destination.
+/// Number of consecutive failures that eject the destination.
 const FAILURES_TO_EJECT: u32 = 3;
-/// The most half-open trial calls at once.
+/// Maximum number of concurrent half-open trial calls.
 const MAX_TRIAL_CALLS: usize = 2;
-/// Length of the orders of events.
+/// Maximum number of events in an order.
 const EVENTS: usize = 6;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -55,7 +55,7 @@
     sent: Time,
 }
 
-/// What an observer outside the scheduler knows of the destination.
+/// State of the destination, derived only from the scheduler's input and output.
 #[derive(Default)]
 struct Observer {
     in_flight: Vec<InFlight>,
@@ -102,7 +102,7 @@
         own_rate: f64,
     ) -> Result<(), &'static str> {
         if self.in_flight.iter().any(|other| other.message == message) {
-            return Err("two attempts of one message");
+            return Err("two attempts of one message in flight");
         }
         self.in_flight.push(InFlight {
             message,
@@ -123,7 +123,7 @@
         if recovering_for >= rules.ramp_duration {
             return Ok(());
         }
-        // Only calls since the start of the recovery count against the present capacity.
+        // Calls before the start of the recovery do not count against the present capacity.
         let counts = |sent: Time| sent >= since && now - sent < rules.overload_window;
         let recent = self.sends.iter().filter(|(_, sent)| counts(*sent)).count();
         if recent > max_calls(rules, recovering_for, own_rate, f64::INFINITY) {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Plays an outage and then these steps; returns the number of sends, or the rule that was violated.
+/// Runs an outage and then `steps`. Returns the number of sends, or the rule that was violated.
 fn play(steps: &[Step]) -> Result<usize, &'static str> {
     let set = Settings {
         rate_hints: RateHints::Exact,
@@ -174,7 +174,7 @@
     scheduler.handle(attempt_finished(call.message, call.attempt, outcome))
 }
 
-/// All orders of steps up to a length.
+/// Model whose states are all orders of steps up to a length.
 struct SchedulerModel {
     length: usize,
 }
--- a/crates/scheduler/tests/recovery_over_time.rs
+++ b/crates/scheduler/tests/recovery_over_time.rs
@@ -1,4 +1,4 @@
-//! Instances and destinations over time: outages, flapping, and many destinations that recover together.
+//! Recovery of destinations over time: a long outage, flapping, and many destinations that recover at the same time.
 
 mod common;
 
@@ -67,17 +67,20 @@
     assert_eq!(
         observed.deliveries.len() + observed.given_up,
         48,
-        "each message is answered"
+        "each message has a final outcome"
     );
-    // A message all of whose six attempts fall into down times is given up.
+    // A message is given up if all of its six attempts are made while the destination is down.
     assert!(observed.given_up <= 1, "{} given up", observed.given_up);
-    // Two half-open trial calls of each instance, and the calls before the ejection.
+    // The bound allows two half-open trial calls of each instance, and the calls before the ejection.
     let worst = observed
         .loads(1.0)
         .filter(|load| is_down(load.end_s))
         .map(|load| load.calls_per_s)
         .fold(0.0, f64::max);
-    assert!(worst <= 8.0, "{worst} calls within one second of down time");
+    assert!(
+        worst <= 8.0,
+        "{worst} calls within one second of the outage"
+    );
 }
 
 #[test]
@@ -104,11 +107,11 @@
             .entry(delivery.destination)
             .or_insert(delivery.delivered_at_s);
     }
-    assert_eq!(first_deliveries.len(), 1000, "all are served");
+    assert_eq!(first_deliveries.len(), 1000, "all destinations are served");
     let last = first_deliveries.values().copied().fold(0.0, f64::max) - up_s;
-    // The destinations with the least traffic have their next message after 20 s.
+    // Each destination receives a message every 20 s.
     assert!(
         last < 20.0,
-        "the last was served {last:.1} s after the outage"
+        "the last destination was served {last:.1} s after the outage"
     );
 }
--- a/crates/scheduler/tests/resumed_messages.rs
+++ b/crates/scheduler/tests/resumed_messages.rs
@@ -1,11 +1,11 @@
-//! Messages that outlived their instance's process: the attempts of the earlier incarnation count.
+//! Messages that are resumed after a restart: the attempts of the earlier incarnation count.
 
 mod common;
 
 use common::*;
 use marblefall_scheduler::*;
 
-/// Resumes a message with these attempts, of which the first that may have been executed is given.
+/// Resumes a message with this number of attempts and this first attempt that may have been executed.
 fn resume(
     scheduler: &mut TestScheduler,
     class: usize,
--- a/crates/scheduler/tests/retry_rules.rs
+++ b/crates/scheduler/tests/retry_rules.rs
@@ -1,4 +1,4 @@
-//! What idempotency permits, and which endpoints may be used.
+//! Retries that the idempotency of a message permits, and endpoints that may be called.
 
 mod common;
 
@@ -59,7 +59,7 @@
     )));
     assert_eq!(retried.len(), 1);
     assert_eq!(zone(retried[0].1), zone(first));
-    // The backoff ends together with the window; one instant earlier there would be another attempt.
+    // The backoff ends at the end of the deduplication window. If it ended any earlier, there would be another attempt.
     let rejected = scheduler
         .at(2100.0)
         .handle(attempt_finished(message, 1, rejected_for(2900.0)));
--- a/crates/scheduler/tests/robustness.rs
+++ b/crates/scheduler/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Odd but legal input, and independence of instances.
+//! Unusual but legal input, contradictory settings, and independence of schedulers.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use marblefall_scheduler::*;
 use std::collections::BTreeSet;
 
-/// Advertised rates that make no sense.
+/// Advertised rates without a sensible meaning.
 const ODD_RATES: [f64; 5] = [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300];
 
 #[test]
@@ -64,11 +64,12 @@
     assert_eq!(
         given_up(&scheduler.handle(event)),
         [message],
-        "a message of an undefined class cannot be sent"
+        "a message of an undefined class fails at once"
     );
 }
 
-/// Late on arrival, without an ordering key, with odd rates, and with a list that arrives twice.
+/// Covers a message past its deadline on arrival, a message of an ordered class without an ordering key, invalid rates,
+/// and a list that arrives twice.
 #[test]
 fn odd_rates_and_late_messages_are_read_safely() {
     for advertised_rate in ODD_RATES {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Ends an attempt twice, with odd figures.
+/// Reports the end of an attempt twice, with an invalid duration and rate limit.
 fn end_twice(scheduler: &mut TestScheduler, message: MessageId, outcome: Outcome) -> Vec<Action> {
     let event = Event::AttemptFinished {
         message,
@@ -133,7 +134,7 @@
     let mut unanswered = BTreeSet::new();
     for step in 0..400u64 {
         scheduler.at(1000.0 + step as f64 * 100.0);
-        // The last of these destinations is on no list.
+        // The last of these destinations is not listed.
         let (message, mut actions) = scheduler.submit(step as usize % 3, step % 1001);
         unanswered.insert(message);
         for (sent, _) in sends(&actions) {
@@ -147,15 +148,15 @@
             rate_limit: RateLimitReport::default(),
         }));
         for id in given_up(&actions) {
-            assert!(unanswered.remove(&id), "{id:?} answered twice");
+            assert!(unanswered.remove(&id), "{id:?} has two final outcomes");
         }
     }
     for id in given_up(&scheduler.idle(100_000.0)) {
-        assert!(unanswered.remove(&id), "{id:?} answered twice");
+        assert!(unanswered.remove(&id), "{id:?} has two final outcomes");
     }
     assert!(
         unanswered.len() <= 4,
-        "{} messages are neither answered nor in flight",
+        "{} messages have neither a final outcome nor an attempt in flight",
         unanswered.len()
     );
 }
@@ -170,7 +171,7 @@
     assert_eq!(
         sends(&scheduler.handle_all(&messages)).len(),
         3,
-        "as many as to a route that has answered"
+        "the limit of a route that has answered"
     );
     scheduler.handle(Event::EndpointsReplaced(vec![]));
     for message in 2..=4 {
@@ -180,7 +181,7 @@
     assert_eq!(
         sends(&listed_again).len(),
         2,
-        "as many as to a route that has not"
+        "the limit of a route that has not answered yet"
     );
 }
 
@@ -191,7 +192,7 @@
         ..settings()
     };
     let mut scheduler = TestScheduler::with_destinations(set, 1);
-    // Nothing is sent to a destination that is not listed.
+    // The destination is not listed, so nothing is sent to it.
     let first = scheduler.new_message(0, 5, 0.0);
     let again = NewMessage {
         deadline: first.deadline - Span::from_ms(9000.0),
@@ -205,8 +206,8 @@
     assert_eq!(answered, [first.message]);
 }
 
-/// Regression: a failed request for a list that is pushed left a retry time that was never cleared, and the scheduler set
-/// a timer for it in every step.
+/// Regression test: after a failed request for a pushed list, a retry time was never cleared, and the scheduler set a
+/// timer for it in every batch.
 #[test]
 fn failed_list_request_sets_no_timer_where_lists_are_pushed() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
--- a/crates/scheduler/tests/slow_start_budget.rs
+++ b/crates/scheduler/tests/slow_start_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of a recovering destination, which all instances together keep, however few they are.
+//! Budget of a recovering destination, within which all instances together must stay for any number of instances.
 
 mod common;
 
@@ -6,11 +6,11 @@
 use common::*;
 use marblefall_scheduler::*;
 
-/// When the outage begins, in seconds.
+/// Start of the outage, in seconds.
 const DOWN_S: f64 = 20.0;
 
-/// Calls that a recovering destination may get within the overload window where the settings permit it so many: as
-/// many, and a margin for chance.
+/// Returns the number of calls that a recovering destination may receive within the overload window: the number that the
+/// settings permit, plus a margin for random variation.
 fn slow_start_budget(permitted: f64) -> f64 {
     if permitted < 30.0 {
         permitted + 3.0 * permitted.sqrt() + 3.0
@@ -19,7 +19,7 @@
     }
 }
 
-/// How a destination behaves while it is out of service.
+/// Behaviour of a destination while it is out of service.
 #[derive(Clone, Copy, Debug)]
 enum Outage {
     RefusesConnections,
@@ -45,9 +45,10 @@
     instances: usize,
     /// Full rate of the destination, in calls per second.
     full_rate: f64,
-    /// Listed rate as a multiple of the full rate; 0 where none is listed.
+    /// Listed rate as a multiple of the full rate, or 0 if no rate is listed.
     listed_factor: f64,
     outage: Outage,
+    /// Length of the outage, in seconds.
     lasts_s: f64,
 }
 
@@ -73,7 +74,8 @@
         }
     }
 
-    /// The largest fraction of its budget that the destination gets within an overload window of the ramp.
+    /// Runs the case. Returns the largest fraction of its budget that the destination receives within an overload window
+    /// of the ramp.
     fn largest_budget_use(&self) -> f64 {
         let up_s = DOWN_S + self.lasts_s;
         let observed = self.scenario().play(|at, _| {
@@ -95,7 +97,8 @@
     }
 }
 
-/// Checks that all combinations of instances, rates and kinds of outage keep the budget after outages of these lengths.
+/// Checks that the budget is kept after outages of these lengths, for all combinations of instances, rates and kinds of
+/// outage.
 fn check_budget_after_outages(lengths_s: &[f64]) {
     let mut broken = Vec::new();
     let mut cases = 0;
@@ -128,13 +131,14 @@
     assert!(broken.is_empty(), "{count} of {cases}: {broken:#?}");
 }
 
-/// With few instances each may see too few rejections to eject a destination that rejects all calls.
+/// Guards against an unlimited backlog after an outage in which each of a few instances receives too few rejections to
+/// eject a destination that rejects all calls.
 #[test]
 fn slow_start_budget_is_kept_by_any_number_of_instances() {
     check_budget_after_outages(&[5.0, 12.0]);
 }
 
-/// An outage that ends before it is told from a limit's window is followed by no ramp.
+/// Guards against a missing ramp after an outage that ends before it can be distinguished from the window of a rate limit.
 #[test]
 fn slow_start_budget_is_kept_after_short_outages() {
     check_budget_after_outages(&[0.8, 2.0]);
--- a/crates/scheduler/tests/timeouts.rs
+++ b/crates/scheduler/tests/timeouts.rs
@@ -5,7 +5,7 @@
 use common::*;
 use marblefall_scheduler::*;
 
-/// Random losses must not raise the mean latency and with it every time-out.
+/// A random loss must not raise the mean latency, which would raise every time-out.
 #[test]
 fn lost_call_does_not_raise_timeouts_once_answered() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
@@ -22,7 +22,7 @@
     assert_eq!(timeout_ms(scheduler.now, &actions), before);
 }
 
-/// Loses one call on destination 0 while a later one there is answered, as on a connection that fell silent.
+/// Loses one call to destination 0 while a later call to it is answered, as on a connection that stopped responding.
 fn lose_one_call(scheduler: &mut TestScheduler) {
     let (lost, actions) = scheduler.submit(0, 0);
     let timeout_ms = timeout_ms(scheduler.now, &actions);
@@ -38,7 +38,7 @@
         .handle(attempt_finished(lost, 1, Outcome::Delivered));
 }
 
-/// Delivers a message and returns the time-out that its attempt had, in ms.
+/// Delivers a message and returns the time-out of its attempt, in ms.
 fn delivered_with_timeout(scheduler: &mut TestScheduler, destination: u64) -> f64 {
     let (message, actions) = scheduler.submit(0, destination);
     let timeout_ms = timeout_ms(scheduler.now, &actions);
@@ -57,13 +57,13 @@
     assert_eq!(
         delivered_with_timeout(&mut scheduler, 0),
         before,
-        "one lost call is chance"
+        "one lost call counts as random"
     );
     (0..3).for_each(|_| lose_one_call(&mut scheduler));
     assert!(delivered_with_timeout(&mut scheduler, 0) < 0.5 * before);
     assert!(
         delivered_with_timeout(&mut scheduler, 1) < 0.5 * before,
-        "the loss rate holds for all destinations"
+        "the loss rate applies to all destinations"
     );
     for _ in 0..200 {
         delivered_with_timeout(&mut scheduler, 0);
@@ -71,7 +71,7 @@
     assert_eq!(delivered_with_timeout(&mut scheduler, 0), before);
 }
 
-/// No later call overtakes the calls of a hanging route, so they are not lost ones.
+/// No later call of a hanging route is answered, so its timed-out calls do not count as lost.
 #[test]
 fn hanging_route_does_not_cut_others_timeouts() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 2);
@@ -90,7 +90,7 @@
     assert_eq!(timeout_ms(scheduler.now, &actions), before);
 }
 
-/// A slow route gets the time that it needs; otherwise every call to it would be wasted.
+/// If the time-out did not grow for a route that has become slow, every call to it would be wasted.
 #[test]
 fn timeouts_grow_while_nothing_answers() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
@@ -103,7 +103,7 @@
     assert!(timeout_ms(scheduler.now, &retried) > before);
 }
 
-/// An attempt that ends at its message's deadline says nothing about the route.
+/// An attempt that ends at its message's deadline, before the route's time-out, is no evidence against the route.
 #[test]
 fn attempt_cut_by_deadline_does_not_count_against_route() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
@@ -113,7 +113,7 @@
         assert_eq!(
             sends(&scheduler.handle(event)).len(),
             1,
-            "the route is open"
+            "the route is not ejected"
         );
         scheduler
             .after(400.0)
