--- a/crates/scheduler/tests/backoff.rs
+++ b/crates/scheduler/tests/backoff.rs
@@ -6,7 +6,7 @@
 use marblefall_scheduler::*;
 
 #[test]
-fn retry_after_binds_every_message_exactly() {
+fn retry_after_delays_every_message_until_its_exact_end() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 2);
     let (message, _) = scheduler.submit(0, 0);
     scheduler
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn retry_after_of_one_batched_message_binds_the_route() {
-    let mut set = settings();
-    set.kinds[0].max_batch = 2;
-    let mut scheduler = TestScheduler::with_destinations(set, 1);
+fn retry_after_of_one_batched_message_delays_the_route() {
+    let mut settings = settings();
+    settings.kinds[0].max_batch = 2;
+    let mut scheduler = TestScheduler::with_destinations(settings, 1);
     let (first, first_event) = scheduler.message(0, 0);
     let (second, second_event) = scheduler.message(0, 0);
     let sent = sends(&scheduler.handle_all(&[first_event, second_event]));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn retry_after_binds_only_a_separate_route() {
+fn retry_after_delays_only_its_separate_route() {
     let mut scheduler = TestScheduler::new(settings());
     scheduler.handle(Event::EndpointsReplaced(vec![
         listed_endpoint(0, 0, 1, 0),
--- a/crates/scheduler/tests/common/fleet.rs
+++ b/crates/scheduler/tests/common/fleet.rs
@@ -10,10 +10,13 @@
 
 /// Returns the settings of an instance of the fleet.
 pub fn fleet_settings() -> Settings {
-    let mut set = settings();
-    (set.instances, set.limits.max_in_flight, set.rate_hints) =
-        (INSTANCES, 3, RateHints::Approximate);
-    set
+    let mut settings = settings();
+    (
+        settings.instances,
+        settings.limits.max_in_flight,
+        settings.rate_hints,
+    ) = (INSTANCES, 3, RateHints::Approximate);
+    settings
 }
 
 /// Instances with different seeds and the same endpoint list.
@@ -31,9 +34,9 @@
 }
 
 impl Fleet {
-    pub fn new(set: &Settings, endpoints: &[EndpointUpdate]) -> Fleet {
+    pub fn new(settings: &Settings, endpoints: &[EndpointUpdate]) -> Fleet {
         let mut instances: Vec<Scheduler> = (0..INSTANCES)
-            .map(|n| Scheduler::new(set.clone(), FIRST_SEED + n as u64))
+            .map(|n| Scheduler::new(settings.clone(), FIRST_SEED + n as u64))
             .collect();
         for instance in &mut instances {
             let list = Event::EndpointsReplaced(endpoints.to_vec());
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -101,9 +101,9 @@
 
 /// Returns the default test settings with at most one call in flight.
 pub fn one_call_at_a_time() -> Settings {
-    let mut set = settings();
-    set.limits.max_in_flight = 1;
-    set
+    let mut settings = settings();
+    settings.limits.max_in_flight = 1;
+    settings
 }
 
 /// A scheduler with a clock and a counter of messages.
--- a/crates/scheduler/tests/common/scenario.rs
+++ b/crates/scheduler/tests/common/scenario.rs
@@ -79,7 +79,7 @@
 }
 
 /// State of a scenario run.
-struct Player<'a> {
+struct ScenarioRun<'a> {
     scenario: &'a Scenario,
     instances: Vec<Scheduler>,
     observations: Observations,
@@ -96,21 +96,21 @@
 impl Scenario {
     /// Runs the scenario. `respond` returns the response to a call. Its arguments are the send time in seconds and the
     /// destination.
-    pub fn play(&self, mut respond: impl FnMut(f64, u64) -> Response) -> Observations {
-        let mut player = Player::new(self);
+    pub fn run(&self, mut respond: impl FnMut(f64, u64) -> Response) -> Observations {
+        let mut run = ScenarioRun::new(self);
         for step in 0..(self.duration_s * 1000.0 / STEP_MS) as u64 {
             let now = Time::from_ms(step as f64 * STEP_MS);
-            let mut events: Vec<Vec<Event>> = vec![vec![]; player.instances.len()];
-            player.receive_responses(now, &mut events);
-            player.submit_messages(now, &mut events);
-            player.handle(now, &events, &mut respond);
+            let mut events: Vec<Vec<Event>> = vec![vec![]; run.instances.len()];
+            run.receive_responses(now, &mut events);
+            run.submit_messages(now, &mut events);
+            run.handle(now, &events, &mut respond);
         }
-        player.observations
+        run.observations
     }
 }
 
-impl Player<'_> {
-    fn new(scenario: &Scenario) -> Player<'_> {
+impl ScenarioRun<'_> {
+    fn new(scenario: &Scenario) -> ScenarioRun<'_> {
         let endpoints: Vec<EndpointUpdate> = (0..scenario.destinations)
             .map(|n| EndpointUpdate {
                 advertised_rate: scenario.advertised_rate,
@@ -124,7 +124,7 @@
             let list = Event::EndpointsReplaced(endpoints.clone());
             instance.handle(Time(0), &[list], &mut Vec::new());
         }
-        Player {
+        ScenarioRun {
             scenario,
             instances,
             observations: Observations::default(),
@@ -235,13 +235,16 @@
 
 /// Returns the settings of a small deployment with a slow ramp.
 pub fn three_instances() -> Settings {
-    let mut set = settings();
-    (set.instances, set.rate_hints) = (3, RateHints::Approximate);
-    (set.limits.max_in_flight, set.limits.max_open_messages) = (16, 1000);
-    let rules = &mut set.rules;
+    let mut settings = settings();
+    (settings.instances, settings.rate_hints) = (3, RateHints::Approximate);
+    (
+        settings.limits.max_in_flight,
+        settings.limits.max_open_messages,
+    ) = (16, 1000);
+    let rules = &mut settings.rules;
     (rules.ramp_start, rules.ramp_duration) = (0.27, Span::from_ms(10_000.0));
     (rules.overload_factor, rules.overload_window) = (1.5, Span::from_ms(2000.0));
-    set
+    settings
 }
 
 /// Returns the capacity of a recovering destination under [`three_instances`], as a fraction of its full rate.
--- a/crates/scheduler/tests/concurrency.rs
+++ b/crates/scheduler/tests/concurrency.rs
@@ -57,9 +57,9 @@
 
 impl HangingDestinations {
     fn new(max_in_flight: usize) -> HangingDestinations {
-        let mut set = settings();
-        set.limits.max_in_flight = max_in_flight;
-        let mut scheduler = TestScheduler::with_destinations(set, 4);
+        let mut settings = settings();
+        settings.limits.max_in_flight = max_in_flight;
+        let mut scheduler = TestScheduler::with_destinations(settings, 4);
         (0..4).for_each(|destination| scheduler.warm_up(destination));
         HangingDestinations {
             scheduler,
--- a/crates/scheduler/tests/connections.rs
+++ b/crates/scheduler/tests/connections.rs
@@ -85,9 +85,9 @@
 
 #[test]
 fn connections_are_closed_after_each_call_under_pressure() {
-    let mut set = many_instances(200);
-    (set.limits.max_in_flight, set.rate_hints) = (3, RateHints::Approximate);
-    let mut scheduler = TestScheduler::with_destinations(set, 1);
+    let mut settings = many_instances(200);
+    (settings.limits.max_in_flight, settings.rate_hints) = (3, RateHints::Approximate);
+    let mut scheduler = TestScheduler::with_destinations(settings, 1);
     scheduler.warm_up(0);
     let (message, _) = scheduler.submit(0, 0);
     let delivered = scheduler.handle(attempt_finished(message, 0, Outcome::Delivered));
--- a/crates/scheduler/tests/endpoint_weights.rs
+++ b/crates/scheduler/tests/endpoint_weights.rs
@@ -37,9 +37,9 @@
 
 impl Stream {
     fn new(weights: &[f64], latencies_ms: &[f64]) -> Stream {
-        let mut set = settings();
-        set.limits.max_in_flight = 64;
-        let mut scheduler = TestScheduler::new(set);
+        let mut settings = settings();
+        settings.limits.max_in_flight = 64;
+        let mut scheduler = TestScheduler::new(settings);
         scheduler.handle(Event::EndpointsReplaced(weighted_list(weights)));
         Stream {
             scheduler,
@@ -52,7 +52,7 @@
     }
 
     /// Submits one message every 10 ms. Returns each endpoint's share of the calls.
-    fn play(&mut self, messages: usize) -> Vec<f64> {
+    fn run(&mut self, messages: usize) -> Vec<f64> {
         self.calls.clear();
         for _ in 0..messages {
             self.step();
@@ -124,7 +124,7 @@
     ] {
         // The endpoint with the highest weight is the slowest in one run and the fastest in the other.
         for latencies_ms in [[30.0, 90.0, 160.0], [160.0, 90.0, 30.0]] {
-            let shares = Stream::new(&weights, &latencies_ms).play(10_000);
+            let shares = Stream::new(&weights, &latencies_ms).run(10_000);
             assert_shares(&shares, &weights, 0.02);
         }
     }
@@ -133,10 +133,10 @@
 #[test]
 fn changed_weights_apply_at_once_without_a_burst() {
     let mut stream = Stream::new(&[3.0, 1.0], &[50.0, 50.0]);
-    stream.play(1000);
+    stream.run(1000);
     stream.set_weights(&[1.0, 3.0]);
     // 25 messages are submitted in the next 250 ms.
-    assert_shares(&stream.play(25), &[1.0, 3.0], 0.1);
+    assert_shares(&stream.run(25), &[1.0, 3.0], 0.1);
     assert!(
         stream.calls.iter().take(8).any(|endpoint| *endpoint == 0),
         "{:?}",
@@ -145,27 +145,27 @@
     // The weight rises from almost nothing to half. The endpoint neither waits for the turn that its old weight gave, nor
     // does it catch up on missed calls.
     let mut stream = Stream::new(&[100.0, 0.001], &[50.0, 50.0]);
-    stream.play(1000);
+    stream.run(1000);
     stream.set_weights(&[100.0, 100.0]);
-    assert_shares(&stream.play(24), &[1.0, 1.0], 0.1);
+    assert_shares(&stream.run(24), &[1.0, 1.0], 0.1);
     // A new endpoint receives its share of the calls, not all of them.
     stream.set_weights(&[100.0, 100.0, 100.0]);
     (stream.latencies_ms, stream.failing) = (vec![50.0; 3], vec![false; 3]);
-    assert_shares(&stream.play(30), &[1.0, 1.0, 1.0], 0.1);
+    assert_shares(&stream.run(30), &[1.0, 1.0, 1.0], 0.1);
 }
 
 #[test]
 fn share_of_failed_endpoint_moves_and_returns_gradually() {
     let mut stream = Stream::new(&[2.0, 1.0, 1.0], &[40.0; 3]);
-    stream.play(500);
+    stream.run(500);
     stream.failing[0] = true;
-    stream.play(100);
+    stream.run(100);
     // The failed endpoint receives almost no calls, and the others keep their proportion.
-    let shares = stream.play(300);
+    let shares = stream.run(300);
     assert!(shares[0] < 0.05, "{shares:?}");
     assert!((shares[1] - shares[2]).abs() < 0.05, "{shares:?}");
     stream.failing[0] = false;
-    let shares: Vec<f64> = (0..9).map(|_| stream.play(200)[0]).collect();
+    let shares: Vec<f64> = (0..9).map(|_| stream.run(200)[0]).collect();
     let recovered = shares.iter().position(|share| *share > 0.05);
     let recovered = recovered.expect("the endpoint recovers");
     // The ramp gives the endpoint 0.2 of its capacity at the start of the recovery, and all of it 9 s later.
@@ -173,11 +173,11 @@
         shares[recovered] < 0.3 && shares[recovered] < shares[recovered + 2],
         "{shares:?}"
     );
-    assert_shares(&stream.play(1000), &[2.0, 1.0, 1.0], 0.03);
+    assert_shares(&stream.run(1000), &[2.0, 1.0, 1.0], 0.03);
 }
 
 #[test]
-fn rarely_calling_instances_follow_weights_together() {
+fn first_calls_of_many_instances_follow_weights() {
     let mut counts = [0; 3];
     for seed in 0..600 {
         let mut instance = Scheduler::new(settings(), seed);
--- a/crates/scheduler/tests/give_up.rs
+++ b/crates/scheduler/tests/give_up.rs
@@ -6,7 +6,7 @@
 use marblefall_scheduler::*;
 
 #[test]
-fn undeliverable_message_is_answered_once_before_its_deadline() {
+fn undeliverable_message_is_given_up_once_at_its_deadline() {
     let mut scheduler = TestScheduler::new(settings());
     let (message, actions) = scheduler.submit(0, 9);
     assert!(given_up(&actions).is_empty());
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn timeout_at_the_deadline_is_answered_at_once() {
+fn message_timed_out_at_its_deadline_fails_at_once() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     let (message, _) = scheduler.submit(0, 0);
     let actions = scheduler
@@ -68,9 +68,9 @@
 
 #[test]
 fn full_instance_rejects_the_least_valuable_message() {
-    let mut set = one_call_at_a_time();
-    set.limits.max_open_messages = 10;
-    let mut scheduler = TestScheduler::new(set);
+    let mut settings = one_call_at_a_time();
+    settings.limits.max_open_messages = 10;
+    let mut scheduler = TestScheduler::new(settings);
     let (old, event) = scheduler.submitted_earlier(0, 0, 9000.0);
     scheduler.handle(event);
     let events: Vec<Event> = (0..9).map(|_| scheduler.message(2, 0).1).collect();
@@ -78,10 +78,10 @@
 }
 
 #[test]
-fn full_instance_sends_what_may_be_sent_at_once() {
-    let mut set = settings();
-    set.limits.max_open_messages = 10;
-    let mut scheduler = TestScheduler::with_destinations(set, 2);
+fn full_instance_sends_message_that_need_not_wait() {
+    let mut settings = settings();
+    settings.limits.max_open_messages = 10;
+    let mut scheduler = TestScheduler::with_destinations(settings, 2);
     scheduler.warm_up(0);
     scheduler.warm_up(1);
     // Messages with a high weight for a destination in backoff use up the limit on open messages.
--- a/crates/scheduler/tests/many_instances.rs
+++ b/crates/scheduler/tests/many_instances.rs
@@ -24,7 +24,7 @@
 
 /// Runs one destination that is listed with `rate` calls per second and receives messages at `load` times that rate.
 /// `respond` returns the outcome of a call that is sent at the given time.
-fn play(
+fn run(
     seconds: u64,
     rate: f64,
     load: f64,
@@ -60,24 +60,24 @@
 /// Guards against an overload of a recovering destination by half-open trial calls, or by a budget of at least one call
 /// for each instance.
 #[test]
-fn many_instances_keep_a_recovering_routes_budget() {
-    play_outage(|_| Outcome::ConnectFailed);
+fn many_instances_stay_within_a_recovering_routes_budget() {
+    run_outage(|_| Outcome::ConnectFailed);
 }
 
 /// Instances whose `Retry-After` ends at the same time must together stay within the recovering destination's budget.
 #[test]
 fn many_instances_ramp_up_after_the_same_backoff() {
-    play_outage(|remaining| Outcome::Rejected {
+    run_outage(|remaining| Outcome::Rejected {
         retry_after: Some(remaining),
     });
 }
 
 /// Runs an outage and checks the budget after it. `outcome` returns the outcome of a call from the remaining time of the
 /// outage.
-fn play_outage(outcome: impl Fn(Span) -> Outcome) {
+fn run_outage(outcome: impl Fn(Span) -> Outcome) {
     let (rate, down, up) = (60.0, Time::from_ms(6000.0), Time::from_ms(22000.0));
     let rules = settings().rules;
-    let calls = play(40, rate, 0.75, |now| {
+    let calls = run(40, rate, 0.75, |now| {
         if now >= down && now < up {
             outcome(up - now)
         } else {
@@ -110,10 +110,10 @@
 
 /// If rejected calls count against a shared limit, retries must not keep the limit exhausted.
 #[test]
-fn rejections_fade_where_they_count_against_a_shared_limit() {
+fn rejections_fade_if_they_count_against_a_shared_limit() {
     let (limit, mut tokens, mut last) = (20.0, 20.0f64, Time::from_ms(1000.0));
     let closed = (Time::from_ms(6000.0), Time::from_ms(14000.0));
-    let calls = play(60, limit, 0.8, |now| {
+    let calls = run(60, limit, 0.8, |now| {
         tokens = (tokens + (now - last).secs() * limit).min(limit) - 1.0;
         last = now;
         // All calls are rejected for a while, so that every instance has messages to retry.
@@ -142,7 +142,7 @@
 #[test]
 fn overloaded_shared_limit_is_used_by_accepted_calls() {
     let (limit, mut tokens, mut last) = (50.0, 25.0f64, Time::from_ms(1000.0));
-    let calls = play(30, limit, 1.4, |now| {
+    let calls = run(30, limit, 1.4, |now| {
         tokens = (tokens + (now - last).secs() * limit).min(0.5 * limit);
         let is_accepted = tokens >= 1.0;
         (tokens, last) = ((tokens - 1.0).max(0.0), now);
@@ -173,11 +173,11 @@
 /// Returns the number of calls that one instance sends in the first 8 s after an outage of 4 s. Responses report `limit`.
 fn sent_after_outage(limit: Option<f64>) -> usize {
     let (down_ms, up_ms) = (2000.0, 6000.0);
-    let set = Settings {
+    let settings = Settings {
         rate_hints: RateHints::Absent,
         ..fleet_settings()
     };
-    let mut scheduler = TestScheduler::with_destinations(set, 1);
+    let mut scheduler = TestScheduler::with_destinations(settings, 1);
     let report = RateLimitReport {
         remaining: None,
         limit,
@@ -274,9 +274,9 @@
 
 /// Returns the time until the next call after a run of rejections, in ms. Responses report `limit`.
 fn hold_after_rejections(limit: Option<f64>) -> f64 {
-    let mut set = fleet_settings();
-    set.rate_hints = RateHints::Absent;
-    let mut scheduler = TestScheduler::with_destinations(set, 1);
+    let mut settings = fleet_settings();
+    settings.rate_hints = RateHints::Absent;
+    let mut scheduler = TestScheduler::with_destinations(settings, 1);
     let (first, _) = scheduler.submit(0, 0);
     let report = RateLimitReport {
         remaining: None,
@@ -311,10 +311,10 @@
 
 /// Instances whose requests for the list failed at the same time must not retry at the same time.
 #[test]
-fn failed_list_requests_are_retried_apart_and_in_time() {
-    let mut set = fleet_settings();
-    set.discovery = DiscoveryMode::Subscribe;
-    let mut fleet = Fleet::new(&set, &[listed_endpoint(0, 0, 0, 0)]);
+fn failed_list_requests_are_retried_spread_out_and_in_time() {
+    let mut settings = fleet_settings();
+    settings.discovery = DiscoveryMode::Subscribe;
+    let mut fleet = Fleet::new(&settings, &[listed_endpoint(0, 0, 0, 0)]);
     let mut requests_by_quarter_second: BTreeMap<i64, usize> = BTreeMap::new();
     for instance in &mut fleet.instances {
         let (mut last_request, mut has_failed) = (Time(0), true);
@@ -329,7 +329,7 @@
             has_failed = actions.contains(&Action::Subscribe);
             if has_failed {
                 assert!(
-                    now - last_request < set.rules.max_poll_interval,
+                    now - last_request < settings.rules.max_poll_interval,
                     "requested too late"
                 );
                 last_request = now;
--- a/crates/scheduler/tests/message_selection.rs
+++ b/crates/scheduler/tests/message_selection.rs
@@ -45,9 +45,9 @@
 #[test]
 fn weight_decay_follows_the_settings() {
     for (value_decay, old_is_first) in [(ValueDecay::Halving, false), (ValueDecay::Linear, true)] {
-        let mut set = one_call_at_a_time();
-        set.value_decay = value_decay;
-        let mut scheduler = TestScheduler::with_destinations(set, 1);
+        let mut settings = one_call_at_a_time();
+        settings.value_decay = value_decay;
+        let mut scheduler = TestScheduler::with_destinations(settings, 1);
         scheduler.warm_up(0);
         let (in_flight, _) = scheduler.submit(0, 0);
         let (old, old_event) = scheduler.submitted_earlier(2, 0, 6000.0);
@@ -65,9 +65,9 @@
 
 #[test]
 fn messages_over_quota_are_sent_after_those_within() {
-    let mut set = one_call_at_a_time();
-    set.tenants = vec![Tenant { quota_per_s: 3.0 }, Tenant { quota_per_s: 3.0 }];
-    let mut scheduler = TestScheduler::with_destinations(set, 1);
+    let mut settings = one_call_at_a_time();
+    settings.tenants = vec![Tenant { quota_per_s: 3.0 }, Tenant { quota_per_s: 3.0 }];
+    let mut scheduler = TestScheduler::with_destinations(settings, 1);
     let message_of = |scheduler: &mut TestScheduler, tenant: usize| NewMessage {
         tenant: Some(TenantId(tenant)),
         ..scheduler.new_message(0, 0, 0.0)
@@ -92,9 +92,9 @@
 
 #[test]
 fn batched_messages_share_one_call() {
-    let mut set = one_call_at_a_time();
-    set.kinds[0].max_batch = 3;
-    let mut scheduler = TestScheduler::with_destinations(set, 1);
+    let mut settings = one_call_at_a_time();
+    settings.kinds[0].max_batch = 3;
+    let mut scheduler = TestScheduler::with_destinations(settings, 1);
     let events = scheduler.messages(5, 0);
     assert_eq!(sends(&scheduler.handle_all(&events)).len(), 3);
 }
--- a/crates/scheduler/tests/ordering.rs
+++ b/crates/scheduler/tests/ordering.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn ordered_messages_go_one_by_one_and_pause_after_timeout() {
+fn next_ordered_message_waits_for_cancelled_attempt_and_pause() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     let (first, first_event) = ordered_message(&mut scheduler, 0);
     let (second, second_event) = ordered_message(&mut scheduler, 0);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn ordering_pause_follows_the_last_attempt_too() {
+fn final_attempt_starts_an_ordering_pause() {
     for outcome in [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let mut scheduler = TestScheduler::with_destinations(settings(), 2);
         let (first, event) = ordered_message(&mut scheduler, 0);
--- a/crates/scheduler/tests/random_events.rs
+++ b/crates/scheduler/tests/random_events.rs
@@ -292,15 +292,15 @@
 
 impl RandomRun {
     fn new(seed: u64) -> RandomRun {
-        let mut set = settings();
-        set.limits.health_checks_allowed = seed.is_multiple_of(2);
-        let mut scheduler = TestScheduler::new(set.clone());
+        let mut settings = settings();
+        settings.limits.health_checks_allowed = seed.is_multiple_of(2);
+        let mut scheduler = TestScheduler::new(settings.clone());
         let list = (0..ENDPOINTS).map(|n| list_entry(n, EndpointStatus::Active));
         scheduler.handle(Event::EndpointsReplaced(list.collect()));
         RandomRun {
             scheduler,
             random: SeededRandom(seed * 7919 + 1),
-            rules: RuleChecker::new(set),
+            rules: RuleChecker::new(settings),
         }
     }
 
--- a/crates/scheduler/tests/rate_limiting.rs
+++ b/crates/scheduler/tests/rate_limiting.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn reported_limit_bounds_the_learned_rate() {
+fn reported_limit_raises_a_lower_learned_rate() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     scheduler.warm_up(0);
     let (rejected, _) = scheduler.submit(0, 0);
@@ -120,11 +120,11 @@
 #[test]
 fn instances_share_the_minimum_rate_limit() {
     let sent_by_one_of = |instances: usize| {
-        let set = Settings {
+        let settings = Settings {
             instances,
             ..settings()
         };
-        let mut scheduler = TestScheduler::with_destinations(set, 1);
+        let mut scheduler = TestScheduler::with_destinations(settings, 1);
         scheduler.warm_up(0);
         let mut attempts: BTreeMap<MessageId, u32> = BTreeMap::new();
         let mut sent = 0;
--- a/crates/scheduler/tests/rate_limiting_over_time.rs
+++ b/crates/scheduler/tests/rate_limiting_over_time.rs
@@ -29,7 +29,7 @@
                 delivered_after(40.0)
             }
         };
-        scenario.play(respond).given_up
+        scenario.run(respond).given_up
     });
     runs.sum()
 }
@@ -51,7 +51,7 @@
 
 /// The limiters must stay near a limit of ten calls in any second, even if the listed rate is half too high.
 #[test]
-fn real_limit_is_kept() {
+fn calls_stay_near_a_real_limit() {
     const LIMIT: usize = 10;
     for (instances, advertised_rate, most) in [
         (2, 10.0, 0.20),
@@ -71,7 +71,7 @@
             offered_until_s: 60.0,
         };
         let mut accepted_at: Vec<f64> = vec![];
-        let observed = scenario.play(|at, _| {
+        let observed = scenario.run(|at, _| {
             let recent = accepted_at.iter().filter(|accepted| at - **accepted < 1.0);
             if recent.count() >= LIMIT {
                 return failed_after(10.0, REJECTED);
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -38,9 +38,9 @@
 
 #[test]
 fn recovered_route_is_unlimited_after_its_ramp() {
-    let mut set = settings();
-    (set.instances, set.rate_hints) = (200, RateHints::Exact);
-    let mut scheduler = TestScheduler::with_destinations(set, 1);
+    let mut settings = settings();
+    (settings.instances, settings.rate_hints) = (200, RateHints::Exact);
+    let mut scheduler = TestScheduler::with_destinations(settings, 1);
     scheduler.warm_up(0);
     let (lost, _) = scheduler.submit(0, 0);
     let mut actions = Vec::new();
@@ -74,9 +74,9 @@
 
 /// Returns settings with many concurrent calls, so that only a ramp limits the sending of a backlog.
 fn thirty_calls() -> Settings {
-    let mut set = settings();
-    set.limits.max_in_flight = 30;
-    set
+    let mut settings = settings();
+    settings.limits.max_in_flight = 30;
+    settings
 }
 
 /// Returns the number of calls that are sent at the first answer of a silent route with this backlog.
@@ -168,10 +168,10 @@
 
 impl Outage {
     fn new(health_checks_allowed: bool) -> Outage {
-        let mut set = settings();
-        set.limits.health_checks_allowed = health_checks_allowed;
+        let mut settings = settings();
+        settings.limits.health_checks_allowed = health_checks_allowed;
         Outage {
-            scheduler: TestScheduler::with_destinations(set, 1),
+            scheduler: TestScheduler::with_destinations(settings, 1),
             attempts: BTreeMap::new(),
             in_flight: Vec::new(),
             health_checks: Vec::new(),
@@ -180,7 +180,7 @@
     }
 
     /// Runs 30 s. Returns the times of all sends and health checks, in seconds.
-    fn play(mut self) -> Vec<f64> {
+    fn run(mut self) -> Vec<f64> {
         for step in 0..6000u64 {
             self.scheduler.now = Time::from_ms(1000.0 + step as f64 * 5.0);
             let mut events = Vec::new();
@@ -242,7 +242,7 @@
 #[test]
 fn recovering_route_keeps_its_budget_in_any_window() {
     for health_checks in [false, true] {
-        let times = Outage::new(health_checks).play();
+        let times = Outage::new(health_checks).run();
         let sent_in = |window: std::ops::Range<f64>| {
             let sent = times.iter().filter(|at| window.contains(*at));
             sent.count()
--- a/crates/scheduler/tests/recovery_model/scheduler.rs
+++ b/crates/scheduler/tests/recovery_model/scheduler.rs
@@ -134,14 +134,14 @@
 }
 
 /// Runs an outage and then `steps`. Returns the number of sends, or the rule that was violated.
-fn play(steps: &[Step]) -> Result<usize, &'static str> {
-    let set = Settings {
+fn run(steps: &[Step]) -> Result<usize, &'static str> {
+    let settings = Settings {
         rate_hints: RateHints::Exact,
         ..settings()
     };
-    let rules = set.rules.clone();
-    let own_rate = LISTED_RATE / set.instances as f64;
-    let mut scheduler = TestScheduler::new(set);
+    let rules = settings.rules.clone();
+    let own_rate = LISTED_RATE / settings.instances as f64;
+    let mut scheduler = TestScheduler::new(settings);
     let mut listed = listed_endpoint(0, 0, 0, 0);
     listed.advertised_rate = LISTED_RATE;
     scheduler.handle(Event::EndpointsReplaced(vec![listed]));
@@ -200,10 +200,10 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no rule is violated", |_, steps: &Vec<Step>| {
-                play(steps).is_ok()
+                run(steps).is_ok()
             }),
             Property::sometimes("many calls are sent", |_, steps: &Vec<Step>| {
-                play(steps).is_ok_and(|sent| sent > 5)
+                run(steps).is_ok_and(|sent| sent > 5)
             }),
         ]
     }
--- a/crates/scheduler/tests/recovery_over_time.rs
+++ b/crates/scheduler/tests/recovery_over_time.rs
@@ -17,7 +17,7 @@
         offered_rate: 18.0,
         offered_until_s: 60.0,
     };
-    let observed = scenario.play(|at, _| {
+    let observed = scenario.run(|at, _| {
         if at < down_s || at >= up_s {
             delivered_after(40.0)
         } else {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn flapping_destination_is_not_overloaded_and_all_is_answered() {
+fn flapping_destination_is_not_overloaded_and_all_messages_end() {
     let is_down = |at: f64| (20.0..60.0).contains(&at) && (at - 20.0) % 4.0 >= 1.0;
     let scenario = Scenario {
         settings: three_instances(),
@@ -57,7 +57,7 @@
         offered_rate: 0.8,
         offered_until_s: 60.0,
     };
-    let observed = scenario.play(|at, _| {
+    let observed = scenario.run(|at, _| {
         if is_down(at) {
             failed_after(5.0, Outcome::Reset)
         } else {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn destinations_that_recover_together_are_served_fairly() {
+fn destinations_that_recover_together_are_all_served_soon() {
     let up_s = 25.0;
     let scenario = Scenario {
         settings: three_instances(),
@@ -94,7 +94,7 @@
         offered_rate: 0.05,
         offered_until_s: 60.0,
     };
-    let observed = scenario.play(|at, _| {
+    let observed = scenario.run(|at, _| {
         if at < up_s {
             failed_after(5.0, Outcome::Reset)
         } else {
--- a/crates/scheduler/tests/retry_rules.rs
+++ b/crates/scheduler/tests/retry_rules.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn draining_endpoint_gets_nothing_from_that_batch_on() {
+fn draining_endpoint_receives_nothing_from_the_same_batch_on() {
     for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
         let mut scheduler = TestScheduler::with_destinations(settings(), 1);
         let (_, new_message) = scheduler.message(0, 0);
--- a/crates/scheduler/tests/robustness.rs
+++ b/crates/scheduler/tests/robustness.rs
@@ -7,10 +7,10 @@
 use std::collections::BTreeSet;
 
 /// Advertised rates without a sensible meaning.
-const ODD_RATES: [f64; 5] = [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300];
+const INVALID_RATES: [f64; 5] = [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300];
 
 #[test]
-fn same_events_cause_same_actions_beside_other_instances() {
+fn same_events_cause_same_actions_beside_other_schedulers() {
     let actions_of_one = |with_other: bool| {
         let mut scheduler = TestScheduler::with_destinations(settings(), 3);
         let mut other = TestScheduler::with_destinations(settings(), 3);
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn odd_but_legal_events_are_accepted() {
+fn unknown_and_late_events_are_ignored() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     let (message, _) = scheduler.submit(0, 0);
     scheduler.handle(attempt_finished(message, 0, Outcome::Delivered));
     let unknown = MessageId(999);
-    let odd = [
+    let events = [
         attempt_finished(message, 0, Outcome::TimedOut),
         attempt_finished(unknown, 3, REJECTED),
         Event::Cancelled(unknown),
@@ -50,7 +50,7 @@
             ..listed_endpoint(5, 5, 0, 0)
         }]),
     ];
-    let actions = scheduler.handle_all(&odd);
+    let actions = scheduler.handle_all(&events);
     assert!(
         sends(&actions).is_empty() && given_up(&actions).is_empty(),
         "{actions:?}"
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn empty_settings_still_answer_every_message() {
+fn message_fails_at_once_under_empty_settings() {
     let mut scheduler = TestScheduler::with_destinations(Settings::default(), 1);
     let (message, event) = scheduler.message(3, 0);
     assert_eq!(
@@ -71,11 +71,11 @@
 /// Covers a message past its deadline on arrival, a message of an ordered class without an ordering key, invalid rates,
 /// and a list that arrives twice.
 #[test]
-fn odd_rates_and_late_messages_are_read_safely() {
-    for advertised_rate in ODD_RATES {
-        let mut set = settings();
-        (set.rate_hints, set.instances) = (RateHints::Exact, 300);
-        let mut scheduler = TestScheduler::new(set);
+fn invalid_rates_and_late_messages_are_handled_safely() {
+    for advertised_rate in INVALID_RATES {
+        let mut settings = settings();
+        (settings.rate_hints, settings.instances) = (RateHints::Exact, 300);
+        let mut scheduler = TestScheduler::new(settings);
         let list = Event::EndpointsReplaced(vec![EndpointUpdate {
             advertised_rate,
             ..listed_endpoint(0, 0, 0, 0)
@@ -112,18 +112,22 @@
 }
 
 #[test]
-fn contradictory_settings_still_answer_every_message() {
-    let mut set = settings();
-    (set.instances, set.kinds, set.zone_fees, set.rate_hints) =
-        (0, vec![], vec![], RateHints::Approximate);
-    set.rules = Rules::default();
-    let mut scheduler = TestScheduler::new(set);
-    let rates = [ODD_RATES.as_slice(), &[1.0]].concat();
-    let odd_endpoint = |id: u32| EndpointUpdate {
+fn every_message_ends_under_contradictory_settings() {
+    let mut settings = settings();
+    (
+        settings.instances,
+        settings.kinds,
+        settings.zone_fees,
+        settings.rate_hints,
+    ) = (0, vec![], vec![], RateHints::Approximate);
+    settings.rules = Rules::default();
+    let mut scheduler = TestScheduler::new(settings);
+    let rates = [INVALID_RATES.as_slice(), &[1.0]].concat();
+    let invalid_endpoint = |id: u32| EndpointUpdate {
         advertised_rate: rates[id as usize % rates.len()],
         ..listed_endpoint(id, u64::from(id / 3), 9, 9)
     };
-    let endpoints = (0..3000).map(odd_endpoint).collect();
+    let endpoints = (0..3000).map(invalid_endpoint).collect();
     scheduler.handle(Event::EndpointsReplaced(endpoints));
     let outcomes = [
         rejected_for(0.0),
@@ -131,12 +135,12 @@
         Outcome::TimedOut,
         Outcome::NotSent,
     ];
-    let mut unanswered = BTreeSet::new();
+    let mut open_messages = BTreeSet::new();
     for step in 0..400u64 {
         scheduler.at(1000.0 + step as f64 * 100.0);
         // The last of these destinations is not listed.
         let (message, mut actions) = scheduler.submit(step as usize % 3, step % 1001);
-        unanswered.insert(message);
+        open_messages.insert(message);
         for (sent, _) in sends(&actions) {
             let outcome = outcomes[step as usize % outcomes.len()];
             actions.extend(end_twice(&mut scheduler, sent, outcome));
@@ -148,21 +152,21 @@
             rate_limit: RateLimitReport::default(),
         }));
         for id in given_up(&actions) {
-            assert!(unanswered.remove(&id), "{id:?} has two final outcomes");
+            assert!(open_messages.remove(&id), "{id:?} has two final outcomes");
         }
     }
     for id in given_up(&scheduler.idle(100_000.0)) {
-        assert!(unanswered.remove(&id), "{id:?} has two final outcomes");
+        assert!(open_messages.remove(&id), "{id:?} has two final outcomes");
     }
     assert!(
-        unanswered.len() <= 4,
+        open_messages.len() <= 4,
         "{} messages have neither a final outcome nor an attempt in flight",
-        unanswered.len()
+        open_messages.len()
     );
 }
 
 #[test]
-fn removed_endpoint_is_forgotten() {
+fn removed_endpoint_loses_its_state() {
     let mut scheduler = TestScheduler::new(settings());
     let separate = vec![listed_endpoint(0, 0, 1, 0)];
     scheduler.handle(Event::EndpointsReplaced(separate.clone()));
@@ -187,11 +191,11 @@
 
 #[test]
 fn resubmission_with_another_deadline_ends_once() {
-    let set = Settings {
+    let settings = Settings {
         instances: 1,
         ..settings()
     };
-    let mut scheduler = TestScheduler::with_destinations(set, 1);
+    let mut scheduler = TestScheduler::with_destinations(settings, 1);
     // The destination is not listed, so nothing is sent to it.
     let first = scheduler.new_message(0, 5, 0.0);
     let again = NewMessage {
@@ -199,11 +203,11 @@
         ..first.clone()
     };
     scheduler.handle_all(&[Event::Accepted(first.clone()), Event::Accepted(again)]);
-    let mut answered = Vec::new();
+    let mut ended = Vec::new();
     for ms in (2000..20_000).step_by(500) {
-        answered.extend(given_up(&scheduler.idle(f64::from(ms))));
+        ended.extend(given_up(&scheduler.idle(f64::from(ms))));
     }
-    assert_eq!(answered, [first.message]);
+    assert_eq!(ended, [first.message]);
 }
 
 /// Regression test: after a failed request for a pushed list, a retry time was never cleared, and the scheduler set a
--- a/crates/scheduler/tests/slow_start_budget.rs
+++ b/crates/scheduler/tests/slow_start_budget.rs
@@ -78,7 +78,7 @@
     /// of the ramp.
     fn largest_budget_use(&self) -> f64 {
         let up_s = DOWN_S + self.lasts_s;
-        let observed = self.scenario().play(|at, _| {
+        let observed = self.scenario().run(|at, _| {
             if at < DOWN_S || at >= up_s {
                 delivered_after(60.0)
             } else {
--- a/crates/scheduler/tests/timeouts.rs
+++ b/crates/scheduler/tests/timeouts.rs
@@ -7,7 +7,7 @@
 
 /// A random loss must not raise the mean latency, which would raise every time-out.
 #[test]
-fn lost_call_does_not_raise_timeouts_once_answered() {
+fn lost_call_does_not_raise_later_timeouts() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     scheduler.warm_up(0);
     let (lost, actions) = scheduler.submit(0, 0);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn timeouts_are_cut_while_single_calls_are_lost() {
+fn timeouts_are_shortened_while_single_calls_are_lost() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 2);
     scheduler.warm_up(0);
     let before = delivered_with_timeout(&mut scheduler, 0);
@@ -73,7 +73,7 @@
 
 /// No later call of a hanging route is answered, so its timed-out calls do not count as lost.
 #[test]
-fn hanging_route_does_not_cut_others_timeouts() {
+fn hanging_route_does_not_shorten_timeouts_of_others() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 2);
     (0..2).for_each(|destination| scheduler.warm_up(destination));
     let (hanging, actions) = scheduler.submit(0, 0);
@@ -92,7 +92,7 @@
 
 /// If the time-out did not grow for a route that has become slow, every call to it would be wasted.
 #[test]
-fn timeouts_grow_while_nothing_answers() {
+fn timeouts_grow_while_the_route_does_not_answer() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     scheduler.warm_up(0);
     let (first, actions) = scheduler.submit(0, 0);
