--- a/crates/scheduler/src/policy/capacity.rs
+++ b/crates/scheduler/src/policy/capacity.rs
@@ -37,7 +37,7 @@
         let settings = RampSettings {
             rules: &self.settings.rules,
             instances: self.instances(),
-            unseen_load: self.unseen_load(),
+            unobserved_load: self.unobserved_load(),
         };
         let listed_share = self.listed_rate(route).map(|rate| rate / self.instances());
         let capacity = RouteCapacity {
--- a/crates/scheduler/src/policy/connection_pressure.rs
+++ b/crates/scheduler/src/policy/connection_pressure.rs
@@ -47,7 +47,7 @@
     }
 
     fn observe_connection(&mut self, now: Time, attempt: &Attempt, outcome: Outcome) {
-        let unseen_load = self.unseen_load();
+        let unobserved_load = self.unobserved_load();
         let endpoint = &self.endpoints[&attempt.endpoint];
         let route = self.routes.get_mut(&endpoint.route);
         let route = route.expect("an endpoint has a route");
@@ -58,7 +58,7 @@
             let is_healthy = route.ramp.health() == RouteHealth::Healthy;
             let lost = route.lost_connection.take().filter(|_| is_healthy);
             let weight = lost.and_then(|lost| lost.recent_weight(now)).unwrap_or(0.0);
-            pressure.call_served(weight * unseen_load);
+            pressure.call_served(weight * unobserved_load);
         }
     }
 
--- a/crates/scheduler/src/policy/ejection.rs
+++ b/crates/scheduler/src/policy/ejection.rs
@@ -14,7 +14,7 @@
     /// Updates the health of a route after a call sent at `sent` has ended: ejects the route or starts its
     /// recovery.
     pub(super) fn update_health(&mut self, now: Time, id: RouteId, sent: Time, answered: bool) {
-        let min_failures = FAILURES_TO_EJECT - self.unseen_load();
+        let min_failures = FAILURES_TO_EJECT - self.unobserved_load();
         let has_pending = || self.pending.has(id.destination);
         let route = self.routes.get_mut(&id);
         let route = route.expect("an endpoint has a route");
--- a/crates/scheduler/src/policy/endpoint_choice.rs
+++ b/crates/scheduler/src/policy/endpoint_choice.rs
@@ -113,7 +113,7 @@
         } else {
             MIN_PREFERENCE
         };
-        let exponent = self.unseen_load().max(min_exponent);
+        let exponent = self.unobserved_load().max(min_exponent);
         (variable / route.advertised_rate.max(MIN_PREFERENCE_RATE)).powf(exponent)
     }
 }
--- a/crates/scheduler/src/policy/rejection_hold.rs
+++ b/crates/scheduler/src/policy/rejection_hold.rs
@@ -23,7 +23,7 @@
             call_interval_ms: self.call_interval_ms(now, id),
             share_is_known: self.rate_share(&self.routes[&id]).is_some(),
             jitter: self.hold_jitter(),
-            unseen_load: self.unseen_load(),
+            unobserved_load: self.unobserved_load(),
         };
         self.hold_count += 1;
         let hold = self.rejection_holds.entry(id.destination).or_default();
--- a/crates/scheduler/src/policy/route_rate.rs
+++ b/crates/scheduler/src/policy/route_rate.rs
@@ -19,7 +19,7 @@
     /// limit is known or few instances share it.
     pub(crate) fn rate_share(&self, route: &Route) -> Option<f64> {
         let limit = route.reported_limit.or(self.listed_rate(route))?;
-        rate_share::instance_share(limit, self.settings.instances, self.unseen_load())
+        rate_share::instance_share(limit, self.settings.instances, self.unobserved_load())
     }
 
     /// Returns the calls per second that a route accepts from all instances together, according to the
@@ -33,7 +33,7 @@
     /// route, adjusted towards an even share of the known rate, or of its own traffic over all destinations.
     /// The parts of all instances add up to no more than the route accepts.
     pub(crate) fn own_rate(&self, now: Time, route: &Route) -> f64 {
-        let (instances, unseen) = (self.instances(), self.unseen_load());
+        let (instances, unobserved) = (self.instances(), self.unobserved_load());
         let has_hints = self.settings.rate_hints != RateHints::Absent;
         let listed = Some(route.advertised_rate.max(MIN_RATE)).filter(|_| has_hints);
         let baseline = self.baseline_rate(now, route);
@@ -44,11 +44,11 @@
             .even_share(now, route.reported_limit.or(listed))
             .max(MIN_EVEN_SHARE);
         let adjusted = (1.0 + baseline * BASELINE_TIME_S) / (1.0 / even + BASELINE_TIME_S);
-        let own = ((1.0 - unseen) * min_rate).max(adjusted);
+        let own = ((1.0 - unobserved) * min_rate).max(adjusted);
         // With many instances, each uses its even share of a reported limit, regardless of its baseline rate.
         route
             .reported_limit
-            .map_or(own, |limit| own + unseen * (limit / instances - own))
+            .map_or(own, |limit| own + unobserved * (limit / instances - own))
     }
 
     /// Returns the calls per second that this instance delivers on a healthy route. On a route at full
@@ -88,7 +88,7 @@
     /// distinguish a limit from random rejections: it receives only a part of the load, or shares a route
     /// without a listed rate.
     pub(super) fn limit_view(&self, route: &Route) -> Option<LimitView> {
-        if self.unseen_load() != 0.0 {
+        if self.unobserved_load() != 0.0 {
             return None;
         }
         let instances = self.instances();
--- a/crates/scheduler/src/recovery_ramp.rs
+++ b/crates/scheduler/src/recovery_ramp.rs
@@ -57,7 +57,7 @@
     /// Number of instances, this one included; at least 1.
     pub instances: f64,
     /// Fraction of the load that this instance does not see, from 0 to 1.
-    pub unseen_load: f64,
+    pub unobserved_load: f64,
 }
 
 /// Capacity of a route for one instance.
@@ -260,11 +260,11 @@
         let max_interval = MAX_TRIAL_INTERVAL_MS * settings.instances.max(1.0);
         let interval =
             (rules.overload_window.ms() / budget).clamp(MIN_TRIAL_INTERVAL_MS, max_interval);
-        let after_backoff = Span::from_ms(interval * capacity.jitter * settings.unseen_load);
+        let after_backoff = Span::from_ms(interval * capacity.jitter * settings.unobserved_load);
         let backoff_over = capacity
             .backoff_until
             .map_or(Time::MIN, |at| at + after_backoff);
-        let jitter = settings.unseen_load * (capacity.jitter - MEAN_JITTER);
+        let jitter = settings.unobserved_load * (capacity.jitter - MEAN_JITTER);
         let since_last = Span::from_ms(interval * (1.0 + jitter));
         let after_last = self
             .sends
--- a/crates/scheduler/src/rejection_hold.rs
+++ b/crates/scheduler/src/rejection_hold.rs
@@ -30,7 +30,7 @@
     /// Random number in 0..1.
     pub jitter: f64,
     /// Fraction of the load that this instance does not see.
-    pub unseen_load: f64,
+    pub unobserved_load: f64,
 }
 
 /// The hold of a destination, for all its routes.
@@ -66,7 +66,7 @@
         let doubled = f64::from(1u32 << self.consecutive_rejections.min(MAX_DOUBLINGS));
         self.consecutive_rejections += 1;
         let retry_after_ms = call.retry_after.map_or(0.0, Span::ms);
-        let hold_ms = call.unseen_load
+        let hold_ms = call.unobserved_load
             * (retry_after_ms
                 + call.call_interval_ms * intervals * doubled * (MIN_JITTER_FACTOR + call.jitter));
         self.until = now + Span::from_ms(hold_ms);
--- a/crates/scheduler/src/scheduler/fleet.rs
+++ b/crates/scheduler/src/scheduler/fleet.rs
@@ -22,7 +22,7 @@
 
     /// Returns the fraction of the load that this instance does not see, from 0 to 1. It is 0 for up to
     /// [`FEW_INSTANCES`].
-    pub(crate) fn unseen_load(&self) -> f64 {
+    pub(crate) fn unobserved_load(&self) -> f64 {
         (1.0 - FEW_INSTANCES / self.instances()).max(0.0)
     }
 
--- a/crates/scheduler/tests/recovery_model/ramp.rs
+++ b/crates/scheduler/tests/recovery_model/ramp.rs
@@ -164,7 +164,7 @@
         let settings = RampSettings {
             rules: &rules,
             instances: 1.0,
-            unseen_load: 0.0,
+            unobserved_load: 0.0,
         };
         let capacity = RouteCapacity {
             own_rate: self.own_rate,
