--- a/crates/scheduler/src/connection_pressure.rs
+++ b/crates/scheduler/src/connection_pressure.rs
@@ -16,7 +16,7 @@
 const IDLE_LOSS_WEIGHT: f64 = 2.0;
 /// Pressure above which idle connections of the kind are closed.
 const MAX_PRESSURE: f64 = 0.03;
-/// Time for which a lost connection is recorded until the next call succeeds.
+/// Maximum time from a lost connection to the next success of the route for the loss to count.
 const LOSS_RETENTION: Span = Span::from_secs(4.0);
 
 /// A call that got no connection, or was lost on a reused idle connection.
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -4,7 +4,7 @@
 //! Each module implements one concern. Modules that choose the message and the endpoint of a call:
 //!
 //! - [`selection`]: the pending message to send next, by decayed weight and expected latency;
-//! - [`message_value`]: how the weight of a message decays;
+//! - [`message_value`]: the decay of a message's weight;
 //! - [`ordering`]: sequential sending of messages with the same ordering key;
 //! - [`batching`]: messages that share a call;
 //! - [`endpoint_choice`]: the endpoint of a call, by its cost;
--- a/crates/scheduler/src/policy/batching.rs
+++ b/crates/scheduler/src/policy/batching.rs
@@ -1,4 +1,4 @@
-//! Batching: which pending messages share a call.
+//! Batching: selects the pending messages that share a call.
 
 use crate::interface::{EndpointId, MessageId, Time};
 use crate::pending_queue::DestinationQueue;
--- a/crates/scheduler/src/policy/capacity.rs
+++ b/crates/scheduler/src/policy/capacity.rs
@@ -5,8 +5,8 @@
 use crate::scheduler::Scheduler;
 use crate::state::Route;
 
-/// Maximum rate of a route that still has a backlog after its ramp, as a multiple of its listed or baseline
-/// rate.
+/// Maximum rate of a route after its ramp while messages still wait for it, as a multiple of its listed or
+/// baseline rate.
 const CATCH_UP_FACTOR: f64 = 1.2;
 
 impl Scheduler {
--- a/crates/scheduler/src/policy/ejection.rs
+++ b/crates/scheduler/src/policy/ejection.rs
@@ -1,8 +1,8 @@
 //! Ejection: takes failing routes out of service, and starts the recovery of an ejected route.
 //!
 //! A busy route is ejected after [`FAILURES_TO_EJECT`] consecutive failures. A route with little traffic is
-//! ejected after fewer, in proportion to its baseline rate, but never below a minimum that depends on the
-//! number of instances.
+//! ejected after fewer, in proportion to its baseline rate, so that its ejection takes about as long as that
+//! of a busy route. The number never falls below a minimum that depends on the number of instances.
 
 use crate::failure_detector::FAILURES_TO_EJECT;
 use crate::interface::Time;
--- a/crates/scheduler/src/policy/timeouts.rs
+++ b/crates/scheduler/src/policy/timeouts.rs
@@ -17,7 +17,7 @@
 /// Factor of all time-outs while calls are regularly lost although later calls are answered.
 const LOSSY_FACTOR: f64 = 0.35;
 
-/// End of an attempt that gets no response.
+/// End of an attempt without a response.
 pub(crate) struct AttemptTimeout {
     /// Time at which the attempt is abandoned.
     pub at: Time,
@@ -39,7 +39,8 @@
             * loss_factor
     }
 
-    /// Returns the time-out of an attempt that starts now, on a route with this time-out.
+    /// Returns the end of an attempt for `message` that starts now and gets no response, on a route with this
+    /// time-out.
     pub(crate) fn attempt_timeout(
         &self,
         now: Time,
--- a/crates/scheduler/src/rate_limiter.rs
+++ b/crates/scheduler/src/rate_limiter.rs
@@ -10,13 +10,13 @@
 //! that the rejected share is still measured, as a limit may take effect later. Each reverted increase doubles the number
 //! of calls before the next one.
 //!
-//! Only an instance that sees most of the load can make this distinction: with many instances, the rate of one hardly
+//! Only an instance that observes most of the load can make this distinction: with many instances, the rate of one hardly
 //! changes the rejected share. No increase is tried near the listed rate of the route, where rejections are most likely
 //! caused by its limit.
 
 use crate::interface::{Span, Time};
 
-/// Factor of the rate for a rejected call that was sent after the last cut.
+/// Factor by which a rejection cuts the rate, if the call was sent after the previous rejection.
 const CUT_FACTOR: f64 = 0.8;
 /// Increase of the rate for each success, as a fraction of the full rate.
 const INCREASE_FRACTION: f64 = 0.04;
@@ -58,7 +58,7 @@
 /// Minimum time over which a rate is measured, in seconds.
 const MIN_MEASUREMENT_S: f64 = 1e-3;
 
-/// Data on a route's limit, available to an instance that sees all of the load.
+/// Data on a route's limit, available to an instance that observes all of the load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LimitView {
     /// Number of instances, this one included.
--- a/crates/scheduler/src/rate_share.rs
+++ b/crates/scheduler/src/rate_share.rs
@@ -20,8 +20,8 @@
 }
 
 /// Returns an instance's share of a limit, in calls per second, or `None` if the instance is not restricted to a share.
-/// `unobserved_load` is the fraction of the load that the instance does not see, from 0 to 1. With fewer instances, each may
-/// use more of what the others leave, because each receives enough rejections itself.
+/// `unobserved_load` is the fraction of the load that the instance does not observe, from 0 to 1. With fewer instances,
+/// each may use more of what the others leave, because each receives enough rejections itself.
 pub(crate) fn instance_share(limit: f64, instances: usize, unobserved_load: f64) -> Option<f64> {
     (unobserved_load > 0.0 && limit > 0.0)
         .then(|| limit / instances.max(1) as f64 / unobserved_load)
--- a/crates/scheduler/src/recovery_ramp.rs
+++ b/crates/scheduler/src/recovery_ramp.rs
@@ -56,7 +56,7 @@
     pub rules: &'a Rules,
     /// Number of instances, this one included; at least 1.
     pub instances: f64,
-    /// Fraction of the load that this instance does not see, from 0 to 1.
+    /// Fraction of the load that this instance does not observe, from 0 to 1.
     pub unobserved_load: f64,
 }
 
--- a/crates/scheduler/src/rejection_hold.rs
+++ b/crates/scheduler/src/rejection_hold.rs
@@ -2,8 +2,8 @@
 //!
 //! Many instances that share a rate limit would use up the limit with rejected calls if each retried at once. Therefore
 //! each instance pauses for about the time between two calls at its own share of the limit. The pause doubles with every
-//! consecutive rejection over all routes of the destination. An instance that sees all of the load needs no hold, as its
-//! rate limiter suffices.
+//! consecutive rejection over all routes of the destination. An instance that observes all of the load needs no hold, as
+//! its rate limiter suffices.
 
 use crate::interface::{Span, Time};
 
@@ -21,7 +21,7 @@
 /// A rejected call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RejectedCall {
-    /// The `Retry-After` of the response.
+    /// The `Retry-After` of the response, if it had one.
     pub retry_after: Option<Span>,
     /// Time between two calls of this instance to the destination at its share of the limit, in ms.
     pub call_interval_ms: f64,
@@ -29,7 +29,7 @@
     pub share_is_known: bool,
     /// Random number in 0..1.
     pub jitter: f64,
-    /// Fraction of the load that this instance does not see.
+    /// Fraction of the load that this instance does not observe.
     pub unobserved_load: f64,
 }
 
--- a/crates/scheduler/src/scheduler/fleet.rs
+++ b/crates/scheduler/src/scheduler/fleet.rs
@@ -1,5 +1,5 @@
-//! The instance's place in the fleet: the number of instances, the load that goes to the others, and random numbers
-//! that differ between instances.
+//! The instance's place in the fleet: the number of instances, the load that this instance does not observe, and random
+//! numbers that differ between instances.
 
 use super::Scheduler;
 
@@ -20,8 +20,8 @@
         self.settings.instances.max(1) as f64
     }
 
-    /// Returns the fraction of the load that this instance does not see, from 0 to 1. It is 0 for up to
-    /// [`FEW_INSTANCES`].
+    /// Returns the fraction of the load that this instance does not observe, from 0 to 1. It is 0 for up to
+    /// [`FEW_INSTANCES`] instances.
     pub(crate) fn unobserved_load(&self) -> f64 {
         (1.0 - FEW_INSTANCES / self.instances()).max(0.0)
     }
--- a/crates/scheduler/tests/many_instances.rs
+++ b/crates/scheduler/tests/many_instances.rs
@@ -91,7 +91,7 @@
         let in_window =
             |call: &&CallRecord| call.at >= from && call.at < from + rules.overload_window;
         let sent = calls.iter().filter(in_window).count() as f64;
-        // The tolerance allows for instances that never detected the outage and send as usual.
+        // The rule does not count the calls of instances that never detected the outage. The tolerance covers them.
         let most = rules.overload_factor * capacity * rules.overload_window.secs();
         assert!(
             sent <= most * 1.1,
