--- a/crates/scheduler/src/interface/event.rs
+++ b/crates/scheduler/src/interface/event.rs
@@ -22,7 +22,7 @@
         outcome: Outcome,
         /// Time for which the attempt was in flight.
         duration: Span,
-        /// Whether the message has its final outcome with this attempt.
+        /// Whether this outcome is the message's final outcome.
         is_final: bool,
         /// The rate limit that the response reports.
         rate_limit: RateLimitReport,
--- a/crates/scheduler/src/policy/timeouts.rs
+++ b/crates/scheduler/src/policy/timeouts.rs
@@ -1,4 +1,4 @@
-//! Time-outs of attempts.
+//! Time-outs: decides when attempts are abandoned.
 
 use crate::interface::{Idempotency, Span, Time};
 use crate::scheduler::Scheduler;
--- a/crates/scheduler/src/recovery_ramp.rs
+++ b/crates/scheduler/src/recovery_ramp.rs
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Records the end of a call or health check, and returns the change of the route's health that results. `has_pending`
-    /// returns whether messages are pending for the route. It is called only if the result depends on it.
+    /// Records the end of a call or health check. Returns a change if the route is ejected or begins to recover as a result.
+    /// `has_pending` returns whether messages are pending for the route. It is called only if the result depends on it.
     pub fn observe(
         &mut self,
         now: Time,
--- a/crates/scheduler/src/scheduler/calls.rs
+++ b/crates/scheduler/src/scheduler/calls.rs
@@ -1,4 +1,4 @@
-//! Handling of finished attempts, calls and health checks, and of cancellations.
+//! Handles finished attempts, calls and health checks, and cancellations.
 
 use super::Scheduler;
 use crate::interface::{
--- a/crates/scheduler/src/scheduler/messages.rs
+++ b/crates/scheduler/src/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! Adding of accepted messages, and removal of finished ones.
+//! Adds accepted messages and removes finished ones.
 
 use super::Scheduler;
 use crate::interface::{Action, MessageId, NewMessage, OrderingKey, PriorAttempts, TenantId, Time};
--- a/crates/scheduler/src/scheduler/sending.rs
+++ b/crates/scheduler/src/scheduler/sending.rs
@@ -1,4 +1,4 @@
-//! Starting of calls. All attempts are sent from this module.
+//! Starts calls. All attempts are sent from this module.
 
 use super::Scheduler;
 use crate::interface::{Action, EndpointId, MessageId, Time};
