--- a/crates/scheduler/src/policy/timeouts.rs
+++ b/crates/scheduler/src/policy/timeouts.rs
@@ -8,7 +8,7 @@
 const LATENCY_FACTOR: f64 = 6.0;
 /// Minimum time-out, in ms: a low mean latency does not predict the latency under load.
 const MIN_TIMEOUT_MS: f64 = 1200.0;
-/// Factor of a route's time-out for each consecutive attempt that timed out on the route.
+/// Factor of a route's time-out for each consecutive call that timed out on the route.
 const TIMEOUT_BACKOFF: f64 = 1.7;
 /// Maximum number of consecutive time-outs that raise the time-out.
 const MAX_TIMEOUT_BACKOFFS: i32 = 3;
--- a/crates/scheduler/src/state/route.rs
+++ b/crates/scheduler/src/state/route.rs
@@ -49,7 +49,7 @@
     /// This instance's random number for the route, in 0..1.
     pub jitter: f64,
     pub mean_latency: MeanLatency,
-    /// Number of attempts that timed out since the last success.
+    /// Number of calls that timed out since the last success, without those that count as lost.
     pub consecutive_timeouts: i32,
     pub failures: FailureDetector,
     pub ramp: RecoveryRamp,
--- a/crates/scheduler/tests/recovery.rs
+++ b/crates/scheduler/tests/recovery.rs
@@ -6,7 +6,7 @@
 use marblefall_scheduler::*;
 use std::collections::BTreeMap;
 
-/// While a destination rejects every call for 8 s, the rate of its limiter must not fall to the minimum.
+/// While a destination rejects every call for 8 s, the rate of its limiter must not keep falling.
 #[test]
 fn recovered_destination_is_served_soon() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
