--- a/crates/scheduler/tests/robustness.rs
+++ b/crates/scheduler/tests/robustness.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn unknown_and_late_events_are_ignored() {
+fn unknown_and_late_events_neither_send_nor_end_messages() {
     let mut scheduler = TestScheduler::with_destinations(settings(), 1);
     let (message, _) = scheduler.submit(0, 0);
     scheduler.handle(attempt_finished(message, 0, Outcome::Delivered));
