--- a/crates/scheduler/src/policy/batching.rs
+++ b/crates/scheduler/src/policy/batching.rs
@@ -1,11 +1,11 @@
-//! Batching: which pending messages share a call.
+//! Batching: selects the pending messages that share a call.
 
 use crate::interface::{EndpointId, MessageId, Time};
 use crate::pending_queue::DestinationQueue;
 use crate::scheduler::Scheduler;
 
 impl Scheduler {
-    /// The messages of one call to an endpoint: the first, then others by decreasing value.
+    /// Returns the messages of one call to an endpoint: `first`, then others by decreasing decayed weight.
     pub(super) fn batch(
         &self,
         now: Time,
--- a/crates/scheduler/src/policy/latency.rs
+++ b/crates/scheduler/src/policy/latency.rs
@@ -1,10 +1,10 @@
-//! Latency: what successful calls add to the means, and what to expect of a route.
+//! Latency: mean latencies of successful calls, and the expected latency of a route.
 
 use crate::interface::{DestinationId, EndpointId, Span};
 use crate::scheduler::Scheduler;
 use crate::state::Route;
 
-/// Latency that is assumed before the first response, in ms.
+/// Latency assumed before the first response, in ms.
 const DEFAULT_LATENCY_MS: f64 = 400.0;
 
 impl Scheduler {
@@ -19,7 +19,7 @@
         self.mean_latency.observe(latency);
     }
 
-    /// Expected latency of a call on a route, in ms.
+    /// Returns the expected latency of a call on a route, in ms.
     pub(crate) fn expected_latency_ms(&self, route: &Route) -> f64 {
         route
             .mean_latency
@@ -28,12 +28,12 @@
             .unwrap_or(DEFAULT_LATENCY_MS)
     }
 
-    /// Expected latency of a destination's fastest active route; zero if it has none.
+    /// Returns the expected latency of a destination's fastest active route, or zero if it has none.
     pub(crate) fn fastest_latency(&self, id: DestinationId) -> Span {
         let latencies = self
             .active_routes(id)
             .map(|route| self.expected_latency_ms(route));
-        let least = latencies.fold(f64::INFINITY, f64::min);
-        Span::from_ms(if least.is_finite() { least } else { 0.0 })
+        let lowest = latencies.fold(f64::INFINITY, f64::min);
+        Span::from_ms(if lowest.is_finite() { lowest } else { 0.0 })
     }
 }
--- a/crates/scheduler/tests/recovery_over_time.rs
+++ b/crates/scheduler/tests/recovery_over_time.rs
@@ -1,4 +1,4 @@
-//! Instances and destinations over time: outages, flapping, and many destinations that recover together.
+//! Recovery of destinations over time: a long outage, flapping, and many destinations that recover at the same time.
 
 mod common;
 
@@ -17,7 +17,7 @@
         offered_rate: 18.0,
         offered_until_s: 60.0,
     };
-    let observed = scenario.play(|at, _| {
+    let observed = scenario.run(|at, _| {
         if at < down_s || at >= up_s {
             delivered_after(40.0)
         } else {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn flapping_destination_is_not_overloaded_and_all_is_answered() {
+fn flapping_destination_is_not_overloaded_and_all_messages_end() {
     let is_down = |at: f64| (20.0..60.0).contains(&at) && (at - 20.0) % 4.0 >= 1.0;
     let scenario = Scenario {
         settings: three_instances(),
@@ -57,7 +57,7 @@
         offered_rate: 0.8,
         offered_until_s: 60.0,
     };
-    let observed = scenario.play(|at, _| {
+    let observed = scenario.run(|at, _| {
         if is_down(at) {
             failed_after(5.0, Outcome::Reset)
         } else {
@@ -67,21 +67,24 @@
     assert_eq!(
         observed.deliveries.len() + observed.given_up,
         48,
-        "each message is answered"
+        "each message has a final outcome"
     );
-    // A message all of whose six attempts fall into down times is given up.
+    // A message is given up if all of its six attempts are made while the destination is down.
     assert!(observed.given_up <= 1, "{} given up", observed.given_up);
-    // Two half-open trial calls of each instance, and the calls before the ejection.
+    // The bound allows two half-open trial calls of each instance, and the calls before the ejection.
     let worst = observed
         .loads(1.0)
         .filter(|load| is_down(load.end_s))
         .map(|load| load.calls_per_s)
         .fold(0.0, f64::max);
-    assert!(worst <= 8.0, "{worst} calls within one second of down time");
+    assert!(
+        worst <= 8.0,
+        "{worst} calls within one second of the outage"
+    );
 }
 
 #[test]
-fn destinations_that_recover_together_are_served_fairly() {
+fn destinations_that_recover_together_are_all_served_soon() {
     let up_s = 25.0;
     let scenario = Scenario {
         settings: three_instances(),
@@ -91,7 +94,7 @@
         offered_rate: 0.05,
         offered_until_s: 60.0,
     };
-    let observed = scenario.play(|at, _| {
+    let observed = scenario.run(|at, _| {
         if at < up_s {
             failed_after(5.0, Outcome::Reset)
         } else {
@@ -104,11 +107,11 @@
             .entry(delivery.destination)
             .or_insert(delivery.delivered_at_s);
     }
-    assert_eq!(first_deliveries.len(), 1000, "all are served");
+    assert_eq!(first_deliveries.len(), 1000, "all destinations are served");
     let last = first_deliveries.values().copied().fold(0.0, f64::max) - up_s;
-    // The destinations with the least traffic have their next message after 20 s.
+    // Each destination receives a message every 20 s.
     assert!(
         last < 20.0,
-        "the last was served {last:.1} s after the outage"
+        "the last destination was served {last:.1} s after the outage"
     );
 }
