--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -46,21 +46,21 @@
 use acceptance::Submission;
 use endpoint_registry::EndpointRegistry;
 use lease::DeferredEvent;
-use marblefall_scheduler as m;
-use postponed::Postponed;
+use marblefall_scheduler as scheduler;
+use postponed::PostponedEvents;
 use predecessors::PredecessorAttempts;
 use role::Role;
 use settings::Policy;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use unjournalled::{UnjournalledAttempt, UnjournalledOutcomes};
+use unjournalled::{SelectedAttempt, UnjournalledOutcomes};
 
 /// The token of timers that only cause a step.
-const STEP_TIMER: u64 = u64::MAX;
+const STEP_TIMER_TOKEN: u64 = u64::MAX;
 
 /// Owns the scheduler and the message store of one instance.
 pub struct Engine {
-    scheduler: m::Scheduler,
+    scheduler: scheduler::Scheduler,
     store: MessageStore,
     policy: Policy,
     endpoints: EndpointRegistry,
@@ -71,31 +71,31 @@
     recent_completions: RecentCompletions,
     /// The submissions that are answered when their message has a response.
     waiting_clients: BTreeMap<MessageId, Vec<RequestId>>,
-    timers: BTreeSet<(m::Time, u64)>,
+    timers: BTreeSet<(scheduler::Time, u64)>,
     /// Scheduler events that arose while commands were collected; the next batch starts with them.
-    backlog: Vec<m::Event>,
-    shutdown_at: Option<m::Time>,
+    backlog: Vec<scheduler::Event>,
+    shutdown_at: Option<scheduler::Time>,
     /// Whether the end of the process is too near to start an attempt.
     attempts_stopped: bool,
     role: Role,
     /// Events of a hot restart whose step failed by a transient error.
-    postponed: Postponed,
+    postponed_events: PostponedEvents,
     predecessor_attempts: PredecessorAttempts,
     /// Submissions rejected since [`Engine::drain_rejections`] was last called.
     rejections: Vec<Rejection>,
     /// Attempts that wait for the journal.
-    unjournalled: Vec<UnjournalledAttempt>,
+    unjournalled_attempts: Vec<SelectedAttempt>,
     /// Final outcomes that wait for the journal.
     unjournalled_outcomes: UnjournalledOutcomes,
     /// Results of attempts that the journal did not accept.
     unwritten_reports: BTreeMap<MessageId, AttemptReport>,
     /// The earliest time at which the journal is tried again with what it did not accept.
-    journal_retry_at: m::Time,
+    journal_retry_at: scheduler::Time,
     /// How many attempts are in flight.
     in_flight: usize,
     lease: LeaseState,
     /// Events received without the lease.
-    deferred: Vec<DeferredEvent>,
+    deferred_events: Vec<DeferredEvent>,
 }
 
 /// The work that an engine has.
@@ -111,7 +111,7 @@
 struct Batch<'a> {
     now: Timestamp,
     /// Events for the scheduler.
-    scheduler_events: Vec<m::Event>,
+    scheduler_events: Vec<scheduler::Event>,
     /// Messages that the scheduler may accept.
     submissions: Vec<Submission>,
     commands: &'a mut Vec<EngineCommand>,
@@ -164,22 +164,22 @@
             shutdown_at: None,
             attempts_stopped: false,
             role: Role::Standby,
-            postponed: Postponed::default(),
+            postponed_events: PostponedEvents::default(),
             predecessor_attempts: PredecessorAttempts::default(),
             rejections: Vec::new(),
-            unjournalled: Vec::new(),
+            unjournalled_attempts: Vec::new(),
             unjournalled_outcomes: UnjournalledOutcomes::default(),
             unwritten_reports: BTreeMap::new(),
-            journal_retry_at: m::Time::MIN,
+            journal_retry_at: scheduler::Time::MIN,
             in_flight: 0,
             lease: LeaseState::Held,
-            deferred: Vec::new(),
+            deferred_events: Vec::new(),
         }
     }
 
     /// When the engine is to be stepped at the latest, even without an event.
-    pub fn next_wake(&self) -> Option<m::Time> {
-        let postponed = self.postponed.next_retry();
+    pub fn next_wake(&self) -> Option<scheduler::Time> {
+        let postponed = self.postponed_events.next_retry();
         if self.role != Role::Active {
             return postponed.into_iter().chain(self.next_report_retry()).min();
         }
@@ -211,7 +211,7 @@
         events: Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let events = self.postponed.take_due(now.monotonic, events);
+        let events = self.postponed_events.take_due(now.monotonic, events);
         let mut events = self.apply_policy_changes(now, events, commands);
         if self.role != Role::Active || events.iter().any(EngineEvent::belongs_to_hot_restart) {
             return self.step_in_hot_restart(now, events, commands);
@@ -219,8 +219,8 @@
         if self.lease != LeaseState::Held {
             return self.step_without_lease(now, events, commands);
         }
-        if !self.deferred.is_empty() {
-            let later = std::mem::replace(&mut events, self.take_deferred());
+        if !self.deferred_events.is_empty() {
+            let later = std::mem::replace(&mut events, self.take_deferred_events());
             events.extend(later);
         }
         self.step_active(now, events, commands);
@@ -293,7 +293,9 @@
         let now = batch.now.monotonic;
         while let Some((at, token)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, token));
-            batch.scheduler_events.push(m::Event::TimerFired(token));
+            batch
+                .scheduler_events
+                .push(scheduler::Event::TimerFired(token));
         }
     }
 }
--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -4,11 +4,11 @@
 use super::lookup::Lookup;
 use super::role::Role;
 use super::scheduler_input::scheduler_message;
-use super::shutdown::LAST_ACCEPTED_BEFORE_END;
+use super::shutdown::ACCEPTANCE_CUTOFF_BEFORE_SHUTDOWN;
 use super::{log_journal_error, Batch, Engine, EngineCommand, RejectReason, Rejection};
 use crate::core::message_record::AttemptRecord;
 use crate::core::{FinalOutcome, Message, MessageId, Origin, RequestId, SubmitResponse, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -68,17 +68,17 @@
         message: &Message,
         first_possible_execution: Option<&AttemptRecord>,
         batch: &Batch<'_>,
-    ) -> m::Event {
+    ) -> scheduler::Event {
         let new_message = scheduler_message(id, message, batch.now);
         match first_possible_execution {
-            None => m::Event::Accepted(new_message),
+            None => scheduler::Event::Accepted(new_message),
             Some(attempt) => {
-                let prior = m::PriorAttempts {
+                let prior = scheduler::PriorAttempts {
                     attempts: 0,
                     first_possible_execution: Some(self.attempt_start(batch.now, attempt)),
                     in_flight: None,
                 };
-                m::Event::Resumed(new_message, prior)
+                scheduler::Event::Resumed(new_message, prior)
             }
         }
     }
@@ -89,11 +89,11 @@
     fn reject_reason(&self, message: &Message, batch: &Batch<'_>) -> Option<RejectReason> {
         let is_full = self.role != Role::HandedOver
             && self.store.open_count() + batch.submissions.len() >= self.policy.max_open;
-        let is_ending =
-            self.role == Role::Active && self.ends_within(batch.now, LAST_ACCEPTED_BEFORE_END);
+        let is_shutting_down = self.role == Role::Active
+            && self.ends_within(batch.now, ACCEPTANCE_CUTOFF_BEFORE_SHUTDOWN);
         if !self.is_known_destination(message.destination) {
             Some(RejectReason::UnknownDestination)
-        } else if is_ending {
+        } else if is_shutting_down {
             Some(RejectReason::Ending)
         } else if is_full || !self.store.has_capacity_for(message) {
             Some(RejectReason::Full)
@@ -149,7 +149,7 @@
             // It has not been accepted yet, and is not accepted at all.
             batch.submissions.remove(index);
             self.waiting_clients.remove(&id);
-            batch.scheduler_events.push(m::Event::Cancelled(id));
+            batch.scheduler_events.push(scheduler::Event::Cancelled(id));
             return;
         }
         let record = self
@@ -157,7 +157,7 @@
             .get(id)
             .filter(|record| is_platform(&record.message));
         if record.is_some_and(|record| record.is_open()) {
-            batch.scheduler_events.push(m::Event::Cancelled(id));
+            batch.scheduler_events.push(scheduler::Event::Cancelled(id));
             self.remove_message(batch.now, id, batch.commands);
         }
     }
@@ -168,16 +168,16 @@
         &mut self,
         now: Timestamp,
         submissions: Vec<Submission>,
-        actions: &[m::Action],
+        actions: &[scheduler::Action],
         commands: &mut Vec<EngineCommand>,
     ) -> BTreeSet<MessageId> {
         let mut not_journalled = BTreeSet::new();
         for submission in submissions {
             let id = submission.id;
-            let given_up = actions
+            let response = actions
                 .iter()
-                .find_map(|action| self.response_of_action(now, &submission, action));
-            if let Some(response) = given_up {
+                .find_map(|action| self.immediate_response(now, &submission, action));
+            if let Some(response) = response {
                 // It was not accepted, so the response alone reports its outcome.
                 self.record_rejection(id, RejectReason::Scheduler);
                 self.respond_all(id, response, commands);
@@ -220,7 +220,7 @@
     /// Rejects a submission that the journal did not accept.
     fn reject_unjournalled(&mut self, id: MessageId, commands: &mut Vec<EngineCommand>) {
         self.record_rejection(id, RejectReason::NotJournalled);
-        self.backlog.push(m::Event::Cancelled(id));
+        self.backlog.push(scheduler::Event::Cancelled(id));
         self.respond_all(id, REJECTED, commands);
     }
 
@@ -238,15 +238,15 @@
     }
 
     /// The response to a submission that an action of the same step gives up.
-    fn response_of_action(
+    fn immediate_response(
         &self,
         now: Timestamp,
         submission: &Submission,
-        action: &m::Action,
+        action: &scheduler::Action,
     ) -> Option<SubmitResponse> {
         let message = &submission.message;
         match action {
-            m::Action::Reject {
+            scheduler::Action::Reject {
                 message: id,
                 retry_after,
             } if *id == submission.id => {
@@ -260,7 +260,7 @@
                     },
                 )
             }
-            m::Action::Fail(id) if *id == submission.id => {
+            scheduler::Action::Fail(id) if *id == submission.id => {
                 Some(SubmitResponse::Finished(outcome_of_failure(now, message)))
             }
             _ => None,
--- a/crates/delivery/src/core/engine/actions.rs
+++ b/crates/delivery/src/core/engine/actions.rs
@@ -1,9 +1,9 @@
 //! Executes the scheduler's actions.
 
-use super::unjournalled::UnjournalledAttempt;
+use super::unjournalled::SelectedAttempt;
 use super::{Engine, EngineCommand};
 use crate::core::{MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 
 impl Engine {
@@ -12,43 +12,43 @@
     pub(super) fn execute(
         &mut self,
         now: Timestamp,
-        action: m::Action,
+        action: scheduler::Action,
         not_journalled: &BTreeSet<MessageId>,
         commands: &mut Vec<EngineCommand>,
     ) {
         match action {
-            m::Action::Send { message, .. } if not_journalled.contains(&message) => {
+            scheduler::Action::Send { message, .. } if not_journalled.contains(&message) => {
                 self.report_not_sent(now, message);
             }
-            m::Action::Send {
+            scheduler::Action::Send {
                 message,
                 endpoint,
                 timeout_at,
             } => {
-                let attempt = UnjournalledAttempt {
+                let attempt = SelectedAttempt {
                     message,
                     endpoint,
                     timeout_at,
                 };
                 self.start_attempt(now, attempt, commands);
             }
-            m::Action::Cancel { message, .. } => {
-                if !self.cancel_unjournalled(now, message) {
+            scheduler::Action::Cancel { message, .. } => {
+                if !self.cancel_deferred_attempt(now, message) {
                     commands.push(EngineCommand::CancelAttempt(message));
                 }
             }
-            m::Action::Reject {
+            scheduler::Action::Reject {
                 message,
                 retry_after,
             } => self.return_message(now, message, retry_after, commands),
-            m::Action::Fail(message) => self.fail_message(now, message, commands),
-            m::Action::SetTimer { at, token } => drop(self.timers.insert((at, token))),
-            m::Action::CloseIdleConnections(endpoint) => {
+            scheduler::Action::Fail(message) => self.fail_message(now, message, commands),
+            scheduler::Action::SetTimer { at, token } => drop(self.timers.insert((at, token))),
+            scheduler::Action::CloseIdleConnections(endpoint) => {
                 commands.push(EngineCommand::CloseIdleConnections(endpoint));
             }
-            m::Action::Log(text) => commands.push(EngineCommand::Log(text)),
+            scheduler::Action::Log(text) => commands.push(EngineCommand::Log(text)),
             // Instances send no health checks, and endpoint lists are pushed to them.
-            m::Action::HealthCheck(_) | m::Action::Subscribe => {}
+            scheduler::Action::HealthCheck(_) | scheduler::Action::Subscribe => {}
         }
     }
 
@@ -56,7 +56,7 @@
     pub(super) fn update_scheduler(
         &mut self,
         now: Timestamp,
-        events: &[m::Event],
+        events: &[scheduler::Event],
         commands: &mut Vec<EngineCommand>,
     ) {
         let mut actions = Vec::new();
--- a/crates/delivery/src/core/engine/attempts.rs
+++ b/crates/delivery/src/core/engine/attempts.rs
@@ -2,12 +2,12 @@
 
 use super::recovery::RecordedAttempt;
 use super::settings::DEDUPLICATION_MARGIN;
-use super::unjournalled::UnjournalledAttempt;
+use super::unjournalled::SelectedAttempt;
 use super::{log_journal_error, AttemptRequest, AttemptResult, Batch, Engine, EngineCommand};
 use crate::core::message_record::{AttemptRecord, Execution, MessageRecord};
 use crate::core::{Disposition, FinalOutcome, MessageId, Route, Timestamp};
 use crate::rules;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
 impl Engine {
     /// Handles the result of an attempt: journals it, reports it to the scheduler, and gives the message its final
@@ -23,7 +23,7 @@
             .store
             .attempt_finished(id, Execution::after(result.outcome));
         if journalled.is_err() {
-            self.keep_result(batch.now, &result);
+            self.store_unwritten_report(batch.now, &result);
         }
         log_journal_error(journalled, batch.commands);
         batch.scheduler_events.push(scheduler_result(&result));
@@ -34,7 +34,7 @@
     fn conclude_attempt(&mut self, id: MessageId, result: &AttemptResult, batch: &mut Batch<'_>) {
         let was_unlisted = self.predecessor_attempts.remove_unlisted(id);
         match result.disposition {
-            _ if result.outcome == m::Outcome::Delivered => {
+            _ if result.outcome == scheduler::Outcome::Delivered => {
                 self.finish(batch.now, id, FinalOutcome::Delivered, batch.commands);
             }
             Disposition::Failed => self.finish(batch.now, id, FinalOutcome::Failed, batch.commands),
@@ -51,16 +51,16 @@
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
-        chosen: UnjournalledAttempt,
+        selected: SelectedAttempt,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let id = chosen.message;
+        let id = selected.message;
         let attempt = self.store.get(id).map_or(0, |record| record.attempts);
         if let Err(rule) = self.check_start(now, id) {
             commands.push(EngineCommand::RuleViolated(rule, id));
             return self.report_not_sent(now, id);
         }
-        let endpoint_name = self.endpoints.name_of(chosen.endpoint).cloned();
+        let endpoint_name = self.endpoints.name_of(selected.endpoint).cloned();
         let record = AttemptRecord {
             started_ms: now.unix_ms,
             endpoint: endpoint_name.unwrap_or_default(),
@@ -68,21 +68,21 @@
         let journalled = self.store.attempt_started(id, record);
         if journalled.is_err() {
             log_journal_error(journalled, commands);
-            return self.defer_unjournalled(now, chosen);
+            return self.defer_attempt(now, selected);
         }
         let Some(record) = self.store.get(id).filter(|record| record.is_open()) else {
             return self.report_not_sent(now, id);
         };
         let message = record.message.clone();
-        let write_by = self.write_deadline(now, record, chosen.timeout_at);
+        let write_by = self.write_deadline(now, record, selected.timeout_at);
         self.in_flight += 1;
         commands.push(EngineCommand::StartAttempt(AttemptRequest {
             message_id: id,
             attempt,
-            endpoint: chosen.endpoint,
-            route: self.route(message.destination, chosen.endpoint),
+            endpoint: selected.endpoint,
+            route: self.route(message.destination, selected.endpoint),
             message,
-            timeout_at: chosen.timeout_at,
+            timeout_at: selected.timeout_at,
             write_by,
         }));
     }
@@ -102,8 +102,8 @@
         &self,
         now: Timestamp,
         record: &MessageRecord,
-        timeout_at: m::Time,
-    ) -> m::Time {
+        timeout_at: scheduler::Time,
+    ) -> scheduler::Time {
         let window = self.policy.deduplication_window(record.message.class);
         let window_end = match (window, &record.first_possible_execution) {
             (Some(window), Some(first)) => {
@@ -115,8 +115,12 @@
     }
 
     /// The route that a backoff of an endpoint applies to.
-    pub(super) fn route(&self, destination: m::DestinationId, endpoint: m::EndpointId) -> Route {
-        let kind = self.endpoints.listed(endpoint).map(|listed| listed.kind);
+    pub(super) fn route(
+        &self,
+        destination: scheduler::DestinationId,
+        endpoint: scheduler::EndpointId,
+    ) -> Route {
+        let kind = self.endpoints.listing(endpoint).map(|listed| listed.kind);
         let separate = kind.is_some_and(|kind| self.policy.has_separate_routes(kind));
         Route {
             destination,
@@ -129,10 +133,10 @@
         &mut self,
         now: Timestamp,
         id: MessageId,
-        outcome: m::Outcome,
+        outcome: scheduler::Outcome,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let m::Outcome::Rejected {
+        let scheduler::Outcome::Rejected {
             retry_after: Some(retry_after),
         } = outcome
         else {
@@ -153,21 +157,21 @@
             commands,
         );
         // The network has set the backoff already if the attempt was this incarnation's, but not otherwise.
-        let endpoint = self.endpoints.id_of(&name);
+        let endpoint = self.endpoints.get_or_assign_id(&name);
         let route = self.route(destination, endpoint);
         commands.push(EngineCommand::SetBackoff(route, now.monotonic_of(until_ms)));
     }
 }
 
 /// The result of an attempt in the scheduler's form.
-fn scheduler_result(result: &AttemptResult) -> m::Event {
-    let is_delivered = result.outcome == m::Outcome::Delivered;
-    m::Event::AttemptFinished {
+fn scheduler_result(result: &AttemptResult) -> scheduler::Event {
+    let is_delivered = result.outcome == scheduler::Outcome::Delivered;
+    scheduler::Event::AttemptFinished {
         message: result.message_id,
-        attempt: m::AttemptNumber(result.attempt),
+        attempt: scheduler::AttemptNumber(result.attempt),
         // An endpoint that rejects a message for good has responded: it is healthy.
         outcome: if result.disposition == Disposition::Failed {
-            m::Outcome::Delivered
+            scheduler::Outcome::Delivered
         } else {
             result.outcome
         },
--- a/crates/delivery/src/core/engine/command.rs
+++ b/crates/delivery/src/core/engine/command.rs
@@ -3,7 +3,7 @@
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::{FinalOutcome, Message, MessageId, RequestId, Route, SubmitResponse};
 use crate::rules::Rule;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::rc::Rc;
 
 /// An attempt to start.
@@ -14,15 +14,15 @@
     /// The attempt's number, from 0 for the message's first.
     pub attempt: u32,
     /// The endpoint it is sent to.
-    pub endpoint: m::EndpointId,
+    pub endpoint: scheduler::EndpointId,
     /// The route whose backoff withholds it.
     pub route: Route,
     /// The message.
     pub message: Rc<Message>,
     /// When it is abandoned.
-    pub timeout_at: m::Time,
+    pub timeout_at: scheduler::Time,
     /// Its last byte is written before this time or not at all.
-    pub write_by: m::Time,
+    pub write_by: scheduler::Time,
 }
 
 /// Why a submission is rejected.
@@ -57,11 +57,11 @@
     /// Start an attempt.
     StartAttempt(AttemptRequest),
     /// Send nothing on a route until this time, as a backoff was requested of another incarnation.
-    SetBackoff(Route, m::Time),
+    SetBackoff(Route, scheduler::Time),
     /// Stop waiting for the attempt of a message.
     CancelAttempt(MessageId),
     /// Close idle connections to an endpoint.
-    CloseIdleConnections(m::EndpointId),
+    CloseIdleConnections(scheduler::EndpointId),
     /// Count a final outcome.
     MessageFinished(FinalOutcome),
     /// Send the platform a notice of a final outcome until it is acknowledged.
@@ -74,9 +74,9 @@
         outcome: FinalOutcome,
     },
     /// An endpoint is listed, or its listing has changed.
-    EndpointListed(m::EndpointId, ListedEndpoint),
+    EndpointListed(scheduler::EndpointId, ListedEndpoint),
     /// An endpoint was removed from the list.
-    EndpointRemoved(m::EndpointId),
+    EndpointRemoved(scheduler::EndpointId),
     /// This incarnation is active from now on, with this many open messages of earlier ones.
     TookOver(usize),
     /// This incarnation has handed over: another one may become active.
--- a/crates/delivery/src/core/engine/destination_records.rs
+++ b/crates/delivery/src/core/engine/destination_records.rs
@@ -3,7 +3,7 @@
 use super::Engine;
 use crate::core::snapshot::DestinationRecord;
 use crate::core::Timestamp;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
 /// Baseline rates are recorded in steps of one over this, in calls per second. They change with every delivery, and each
 /// change of a record is written to disk.
@@ -31,7 +31,7 @@
         let not_in_future = |ms: i64| now.monotonic_of(ms.min(now.unix_ms));
         for record in records {
             let baseline_rate = f64::from(record.baseline_rate);
-            let restored = m::IdleRecord {
+            let restored = scheduler::IdleRecord {
                 backoff_until: None,
                 ejected_since: record.ejected_since_ms.map(not_in_future),
                 recovering_since: record.recovering_since_ms.map(not_in_future),
@@ -52,10 +52,10 @@
 
 fn active_record(
     now: Timestamp,
-    id: m::DestinationId,
-    state: &m::DestinationState,
+    id: scheduler::DestinationId,
+    state: &scheduler::DestinationState,
 ) -> DestinationRecord {
-    let unix_ms = |at: m::Time| now.unix_ms_of(at);
+    let unix_ms = |at: scheduler::Time| now.unix_ms_of(at);
     DestinationRecord {
         destination: id.0,
         ejected_since_ms: state.ejected_since.map(unix_ms),
@@ -70,8 +70,12 @@
     }
 }
 
-fn idle_record(now: Timestamp, id: m::DestinationId, record: &m::IdleRecord) -> DestinationRecord {
-    let unix_ms = |at: m::Time| now.unix_ms_of(at);
+fn idle_record(
+    now: Timestamp,
+    id: scheduler::DestinationId,
+    record: &scheduler::IdleRecord,
+) -> DestinationRecord {
+    let unix_ms = |at: scheduler::Time| now.unix_ms_of(at);
     let backoff_until = record.backoff_until.filter(|until| *until > now.monotonic);
     DestinationRecord {
         destination: id.0,
--- a/crates/delivery/src/core/engine/endpoint_registry.rs
+++ b/crates/delivery/src/core/engine/endpoint_registry.rs
@@ -2,7 +2,7 @@
 
 use super::EngineCommand;
 use crate::core::endpoint::ListedEndpoint;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What a list of endpoints covers.
@@ -17,24 +17,24 @@
 /// All endpoints that are listed or that an open message was sent to.
 #[derive(Debug, Default)]
 pub(super) struct EndpointRegistry {
-    ids: HashMap<String, m::EndpointId>,
-    names: BTreeMap<m::EndpointId, String>,
+    ids: HashMap<String, scheduler::EndpointId>,
+    names: BTreeMap<scheduler::EndpointId, String>,
     next_id: u32,
     /// Destinations that have had an endpoint.
-    destinations: BTreeSet<m::DestinationId>,
+    destinations: BTreeSet<scheduler::DestinationId>,
     /// The last listing of each endpoint, from which one that is disabled or enabled is applied again.
-    listed: BTreeMap<m::EndpointId, ListedEndpoint>,
+    listings: BTreeMap<scheduler::EndpointId, ListedEndpoint>,
     /// Names of the endpoints that operators disabled.
     disabled: BTreeSet<String>,
 }
 
 impl EndpointRegistry {
     /// The id of an endpoint, a new one where the name is unknown.
-    pub fn id_of(&mut self, name: &str) -> m::EndpointId {
+    pub fn get_or_assign_id(&mut self, name: &str) -> scheduler::EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        let id = m::EndpointId(self.next_id);
+        let id = scheduler::EndpointId(self.next_id);
         self.next_id += 1;
         self.ids.insert(name.to_owned(), id);
         self.names.insert(id, name.to_owned());
@@ -42,27 +42,27 @@
     }
 
     /// The name of an endpoint.
-    pub fn name_of(&self, id: m::EndpointId) -> Option<&String> {
+    pub fn name_of(&self, id: scheduler::EndpointId) -> Option<&String> {
         self.names.get(&id)
     }
 
     /// The listing of an endpoint.
-    pub fn listed(&self, id: m::EndpointId) -> Option<&ListedEndpoint> {
-        self.listed.get(&id)
+    pub fn listing(&self, id: scheduler::EndpointId) -> Option<&ListedEndpoint> {
+        self.listings.get(&id)
     }
 
     /// All listings.
-    pub fn all_listed(&self) -> Vec<ListedEndpoint> {
-        self.listed.values().cloned().collect()
+    pub fn all_listings(&self) -> Vec<ListedEndpoint> {
+        self.listings.values().cloned().collect()
     }
 
     /// Whether a destination has had an endpoint.
-    pub fn has_destination(&self, id: m::DestinationId) -> bool {
+    pub fn has_destination(&self, id: scheduler::DestinationId) -> bool {
         self.destinations.contains(&id)
     }
 
     /// Removes a destination, as one that has had no endpoint.
-    pub fn remove_destination(&mut self, id: m::DestinationId) {
+    pub fn remove_destination(&mut self, id: scheduler::DestinationId) {
         self.destinations.remove(&id);
     }
 
@@ -74,7 +74,8 @@
             .collect();
         self.disabled = names;
         let ids = changed.iter().filter_map(|name| self.ids.get(name));
-        ids.filter_map(|id| self.listed.get(id).cloned()).collect()
+        ids.filter_map(|id| self.listings.get(id).cloned())
+            .collect()
     }
 
     /// Applies a list; returns the updates for the scheduler.
@@ -83,7 +84,7 @@
         endpoints: Vec<ListedEndpoint>,
         scope: ListScope,
         commands: &mut Vec<EngineCommand>,
-    ) -> Vec<m::EndpointUpdate> {
+    ) -> Vec<scheduler::EndpointUpdate> {
         let updates: Vec<_> = endpoints
             .into_iter()
             .map(|endpoint| self.apply_one(endpoint, commands))
@@ -95,8 +96,14 @@
     }
 
     /// The known endpoints that a list removes.
-    fn removed_ids(&self, updates: &[m::EndpointUpdate], scope: ListScope) -> Vec<m::EndpointId> {
-        let is_listed = |update: &&m::EndpointUpdate| update.status != m::EndpointStatus::Removed;
+    fn removed_ids(
+        &self,
+        updates: &[scheduler::EndpointUpdate],
+        scope: ListScope,
+    ) -> Vec<scheduler::EndpointId> {
+        let is_listed = |update: &&scheduler::EndpointUpdate| {
+            update.status != scheduler::EndpointStatus::Removed
+        };
         match scope {
             ListScope::Complete => {
                 let listed: BTreeSet<_> = updates
@@ -121,19 +128,21 @@
         &mut self,
         mut endpoint: ListedEndpoint,
         commands: &mut Vec<EngineCommand>,
-    ) -> m::EndpointUpdate {
-        let id = self.id_of(&endpoint.name);
+    ) -> scheduler::EndpointUpdate {
+        let id = self.get_or_assign_id(&endpoint.name);
         self.destinations.insert(endpoint.destination);
         match endpoint.status {
-            m::EndpointStatus::Removed => drop(self.listed.remove(&id)),
-            m::EndpointStatus::Active | m::EndpointStatus::Draining => {
-                self.listed.insert(id, endpoint.clone());
+            scheduler::EndpointStatus::Removed => drop(self.listings.remove(&id)),
+            scheduler::EndpointStatus::Active | scheduler::EndpointStatus::Draining => {
+                self.listings.insert(id, endpoint.clone());
             }
         }
-        if endpoint.status == m::EndpointStatus::Active && self.disabled.contains(&endpoint.name) {
-            endpoint.status = m::EndpointStatus::Draining;
+        if endpoint.status == scheduler::EndpointStatus::Active
+            && self.disabled.contains(&endpoint.name)
+        {
+            endpoint.status = scheduler::EndpointStatus::Draining;
         }
-        let update = m::EndpointUpdate {
+        let update = scheduler::EndpointUpdate {
             endpoint: id,
             destination: endpoint.destination,
             kind: endpoint.kind,
@@ -148,11 +157,11 @@
 
     /// Removes an endpoint with its id. New endpoint names appear for as long as the process runs, so a removed one must
     /// not use memory.
-    pub fn remove(&mut self, id: m::EndpointId, commands: &mut Vec<EngineCommand>) {
+    pub fn remove(&mut self, id: scheduler::EndpointId, commands: &mut Vec<EngineCommand>) {
         if let Some(name) = self.names.remove(&id) {
             self.ids.remove(&name);
         }
-        self.listed.remove(&id);
+        self.listings.remove(&id);
         commands.push(EngineCommand::EndpointRemoved(id));
     }
 }
--- a/crates/delivery/src/core/engine/endpoints.rs
+++ b/crates/delivery/src/core/engine/endpoints.rs
@@ -5,7 +5,7 @@
 use crate::core::destination_table::DestinationTable;
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::Timestamp;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -48,7 +48,7 @@
             .apply(endpoints, ListScope::Complete, batch.commands);
         batch
             .scheduler_events
-            .push(m::Event::EndpointsReplaced(updates));
+            .push(scheduler::Event::EndpointsReplaced(updates));
     }
 
     /// Applies changes of the list.
@@ -58,7 +58,7 @@
             .apply(endpoints, ListScope::Changes, batch.commands);
         batch
             .scheduler_events
-            .push(m::Event::EndpointsUpdated(updates));
+            .push(scheduler::Event::EndpointsUpdated(updates));
     }
 
     /// Replaces the destination table. Endpoints of destinations in use that differ are changes of the list.
@@ -73,9 +73,9 @@
         }
         // Messages of an earlier incarnation wait for their destinations.
         let open = self.store.open_messages();
-        let with_messages: BTreeSet<_> =
+        let with_open_messages: BTreeSet<_> =
             open.map(|(_, record)| record.message.destination).collect();
-        for id in with_messages {
+        for id in with_open_messages {
             self.use_destination(id, batch);
         }
     }
@@ -83,7 +83,7 @@
     /// Replaces the endpoints of one destination in use.
     fn replace_endpoints(
         &mut self,
-        id: m::DestinationId,
+        id: scheduler::DestinationId,
         mut endpoints: Vec<ListedEndpoint>,
         before: Vec<ListedEndpoint>,
         batch: &mut Batch<'_>,
@@ -97,14 +97,14 @@
             .filter(|endpoint| !is_listed(&endpoint.name));
         let removed: Vec<_> = removed
             .map(|endpoint| ListedEndpoint {
-                status: m::EndpointStatus::Removed,
+                status: scheduler::EndpointStatus::Removed,
                 ..endpoint
             })
             .collect();
         endpoints.extend(removed);
         let all_removed = endpoints
             .iter()
-            .all(|endpoint| endpoint.status == m::EndpointStatus::Removed);
+            .all(|endpoint| endpoint.status == scheduler::EndpointStatus::Removed);
         self.update_endpoints(endpoints, batch);
         if all_removed {
             self.endpoints.remove_destination(id);
@@ -112,7 +112,7 @@
     }
 
     /// Notes the use of a destination. The scheduler is given one that was idle, with its record.
-    pub(super) fn use_destination(&mut self, id: m::DestinationId, batch: &mut Batch<'_>) {
+    pub(super) fn use_destination(&mut self, id: scheduler::DestinationId, batch: &mut Batch<'_>) {
         let table = self
             .destination_table
             .as_ref()
@@ -121,12 +121,14 @@
         if self.active_destinations.touch(batch.now.monotonic, id) {
             self.update_endpoints(table.listed_endpoints(id), batch);
             if let Some(record) = self.active_destinations.take_record(id) {
-                let route = m::KnownRoute {
+                let route = scheduler::KnownRoute {
                     destination: id,
                     endpoint: None,
                     record,
                 };
-                batch.scheduler_events.push(m::Event::RouteRestored(route));
+                batch
+                    .scheduler_events
+                    .push(scheduler::Event::RouteRestored(route));
             }
         }
     }
@@ -154,7 +156,7 @@
     }
 
     /// Whether a destination has endpoints in the table, or has had one in the list.
-    pub(super) fn is_known_destination(&self, id: m::DestinationId) -> bool {
+    pub(super) fn is_known_destination(&self, id: scheduler::DestinationId) -> bool {
         let in_table = |table: &Arc<DestinationTable>| table.endpoints(id).next().is_some();
         self.endpoints.has_destination(id) || self.destination_table.as_ref().is_some_and(in_table)
     }
--- a/crates/delivery/src/core/engine/event.rs
+++ b/crates/delivery/src/core/engine/event.rs
@@ -6,7 +6,7 @@
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::journal::Generation;
 use crate::core::{Message, MessageId, RequestId};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -55,12 +55,12 @@
     /// This incarnation ends, and no successor is known.
     Shutdown {
         /// When it ends at the latest.
-        deadline: m::Time,
+        deadline: scheduler::Time,
     },
     /// This incarnation ends, and another one takes over, beside this one or after it.
     HandOver {
         /// When it ends at the latest.
-        deadline: m::Time,
+        deadline: scheduler::Time,
     },
 }
 
--- a/crates/delivery/src/core/engine/final_outcome.rs
+++ b/crates/delivery/src/core/engine/final_outcome.rs
@@ -4,7 +4,7 @@
 use super::{log_journal_error, Engine, EngineCommand};
 use crate::core::message_record::{AttemptRecord, NoticeState};
 use crate::core::{FinalOutcome, Message, MessageId, Origin, SubmitResponse, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
 /// The final outcome of a message that the scheduler fails.
 pub(super) fn outcome_of_failure(now: Timestamp, message: &Message) -> FinalOutcome {
@@ -25,7 +25,7 @@
         now: Timestamp,
         message: &Message,
         first_possible_execution: Option<&AttemptRecord>,
-        retry_after: m::Span,
+        retry_after: scheduler::Span,
     ) -> FinalOutcome {
         let window = self.policy.deduplication_window(message.class);
         let first = first_possible_execution.filter(|_| message.origin == Origin::CloudEvents);
@@ -45,7 +45,7 @@
         &mut self,
         now: Timestamp,
         id: MessageId,
-        retry_after: m::Span,
+        retry_after: scheduler::Span,
         commands: &mut Vec<EngineCommand>,
     ) {
         let Some(record) = self.store.get(id) else {
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -26,31 +26,31 @@
         events: Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let (changes, mut rest): (Vec<_>, Vec<_>) = events
+        let (changes, mut step_events): (Vec<_>, Vec<_>) = events
             .into_iter()
             .partition(EngineEvent::belongs_to_hot_restart);
         for change in changes {
-            self.handle_hot_restart(now, change, &mut rest, commands);
+            self.handle_hot_restart(now, change, &mut step_events, commands);
         }
         match self.role {
             Role::Active if self.lease != LeaseState::Held => {
-                self.step_without_lease(now, rest, commands)
+                self.step_without_lease(now, step_events, commands)
             }
-            Role::Active => self.step_active(now, rest, commands),
-            Role::Standby | Role::HandedOver => self.step_passive(now, rest, commands),
+            Role::Active => self.step_active(now, step_events, commands),
+            Role::Standby | Role::HandedOver => self.step_passive(now, step_events, commands),
         }
     }
 
-    /// Handles an event of a hot restart. What follows from it for this step is added to `rest`.
+    /// Handles an event of a hot restart. What follows from it for this step is added to `step_events`.
     fn handle_hot_restart(
         &mut self,
         now: Timestamp,
         event: EngineEvent,
-        rest: &mut Vec<EngineEvent>,
+        step_events: &mut Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
-        if self.postponed.must_wait(&event) {
-            return self.postponed.push(now.monotonic, event);
+        if self.postponed_events.must_wait(&event) {
+            return self.postponed_events.push(now.monotonic, event);
         }
         match (self.role, event) {
             (
@@ -61,10 +61,10 @@
                 },
             ) => self.take_over(now, running, first_concurrent, commands),
             (Role::Active, EngineEvent::FollowPredecessors) => {
-                self.follow_predecessors(now, rest, commands);
+                self.follow_predecessors(now, step_events, commands);
             }
             (Role::Active, EngineEvent::PredecessorExited(generation)) => {
-                self.finish_following(now, generation, rest, commands);
+                self.finish_following(now, generation, step_events, commands);
             }
             (Role::Active, EngineEvent::StandbyExited(generation)) => {
                 self.adopt_standby(now, generation, commands);
@@ -112,7 +112,7 @@
     ) -> bool {
         let is_postponed = error.is_some_and(is_transient);
         if is_postponed {
-            self.postponed.push(now.monotonic, event);
+            self.postponed_events.push(now.monotonic, event);
         }
         is_postponed
     }
@@ -145,14 +145,14 @@
         if self.role == Role::Active {
             let routes = self.route_records(now);
             log_journal_error(self.store.hand_over(routes), commands);
-            self.forget_written_results();
+            self.drop_written_reports();
             self.journal_retry_at = now.monotonic;
             commands.push(EngineCommand::HandedOver);
         }
         self.role = Role::HandedOver;
-        self.postponed.clear();
+        self.postponed_events.clear();
         // The successor chooses again for messages whose attempt was not started, or whose outcome was not reported.
-        self.unjournalled.clear();
+        self.unjournalled_attempts.clear();
         self.unjournalled_outcomes.clear();
         self.backlog.clear();
         self.timers.clear();
--- a/crates/delivery/src/core/engine/lease.rs
+++ b/crates/delivery/src/core/engine/lease.rs
@@ -5,12 +5,12 @@
 use super::lookup::Lookup;
 use super::{Batch, Engine, EngineCommand, EngineEvent};
 use crate::core::{FinalOutcome, MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
 /// A submission is deferred no longer than its class's latency objective, and no longer than this.
-const MAX_DEFERRAL: m::Span = m::Span(3_000_000);
+const MAX_DEFERRAL: scheduler::Span = scheduler::Span(3_000_000);
 /// How often deferred submissions are checked.
-const DEFERRED_CHECK_INTERVAL: m::Span = m::Span(20_000);
+const DEFERRED_CHECK_INTERVAL: scheduler::Span = scheduler::Span(20_000);
 
 /// Whether the engine holds the lease to act under its policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 /// An event that was received without the lease and is handled under the next one.
 pub(super) struct DeferredEvent {
-    received_at: m::Time,
+    received_at: scheduler::Time,
     event: EngineEvent,
 }
 
@@ -66,7 +66,7 @@
             EngineEvent::Submitted(..) => self.defer(event, batch),
             event if event.changes_endpoints() => self.defer(event, batch),
             EngineEvent::ClientGone(request) => {
-                self.deferred.retain(|deferred| {
+                self.deferred_events.retain(|deferred| {
                     !matches!(deferred.event, EngineEvent::Submitted(other, _) if other == request)
                 });
                 self.handle(event, batch);
@@ -76,7 +76,7 @@
     }
 
     fn defer(&mut self, event: EngineEvent, batch: &Batch<'_>) {
-        self.deferred.push(DeferredEvent {
+        self.deferred_events.push(DeferredEvent {
             received_at: batch.now.monotonic,
             event,
         });
@@ -87,7 +87,7 @@
         let mut capacity = self.policy.max_open.saturating_sub(self.store.open_count());
         let is_suspended = self.lease == LeaseState::Suspended;
         let classes = &self.policy.classes;
-        self.deferred.retain(|deferred| {
+        self.deferred_events.retain(|deferred| {
             let EngineEvent::Submitted(request, message) = &deferred.event else {
                 return true;
             };
@@ -114,20 +114,20 @@
         let expired: Vec<MessageId> = expired.map(|(id, _)| id).collect();
         for id in expired {
             self.finish(now, id, FinalOutcome::Expired, commands);
-            self.backlog.push(m::Event::Cancelled(id));
+            self.backlog.push(scheduler::Event::Cancelled(id));
         }
     }
 
     /// Takes the deferred events, in their order.
-    pub(super) fn take_deferred(&mut self) -> Vec<EngineEvent> {
-        self.deferred
+    pub(super) fn take_deferred_events(&mut self) -> Vec<EngineEvent> {
+        self.deferred_events
             .drain(..)
             .map(|deferred| deferred.event)
             .collect()
     }
 
     /// When the engine is to be stepped at the latest while it does not hold the lease.
-    pub fn next_wake_without_lease(&self, now: Timestamp) -> Option<m::Time> {
+    pub fn next_wake_without_lease(&self, now: Timestamp) -> Option<scheduler::Time> {
         let pending = self
             .store
             .open_messages()
@@ -135,7 +135,8 @@
         let expiry = pending
             .map(|(_, record)| now.monotonic_of(record.message.expires_ms + 1))
             .min();
-        let check = (!self.deferred.is_empty()).then(|| now.monotonic + DEFERRED_CHECK_INTERVAL);
+        let check =
+            (!self.deferred_events.is_empty()).then(|| now.monotonic + DEFERRED_CHECK_INTERVAL);
         let retry = (!self.unjournalled_outcomes.is_empty()).then_some(self.journal_retry_at);
         expiry.into_iter().chain(check).chain(retry).min()
     }
--- a/crates/delivery/src/core/engine/passive.rs
+++ b/crates/delivery/src/core/engine/passive.rs
@@ -6,7 +6,7 @@
 use super::role::Role;
 use super::{AttemptResult, Batch, Engine, EngineCommand, EngineEvent};
 use crate::core::{FinalOutcome, RequestId, SubmitResponse, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
 impl Engine {
     /// A step without decisions: endpoint changes are applied, submissions journalled, and results of attempts reported.
@@ -16,7 +16,7 @@
         events: Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
-        self.retry_reports(now, commands);
+        self.retry_unwritten_reports(now, commands);
         let mut batch = Batch::new(now, commands);
         let events = self.handle_endpoint_changes(events, &mut batch);
         let endpoint_changes = std::mem::take(&mut batch.scheduler_events);
@@ -61,7 +61,7 @@
         commands: &mut Vec<EngineCommand>,
     ) {
         self.report_result(now, result, commands);
-        if result.outcome == m::Outcome::Delivered {
+        if result.outcome == scheduler::Outcome::Delivered {
             let delivered = FinalOutcome::Delivered;
             commands.push(EngineCommand::MessageFinished(delivered));
             let response = SubmitResponse::Finished(delivered);
--- a/crates/delivery/src/core/engine/policy_change.rs
+++ b/crates/delivery/src/core/engine/policy_change.rs
@@ -8,7 +8,7 @@
 use crate::core::journal_record::RouteRecord;
 use crate::core::message_store::Recovered;
 use crate::core::Timestamp;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::sync::Arc;
 
 impl Engine {
@@ -81,16 +81,20 @@
         (self.policy, self.scheduler) = Policy::split(settings);
         self.timers.clear();
         if let Some(shutdown_at) = self.shutdown_at {
-            self.wake_for_last_attempt(shutdown_at);
+            self.schedule_step_at_attempt_cutoff(shutdown_at);
         }
-        let listed = self.endpoints.all_listed();
+        let listed = self.endpoints.all_listings();
         let updates = self.endpoints.apply(listed, ListScope::Changes, commands);
         // The scheduler is given the endpoints before the events of the next step.
         self.backlog.clear();
         // The new scheduler chooses its own attempts.
-        self.unjournalled.clear();
+        self.unjournalled_attempts.clear();
         self.journal_retry_at = now.monotonic;
-        self.update_scheduler(now, &[m::Event::EndpointsUpdated(updates)], commands);
+        self.update_scheduler(
+            now,
+            &[scheduler::Event::EndpointsUpdated(updates)],
+            commands,
+        );
         self.reactivate(now, routes);
         commands.push(EngineCommand::PolicyInForce(revision));
         destination_table
--- a/crates/delivery/src/core/engine/postponed.rs
+++ b/crates/delivery/src/core/engine/postponed.rs
@@ -9,21 +9,21 @@
 
 /// Events that are to be handled again.
 #[derive(Debug)]
-pub(super) struct Postponed {
+pub(super) struct PostponedEvents {
     events: Vec<EngineEvent>,
     retry_at: Time,
 }
 
-impl Default for Postponed {
-    fn default() -> Postponed {
-        Postponed {
+impl Default for PostponedEvents {
+    fn default() -> PostponedEvents {
+        PostponedEvents {
             events: Vec::new(),
             retry_at: Time::MIN,
         }
     }
 }
 
-impl Postponed {
+impl PostponedEvents {
     /// Whether an event must wait until the postponed ones have succeeded.
     pub(super) fn must_wait(&self, event: &EngineEvent) -> bool {
         let depends_on_order = matches!(
--- a/crates/delivery/src/core/engine/predecessors.rs
+++ b/crates/delivery/src/core/engine/predecessors.rs
@@ -5,7 +5,7 @@
 use crate::core::journal::Generation;
 use crate::core::message_store::PredecessorEvent;
 use crate::core::{Disposition, MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 
 /// The messages whose attempt is in flight at a predecessor.
@@ -61,12 +61,12 @@
     pub(super) fn follow_predecessors(
         &mut self,
         now: Timestamp,
-        rest: &mut Vec<EngineEvent>,
+        step_events: &mut Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
         let mut found = Vec::new();
         log_journal_error(self.store.follow(&mut found), commands);
-        self.handle_predecessor_events(now, found, rest, commands);
+        self.handle_predecessor_events(now, found, step_events, commands);
     }
 
     /// Reads the rest of what a predecessor journalled that has exited.
@@ -74,7 +74,7 @@
         &mut self,
         now: Timestamp,
         generation: Generation,
-        rest: &mut Vec<EngineEvent>,
+        step_events: &mut Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
         let mut found = Vec::new();
@@ -82,9 +82,9 @@
         let event = EngineEvent::PredecessorExited(generation);
         self.postpone_if_transient(now, event, read.as_ref().err());
         log_journal_error(read, commands);
-        self.handle_predecessor_events(now, found, rest, commands);
+        self.handle_predecessor_events(now, found, step_events, commands);
         if !self.store.is_following() {
-            self.reset_predecessor_attempts(now, rest);
+            self.reset_predecessor_attempts(now, step_events);
         }
     }
 
@@ -94,7 +94,7 @@
         &mut self,
         now: Timestamp,
         found: Vec<PredecessorEvent>,
-        rest: &mut Vec<EngineEvent>,
+        step_events: &mut Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
         for event in found {
@@ -104,7 +104,7 @@
                 }
                 PredecessorEvent::AttemptFinished(result) => {
                     if self.predecessor_attempts.take_result(result.message_id) {
-                        rest.push(EngineEvent::AttemptFinished(result));
+                        step_events.push(EngineEvent::AttemptFinished(result));
                     }
                 }
             }
@@ -112,7 +112,7 @@
     }
 
     /// Ends the attempts whose results no predecessor has reported, as none is running: they may have been executed.
-    fn reset_predecessor_attempts(&mut self, now: Timestamp, rest: &mut Vec<EngineEvent>) {
+    fn reset_predecessor_attempts(&mut self, now: Timestamp, step_events: &mut Vec<EngineEvent>) {
         for id in self.predecessor_attempts.take_unreported() {
             let Some(record) = self.store.get(id) else {
                 continue;
@@ -120,13 +120,13 @@
             let started_ms = record
                 .in_flight()
                 .map_or(now.unix_ms, |attempt| attempt.started_ms);
-            rest.push(EngineEvent::AttemptFinished(AttemptResult {
+            step_events.push(EngineEvent::AttemptFinished(AttemptResult {
                 message_id: id,
                 attempt: record.attempts.saturating_sub(1),
-                outcome: m::Outcome::Reset,
+                outcome: scheduler::Outcome::Reset,
                 duration: now.elapsed_since_unix_ms(started_ms),
                 disposition: Disposition::Undecided,
-                rate_limit: m::RateLimitReport::default(),
+                rate_limit: scheduler::RateLimitReport::default(),
             }));
         }
     }
--- a/crates/delivery/src/core/engine/recovery.rs
+++ b/crates/delivery/src/core/engine/recovery.rs
@@ -8,7 +8,7 @@
 use crate::core::message_record::MessageState;
 use crate::core::message_store::Recovered;
 use crate::core::{MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 
 /// What became of the attempt that a message's record has in flight.
@@ -49,23 +49,23 @@
             let endpoint = route
                 .endpoint
                 .as_ref()
-                .map(|name| self.endpoints.id_of(name));
-            let known = m::KnownRoute {
+                .map(|name| self.endpoints.get_or_assign_id(name));
+            let known = scheduler::KnownRoute {
                 destination: route.destination,
                 endpoint,
                 record: route.state.map_times(|at| now.monotonic_of_unix_micros(at)),
             };
-            self.backlog.push(m::Event::RouteRestored(known));
+            self.backlog.push(scheduler::Event::RouteRestored(known));
         }
     }
 
     fn restore_backoffs(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         for ((destination, name), until_ms) in self.store.backoffs().clone() {
-            let endpoint = self.endpoints.id_of(&name);
+            let endpoint = self.endpoints.get_or_assign_id(&name);
             let until = now.monotonic_of(until_ms);
             let route = self.route(destination, endpoint);
             commands.push(EngineCommand::SetBackoff(route, until));
-            self.backlog.push(m::Event::BackoffNotified {
+            self.backlog.push(scheduler::Event::BackoffNotified {
                 destination,
                 endpoint,
                 until,
@@ -98,20 +98,20 @@
         let in_flight = attempt.map(|attempt| self.attempt_start(now, attempt));
         if let Some(start) = in_flight {
             self.in_flight += 1;
-            if self.endpoints.listed(start.endpoint).is_none() {
+            if self.endpoints.listing(start.endpoint).is_none() {
                 self.predecessor_attempts.insert_unlisted(id);
                 return;
             }
             self.predecessor_attempts.insert_scheduled(id);
         }
         let first = record.first_possible_execution.as_ref();
-        let prior = m::PriorAttempts {
+        let prior = scheduler::PriorAttempts {
             attempts: record.attempts,
             first_possible_execution: first.map(|attempt| self.attempt_start(now, attempt)),
             in_flight,
         };
         let message = scheduler_message(id, &record.message, now);
-        self.backlog.push(m::Event::Resumed(message, prior));
+        self.backlog.push(scheduler::Event::Resumed(message, prior));
     }
 
     /// The states of routes, with Unix times.
--- a/crates/delivery/src/core/engine/scheduler_input.rs
+++ b/crates/delivery/src/core/engine/scheduler_input.rs
@@ -3,11 +3,15 @@
 use super::Engine;
 use crate::core::message_record::AttemptRecord;
 use crate::core::{Message, MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
 /// A message in the scheduler's form.
-pub(super) fn scheduler_message(id: MessageId, message: &Message, now: Timestamp) -> m::NewMessage {
-    m::NewMessage {
+pub(super) fn scheduler_message(
+    id: MessageId,
+    message: &Message,
+    now: Timestamp,
+) -> scheduler::NewMessage {
+    scheduler::NewMessage {
         message: id,
         class: message.class,
         tenant: None,
@@ -23,10 +27,10 @@
         &mut self,
         now: Timestamp,
         attempt: &AttemptRecord,
-    ) -> m::AttemptStart {
-        m::AttemptStart {
+    ) -> scheduler::AttemptStart {
+        scheduler::AttemptStart {
             sent: now.monotonic_of(attempt.started_ms),
-            endpoint: self.endpoints.id_of(&attempt.endpoint),
+            endpoint: self.endpoints.get_or_assign_id(&attempt.endpoint),
         }
     }
 }
--- a/crates/delivery/src/core/engine/settings.rs
+++ b/crates/delivery/src/core/engine/settings.rs
@@ -1,18 +1,18 @@
 //! The settings of an engine, and the policy it derives from them.
 
 use crate::core::destination_table::DestinationTable;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 /// Time that a repeat needs to arrive before its receiver's deduplication window closes.
-pub(super) const DEDUPLICATION_MARGIN: m::Span = m::Span(200_000);
+pub(super) const DEDUPLICATION_MARGIN: scheduler::Span = scheduler::Span(200_000);
 
 /// The settings of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// The scheduler's settings.
-    pub scheduler: m::Settings,
+    pub scheduler: scheduler::Settings,
     /// The seed of the scheduler's random numbers.
     pub seed: u64,
     /// For each class, how long a finished message of the CloudEvents frontend is retained, in milliseconds, so that
@@ -41,7 +41,7 @@
     /// The names of its classes.
     pub classes: BTreeSet<String>,
     /// Its destinations.
-    pub destinations: BTreeSet<m::DestinationId>,
+    pub destinations: BTreeSet<scheduler::DestinationId>,
     /// How many messages may be open at a time.
     pub max_open: usize,
 }
@@ -68,7 +68,7 @@
 /// The parts of the settings that the engine itself uses.
 pub(super) struct Policy {
     /// The classes as they were configured; the scheduler is given shorter deduplication windows.
-    pub classes: Vec<m::MessageClass>,
+    pub classes: Vec<scheduler::MessageClass>,
     /// For each kind of destination, whether its endpoints are separate routes.
     separate_routes: Vec<bool>,
     pub max_open: usize,
@@ -79,7 +79,7 @@
 impl Policy {
     /// Splits settings into the engine's policy and a scheduler. The scheduler is given deduplication windows that are
     /// shorter by [`DEDUPLICATION_MARGIN`].
-    pub fn split(settings: EngineSettings) -> (Policy, m::Scheduler) {
+    pub fn split(settings: EngineSettings) -> (Policy, scheduler::Scheduler) {
         let EngineSettings {
             mut scheduler,
             seed,
@@ -98,28 +98,28 @@
             max_retained,
         };
         for class in &mut scheduler.classes {
-            if let m::Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
-                *window = m::Span((window.0 - DEDUPLICATION_MARGIN.0).max(0));
+            if let scheduler::Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
+                *window = scheduler::Span((window.0 - DEDUPLICATION_MARGIN.0).max(0));
             }
         }
-        (policy, m::Scheduler::new(scheduler, seed))
+        (policy, scheduler::Scheduler::new(scheduler, seed))
     }
 
     /// How long a finished message of a class is retained, in milliseconds.
-    pub fn retention_ms(&self, class: m::ClassId) -> i64 {
+    pub fn retention_ms(&self, class: scheduler::ClassId) -> i64 {
         self.retention_ms.get(class.0).copied().unwrap_or(0)
     }
 
     /// The window in which receivers discard repeats of a class by their idempotency key, where they do.
-    pub fn deduplication_window(&self, class: m::ClassId) -> Option<m::Span> {
+    pub fn deduplication_window(&self, class: scheduler::ClassId) -> Option<scheduler::Span> {
         match self.classes.get(class.0)?.idempotency {
-            m::Idempotency::IdempotencyKey { window, .. } => Some(window),
-            m::Idempotency::Idempotent | m::Idempotency::NonIdempotent => None,
+            scheduler::Idempotency::IdempotencyKey { window, .. } => Some(window),
+            scheduler::Idempotency::Idempotent | scheduler::Idempotency::NonIdempotent => None,
         }
     }
 
     /// Whether endpoints of a kind are separate routes.
-    pub fn has_separate_routes(&self, kind: m::KindId) -> bool {
+    pub fn has_separate_routes(&self, kind: scheduler::KindId) -> bool {
         self.separate_routes
             .get(kind.0)
             .is_some_and(|separate| *separate)
--- a/crates/delivery/src/core/engine/unjournalled.rs
+++ b/crates/delivery/src/core/engine/unjournalled.rs
@@ -7,21 +7,21 @@
 //! An attempt that is not in the journal is not sent. It is not reported to the scheduler as unsent either, which would
 //! choose it again at once and use up the message's attempts. It waits here until the journal accepts it.
 
-use super::shutdown::LAST_ATTEMPT_BEFORE_END;
-use super::{log_journal_error, Engine, EngineCommand, STEP_TIMER};
+use super::shutdown::ATTEMPT_CUTOFF_BEFORE_SHUTDOWN;
+use super::{log_journal_error, Engine, EngineCommand, STEP_TIMER_TOKEN};
 use crate::core::{FinalOutcome, MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeMap;
 
 /// Delay before a journal that failed is written again.
-pub(super) const RETRY_INTERVAL: m::Span = m::Span(20_000);
+pub(super) const RETRY_INTERVAL: scheduler::Span = scheduler::Span(20_000);
 
-/// An attempt that was chosen and is not in the journal yet.
+/// An attempt that was selected and is not in the journal yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct UnjournalledAttempt {
+pub(super) struct SelectedAttempt {
     pub(super) message: MessageId,
-    pub(super) endpoint: m::EndpointId,
-    pub(super) timeout_at: m::Time,
+    pub(super) endpoint: scheduler::EndpointId,
+    pub(super) timeout_at: scheduler::Time,
 }
 
 /// A final outcome that is neither in the journal nor reported.
@@ -67,7 +67,7 @@
             expires_ms,
         };
         self.unjournalled_outcomes.0.insert(id, deferred);
-        self.wake_for_journal(now);
+        self.schedule_journal_retry(now);
     }
 
     /// Reports the outcomes that the journal has accepted meanwhile, and those of messages that have expired.
@@ -84,17 +84,18 @@
     }
 
     /// Defers an attempt until the journal accepts it.
-    pub(super) fn defer_unjournalled(&mut self, now: Timestamp, attempt: UnjournalledAttempt) {
-        self.unjournalled.push(attempt);
-        self.wake_for_journal(now);
+    pub(super) fn defer_attempt(&mut self, now: Timestamp, attempt: SelectedAttempt) {
+        self.unjournalled_attempts.push(attempt);
+        self.schedule_journal_retry(now);
     }
 
     /// Has the engine stepped when the journal is to be written again. There is one timer at a time, however many steps
     /// find the journal failing.
-    fn wake_for_journal(&mut self, now: Timestamp) {
+    fn schedule_journal_retry(&mut self, now: Timestamp) {
         if self.journal_retry_at <= now.monotonic {
             self.journal_retry_at = now.monotonic + RETRY_INTERVAL;
-            self.timers.insert((self.journal_retry_at, STEP_TIMER));
+            self.timers
+                .insert((self.journal_retry_at, STEP_TIMER_TOKEN));
         }
     }
 
@@ -104,13 +105,13 @@
             return;
         }
         self.retry_records(now, commands);
-        for attempt in std::mem::take(&mut self.unjournalled) {
+        for attempt in std::mem::take(&mut self.unjournalled_attempts) {
             let is_open = self
                 .store
                 .get(attempt.message)
                 .is_some_and(|record| record.is_open());
             let is_late = now.monotonic >= attempt.timeout_at
-                || self.ends_within(now, LAST_ATTEMPT_BEFORE_END);
+                || self.ends_within(now, ATTEMPT_CUTOFF_BEFORE_SHUTDOWN);
             if !is_open || is_late {
                 self.report_not_sent(now, attempt.message);
             } else {
@@ -124,11 +125,11 @@
         if self.store.has_unwritten() {
             let written = self.store.retry_unwritten();
             if written.is_err() {
-                self.wake_for_journal(now);
+                self.schedule_journal_retry(now);
             }
             log_journal_error(written, commands);
         }
-        self.forget_written_results();
+        self.drop_written_reports();
         self.report_deferred_outcomes(now, commands);
     }
 
@@ -144,11 +145,11 @@
     }
 
     /// Cancels a message's attempt that waits for the journal; returns whether there was one.
-    pub(super) fn cancel_unjournalled(&mut self, now: Timestamp, message: MessageId) -> bool {
-        let before = self.unjournalled.len();
-        self.unjournalled
+    pub(super) fn cancel_deferred_attempt(&mut self, now: Timestamp, message: MessageId) -> bool {
+        let before = self.unjournalled_attempts.len();
+        self.unjournalled_attempts
             .retain(|attempt| attempt.message != message);
-        let is_cancelled = self.unjournalled.len() < before;
+        let is_cancelled = self.unjournalled_attempts.len() < before;
         if is_cancelled {
             self.report_not_sent(now, message);
         }
@@ -158,14 +159,14 @@
     /// Reports to the scheduler that an attempt was not sent after all.
     pub(super) fn report_not_sent(&mut self, now: Timestamp, message: MessageId) {
         let attempts = self.store.get(message).map_or(0, |record| record.attempts);
-        self.backlog.push(m::Event::AttemptFinished {
+        self.backlog.push(scheduler::Event::AttemptFinished {
             message,
-            attempt: m::AttemptNumber(attempts),
-            outcome: m::Outcome::NotSent,
-            duration: m::Span::ZERO,
+            attempt: scheduler::AttemptNumber(attempts),
+            outcome: scheduler::Outcome::NotSent,
+            duration: scheduler::Span::ZERO,
             is_final: false,
-            rate_limit: m::RateLimitReport::default(),
+            rate_limit: scheduler::RateLimitReport::default(),
         });
-        self.timers.insert((now.monotonic, STEP_TIMER));
+        self.timers.insert((now.monotonic, STEP_TIMER_TOKEN));
     }
 }
--- a/crates/delivery/src/core/engine/unwritten_reports.rs
+++ b/crates/delivery/src/core/engine/unwritten_reports.rs
@@ -8,11 +8,11 @@
 use super::{log_journal_error, AttemptResult, Engine, EngineCommand};
 use crate::core::journal_record::AttemptReport;
 use crate::core::Timestamp;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
 impl Engine {
     /// The report of an attempt's result.
-    fn report_of(&self, now: Timestamp, result: &AttemptResult) -> AttemptReport {
+    fn attempt_report(&self, now: Timestamp, result: &AttemptResult) -> AttemptReport {
         let class = self
             .store
             .get(result.message_id)
@@ -25,13 +25,13 @@
     }
 
     /// Keeps a result that the journal did not accept.
-    pub(super) fn keep_result(&mut self, now: Timestamp, result: &AttemptResult) {
-        let report = self.report_of(now, result);
+    pub(super) fn store_unwritten_report(&mut self, now: Timestamp, result: &AttemptResult) {
+        let report = self.attempt_report(now, result);
         self.unwritten_reports.insert(result.message_id, report);
     }
 
     /// Forgets the results of messages that the journal has accepted meanwhile.
-    pub(super) fn forget_written_results(&mut self) {
+    pub(super) fn drop_written_reports(&mut self) {
         let store = &self.store;
         self.unwritten_reports
             .retain(|id, _| store.is_unwritten(*id));
@@ -44,13 +44,17 @@
         result: &AttemptResult,
         commands: &mut Vec<EngineCommand>,
     ) {
-        self.keep_result(now, result);
+        self.store_unwritten_report(now, result);
         self.journal_retry_at = now.monotonic;
-        self.retry_reports(now, commands);
+        self.retry_unwritten_reports(now, commands);
     }
 
     /// Reports the results that the journal did not accept, if that is due.
-    pub(super) fn retry_reports(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
+    pub(super) fn retry_unwritten_reports(
+        &mut self,
+        now: Timestamp,
+        commands: &mut Vec<EngineCommand>,
+    ) {
         if now.monotonic < self.journal_retry_at {
             return;
         }
@@ -67,7 +71,7 @@
     }
 
     /// When results are reported again, if any were not.
-    pub(super) fn next_report_retry(&self) -> Option<m::Time> {
+    pub(super) fn next_report_retry(&self) -> Option<scheduler::Time> {
         (!self.unwritten_reports.is_empty()).then_some(self.journal_retry_at)
     }
 
