--- a/crates/delivery/tests/acceptance.rs
+++ b/crates/delivery/tests/acceptance.rs
@@ -52,7 +52,7 @@
 
 /// A client that submits the id of another client's message can neither cancel it by disconnecting nor have it sent again.
 #[test]
-fn platform_message_belongs_to_its_first_client() {
+fn repeat_by_another_client_cannot_cancel_platform_message() {
     let (mut incarnation, _) = RestartingEngine::start(temporary_folder("first-client"), 0);
     let submission = |request| submission(request, "m", Origin::Platform, IDEMPOTENT_CLASS);
     let commands = incarnation.step(0, vec![submission(1), submission(2)]);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn event_fails_once_its_first_attempts_window_closes() {
+fn event_fails_once_its_deduplication_window_closes() {
     let (mut incarnation, _) = RestartingEngine::start(temporary_folder("again"), 0);
     let submission = |request| vec![submission(request, "m", Origin::CloudEvents, KEYED_CLASS)];
     let started = started_attempts(&incarnation.step(0, submission(1)))[0];
--- a/crates/delivery/tests/policy_change.rs
+++ b/crates/delivery/tests/policy_change.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn backoff_and_deduplication_window_survive_a_policy_change() {
+fn policy_change_preserves_backoff_and_deduplication_window() {
     let mut fixture = PolicyEngine::start("backoff");
     let first = started_attempts(&fixture.submit(10, 1, message("first", 0, 20_000)))[0];
     fixture.step(
@@ -145,32 +145,32 @@
         max_open: 2,
     };
     let mut check = |proposed: ProposedPolicy| {
-        let (response, answers) = async_channel::bounded(1);
-        fixture.step(30, vec![EngineEvent::CheckPolicy(proposed, response)]);
-        answers.try_recv().expect("answered at once")
+        let (result_sender, results) = async_channel::bounded(1);
+        fixture.step(30, vec![EngineEvent::CheckPolicy(proposed, result_sender)]);
+        results.try_recv().expect("answered at once")
     };
     assert_eq!(check(complete.clone()), Ok(()));
-    let without = ProposedPolicy {
+    let without_class = ProposedPolicy {
         classes: class_names(&["free"]).into_iter().collect(),
         ..complete.clone()
     };
-    assert!(check(without)
+    assert!(check(without_class)
         .unwrap_err()
         .to_string()
         .contains("class keyed"));
-    let elsewhere = ProposedPolicy {
+    let without_destination = ProposedPolicy {
         destinations: BTreeSet::from([DestinationId(8)]),
         ..complete.clone()
     };
-    assert!(check(elsewhere)
+    assert!(check(without_destination)
         .unwrap_err()
         .to_string()
         .contains("destination"));
-    let small = ProposedPolicy {
+    let with_lower_limit = ProposedPolicy {
         max_open: 1,
         ..complete
     };
-    assert!(check(small)
+    assert!(check(with_lower_limit)
         .unwrap_err()
         .to_string()
         .contains("2 messages are held"));
--- a/crates/delivery/tests/restart_backlog.rs
+++ b/crates/delivery/tests/restart_backlog.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn backlog_waits_for_the_list_and_is_then_delivered() {
+fn backlog_is_delivered_once_an_endpoint_is_listed() {
     let (folder, attempted) = crashed_folder("unlisted", 1, 45);
     let (mut incarnation, commands) = Incarnation::start(&folder, 1, 1000, &[]);
     // Messages that were in flight and are not idempotent have their final outcome. All others are pending.
--- a/crates/delivery/tests/restart_histories/history.rs
+++ b/crates/delivery/tests/restart_histories/history.rs
@@ -27,7 +27,7 @@
     id: MessageId,
     attempt: u32,
     message: String,
-    by: Role,
+    sender: Role,
     ends_ms: i64,
 }
 
@@ -57,7 +57,7 @@
     /// The final outcomes of which notices were sent.
     notices: BTreeMap<String, FinalOutcome>,
     backoff_until_ms: i64,
-    next_number: usize,
+    next_message_number: usize,
     pub trace: Vec<String>,
 }
 
@@ -78,17 +78,17 @@
             accepted_messages: BTreeMap::new(),
             notices: BTreeMap::new(),
             backoff_until_ms: 0,
-            next_number: 0,
+            next_message_number: 0,
             trace: Vec::new(),
         }
     }
 
-    fn record(&mut self, what: impl Into<String>) {
-        self.trace.push(format!("{:5} {}", self.ms, what.into()));
+    fn record(&mut self, event: impl Into<String>) {
+        self.trace.push(format!("{:5} {}", self.ms, event.into()));
     }
 
     /// Executes the commands of an incarnation. Violations of invariants are panics, after which the trace is printed.
-    fn execute(&mut self, commands: Vec<EngineCommand>, by: Role) {
+    fn execute(&mut self, commands: Vec<EngineCommand>, sender: Role) {
         for command in commands {
             match command {
                 EngineCommand::StartAttempt(AttemptRequest {
@@ -98,7 +98,7 @@
                     ..
                 }) => {
                     let name = String::from_utf8(message.identity.clone()).unwrap();
-                    self.record(format!("attempt {attempt} of {name} by {by:?}"));
+                    self.record(format!("attempt {attempt} of {name} by {sender:?}"));
                     assert!(
                         !self.in_flight.iter().any(|attempt| attempt.message == name),
                         "two attempts of {name} in flight"
@@ -112,7 +112,7 @@
                         id,
                         attempt,
                         message: name,
-                        by,
+                        sender,
                         ends_ms: self.ms + duration,
                     });
                 }
@@ -128,17 +128,17 @@
         }
     }
 
-    fn step(&mut self, by: Role, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
-        let incarnation = match by {
+    fn step(&mut self, role: Role, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
+        let incarnation = match role {
             Role::Predecessor => self.predecessor.as_mut(),
             Role::Successor => self.successor.as_mut(),
         };
         incarnation.map_or_else(Vec::new, |incarnation| incarnation.step(self.ms, events))
     }
 
-    fn run(&mut self, by: Role, events: Vec<EngineEvent>) {
-        let commands = self.step(by, events);
-        self.execute(commands, by);
+    fn step_and_execute(&mut self, role: Role, events: Vec<EngineEvent>) {
+        let commands = self.step(role, events);
+        self.execute(commands, role);
     }
 
     /// The successor takes the predecessor's place once that has exited.
@@ -148,7 +148,7 @@
             self.successor_is_active = false;
             self.in_flight
                 .iter_mut()
-                .for_each(|attempt| attempt.by = Role::Predecessor);
+                .for_each(|attempt| attempt.sender = Role::Predecessor);
         }
     }
 
@@ -157,17 +157,17 @@
             return;
         };
         self.record("the predecessor is killed");
-        self.lose_attempts(Role::Predecessor);
+        self.drop_attempts(Role::Predecessor);
         let generation = predecessor.generation;
         drop(predecessor);
         match (self.successor.is_some(), self.successor_is_active) {
-            (true, true) => self.run(
+            (true, true) => self.step_and_execute(
                 Role::Successor,
                 vec![EngineEvent::PredecessorExited(generation)],
             ),
             (true, false) => {
                 self.successor_is_active = true;
-                self.run(
+                self.step_and_execute(
                     Role::Successor,
                     vec![EngineEvent::TakeOver {
                         running: vec![],
@@ -188,12 +188,12 @@
     }
 
     /// Ends the attempts of a killed incarnation: each is executed at the destination or not, and has no result.
-    fn lose_attempts(&mut self, by: Role) {
-        let (lost, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
+    fn drop_attempts(&mut self, sender: Role) {
+        let (dropped, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|attempt| attempt.by == by);
+            .partition(|attempt| attempt.sender == sender);
         self.in_flight = remaining;
-        for attempt in lost {
+        for attempt in dropped {
             if self.rng.bool() {
                 let executions = self.executions.entry(attempt.message).or_default();
                 executions.push(self.ms);
@@ -206,12 +206,12 @@
             return;
         }
         self.record("the successor is killed");
-        self.lose_attempts(Role::Successor);
+        self.drop_attempts(Role::Successor);
         let was_active = std::mem::take(&mut self.successor_is_active);
         self.successor = None;
         if was_active {
             // The predecessor has handed over and exits. A third incarnation recovers the messages of both.
-            self.lose_attempts(Role::Predecessor);
+            self.drop_attempts(Role::Predecessor);
             self.predecessor = None;
             let (incarnation, commands) = TestIncarnation::start_alone(&self.folder, self.ms);
             self.record("a third one starts alone");
@@ -219,11 +219,14 @@
             self.predecessor = Some(incarnation);
             self.execute(commands, Role::Predecessor);
         } else {
-            let claimed = latest_generation(&self.folder).unwrap().next();
-            self.run(Role::Predecessor, vec![EngineEvent::StandbyExited(claimed)]);
+            let new_generation = latest_generation(&self.folder).unwrap().next();
+            self.step_and_execute(
+                Role::Predecessor,
+                vec![EngineEvent::StandbyExited(new_generation)],
+            );
             self.predecessor
                 .iter_mut()
-                .for_each(|predecessor| predecessor.generation = claimed);
+                .for_each(|predecessor| predecessor.generation = new_generation);
         }
     }
 
@@ -238,7 +241,7 @@
                 id,
                 attempt,
                 message: name,
-                by,
+                sender,
                 ..
             } = self.in_flight.remove(at);
             let outcome = match self.rng.u8(0..10) {
@@ -267,36 +270,39 @@
             self.record(format!(
                 "attempt of {name} ends: {outcome:?}, executed: {is_executed}"
             ));
-            self.run(by, vec![attempt_finished(id, attempt, outcome)]);
-            if by == Role::Predecessor && self.successor_is_active {
+            self.step_and_execute(sender, vec![attempt_finished(id, attempt, outcome)]);
+            if sender == Role::Predecessor && self.successor_is_active {
                 // The successor polls the journal before anything else happens.
-                self.run(Role::Successor, vec![EngineEvent::FollowPredecessors]);
+                self.step_and_execute(Role::Successor, vec![EngineEvent::FollowPredecessors]);
             }
         }
     }
 
     fn submit_message(&mut self) {
-        let (name, class) = (format!("m{}", self.next_number), self.next_number % 3);
-        self.next_number += 1;
-        let to_predecessor =
+        let (name, class) = (
+            format!("m{}", self.next_message_number),
+            self.next_message_number % 3,
+        );
+        self.next_message_number += 1;
+        let is_for_predecessor =
             self.successor.is_none() || self.predecessor.is_some() && self.rng.bool();
-        let to = if to_predecessor {
+        let receiver = if is_for_predecessor {
             Role::Predecessor
         } else {
             Role::Successor
         };
         let event = EngineEvent::Submitted(
-            RequestId(self.next_number as u64),
+            RequestId(self.next_message_number as u64),
             message(&name, class, self.ms, 50),
         );
-        let commands = self.step(to, vec![event]);
+        let commands = self.step(receiver, vec![event]);
         if is_accepted(&commands) {
             self.accepted_messages.insert(name.clone(), class);
-            self.record(format!("{name} accepted by {to:?}"));
+            self.record(format!("{name} accepted by {receiver:?}"));
         }
-        self.execute(commands, to);
-        if to == Role::Predecessor && self.successor_is_active {
-            self.run(Role::Successor, vec![EngineEvent::FollowPredecessors]);
+        self.execute(commands, receiver);
+        if receiver == Role::Predecessor && self.successor_is_active {
+            self.step_and_execute(Role::Successor, vec![EngineEvent::FollowPredecessors]);
         }
     }
 
@@ -316,8 +322,8 @@
         {
             self.exit_predecessor();
         }
-        self.run(Role::Predecessor, vec![]);
-        self.run(
+        self.step_and_execute(Role::Predecessor, vec![]);
+        self.step_and_execute(
             Role::Successor,
             if self.successor_is_active {
                 vec![EngineEvent::FollowPredecessors]
@@ -327,8 +333,10 @@
         );
     }
 
-    fn has_attempts_in_flight(&self, by: Role) -> bool {
-        self.in_flight.iter().any(|attempt| attempt.by == by)
+    fn has_attempts_in_flight(&self, sender: Role) -> bool {
+        self.in_flight
+            .iter()
+            .any(|attempt| attempt.sender == sender)
     }
 
     /// Starts a standby, hands over to it, or kills an incarnation, each with its probability.
@@ -359,7 +367,7 @@
     fn exit_predecessor(&mut self) {
         self.record("the predecessor exits");
         let generation = self.predecessor.take().unwrap().generation;
-        self.run(
+        self.step_and_execute(
             Role::Successor,
             vec![EngineEvent::PredecessorExited(generation)],
         );
@@ -367,7 +375,7 @@
     }
 
     /// Checks the executions and final outcomes of all accepted messages.
-    pub fn check(&self) {
+    pub fn check_outcomes(&self) {
         for (name, class) in &self.accepted_messages {
             let none = Vec::new();
             let executions = self.executions.get(name).unwrap_or(&none);
@@ -380,9 +388,10 @@
                     executions.len()
                 ),
                 KEYED_CLASS => {
-                    let spread = executions.last().unwrap_or(&0) - executions.first().unwrap_or(&0);
+                    let span_ms =
+                        executions.last().unwrap_or(&0) - executions.first().unwrap_or(&0);
                     assert!(
-                        spread < DEDUPLICATION_WINDOW_MS + MAX_ATTEMPT_MS,
+                        span_ms < DEDUPLICATION_WINDOW_MS + MAX_ATTEMPT_MS,
                         "{name} was executed again after its window"
                     );
                 }
--- a/crates/delivery/tests/restart_histories/main.rs
+++ b/crates/delivery/tests/restart_histories/main.rs
@@ -22,7 +22,7 @@
             while history.ms < END_MS {
                 history.advance();
             }
-            history.check();
+            history.check_outcomes();
         }));
         if result.is_err() {
             panic!("seed {seed}:\n{}", history.trace.join("\n"));
--- a/crates/delivery/tests/unjournalled_outcomes.rs
+++ b/crates/delivery/tests/unjournalled_outcomes.rs
@@ -83,7 +83,7 @@
 
 /// Regression: a notice was sent at once, and the next incarnation found the message open and attempted it.
 #[test]
-fn outcome_that_is_not_journalled_is_not_reported_before_a_crash() {
+fn unjournalled_outcome_is_not_reported_before_a_crash() {
     let mut failing = FailingJournal::new("not-reported");
     let id = failing.message;
     let commands = failing.reject_attempt();
