--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -1,11 +1,11 @@
-//! The engine owns the scheduler and the message store: events go in, commands come out.
+//! The engine owns the scheduler and the message store. It turns [`EngineEvent`]s into [`EngineCommand`]s.
 //!
-//! All events that are received together are handled in one [`step`](Engine::step): the scheduler decides on them, the
-//! submissions that it accepts are journalled, and only then responses and attempts are ordered. The journal therefore
-//! has everything that the scheduler knows, and each decision is executed once.
+//! All events that are received together are handled in one [`step`](Engine::step): the scheduler processes them, the
+//! submissions that it accepts are journalled, and only then are the commands for responses and attempts emitted. The
+//! journal therefore contains everything that the scheduler's state is based on, and each decision is executed once.
 //!
 //! An engine has a `Role`: it is a standby beside an active incarnation, is active itself, or has handed over. Where a
-//! group decides on the policy, it also has a [`LeaseState`]: without the lease it starts nothing.
+//! group decides on the policy, it also has a [`LeaseState`]. Without the lease it starts no attempts.
 
 mod acceptance;
 mod actions;
@@ -55,7 +55,7 @@
 use std::sync::Arc;
 use unjournalled::{SelectedAttempt, UnjournalledOutcomes};
 
-/// The token of timers that only cause a step.
+/// The token of timers whose only effect is a step.
 const STEP_TIMER_TOKEN: u64 = u64::MAX;
 
 /// Owns the scheduler and the message store of one instance.
@@ -64,55 +64,56 @@
     store: MessageStore,
     policy: Policy,
     endpoints: EndpointRegistry,
-    /// All destinations, where most of them are idle.
+    /// All destinations, most of which are idle; absent until a table is received.
     destination_table: Option<Arc<DestinationTable>>,
     active_destinations: ActiveDestinations,
     /// Identities of the platform's messages that finished recently.
     recent_completions: RecentCompletions,
-    /// The submissions that are answered when their message has a response.
+    /// The submissions that wait for a response, by message.
     waiting_clients: BTreeMap<MessageId, Vec<RequestId>>,
     timers: BTreeSet<(scheduler::Time, u64)>,
-    /// Scheduler events that arose while commands were collected; the next batch starts with them.
+    /// Scheduler events that were generated while commands were collected. The next batch starts with them.
     backlog: Vec<scheduler::Event>,
+    /// The latest time at which the process ends; absent until a shutdown or a handover is requested.
     shutdown_at: Option<scheduler::Time>,
-    /// Whether the end of the process is too near to start an attempt.
+    /// Whether the shutdown is too close to start another attempt.
     attempts_stopped: bool,
     role: Role,
-    /// Events of a hot restart whose step failed by a transient error.
+    /// Events of a hot restart whose step failed with a transient error.
     postponed_events: PostponedEvents,
     predecessor_attempts: PredecessorAttempts,
     /// Submissions rejected since [`Engine::drain_rejections`] was last called.
     rejections: Vec<Rejection>,
-    /// Attempts that wait for the journal.
+    /// Attempts that are not started until the journal accepts them.
     unjournalled_attempts: Vec<SelectedAttempt>,
-    /// Final outcomes that wait for the journal.
+    /// Final outcomes that are not reported until the journal accepts them.
     unjournalled_outcomes: UnjournalledOutcomes,
     /// Results of attempts that the journal did not accept.
     unwritten_reports: BTreeMap<MessageId, AttemptReport>,
-    /// The earliest time at which the journal is tried again with what it did not accept.
+    /// The earliest time at which records that the journal did not accept are written again.
     journal_retry_at: scheduler::Time,
-    /// How many attempts are in flight.
+    /// Number of attempts in flight.
     in_flight: usize,
     lease: LeaseState,
-    /// Events received without the lease.
+    /// Events that were received without the lease and are handled once it is held again.
     deferred_events: Vec<DeferredEvent>,
 }
 
-/// The work that an engine has.
+/// The current load of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Messages without a final outcome.
+    /// Number of messages without a final outcome.
     pub open_messages: usize,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
 }
 
-/// What one step collects.
+/// The submissions, scheduler events and commands that one step collects.
 struct Batch<'a> {
     now: Timestamp,
     /// Events for the scheduler.
     scheduler_events: Vec<scheduler::Event>,
-    /// Messages that the scheduler may accept.
+    /// Messages that are offered to the scheduler in this step.
     submissions: Vec<Submission>,
     commands: &'a mut Vec<EngineCommand>,
 }
@@ -134,7 +135,8 @@
 }
 
 impl Engine {
-    /// An engine that is active at once, with the messages in the store. Pending notices are ordered at once.
+    /// Creates an engine that is active immediately, with the messages in the store. Pending notices are sent
+    /// immediately.
     pub fn new(
         settings: EngineSettings,
         store: MessageStore,
@@ -146,7 +148,7 @@
         engine
     }
 
-    /// An engine that is a standby beside another incarnation: it accepts messages, and decides nothing until
+    /// Creates an engine that is a standby beside another incarnation: it accepts messages, but starts no attempts until
     /// [`EngineEvent::TakeOver`].
     pub fn standby(settings: EngineSettings, store: MessageStore) -> Engine {
         let (policy, scheduler) = Policy::split(settings);
@@ -177,7 +179,7 @@
         }
     }
 
-    /// When the engine is to be stepped at the latest, even without an event.
+    /// Returns the latest time at which the engine must be stepped, even without an event.
     pub fn next_wake(&self) -> Option<scheduler::Time> {
         let postponed = self.postponed_events.next_retry();
         if self.role != Role::Active {
@@ -191,7 +193,7 @@
             .min()
     }
 
-    /// The work that the engine has at present.
+    /// Returns the current load.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             open_messages: self.store.open_count(),
@@ -199,12 +201,12 @@
         }
     }
 
-    /// Whether another step is due at once, as there are events that the scheduler has not handled yet.
+    /// Returns whether another step is due immediately, because the scheduler has not handled all its events yet.
     pub fn has_backlog(&self) -> bool {
         self.lease == LeaseState::Held && !self.backlog.is_empty()
     }
 
-    /// Handles the events since the last step, lets the scheduler decide, and adds the commands that follow.
+    /// Handles the events received since the last step, runs the scheduler, and appends the resulting commands.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -226,7 +228,7 @@
         self.step_active(now, events, commands);
     }
 
-    /// A step of the active incarnation.
+    /// Executes a step of the active incarnation.
     fn step_active(
         &mut self,
         now: Timestamp,
@@ -261,8 +263,8 @@
         self.compact_idle_destinations(now, commands);
     }
 
-    /// Handles one event. Changes of endpoints have been handled before, and events of a hot restart have steps of their
-    /// own.
+    /// Handles one event. Endpoint changes were handled earlier in the step, and events of a hot restart are handled in
+    /// steps of their own.
     fn handle(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
         match event {
             EngineEvent::Submitted(request, message) => self.submit(request, message, batch),
@@ -300,9 +302,9 @@
     }
 }
 
-/// Logs that the journal did not accept a record. The message continues in memory.
-fn log_journal_error(journalled: std::io::Result<()>, commands: &mut Vec<EngineCommand>) {
-    if let Err(error) = journalled {
+/// Logs a failed journal operation. A message whose record could not be written continues in memory.
+fn log_journal_error(result: std::io::Result<()>, commands: &mut Vec<EngineCommand>) {
+    if let Err(error) = result {
         commands.push(EngineCommand::Log(format!(
             "the journal does not accept a record: {error}"
         )));
--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -1,4 +1,4 @@
-//! Submissions: which are accepted, and which clients wait for their responses.
+//! Accepts or rejects submissions, and responds to the clients that wait for them.
 
 use super::final_outcome::outcome_of_failure;
 use super::lookup::Lookup;
@@ -12,26 +12,26 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A rejected client retries after this time where nothing better is known, in milliseconds.
+/// Retry-After of a rejection where the scheduler gives none, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1000;
 
-/// The response to a submission that is rejected for no reason of its destination.
+/// The response to a submission that is rejected without a delay from the scheduler.
 pub(super) const REJECTED: SubmitResponse = SubmitResponse::Rejected {
     retry_after_ms: DEFAULT_RETRY_AFTER_MS,
 };
 
-/// A message submitted within the batch at hand.
+/// A message that was submitted in the current batch and is not accepted yet.
 pub(super) struct Submission {
     pub(super) id: MessageId,
     pub(super) message: Rc<Message>,
-    /// The first attempt of an earlier submission of it that may have been executed.
+    /// The first attempt of an earlier submission of this message that may have been executed.
     first_possible_execution: Option<AttemptRecord>,
-    /// Other identities under which it was submitted in the same batch.
+    /// Other identities under which the message was submitted in the same batch.
     aliases: Vec<Vec<u8>>,
 }
 
 impl Engine {
-    /// Handles a submission: it is answered, joins an earlier one, or is offered to the scheduler.
+    /// Handles a submission: responds to it, joins it to an earlier one, or offers it to the scheduler.
     pub(super) fn submit(&mut self, request: RequestId, message: Message, batch: &mut Batch<'_>) {
         let first_possible_execution = match self.look_up(&message, &batch.submissions) {
             Lookup::New {
@@ -61,7 +61,7 @@
         });
     }
 
-    /// The event that offers a message to the scheduler.
+    /// Returns the event that offers a message to the scheduler.
     fn submission_event(
         &mut self,
         id: MessageId,
@@ -83,9 +83,10 @@
         }
     }
 
-    /// Why one more message may not be accepted, if so. The endpoint list may be late, so that a message for a
-    /// destination without endpoints is rejected rather than failed. What is accepted while another incarnation is
-    /// active is delivered by that one.
+    /// Returns the reason to reject a new message, if there is one.
+    ///
+    /// The endpoint list may be late, so a message for a destination without endpoints is rejected rather than failed.
+    /// Messages that are accepted while another incarnation is active are delivered by that incarnation.
     fn reject_reason(&self, message: &Message, batch: &Batch<'_>) -> Option<RejectReason> {
         let is_full = self.role != Role::HandedOver
             && self.store.open_count() + batch.submissions.len() >= self.policy.max_open;
@@ -102,8 +103,10 @@
         }
     }
 
-    /// Joins a submission to an open message. Each submission of the platform's clients has an id of its own, so a
-    /// client with a known id is not the one that waits for the message, and must not cancel it by disconnecting.
+    /// Joins a submission to an open message.
+    ///
+    /// Each submission of the platform's clients has its own id. A client that submits a known id is therefore not the
+    /// client that waits for the message, and must not cancel it by disconnecting.
     fn join(&mut self, id: MessageId, request: RequestId, message: Message, batch: &mut Batch<'_>) {
         if message.origin == Origin::Platform {
             let response = match self.store.get(id) {
@@ -126,8 +129,10 @@
         }
     }
 
-    /// Handles a client that has gone without its response. Its message is cancelled if it came by the platform's
-    /// protocol and no other client waits for it. An event is not cancelled, as its client can submit it again.
+    /// Handles a client that disconnected before its response.
+    ///
+    /// Its message is cancelled if it was submitted over the platform's protocol and no other client waits for it. An
+    /// event is not cancelled, because its client can submit it again.
     pub(super) fn client_gone(&mut self, request: RequestId, batch: &mut Batch<'_>) {
         let waiting = self
             .waiting_clients
@@ -146,7 +151,7 @@
             .iter()
             .position(|submission| submission.id == id && is_platform(&submission.message));
         if let Some(index) = in_batch {
-            // It has not been accepted yet, and is not accepted at all.
+            // The submission has not been accepted yet, so it is dropped.
             batch.submissions.remove(index);
             self.waiting_clients.remove(&id);
             batch.scheduler_events.push(scheduler::Event::Cancelled(id));
@@ -162,8 +167,8 @@
         }
     }
 
-    /// Journals the submissions that the scheduler did not end in this step; returns those that the journal did not
-    /// accept.
+    /// Journals the submissions that the scheduler did not reject or fail in this step. Returns those that the journal
+    /// did not accept.
     pub(super) fn journal_submissions(
         &mut self,
         now: Timestamp,
@@ -178,7 +183,7 @@
                 .iter()
                 .find_map(|action| self.immediate_response(now, &submission, action));
             if let Some(response) = response {
-                // It was not accepted, so the response alone reports its outcome.
+                // The message was never accepted, so no notice is sent: the response alone reports the outcome.
                 self.record_rejection(id, RejectReason::Scheduler);
                 self.respond_all(id, response, commands);
                 continue;
@@ -194,7 +199,7 @@
         not_journalled
     }
 
-    /// Accepts a submission: journals it, and responds to its clients.
+    /// Accepts a submission: journals the message and responds to its clients.
     fn journal_submission(
         &mut self,
         submission: Submission,
@@ -232,12 +237,12 @@
         }));
     }
 
-    /// The submissions that were rejected since the last call.
+    /// Takes the submissions that were rejected since the last call.
     pub fn drain_rejections(&mut self) -> Vec<Rejection> {
         std::mem::take(&mut self.rejections)
     }
 
-    /// The response to a submission that an action of the same step gives up.
+    /// Returns the response to a submission that `action` rejects or fails in the step in which it was submitted.
     fn immediate_response(
         &self,
         now: Timestamp,
@@ -267,7 +272,7 @@
         }
     }
 
-    /// Gives all clients that wait for a message its last response.
+    /// Sends the last response to all clients that wait for a message.
     pub(super) fn respond_all(
         &mut self,
         id: MessageId,
--- a/crates/delivery/src/core/engine/actions.rs
+++ b/crates/delivery/src/core/engine/actions.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 
 impl Engine {
-    /// Executes an action of the scheduler. `not_journalled` are the messages of this step that were rejected because
-    /// the journal did not accept them.
+    /// Executes an action of the scheduler. `not_journalled` contains the messages of this step that were rejected
+    /// because the journal did not accept them.
     pub(super) fn execute(
         &mut self,
         now: Timestamp,
@@ -47,12 +47,12 @@
                 commands.push(EngineCommand::CloseIdleConnections(endpoint));
             }
             scheduler::Action::Log(text) => commands.push(EngineCommand::Log(text)),
-            // Instances send no health checks, and endpoint lists are pushed to them.
+            // Instances send no health checks, and receive endpoint lists without a subscription.
             scheduler::Action::HealthCheck(_) | scheduler::Action::Subscribe => {}
         }
     }
 
-    /// Reports endpoint changes to the scheduler at once, while it has nothing to send.
+    /// Reports endpoint changes to the scheduler outside a regular step, while it has no messages to send.
     pub(super) fn update_scheduler(
         &mut self,
         now: Timestamp,
--- a/crates/delivery/src/core/engine/attempts.rs
+++ b/crates/delivery/src/core/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they are started, and what their results mean.
+//! Starts attempts and handles their results.
 
 use super::recovery::RecordedAttempt;
 use super::settings::DEDUPLICATION_MARGIN;
@@ -10,8 +10,8 @@
 use marblefall_scheduler as scheduler;
 
 impl Engine {
-    /// Handles the result of an attempt: journals it, reports it to the scheduler, and gives the message its final
-    /// outcome if the result decides it.
+    /// Handles the result of an attempt: journals it, reports it to the scheduler, and finishes the message if the result
+    /// is final.
     pub(super) fn attempt_finished(&mut self, result: AttemptResult, batch: &mut Batch<'_>) {
         let id = result.message_id;
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -30,7 +30,7 @@
         self.conclude_attempt(id, &result, batch);
     }
 
-    /// Ends a message, or resumes it, as the result of its attempt requires.
+    /// Finishes, removes or resumes a message according to the result of its attempt.
     fn conclude_attempt(&mut self, id: MessageId, result: &AttemptResult, batch: &mut Batch<'_>) {
         let was_unlisted = self.predecessor_attempts.remove_unlisted(id);
         match result.disposition {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Journals an attempt and orders it. An attempt that the journal does not accept is not sent: it waits until the
-    /// journal accepts it.
+    /// Journals and starts an attempt. An attempt that the journal does not accept is deferred until the journal accepts
+    /// it.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
@@ -87,7 +87,7 @@
         }));
     }
 
-    /// Checks the rules for an attempt of an open message.
+    /// Checks whether the rules permit an attempt of an open message.
     fn check_start(&self, now: Timestamp, id: MessageId) -> Result<(), rules::Rule> {
         let Some(record) = self.store.get(id).filter(|record| record.is_open()) else {
             return Ok(());
@@ -96,8 +96,8 @@
         rules::may_start(record, class, now)
     }
 
-    /// When an attempt's last byte must have been written: within the deduplication window for a repeat, and before the
-    /// time-out.
+    /// Returns the time by which an attempt's last byte must be written: before the time-out, and for a repeat also within
+    /// the deduplication window.
     fn write_deadline(
         &self,
         now: Timestamp,
@@ -114,7 +114,7 @@
         window_end.min(timeout_at)
     }
 
-    /// The route that a backoff of an endpoint applies to.
+    /// Returns the route to which a backoff of an endpoint applies.
     pub(super) fn route(
         &self,
         destination: scheduler::DestinationId,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Journals the backoff that a response requests. Called before anything else is done with the response.
+    /// Journals the backoff that a response requests. Must be called before the response is processed further.
     pub(super) fn record_backoff(
         &mut self,
         now: Timestamp,
@@ -156,20 +156,20 @@
                 .record_backoff(destination, name.clone(), until_ms),
             commands,
         );
-        // The network has set the backoff already if the attempt was this incarnation's, but not otherwise.
+        // The network layer has already set the backoff if this incarnation sent the attempt, but not if another one did.
         let endpoint = self.endpoints.get_or_assign_id(&name);
         let route = self.route(destination, endpoint);
         commands.push(EngineCommand::SetBackoff(route, now.monotonic_of(until_ms)));
     }
 }
 
-/// The result of an attempt in the scheduler's form.
+/// Converts the result of an attempt to a scheduler event.
 fn scheduler_result(result: &AttemptResult) -> scheduler::Event {
     let is_delivered = result.outcome == scheduler::Outcome::Delivered;
     scheduler::Event::AttemptFinished {
         message: result.message_id,
         attempt: scheduler::AttemptNumber(result.attempt),
-        // An endpoint that rejects a message for good has responded: it is healthy.
+        // An endpoint that rejects a message permanently has responded, so it counts as healthy.
         outcome: if result.disposition == Disposition::Failed {
             scheduler::Outcome::Delivered
         } else {
--- a/crates/delivery/src/core/engine/command.rs
+++ b/crates/delivery/src/core/engine/command.rs
@@ -1,4 +1,4 @@
-//! The engine's commands.
+//! Commands that the engine emits.
 
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::{FinalOutcome, Message, MessageId, RequestId, Route, SubmitResponse};
@@ -9,30 +9,30 @@
 /// An attempt to start.
 #[derive(Clone, Debug)]
 pub struct AttemptRequest {
-    /// The message's id.
+    /// The id of the message.
     pub message_id: MessageId,
-    /// The attempt's number, from 0 for the message's first.
+    /// The number of the attempt; 0 is the message's first.
     pub attempt: u32,
-    /// The endpoint it is sent to.
+    /// The endpoint that the attempt is sent to.
     pub endpoint: scheduler::EndpointId,
-    /// The route whose backoff withholds it.
+    /// The route whose backoff can withhold the attempt.
     pub route: Route,
-    /// The message.
+    /// The message to send.
     pub message: Rc<Message>,
-    /// When it is abandoned.
+    /// The time at which the attempt times out.
     pub timeout_at: scheduler::Time,
-    /// Its last byte is written before this time or not at all.
+    /// The time before which the last byte must be written; otherwise the attempt is abandoned.
     pub write_by: scheduler::Time,
 }
 
-/// Why a submission is rejected.
+/// The reason for the rejection of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     /// The limit of open messages is reached, or the journal is full.
     Full,
     /// The process is about to end.
     Ending,
-    /// Its destination has had no endpoint.
+    /// No endpoint of the destination is, or was, listed.
     UnknownDestination,
     /// The journal could not be written.
     NotJournalled,
@@ -43,20 +43,20 @@
 /// A submission that was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The submission.
+    /// The request that submitted the message.
     pub request: RequestId,
-    /// Why it was rejected.
+    /// The reason for the rejection.
     pub reason: RejectReason,
 }
 
-/// Something to be done outside the engine.
+/// An action that the engine's caller executes.
 #[derive(Debug)]
 pub enum EngineCommand {
     /// Respond to a submission.
     Respond(RequestId, SubmitResponse),
     /// Start an attempt.
     StartAttempt(AttemptRequest),
-    /// Send nothing on a route until this time, as a backoff was requested of another incarnation.
+    /// Send nothing on a route until this time, because a response to another incarnation requested a backoff.
     SetBackoff(Route, scheduler::Time),
     /// Stop waiting for the attempt of a message.
     CancelAttempt(MessageId),
@@ -66,20 +66,20 @@
     MessageFinished(FinalOutcome),
     /// Send the platform a notice of a final outcome until it is acknowledged.
     SendNotice {
-        /// The message's id.
+        /// The id of the message.
         message_id: MessageId,
-        /// The message.
+        /// The finished message.
         message: Rc<Message>,
-        /// Its final outcome.
+        /// The final outcome of the message.
         outcome: FinalOutcome,
     },
     /// An endpoint is listed, or its listing has changed.
     EndpointListed(scheduler::EndpointId, ListedEndpoint),
     /// An endpoint was removed from the list.
     EndpointRemoved(scheduler::EndpointId),
-    /// This incarnation is active from now on, with this many open messages of earlier ones.
+    /// This incarnation has become active, with this number of open messages.
     TookOver(usize),
-    /// This incarnation has handed over: another one may become active.
+    /// This incarnation has handed over, so another incarnation may become active.
     HandedOver,
     /// The policy with this revision is in force.
     PolicyInForce(u64),
--- a/crates/delivery/src/core/engine/destination_records.rs
+++ b/crates/delivery/src/core/engine/destination_records.rs
@@ -1,16 +1,16 @@
-//! The states of destinations as records: for a snapshot that outlasts the process, and restored from it.
+//! Converts the states of destinations to the records of a snapshot, and restores them from a snapshot.
 
 use super::Engine;
 use crate::core::snapshot::DestinationRecord;
 use crate::core::Timestamp;
 use marblefall_scheduler as scheduler;
 
-/// Baseline rates are recorded in steps of one over this, in calls per second. They change with every delivery, and each
-/// change of a record is written to disk.
+/// Number of steps per call per second to which baseline rates are rounded in records. They change with every delivery, and
+/// each change of a record is written to disk.
 const BASELINE_RATE_STEPS: f32 = 4.0;
 
 impl Engine {
-    /// The records of all active destinations, and of idle ones with a significant state. Empty where there is no
+    /// Returns the records of all active destinations, and of idle ones with a significant state. Empty if there is no
     /// destination table.
     pub fn destination_records(&self, now: Timestamp) -> Vec<DestinationRecord> {
         let active = self.active_destinations.active();
@@ -26,7 +26,7 @@
     }
 
     /// Restores the destinations of an earlier incarnation as idle ones. A restart ends their backoffs, but not their
-    /// ejections. Times in the future, as of a clock that was set back, count as now.
+    /// ejections. Times in the future, which occur after the clock was set back, are replaced by the current time.
     pub fn restore_destinations(&mut self, now: Timestamp, records: &[DestinationRecord]) {
         let not_in_future = |ms: i64| now.monotonic_of(ms.min(now.unix_ms));
         for record in records {
--- a/crates/delivery/src/core/engine/endpoint_registry.rs
+++ b/crates/delivery/src/core/engine/endpoint_registry.rs
@@ -1,16 +1,16 @@
-//! The endpoints that the engine knows: their ids, their listings, and which ones operators have disabled.
+//! Registry of the known endpoints: their ids, their listings, and the ones that operators have disabled.
 
 use super::EngineCommand;
 use crate::core::endpoint::ListedEndpoint;
 use marblefall_scheduler as scheduler;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What a list of endpoints covers.
+/// The scope of a list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListScope {
-    /// All endpoints: those that are not in it are removed.
+    /// The list contains all endpoints. Known endpoints that are not in it are removed.
     Complete,
-    /// Only the endpoints that changed.
+    /// The list contains only the endpoints that changed.
     Changes,
 }
 
@@ -20,16 +20,16 @@
     ids: HashMap<String, scheduler::EndpointId>,
     names: BTreeMap<scheduler::EndpointId, String>,
     next_id: u32,
-    /// Destinations that have had an endpoint.
+    /// Destinations that have, or have had, an endpoint in the list.
     destinations: BTreeSet<scheduler::DestinationId>,
-    /// The last listing of each endpoint, from which one that is disabled or enabled is applied again.
+    /// The last listing of each endpoint. It is applied again when the endpoint is disabled or enabled.
     listings: BTreeMap<scheduler::EndpointId, ListedEndpoint>,
-    /// Names of the endpoints that operators disabled.
+    /// Names of the endpoints that operators have disabled.
     disabled: BTreeSet<String>,
 }
 
 impl EndpointRegistry {
-    /// The id of an endpoint, a new one where the name is unknown.
+    /// Returns the id of an endpoint, and assigns a new one if the name is unknown.
     pub fn get_or_assign_id(&mut self, name: &str) -> scheduler::EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -41,32 +41,32 @@
         id
     }
 
-    /// The name of an endpoint.
+    /// Returns the name of an endpoint.
     pub fn name_of(&self, id: scheduler::EndpointId) -> Option<&String> {
         self.names.get(&id)
     }
 
-    /// The listing of an endpoint.
+    /// Returns the last listing of an endpoint, unless it was removed.
     pub fn listing(&self, id: scheduler::EndpointId) -> Option<&ListedEndpoint> {
         self.listings.get(&id)
     }
 
-    /// All listings.
+    /// Returns the last listings of all endpoints.
     pub fn all_listings(&self) -> Vec<ListedEndpoint> {
         self.listings.values().cloned().collect()
     }
 
-    /// Whether a destination has had an endpoint.
+    /// Returns whether a destination has, or has had, an endpoint in the list.
     pub fn has_destination(&self, id: scheduler::DestinationId) -> bool {
         self.destinations.contains(&id)
     }
 
-    /// Removes a destination, as one that has had no endpoint.
+    /// Removes a destination, which then counts as one that has never had an endpoint.
     pub fn remove_destination(&mut self, id: scheduler::DestinationId) {
         self.destinations.remove(&id);
     }
 
-    /// Replaces the names of disabled endpoints; returns the listings of those that are newly disabled or enabled.
+    /// Replaces the names of disabled endpoints. Returns the listings of those that are newly disabled or enabled.
     pub fn set_disabled(&mut self, names: BTreeSet<String>) -> Vec<ListedEndpoint> {
         let changed: Vec<String> = names
             .symmetric_difference(&self.disabled)
@@ -78,7 +78,7 @@
             .collect()
     }
 
-    /// Applies a list; returns the updates for the scheduler.
+    /// Applies a list. Returns the updates for the scheduler.
     pub fn apply(
         &mut self,
         endpoints: Vec<ListedEndpoint>,
@@ -95,7 +95,7 @@
         updates
     }
 
-    /// The known endpoints that a list removes.
+    /// Returns the known endpoints that a list removes.
     fn removed_ids(
         &self,
         updates: &[scheduler::EndpointUpdate],
@@ -155,8 +155,8 @@
         update
     }
 
-    /// Removes an endpoint with its id. New endpoint names appear for as long as the process runs, so a removed one must
-    /// not use memory.
+    /// Removes an endpoint and its id. New endpoint names appear for as long as the process runs, so a removed endpoint
+    /// must not occupy memory.
     pub fn remove(&mut self, id: scheduler::EndpointId, commands: &mut Vec<EngineCommand>) {
         if let Some(name) = self.names.remove(&id) {
             self.ids.remove(&name);
--- a/crates/delivery/src/core/engine/endpoints.rs
+++ b/crates/delivery/src/core/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! Changes of endpoints, and the use of destinations: the scheduler is given those in use, and idle ones are compacted.
+//! Applies endpoint changes, activates the destinations that are in use, and compacts idle ones.
 
 use super::endpoint_registry::ListScope;
 use super::{Batch, Engine, EngineCommand, EngineEvent};
@@ -9,12 +9,12 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How many destinations one step compacts at most.
+/// Maximum number of destinations that one step compacts.
 const MAX_COMPACTED_PER_STEP: usize = 16;
 
 impl Engine {
-    /// Applies the changes of endpoints, before all other events of the step: no queued submission may be sent to an
-    /// endpoint that is draining. Returns the other events.
+    /// Applies endpoint changes before all other events of the step, so that no queued submission is sent to a draining
+    /// endpoint. Returns the other events.
     pub(super) fn handle_endpoint_changes(
         &mut self,
         events: Vec<EngineEvent>,
@@ -41,7 +41,7 @@
         rest
     }
 
-    /// Replaces all endpoints by a complete list.
+    /// Replaces all endpoints with a complete list.
     fn replace_all_endpoints(&mut self, endpoints: Vec<ListedEndpoint>, batch: &mut Batch<'_>) {
         let updates = self
             .endpoints
@@ -51,7 +51,7 @@
             .push(scheduler::Event::EndpointsReplaced(updates));
     }
 
-    /// Applies changes of the list.
+    /// Applies changes to the endpoint list.
     fn update_endpoints(&mut self, endpoints: Vec<ListedEndpoint>, batch: &mut Batch<'_>) {
         let updates = self
             .endpoints
@@ -61,7 +61,7 @@
             .push(scheduler::Event::EndpointsUpdated(updates));
     }
 
-    /// Replaces the destination table. Endpoints of destinations in use that differ are changes of the list.
+    /// Replaces the destination table. Changed endpoints of destinations in use are applied as changes to the list.
     fn replace_table(&mut self, table: Arc<DestinationTable>, batch: &mut Batch<'_>) {
         let old = self.destination_table.replace(table.clone());
         let active: Vec<_> = self.active_destinations.active().collect();
@@ -71,7 +71,7 @@
                 .map_or_else(Vec::new, |old| old.listed_endpoints(id));
             self.replace_endpoints(id, table.listed_endpoints(id), before, batch);
         }
-        // Messages of an earlier incarnation wait for their destinations.
+        // Messages of an earlier incarnation may wait for destinations that were unknown until now.
         let open = self.store.open_messages();
         let with_open_messages: BTreeSet<_> =
             open.map(|(_, record)| record.message.destination).collect();
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Notes the use of a destination. The scheduler is given one that was idle, with its record.
+    /// Marks a destination as in use. If it was idle, its endpoints and its record are passed to the scheduler.
     pub(super) fn use_destination(&mut self, id: scheduler::DestinationId, batch: &mut Batch<'_>) {
         let table = self
             .destination_table
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Compacts destinations that have been idle for long enough, a few with each step.
+    /// Compacts destinations that have been idle for long enough, a limited number per step.
     pub(super) fn compact_idle_destinations(
         &mut self,
         now: Timestamp,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Whether a destination has endpoints in the table, or has had one in the list.
+    /// Returns whether a destination has endpoints in the table, or has had one in the list.
     pub(super) fn is_known_destination(&self, id: scheduler::DestinationId) -> bool {
         let in_table = |table: &Arc<DestinationTable>| table.endpoints(id).next().is_some();
         self.endpoints.has_destination(id) || self.destination_table.as_ref().is_some_and(in_table)
--- a/crates/delivery/src/core/engine/event.rs
+++ b/crates/delivery/src/core/engine/event.rs
@@ -1,4 +1,4 @@
-//! The engine's events.
+//! Events that the engine handles.
 
 use super::{PolicyChange, PolicyMismatch, ProposedPolicy};
 use crate::core::attempt_result::AttemptResult;
@@ -10,62 +10,63 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Something that happened outside the engine.
+/// An input of the engine.
 #[derive(Debug)]
 pub enum EngineEvent {
     /// A message was submitted.
     Submitted(RequestId, Message),
-    /// The client of a submission has gone without its response.
+    /// The client of a submission disconnected before its response.
     ClientGone(RequestId),
     /// An attempt ended.
     AttemptFinished(AttemptResult),
-    /// The whole endpoint list.
+    /// A complete endpoint list replaces the current one.
     EndpointsReplaced(Vec<ListedEndpoint>),
-    /// Changes to the endpoint list.
+    /// Some endpoints of the list were added, changed or removed.
     EndpointsUpdated(Vec<ListedEndpoint>),
-    /// All destinations from now on. The scheduler is given only those in use.
+    /// A table of all destinations replaces the current one. Only destinations in use are passed to the scheduler.
     DestinationTableReplaced(Arc<DestinationTable>),
-    /// The names of all endpoints that operators have disabled, whatever their status in the list.
+    /// Operators disabled or enabled endpoints. Contains the names of all disabled ones, whatever their status in the
+    /// list.
     EndpointsDisabled(BTreeSet<String>),
     /// The platform has acknowledged the notice of a message's final outcome.
     NoticeAcknowledged(MessageId),
-    /// This incarnation is active from now on, and recovers the messages of earlier ones.
+    /// This incarnation becomes active and recovers the messages of earlier ones.
     TakeOver {
-        /// The earlier incarnations that have handed over and are still running.
+        /// The earlier incarnations that have handed over but are still running.
         running: Vec<Generation>,
-        /// The first of the incarnations that were running when this one started.
+        /// The earliest incarnation that was running when this one started.
         first_concurrent: Option<Generation>,
     },
-    /// Predecessors that have handed over may have journalled more.
+    /// Predecessors that have handed over may have written more records to the journal.
     FollowPredecessors,
-    /// A predecessor that was followed has exited.
+    /// A predecessor whose journal was being followed has exited.
     PredecessorExited(Generation),
-    /// A standby exited before it took over. This incarnation continues under a later generation, with the messages that
-    /// the standby had accepted.
+    /// A standby exited before it took over. This incarnation adopts the messages that the standby accepted, and continues
+    /// under the generation that is given.
     StandbyExited(Generation),
-    /// Another policy, from now on.
+    /// Another policy comes into force.
     PolicyChanged(Box<PolicyChange>),
-    /// Check whether a proposed policy covers the open messages.
+    /// A proposed policy must be checked against the open messages. The result is sent to the channel.
     CheckPolicy(
         ProposedPolicy,
         async_channel::Sender<Result<(), PolicyMismatch>>,
     ),
     /// Whether the engine holds its lease may have changed.
     LeaseChanged,
-    /// This incarnation ends, and no successor is known.
+    /// This incarnation shuts down, and no successor is known.
     Shutdown {
-        /// When it ends at the latest.
+        /// The latest time at which the process ends.
         deadline: scheduler::Time,
     },
-    /// This incarnation ends, and another one takes over, beside this one or after it.
+    /// This incarnation shuts down, and a successor takes over, either while this one still runs or afterwards.
     HandOver {
-        /// When it ends at the latest.
+        /// The latest time at which the process ends.
         deadline: scheduler::Time,
     },
 }
 
 impl EngineEvent {
-    /// Whether it changes the endpoints or their use. Such events are handled before all others of a step.
+    /// Returns whether the event changes endpoints or their use. Such events are handled before all others of a step.
     pub(super) fn changes_endpoints(&self) -> bool {
         matches!(
             self,
@@ -76,7 +77,7 @@
         )
     }
 
-    /// Whether it belongs to a hot restart.
+    /// Returns whether the event belongs to a hot restart.
     pub(super) fn belongs_to_hot_restart(&self) -> bool {
         matches!(
             self,
--- a/crates/delivery/src/core/engine/final_outcome.rs
+++ b/crates/delivery/src/core/engine/final_outcome.rs
@@ -1,4 +1,4 @@
-//! How messages get their final outcome, and how they are forgotten.
+//! Assigns final outcomes to messages, reports them, and removes the messages.
 
 use super::settings::DEDUPLICATION_MARGIN;
 use super::{log_journal_error, Engine, EngineCommand};
@@ -6,7 +6,7 @@
 use crate::core::{FinalOutcome, Message, MessageId, Origin, SubmitResponse, Timestamp};
 use marblefall_scheduler as scheduler;
 
-/// The final outcome of a message that the scheduler fails.
+/// Returns the final outcome of a message that the scheduler fails.
 pub(super) fn outcome_of_failure(now: Timestamp, message: &Message) -> FinalOutcome {
     if now.unix_ms >= message.expires_ms {
         FinalOutcome::Expired
@@ -16,10 +16,10 @@
 }
 
 impl Engine {
-    /// The final outcome of a message that the scheduler rejects with a time to retry after.
+    /// Returns the final outcome of a message that the scheduler rejects with a delay before the client's retry.
     ///
-    /// An event that may have been executed and whose deduplication window will have closed by then fails instead, as a
-    /// retry could only be rejected again. The platform's clients check the window themselves.
+    /// An event fails instead if it may have been executed and its deduplication window will have closed by then, because
+    /// the retry could only be rejected again. The platform's clients check the window themselves.
     pub(super) fn outcome_of_rejection(
         &self,
         now: Timestamp,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Rejects a pending message, which the scheduler has given up for now.
+    /// Returns a pending message that the scheduler has rejected: its client may retry later.
     pub(super) fn return_message(
         &mut self,
         now: Timestamp,
@@ -56,7 +56,7 @@
         self.finish(now, id, outcome, commands);
     }
 
-    /// Fails a pending message, which the scheduler has given up for good.
+    /// Fails a pending message that the scheduler will not attempt again.
     pub(super) fn fail_message(
         &mut self,
         now: Timestamp,
@@ -70,8 +70,8 @@
         self.finish(now, id, outcome, commands);
     }
 
-    /// Gives a message its final outcome, and reports it. Where the journal does not accept an outcome that another
-    /// incarnation could contradict, it is reported later.
+    /// Assigns a message its final outcome and reports it. If the journal does not accept an outcome that another
+    /// incarnation could contradict, the report is deferred.
     pub(super) fn finish(
         &mut self,
         now: Timestamp,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Responds to the clients that wait for a finished message, and sends the platform the notice that is pending.
+    /// Responds to the clients that wait for a finished message, and sends the pending notice to the platform.
     pub(super) fn report_outcome(
         &mut self,
         now: Timestamp,
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -1,7 +1,7 @@
-//! How the engine's role changes while one incarnation of the process takes over from another.
+//! Changes of the engine's role while one incarnation of the process takes over from another.
 //!
 //! A standby recovers all messages from the journal and becomes active. An active engine hands over, or adopts the
-//! messages of a standby that exited before it had taken over. A step that fails by a transient error is postponed.
+//! messages of a standby that exited before it took over. An event whose step fails with a transient error is postponed.
 
 use super::recovery::RecordedAttempt;
 use super::role::Role;
@@ -14,12 +14,12 @@
 use std::io;
 
 impl Engine {
-    /// Whether this incarnation has handed over and only waits for its attempts and clients to finish.
+    /// Returns whether this incarnation has handed over and only waits for its attempts and clients to finish.
     pub fn has_handed_over(&self) -> bool {
         self.role == Role::HandedOver
     }
 
-    /// A step of an incarnation that is not active, or in which that changes.
+    /// Executes a step of an incarnation that is not active, or a step that contains events of a hot restart.
     pub(super) fn step_in_hot_restart(
         &mut self,
         now: Timestamp,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Handles an event of a hot restart. What follows from it for this step is added to `step_events`.
+    /// Handles an event of a hot restart. Events that result from it are appended to `step_events`, the remaining events of
+    /// the step.
     fn handle_hot_restart(
         &mut self,
         now: Timestamp,
@@ -103,7 +104,7 @@
         self.activate(now, &recovered, commands);
     }
 
-    /// Postpones an event whose step failed by a transient error; returns whether it is postponed.
+    /// Postpones an event if its step failed with a transient error. Returns whether the event was postponed.
     pub(super) fn postpone_if_transient(
         &mut self,
         now: Timestamp,
@@ -117,8 +118,8 @@
         is_postponed
     }
 
-    /// Resumes the messages of a standby that exited before it became active. This incarnation continues under a later
-    /// generation.
+    /// Resumes the messages of a standby that exited before it became active. This incarnation continues under
+    /// `generation`.
     fn adopt_standby(
         &mut self,
         now: Timestamp,
@@ -138,9 +139,11 @@
         }
     }
 
-    /// Hands over: the states of routes are journalled, and the results of attempts in flight are reported through the
-    /// journal from now on. An engine that was never active has nothing to hand over; the messages that it
-    /// accepted are adopted once it exits.
+    /// Hands over to a successor: the states of routes are journalled, and the results of attempts in flight are reported
+    /// through the journal from now on.
+    ///
+    /// An engine that was never active has nothing to hand over. The messages that it accepted are adopted by the active
+    /// incarnation once it exits.
     fn hand_over(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         if self.role == Role::Active {
             let routes = self.route_records(now);
@@ -151,7 +154,7 @@
         }
         self.role = Role::HandedOver;
         self.postponed_events.clear();
-        // The successor chooses again for messages whose attempt was not started, or whose outcome was not reported.
+        // The successor schedules the messages whose attempt was not started, or whose outcome was not reported, itself.
         self.unjournalled_attempts.clear();
         self.unjournalled_outcomes.clear();
         self.backlog.clear();
--- a/crates/delivery/src/core/engine/lease.rs
+++ b/crates/delivery/src/core/engine/lease.rs
@@ -1,5 +1,5 @@
-//! The engine without its lease: nothing is accepted and no attempt is started, but results of attempts are journalled
-//! and deadlines are met.
+//! Steps of an engine that does not hold its lease. No new message is accepted and no attempt is started, but the results of
+//! attempts are journalled and messages past their deadline expire.
 
 use super::acceptance::REJECTED;
 use super::lookup::Lookup;
@@ -7,37 +7,37 @@
 use crate::core::{FinalOutcome, MessageId, Timestamp};
 use marblefall_scheduler as scheduler;
 
-/// A submission is deferred no longer than its class's latency objective, and no longer than this.
+/// Maximum deferral of a submission, if its class has no shorter latency objective.
 const MAX_DEFERRAL: scheduler::Span = scheduler::Span(3_000_000);
-/// How often deferred submissions are checked.
+/// Interval at which deferred submissions are checked.
 const DEFERRED_CHECK_INTERVAL: scheduler::Span = scheduler::Span(20_000);
 
-/// Whether the engine holds the lease to act under its policy.
+/// The state of the lease that permits the engine to act under its policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaseState {
-    /// It holds the lease.
+    /// The engine holds the lease.
     #[default]
     Held,
-    /// The policy is being changed: submissions are deferred.
+    /// The lease is suspended while the policy is being changed. Submissions are deferred.
     Suspended,
-    /// It does not hold the lease for an unknown time: submissions are rejected.
+    /// The engine does not hold the lease, and it is unknown when it will again. Submissions are rejected.
     Lost,
 }
 
-/// An event that was received without the lease and is handled under the next one.
+/// An event that was received without the lease and is handled once the lease is held again.
 pub(super) struct DeferredEvent {
     received_at: scheduler::Time,
     event: EngineEvent,
 }
 
 impl Engine {
-    /// Sets the state of the lease from the next step on.
+    /// Sets the state of the lease, which applies from the next step on.
     pub fn set_lease(&mut self, lease: LeaseState) {
         self.lease = lease;
     }
 
-    /// A step without decisions: results of attempts and final outcomes are journalled, submissions are deferred or
-    /// rejected, and messages past their deadline expire.
+    /// Executes a step without the scheduler: results of attempts and final outcomes are journalled, submissions are
+    /// deferred or rejected, and messages past their deadline expire.
     pub(super) fn step_without_lease(
         &mut self,
         now: Timestamp,
@@ -57,7 +57,8 @@
 
     fn handle_or_defer(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
         match event {
-            // A known message needs no decision, and its client must not submit it elsewhere while it is pending here.
+            // A repeat needs no scheduling decision. If it were rejected, its client would submit it to another instance
+            // while it is pending here.
             EngineEvent::Submitted(_, ref message)
                 if !matches!(self.look_up(message, &[]), Lookup::New { .. }) =>
             {
@@ -82,7 +83,7 @@
         });
     }
 
-    /// Rejects the submissions that have been deferred too long, and those beyond the capacity for open messages.
+    /// Rejects the submissions that have been deferred for too long, and those that exceed the limit of open messages.
     fn reject_overdue_submissions(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         let mut capacity = self.policy.max_open.saturating_sub(self.store.open_count());
         let is_suspended = self.lease == LeaseState::Suspended;
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Takes the deferred events, in their order.
+    /// Takes the deferred events in the order in which they were received.
     pub(super) fn take_deferred_events(&mut self) -> Vec<EngineEvent> {
         self.deferred_events
             .drain(..)
@@ -126,7 +127,7 @@
             .collect()
     }
 
-    /// When the engine is to be stepped at the latest while it does not hold the lease.
+    /// Returns the latest time at which the engine must be stepped while it does not hold the lease.
     pub fn next_wake_without_lease(&self, now: Timestamp) -> Option<scheduler::Time> {
         let pending = self
             .store
--- a/crates/delivery/src/core/engine/lookup.rs
+++ b/crates/delivery/src/core/engine/lookup.rs
@@ -1,28 +1,28 @@
-//! Whether a submitted message is new, or repeats one that is known.
+//! Determines whether a submitted message is new or repeats a known one.
 
 use super::acceptance::Submission;
 use super::Engine;
 use crate::core::message_record::{AttemptRecord, MessageRecord};
 use crate::core::{FinalOutcome, Message, MessageId, Origin};
 
-/// What is known of a message that is submitted.
+/// The result of looking up a submitted message among the known ones.
 pub(super) enum Lookup {
-    /// It is new, or is submitted again after it was returned. An earlier attempt that may have been executed still
-    /// limits its attempts.
+    /// The message is new, or is submitted again after it was returned.
     New {
-        /// That attempt.
+        /// The first attempt of the returned submission that may have been executed. Its deduplication window still
+        /// limits further attempts.
         first_possible_execution: Option<AttemptRecord>,
     },
-    /// It is open already, or its outcome is not reported yet.
+    /// The message is already open, or its outcome has not been reported yet.
     Open(MessageId),
-    /// It has its final outcome.
+    /// The message has its final outcome.
     Finished(MessageId, FinalOutcome),
-    /// It was submitted with another idempotency key, or finished recently.
+    /// The message was submitted with another idempotency key before, or finished recently.
     Conflict,
 }
 
 impl Engine {
-    /// Finds out whether a message repeats one of this step's submissions or a stored one.
+    /// Looks up a message among the submissions of this step and the stored messages.
     pub(super) fn look_up(&self, message: &Message, submissions: &[Submission]) -> Lookup {
         let earlier = submissions
             .iter()
@@ -43,7 +43,7 @@
                 }
                 found => found,
             },
-            // A delivered message that is sent again would be executed twice.
+            // If a delivered message were sent again, it would be executed twice.
             None if self.finished_recently(message) => Lookup::Conflict,
             None => Lookup::New {
                 first_possible_execution: None,
@@ -78,7 +78,7 @@
     }
 }
 
-/// The key by which a submission is recognised as a repeat, besides its identity. Events have one.
+/// Returns the key by which a submission is recognised as a repeat, in addition to its identity. Only events can have one.
 fn deduplication_key(message: &Message) -> Option<&Vec<u8>> {
     message
         .idempotency_key
@@ -86,7 +86,7 @@
         .filter(|_| message.origin == Origin::CloudEvents)
 }
 
-/// Whether a message repeats an earlier one: by its identity, or by its key at the same destination.
+/// Returns whether a message repeats an earlier one: same identity, or same deduplication key and destination.
 fn is_repeat(message: &Message, earlier: &Message) -> bool {
     let key = deduplication_key(message);
     let same_key = key.is_some() && earlier.idempotency_key.as_ref() == key;
--- a/crates/delivery/src/core/engine/passive.rs
+++ b/crates/delivery/src/core/engine/passive.rs
@@ -1,7 +1,7 @@
-//! Steps of an incarnation that does not decide: a standby, or one that has handed over.
+//! Steps of a passive incarnation, which is a standby or has handed over.
 //!
-//! It journals what it accepts and the results of its attempts. The active incarnation has all messages and the
-//! scheduler, and reads both from the journal.
+//! A passive incarnation journals the messages that it accepts and the results of its attempts. The active incarnation
+//! reads both from the journal, and schedules the attempts of all messages.
 
 use super::role::Role;
 use super::{AttemptResult, Batch, Engine, EngineCommand, EngineEvent};
@@ -9,7 +9,8 @@
 use marblefall_scheduler as scheduler;
 
 impl Engine {
-    /// A step without decisions: endpoint changes are applied, submissions journalled, and results of attempts reported.
+    /// Executes a step without scheduling decisions: applies endpoint changes, journals submissions, and reports the results
+    /// of attempts.
     pub(super) fn step_passive(
         &mut self,
         now: Timestamp,
@@ -26,7 +27,7 @@
         for event in events {
             self.handle_passive(event, &mut batch);
         }
-        // The scheduler does not know of the submissions, so only the journal can reject them.
+        // The submissions are not passed to the scheduler, so they are rejected only if the journal does not accept them.
         self.journal_submissions(now, batch.submissions, &[], batch.commands);
         self.backlog.clear();
     }
@@ -45,15 +46,16 @@
         }
     }
 
-    /// Removes a client that has gone without a response. Its message is the active incarnation's, and is not cancelled.
+    /// Removes a client that disconnected before its response. Its message belongs to the active incarnation, and is not
+    /// cancelled.
     fn remove_waiting_client(&mut self, request: RequestId) {
         for requests in self.waiting_clients.values_mut() {
             requests.retain(|other| *other != request);
         }
     }
 
-    /// Reports the result of an attempt to the active incarnation through the journal, and a delivery to the clients
-    /// that wait here.
+    /// Reports the result of an attempt to the active incarnation through the journal, and a delivery also to the clients
+    /// that wait for it at this incarnation.
     fn report_attempt(
         &mut self,
         now: Timestamp,
--- a/crates/delivery/src/core/engine/policy_change.rs
+++ b/crates/delivery/src/core/engine/policy_change.rs
@@ -1,4 +1,4 @@
-//! Another policy for an engine that runs: whether it covers the open messages, and how it is put in force.
+//! Policy changes of a running engine: checks that a policy covers the open messages, and puts it in force.
 
 use super::endpoint_registry::ListScope;
 use super::role::Role;
@@ -15,7 +15,7 @@
     /// Checks that a proposed policy covers all open messages.
     ///
     /// # Errors
-    /// What it does not cover.
+    /// Returns the first mismatch that is found.
     pub(super) fn check_policy(&self, proposed: &ProposedPolicy) -> Result<(), PolicyMismatch> {
         let mut open = 0;
         for (_, record) in self.store.open_messages() {
@@ -37,8 +37,8 @@
         Ok(())
     }
 
-    /// Puts the policy changes among some events in force. A destination table of the new policy replaces its change
-    /// among the events.
+    /// Puts the policy changes among `events` in force. Returns the events, in which each policy change is replaced with its
+    /// destination table, if it has one.
     pub(super) fn apply_policy_changes(
         &mut self,
         now: Timestamp,
@@ -57,8 +57,8 @@
         events.collect()
     }
 
-    /// Puts another policy in force: a new scheduler is given all open messages with their attempts in flight, the
-    /// states of routes and the backoffs. Returns the destination table of the policy.
+    /// Puts another policy in force: a new scheduler receives all open messages with their attempts in flight, the states
+    /// of routes and the backoffs. Returns the destination table of the policy.
     fn change_policy(
         &mut self,
         now: Timestamp,
@@ -72,7 +72,7 @@
             destination_table,
         } = change;
         if self.role != Role::Active {
-            // The active incarnation reads its policy itself.
+            // The active incarnation receives the policy itself.
             commands.push(EngineCommand::PolicyInForce(revision));
             return destination_table;
         }
@@ -85,9 +85,10 @@
         }
         let listed = self.endpoints.all_listings();
         let updates = self.endpoints.apply(listed, ListScope::Changes, commands);
-        // The scheduler is given the endpoints before the events of the next step.
+        // Events for the old scheduler are dropped: the new one receives the endpoints now, before the events of the next
+        // step, which include all open messages.
         self.backlog.clear();
-        // The new scheduler chooses its own attempts.
+        // The new scheduler selects the attempts of all pending messages again.
         self.unjournalled_attempts.clear();
         self.journal_retry_at = now.monotonic;
         self.update_scheduler(
@@ -100,7 +101,8 @@
         destination_table
     }
 
-    /// Gives a new scheduler all messages. The attempts in flight, and which incarnation they belong to, do not change.
+    /// Passes all messages to a new scheduler. The number of attempts in flight and their owning incarnations stay the
+    /// same.
     fn reactivate(&mut self, now: Timestamp, routes: Vec<RouteRecord>) {
         let predecessor_attempts = std::mem::take(&mut self.predecessor_attempts);
         let in_flight = self.in_flight;
@@ -110,7 +112,7 @@
             routes,
             in_flight: sent.map(|(id, _)| *id).collect(),
         };
-        // The commands are dropped: backoffs are set and pending notices are sent already.
+        // The commands are dropped because backoffs have already been set and pending notices are already being sent.
         self.activate(now, &recovered, &mut Vec::new());
         self.predecessor_attempts.restore(predecessor_attempts);
         self.in_flight = in_flight;
--- a/crates/delivery/src/core/engine/postponed.rs
+++ b/crates/delivery/src/core/engine/postponed.rs
@@ -1,5 +1,5 @@
-//! Events of a hot restart whose step failed by a transient error, such as a lack of file descriptors for the journal.
-//! They are handled again in their order until they succeed, and events that depend on them wait.
+//! Events of a hot restart whose step failed with a transient error, such as a lack of file descriptors for the journal.
+//! They are retried in order until they succeed, and events that depend on them are postponed as well.
 
 use super::EngineEvent;
 use marblefall_scheduler::{Span, Time};
@@ -7,7 +7,7 @@
 /// Delay before postponed events are handled again.
 const RETRY_INTERVAL: Span = Span(20_000);
 
-/// Events that are to be handled again.
+/// The postponed events and the time of their next retry.
 #[derive(Debug)]
 pub(super) struct PostponedEvents {
     events: Vec<EngineEvent>,
@@ -24,7 +24,7 @@
 }
 
 impl PostponedEvents {
-    /// Whether an event must wait until the postponed ones have succeeded.
+    /// Returns whether an event must wait until the postponed events have succeeded.
     pub(super) fn must_wait(&self, event: &EngineEvent) -> bool {
         let depends_on_order = matches!(
             event,
@@ -43,17 +43,17 @@
         self.events.push(event);
     }
 
-    /// Drops all events: another incarnation decides from now on, and reads the journal itself.
+    /// Drops all events, once another incarnation is active and reads the journal itself.
     pub(super) fn clear(&mut self) {
         self.events.clear();
     }
 
-    /// When the events are to be handled again, if there are any.
+    /// Returns the time of the next retry, if there are postponed events.
     pub(super) fn next_retry(&self) -> Option<Time> {
         (!self.events.is_empty()).then_some(self.retry_at)
     }
 
-    /// The events of a step, with those that are due again in front.
+    /// Returns the events of a step, preceded by the postponed ones if their retry is due.
     pub(super) fn take_due(&mut self, now: Time, events: Vec<EngineEvent>) -> Vec<EngineEvent> {
         if self.events.is_empty() || now < self.retry_at {
             return events;
--- a/crates/delivery/src/core/engine/predecessors.rs
+++ b/crates/delivery/src/core/engine/predecessors.rs
@@ -1,4 +1,4 @@
-//! What the active incarnation learns from the journal of predecessors that have handed over and are still running.
+//! Follows the journals of predecessors that have handed over but are still running.
 
 use super::recovery::RecordedAttempt;
 use super::{log_journal_error, AttemptResult, Engine, EngineCommand, EngineEvent};
@@ -11,14 +11,14 @@
 /// The messages whose attempt is in flight at a predecessor.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PredecessorAttempts {
-    /// Those that the scheduler knows to be in flight.
+    /// Messages that have been passed to the scheduler as in flight.
     scheduled: BTreeSet<MessageId>,
-    /// Those whose endpoint is no longer listed: the scheduler is given the message only when the attempt has ended.
+    /// Messages whose endpoint is no longer listed. They are passed to the scheduler only after the attempt has ended.
     unlisted: BTreeSet<MessageId>,
 }
 
 impl PredecessorAttempts {
-    /// Adds a message that the scheduler knows.
+    /// Adds a message that has been passed to the scheduler.
     pub(super) fn insert_scheduled(&mut self, id: MessageId) {
         self.scheduled.insert(id);
     }
@@ -28,19 +28,19 @@
         self.unlisted.insert(id);
     }
 
-    /// Removes a message that is withheld from the scheduler; returns whether it was.
+    /// Removes a message that is withheld from the scheduler. Returns whether it was withheld.
     pub(super) fn remove_unlisted(&mut self, id: MessageId) -> bool {
         self.unlisted.remove(&id)
     }
 
-    /// Takes the result of a message's attempt; returns whether one was in flight. A message that is withheld from the
-    /// scheduler stays so until its result is handled.
+    /// Records that a message's attempt has a result. Returns whether the attempt was in flight. A message that is withheld
+    /// from the scheduler stays withheld until its result is handled.
     fn take_result(&mut self, id: MessageId) -> bool {
         self.scheduled.remove(&id) || self.unlisted.contains(&id)
     }
 
-    /// All messages, once no predecessor is running. Those withheld from the scheduler stay so until their results are
-    /// handled.
+    /// Takes the messages whose attempt has no result, once no predecessor is running. Those withheld from the scheduler
+    /// stay withheld until their results are handled.
     fn take_unreported(&mut self) -> Vec<MessageId> {
         let scheduled = std::mem::take(&mut self.scheduled);
         scheduled
@@ -49,7 +49,7 @@
             .collect()
     }
 
-    /// Goes back to an earlier state, but for messages that have been withheld from the scheduler since.
+    /// Restores an earlier state, but keeps the messages that have been withheld from the scheduler since.
     pub(super) fn restore(&mut self, earlier: PredecessorAttempts) {
         self.scheduled = earlier.scheduled;
         self.unlisted.extend(earlier.unlisted);
@@ -57,7 +57,7 @@
 }
 
 impl Engine {
-    /// Reads what the running predecessors have journalled since the last call.
+    /// Reads the records that running predecessors have journalled since the last call.
     pub(super) fn follow_predecessors(
         &mut self,
         now: Timestamp,
@@ -69,7 +69,7 @@
         self.handle_predecessor_events(now, found, step_events, commands);
     }
 
-    /// Reads the rest of what a predecessor journalled that has exited.
+    /// Reads the remaining records of a predecessor that has exited.
     pub(super) fn finish_following(
         &mut self,
         now: Timestamp,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Resumes the messages that predecessors accepted, and adds the results of their attempts to the events of the step,
-    /// as if this incarnation had sent them.
+    /// Resumes the messages that predecessors accepted, and appends the results of their attempts to `step_events`, as if
+    /// this incarnation had sent them.
     fn handle_predecessor_events(
         &mut self,
         now: Timestamp,
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Ends the attempts whose results no predecessor has reported, as none is running: they may have been executed.
+    /// Ends the attempts whose results were not reported before the last predecessor exited. They may have been executed,
+    /// so they end as connection resets.
     fn reset_predecessor_attempts(&mut self, now: Timestamp, step_events: &mut Vec<EngineEvent>) {
         for id in self.predecessor_attempts.take_unreported() {
             let Some(record) = self.store.get(id) else {
--- a/crates/delivery/src/core/engine/recovery.rs
+++ b/crates/delivery/src/core/engine/recovery.rs
@@ -1,5 +1,5 @@
-//! Gives the scheduler what earlier incarnations, or a scheduler with another policy, knew: routes, backoffs, and all
-//! messages without a final outcome.
+//! Initialises the scheduler with the state of earlier incarnations, or of a scheduler with another policy: routes,
+//! backoffs, and all messages without a final outcome.
 
 use super::role::Role;
 use super::scheduler_input::scheduler_message;
@@ -11,17 +11,17 @@
 use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 
-/// What became of the attempt that a message's record has in flight.
+/// The current state of an attempt that is in flight according to its message's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordedAttempt {
-    /// It has ended, or there was none.
+    /// The attempt has ended, or there was none.
     Ended,
-    /// It is in flight at an incarnation that is running.
+    /// The attempt is in flight at a running incarnation.
     InFlight,
 }
 
 impl Engine {
-    /// Becomes active: the scheduler is given all messages, including those that this incarnation accepted as a standby.
+    /// Becomes active: the scheduler receives all messages, including those that this incarnation accepted as a standby.
     pub(super) fn activate(
         &mut self,
         now: Timestamp,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Gives the scheduler a message of an earlier incarnation, or sends the notice that is pending.
+    /// Passes an open message to the scheduler, or sends the pending notice of a finished one.
     pub(super) fn resume(
         &mut self,
         now: Timestamp,
@@ -114,7 +114,7 @@
         self.backlog.push(scheduler::Event::Resumed(message, prior));
     }
 
-    /// The states of routes, with Unix times.
+    /// Returns the states of all routes, with their times as Unix times.
     pub(super) fn route_records(&self, now: Timestamp) -> Vec<RouteRecord> {
         let known = self.scheduler.route_records(now.monotonic).into_iter();
         let records = known.map(|route| RouteRecord {
--- a/crates/delivery/src/core/engine/scheduler_input.rs
+++ b/crates/delivery/src/core/engine/scheduler_input.rs
@@ -1,11 +1,11 @@
-//! Messages and attempts in the form of the scheduler.
+//! Converts messages and attempts to the scheduler's types.
 
 use super::Engine;
 use crate::core::message_record::AttemptRecord;
 use crate::core::{Message, MessageId, Timestamp};
 use marblefall_scheduler as scheduler;
 
-/// A message in the scheduler's form.
+/// Converts a message to the scheduler's type.
 pub(super) fn scheduler_message(
     id: MessageId,
     message: &Message,
@@ -22,7 +22,7 @@
 }
 
 impl Engine {
-    /// An attempt in the scheduler's form.
+    /// Converts an attempt to the scheduler's type.
     pub(super) fn attempt_start(
         &mut self,
         now: Timestamp,
--- a/crates/delivery/src/core/engine/settings.rs
+++ b/crates/delivery/src/core/engine/settings.rs
@@ -1,11 +1,11 @@
-//! The settings of an engine, and the policy it derives from them.
+//! The settings of an engine, and the policy that it derives from them.
 
 use crate::core::destination_table::DestinationTable;
 use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Time that a repeat needs to arrive before its receiver's deduplication window closes.
+/// Time reserved for a repeat to arrive before its receiver's deduplication window closes.
 pub(super) const DEDUPLICATION_MARGIN: scheduler::Span = scheduler::Span(200_000);
 
 /// The settings of an engine.
@@ -15,61 +15,62 @@
     pub scheduler: scheduler::Settings,
     /// The seed of the scheduler's random numbers.
     pub seed: u64,
-    /// For each class, how long a finished message of the CloudEvents frontend is retained, in milliseconds, so that
-    /// repeats of it are recognised.
+    /// Retention time of a finished message of the CloudEvents frontend, by class, in milliseconds. Repeats of the message
+    /// are recognised during that time.
     pub retention_ms: Vec<i64>,
-    /// How many finished messages are retained at most.
+    /// Maximum number of finished messages that are retained.
     pub max_retained: usize,
 }
 
-/// Another policy for an engine that runs.
+/// Another policy for a running engine.
 #[derive(Clone, Debug)]
 pub struct PolicyChange {
-    /// Its revision.
+    /// The revision of the policy.
     pub revision: u64,
-    /// The engine's settings. A class keeps its place for as long as the engine runs; new classes follow.
+    /// The engine's settings under the policy. A class keeps its index for as long as the engine runs; new classes are
+    /// appended.
     pub settings: EngineSettings,
-    /// The names of the classes, in their order.
+    /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// All destinations, where the policy replaces them.
+    /// The table of all destinations, if the policy replaces it.
     pub destination_table: Option<Arc<DestinationTable>>,
 }
 
-/// What a proposed policy covers.
+/// The properties of a proposed policy that must cover the open messages.
 #[derive(Clone, Debug)]
 pub struct ProposedPolicy {
-    /// The names of its classes.
+    /// The names of the policy's classes.
     pub classes: BTreeSet<String>,
-    /// Its destinations.
+    /// The policy's destinations.
     pub destinations: BTreeSet<scheduler::DestinationId>,
-    /// How many messages may be open at a time.
+    /// Maximum number of open messages.
     pub max_open: usize,
 }
 
-/// Why a proposed policy does not cover the open messages.
+/// The reason why a proposed policy does not cover the open messages.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyMismatch {
-    /// The class of an open message is not in it.
+    /// The policy does not contain the class of an open message.
     #[error("a message of class {0} is held, and the class would be gone")]
     ClassRemoved(String),
-    /// The destination of an open message is not in it.
+    /// The policy does not contain the destination of an open message.
     #[error("a message for a destination is held that would be gone")]
     DestinationRemoved,
-    /// More messages are open than it permits.
+    /// More messages are open than the policy permits.
     #[error("{pending} messages are held, and no more than {max_open} could be")]
     TooManyPending {
-        /// Messages without a final outcome.
+        /// Number of messages without a final outcome.
         pending: usize,
-        /// How many the policy permits.
+        /// Maximum number of open messages under the policy.
         max_open: usize,
     },
 }
 
 /// The parts of the settings that the engine itself uses.
 pub(super) struct Policy {
-    /// The classes as they were configured; the scheduler is given shorter deduplication windows.
+    /// The classes as configured. The scheduler receives shorter deduplication windows.
     pub classes: Vec<scheduler::MessageClass>,
-    /// For each kind of destination, whether its endpoints are separate routes.
+    /// Whether the endpoints of a kind are separate routes, by kind.
     separate_routes: Vec<bool>,
     pub max_open: usize,
     retention_ms: Vec<i64>,
@@ -77,8 +78,8 @@
 }
 
 impl Policy {
-    /// Splits settings into the engine's policy and a scheduler. The scheduler is given deduplication windows that are
-    /// shorter by [`DEDUPLICATION_MARGIN`].
+    /// Splits settings into the engine's policy and a scheduler. The scheduler's deduplication windows are shorter by
+    /// [`DEDUPLICATION_MARGIN`].
     pub fn split(settings: EngineSettings) -> (Policy, scheduler::Scheduler) {
         let EngineSettings {
             mut scheduler,
@@ -105,12 +106,12 @@
         (policy, scheduler::Scheduler::new(scheduler, seed))
     }
 
-    /// How long a finished message of a class is retained, in milliseconds.
+    /// Returns the retention time of a finished message of a class, in milliseconds.
     pub fn retention_ms(&self, class: scheduler::ClassId) -> i64 {
         self.retention_ms.get(class.0).copied().unwrap_or(0)
     }
 
-    /// The window in which receivers discard repeats of a class by their idempotency key, where they do.
+    /// Returns the window in which receivers discard repeats of a class by idempotency key, if they do so.
     pub fn deduplication_window(&self, class: scheduler::ClassId) -> Option<scheduler::Span> {
         match self.classes.get(class.0)?.idempotency {
             scheduler::Idempotency::IdempotencyKey { window, .. } => Some(window),
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Whether endpoints of a kind are separate routes.
+    /// Returns whether the endpoints of a kind are separate routes.
     pub fn has_separate_routes(&self, kind: scheduler::KindId) -> bool {
         self.separate_routes
             .get(kind.0)
--- a/crates/delivery/src/core/engine/unjournalled.rs
+++ b/crates/delivery/src/core/engine/unjournalled.rs
@@ -1,11 +1,12 @@
-//! Records that the journal does not accept while its disk is full or fails. They are written again until it succeeds.
+//! Retries records that the journal does not accept because its disk is full or failing.
 //!
-//! A final outcome that is not in the journal is not reported, unless it is a delivery: the next incarnation would find the
-//! message open and could deliver it, while its client already acts on the outcome. It waits here until the journal accepts
-//! it, and at most until the message expires, as no incarnation attempts it after that.
+//! A final outcome that is not in the journal is not reported, unless it is a delivery. Otherwise the next incarnation would
+//! find the message open and could deliver it, while its client already acts on the outcome. The report is deferred until
+//! the journal accepts the outcome, or until the message expires, because no incarnation attempts it after that.
 //!
-//! An attempt that is not in the journal is not sent. It is not reported to the scheduler as unsent either, which would
-//! choose it again at once and use up the message's attempts. It waits here until the journal accepts it.
+//! An attempt that is not in the journal is not sent. It is not reported to the scheduler as unsent either, because the
+//! scheduler would select the message again immediately and use up its attempts. The attempt is deferred until the journal
+//! accepts it.
 
 use super::shutdown::ATTEMPT_CUTOFF_BEFORE_SHUTDOWN;
 use super::{log_journal_error, Engine, EngineCommand, STEP_TIMER_TOKEN};
@@ -13,10 +14,10 @@
 use marblefall_scheduler as scheduler;
 use std::collections::BTreeMap;
 
-/// Delay before a journal that failed is written again.
+/// Delay before records that the journal did not accept are written again.
 pub(super) const RETRY_INTERVAL: scheduler::Span = scheduler::Span(20_000);
 
-/// An attempt that was selected and is not in the journal yet.
+/// An attempt that the scheduler has selected but that is not in the journal yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SelectedAttempt {
     pub(super) message: MessageId,
@@ -28,26 +29,26 @@
 #[derive(Clone, Copy, Debug)]
 struct DeferredOutcome {
     outcome: FinalOutcome,
-    /// When its message expires, as Unix time in milliseconds.
+    /// The expiry of the message, as Unix time in milliseconds.
     expires_ms: i64,
 }
 
-/// The final outcomes that wait for the journal, by message.
+/// Final outcomes that are not reported until the journal accepts them, by message.
 #[derive(Debug, Default)]
 pub(super) struct UnjournalledOutcomes(BTreeMap<MessageId, DeferredOutcome>);
 
 impl UnjournalledOutcomes {
-    /// Whether none waits.
+    /// Returns whether no outcome waits for the journal.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether that of a message waits.
+    /// Returns whether the outcome of a message waits for the journal.
     pub(super) fn contains(&self, id: MessageId) -> bool {
         self.0.contains_key(&id)
     }
 
-    /// Forgets all.
+    /// Drops all outcomes.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
@@ -70,7 +71,7 @@
         self.schedule_journal_retry(now);
     }
 
-    /// Reports the outcomes that the journal has accepted meanwhile, and those of messages that have expired.
+    /// Reports the deferred outcomes that the journal has accepted since, and those of messages that have expired.
     fn report_deferred_outcomes(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         let all = std::mem::take(&mut self.unjournalled_outcomes.0);
         let (waiting, due): (BTreeMap<_, _>, BTreeMap<_, _>) =
@@ -89,8 +90,8 @@
         self.schedule_journal_retry(now);
     }
 
-    /// Has the engine stepped when the journal is to be written again. There is one timer at a time, however many steps
-    /// find the journal failing.
+    /// Schedules a step for the next write to the journal. There is one timer at a time, however many steps fail to write
+    /// to the journal.
     fn schedule_journal_retry(&mut self, now: Timestamp) {
         if self.journal_retry_at <= now.monotonic {
             self.journal_retry_at = now.monotonic + RETRY_INTERVAL;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Writes again what the journal did not accept, and starts the attempts that wait for it, if that is due.
+    /// If a retry is due, rewrites the records that the journal did not accept and starts the deferred attempts.
     pub(super) fn retry_journal(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         if now.monotonic < self.journal_retry_at {
             return;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Writes again what the journal did not accept, and reports the outcomes that it accepts.
+    /// Rewrites the records that the journal did not accept, and reports the outcomes that it accepts now.
     fn retry_records(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         if self.store.has_unwritten() {
             let written = self.store.retry_unwritten();
@@ -133,7 +134,8 @@
         self.report_deferred_outcomes(now, commands);
     }
 
-    /// The same for an engine without the lease, which starts no attempts.
+    /// If a retry is due, rewrites the records that the journal did not accept. An engine without the lease starts no
+    /// attempts.
     pub(super) fn retry_journal_without_lease(
         &mut self,
         now: Timestamp,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Cancels a message's attempt that waits for the journal; returns whether there was one.
+    /// Cancels the deferred attempt of a message. Returns whether there was one.
     pub(super) fn cancel_deferred_attempt(&mut self, now: Timestamp, message: MessageId) -> bool {
         let before = self.unjournalled_attempts.len();
         self.unjournalled_attempts
@@ -156,7 +158,7 @@
         is_cancelled
     }
 
-    /// Reports to the scheduler that an attempt was not sent after all.
+    /// Reports to the scheduler that an attempt that it selected was not sent.
     pub(super) fn report_not_sent(&mut self, now: Timestamp, message: MessageId) {
         let attempts = self.store.get(message).map_or(0, |record| record.attempts);
         self.backlog.push(scheduler::Event::AttemptFinished {
--- a/crates/delivery/src/core/engine/unwritten_reports.rs
+++ b/crates/delivery/src/core/engine/unwritten_reports.rs
@@ -1,8 +1,8 @@
 //! Results of attempts that the journal did not accept.
 //!
 //! While this incarnation is active, the messages' records are written again until the journal accepts them. Once it has
-//! handed over, the active incarnation has the messages, and the results are reported to it instead: without them it would
-//! count what was delivered as unknown.
+//! handed over, the messages belong to the active incarnation, and the results are reported to it instead. Without them, the
+//! active incarnation would treat the results of delivered attempts as unknown.
 
 use super::unjournalled::RETRY_INTERVAL;
 use super::{log_journal_error, AttemptResult, Engine, EngineCommand};
@@ -11,7 +11,7 @@
 use marblefall_scheduler as scheduler;
 
 impl Engine {
-    /// The report of an attempt's result.
+    /// Creates the report of an attempt's result.
     fn attempt_report(&self, now: Timestamp, result: &AttemptResult) -> AttemptReport {
         let class = self
             .store
@@ -24,20 +24,21 @@
         }
     }
 
-    /// Keeps a result that the journal did not accept.
+    /// Stores a result that the journal did not accept.
     pub(super) fn store_unwritten_report(&mut self, now: Timestamp, result: &AttemptResult) {
         let report = self.attempt_report(now, result);
         self.unwritten_reports.insert(result.message_id, report);
     }
 
-    /// Forgets the results of messages that the journal has accepted meanwhile.
+    /// Drops the results of messages whose records the journal has accepted since.
     pub(super) fn drop_written_reports(&mut self) {
         let store = &self.store;
         self.unwritten_reports
             .retain(|id, _| store.is_unwritten(*id));
     }
 
-    /// Reports the result of an attempt to the active incarnation. If the journal does not accept it, it is reported later.
+    /// Reports the result of an attempt to the active incarnation. If the journal does not accept the report, it is retried
+    /// later.
     pub(super) fn report_result(
         &mut self,
         now: Timestamp,
@@ -49,7 +50,7 @@
         self.retry_unwritten_reports(now, commands);
     }
 
-    /// Reports the results that the journal did not accept, if that is due.
+    /// If a retry is due, reports the results that the journal did not accept.
     pub(super) fn retry_unwritten_reports(
         &mut self,
         now: Timestamp,
@@ -70,12 +71,12 @@
         }
     }
 
-    /// When results are reported again, if any were not.
+    /// Returns the time of the next retry, if there are results that the journal did not accept.
     pub(super) fn next_report_retry(&self) -> Option<scheduler::Time> {
         (!self.unwritten_reports.is_empty()).then_some(self.journal_retry_at)
     }
 
-    /// Whether the journal lacks results of attempts.
+    /// Returns whether there are results of attempts that the journal did not accept.
     pub fn has_unwritten_reports(&self) -> bool {
         !self.unwritten_reports.is_empty()
     }
