--- a/crates/delivery/tests/acceptance.rs
+++ b/crates/delivery/tests/acceptance.rs
@@ -1,5 +1,4 @@
-//! Which submissions the engine accepts, and which of them are one message. Without any wire, with a clock set by the
-//! tests.
+//! Acceptance of submissions and detection of repeats by the engine. The tests use no network and set the clock themselves.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -26,7 +25,7 @@
     );
     assert_eq!(responses(&commands), [(1, SubmitResponse::Accepted)]);
     let started = started_attempts(&commands)[0];
-    // Another reader of the folder finds the message and its attempt at this moment.
+    // The message and its attempt can be read from the folder immediately.
     let other = open_store(&incarnation.folder);
     let record = other.get(started.0).unwrap();
     assert_eq!(
@@ -50,7 +49,8 @@
     );
 }
 
-/// A client that submits the id of another client's message can neither cancel it by disconnecting nor have it sent again.
+/// A client that submits the id of another client's message must neither cancel that message by disconnecting nor cause it
+/// to be sent again.
 #[test]
 fn repeat_by_another_client_cannot_cancel_platform_message() {
     let (mut incarnation, _) = RestartingEngine::start(temporary_folder("first-client"), 0);
@@ -70,7 +70,7 @@
     assert_eq!(
         incarnation.engine.load().open_messages,
         1,
-        "it is still open for its first client"
+        "the message is still open for its first client"
     );
     incarnation.step(30, vec![attempt_finished(started, Outcome::Delivered)]);
     let commands = incarnation.step(40, vec![submission(4)]);
@@ -82,12 +82,12 @@
     assert_eq!(
         responses(&commands),
         [(5, SubmitResponse::Finished(FinalOutcome::Expired))],
-        "its identity is no longer retained, and it has expired"
+        "the message's identity is no longer retained, and the message has expired"
     );
 }
 
-/// A client that disconnects while its request waits for the engine submits the message again under another id: the first
-/// submission must not be delivered as well.
+/// A client that disconnects while its request waits for the engine may submit the message again under another id. The first
+/// submission must not be delivered in addition.
 #[test]
 fn disconnect_before_journalling_cancels_the_submission() {
     let (mut incarnation, _) = RestartingEngine::start(temporary_folder("disconnected"), 0);
@@ -147,7 +147,7 @@
     assert_eq!(incarnation.engine.load().open_messages, 0);
 }
 
-/// The submission of an event with the idempotency key of another one.
+/// Creates the submission of an event with the given idempotency key.
 fn submission_with_key(request: u64, name: &str, key: &[u8]) -> EngineEvent {
     let mut message = message(name, Origin::CloudEvents, KEYED_CLASS, 9);
     message.idempotency_key = Some(key.to_vec());
@@ -206,7 +206,7 @@
         (started_attempts(&commands).len(), responses(&commands)),
         (0, vec![(5, outcome), (6, outcome)])
     );
-    // After its retention has ended, it is a new message.
+    // After its retention has ended, a repeat is accepted as a new message.
     let (mut incarnation, _) = RestartingEngine::start(incarnation.folder.clone(), 120_000);
     let mut late = message("m", Origin::CloudEvents, KEYED_CLASS, 9);
     late.expires_ms += 200_000;
@@ -220,7 +220,8 @@
     let submission = |request| vec![submission(request, "m", Origin::CloudEvents, KEYED_CLASS)];
     let started = started_attempts(&incarnation.step(0, submission(1)))[0];
     let commands = incarnation.step(500, vec![attempt_finished(started, Outcome::Error)]);
-    // Within the window it is sent again. After the window has closed it fails, as a resubmission could not be sent.
+    // Within the window the event is sent again. After the window has closed it fails, because a resubmission could not be
+    // sent either.
     let started = started_attempts(&commands)[0];
     let commands = incarnation.step(5900, vec![attempt_finished(started, Outcome::Error)]);
     assert_eq!(
@@ -292,7 +293,7 @@
 #[test]
 fn submission_is_rejected_while_journal_is_unwritable() {
     let (mut incarnation, _) = RestartingEngine::start(temporary_folder("unwritable"), 0);
-    // The next segment cannot be created where there is a folder in its place.
+    // The next segments cannot be created because folders occupy their paths.
     for after in 1..200 {
         fs::create_dir(segment_path(&incarnation.folder, after)).unwrap();
     }
--- a/crates/delivery/tests/endpoints.rs
+++ b/crates/delivery/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! How the engine follows its endpoint list, operators who disable endpoints, and the end of the process.
+//! Endpoint lists, endpoints that operators disable, and shutdown.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -36,7 +36,7 @@
             1
         );
     }
-    // A complete list removes the endpoint of the first list, which is not in it.
+    // A complete list removes the endpoint "h" of the first list, because it is not in the new one.
     assert_eq!(
         removed_count(&incarnation.step(
             200,
@@ -64,7 +64,7 @@
     assert!(started_attempts(&commands).is_empty());
 }
 
-/// An endpoint that operators have disabled remains so while the list has it as active.
+/// An endpoint that operators have disabled stays disabled although the list contains it as active.
 #[test]
 fn disabled_endpoint_receives_no_attempt_until_enabled() {
     let (mut incarnation, _) = RestartingEngine::start(temporary_folder("disabled"), 0);
@@ -72,18 +72,18 @@
     let submission = |n| submission(n, &format!("m{n}"), Origin::Platform, IDEMPOTENT_CLASS);
     assert!(
         started_attempts(&incarnation.step(10, vec![submission(1), disable])).is_empty(),
-        "it is disabled before the queued submission"
+        "the endpoint is disabled before the queued submission is handled"
     );
     assert!(
         started_attempts(&incarnation.step(20, vec![endpoint_list(&["h"]), submission(2)]))
             .is_empty(),
-        "the list does not enable it"
+        "the list does not enable the endpoint"
     );
     let commands = incarnation.step(30, vec![EngineEvent::EndpointsDisabled(Default::default())]);
     assert_eq!(
         started_attempts(&commands).len(),
         2,
-        "once enabled, it receives both pending messages: {commands:?}"
+        "once enabled, the endpoint receives both pending messages: {commands:?}"
     );
 }
 
@@ -100,7 +100,7 @@
     assert_eq!(
         started_attempts(&incarnation.step(100, vec![submission(1, "a")])).len(),
         1,
-        "there is still time"
+        "there is still time for an attempt"
     );
     let commands = incarnation.step(2500, vec![submission(2, "b")]);
     assert!(started_attempts(&commands).is_empty());
@@ -111,6 +111,6 @@
     assert_eq!(
         started_attempts(&RestartingEngine::start(incarnation.folder.clone(), 4000).1).len(),
         1,
-        "the next incarnation recovers it"
+        "the next incarnation recovers the message"
     );
 }
--- a/crates/delivery/tests/lease.rs
+++ b/crates/delivery/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The engine while its lease is suspended or lost. Without any wire, with a clock set by the tests.
+//! The engine while its lease is suspended or lost. The tests use no network and set the clock themselves.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -25,7 +25,7 @@
         (responses(&commands), started_attempts(&commands)),
         (vec![], vec![])
     );
-    // The attempt in flight ends, and no other one is started.
+    // The attempt in flight ends, and no other attempt is started.
     let commands = fixture.step(
         100,
         vec![attempt_finished(first.0, first.1, Outcome::Delivered)],
@@ -35,7 +35,7 @@
         [(1, SubmitResponse::Finished(FinalOutcome::Delivered))]
     );
     assert_eq!(started_attempts(&commands), []);
-    // The message of a client that disconnects meanwhile is not accepted later.
+    // The message of a client that disconnects during the suspension is not accepted later.
     fixture.submit(110, 4, message("fourth", 0, 20_000));
     fixture.step(120, vec![EngineEvent::ClientGone(RequestId(4))]);
     fixture.engine.set_lease(LeaseState::Held);
@@ -49,16 +49,16 @@
 fn overdue_or_excess_deferred_submissions_are_rejected() {
     let mut fixture = PolicyEngine::start("overdue");
     fixture.engine.set_lease(LeaseState::Suspended);
-    // Eight messages may be open.
+    // At most eight messages may be open.
     let submissions = (0..10)
         .map(|n| EngineEvent::Submitted(RequestId(n), message(&format!("m{n}"), 0, 20_000)))
         .collect();
     let commands = fixture.step(10, submissions);
     assert_eq!(responses(&commands), [(8, REJECTED), (9, REJECTED)]);
-    // Their latency objective is 2 s.
+    // The latency objective of their class is 2 s.
     assert_eq!(responses(&fixture.step(1900, vec![])), []);
     assert_eq!(responses(&fixture.step(2020, vec![])).len(), 8);
-    // Without the lease they are rejected at once.
+    // While the lease is lost, submissions are rejected immediately.
     fixture.engine.set_lease(LeaseState::Lost);
     assert_eq!(
         responses(&fixture.submit(2030, 11, message("late", 0, 20_000))),
@@ -93,7 +93,7 @@
     let mut fixture = PolicyEngine::start("repeat");
     fixture.submit(10, 1, message("pending", 0, 20_000));
     fixture.engine.set_lease(LeaseState::Lost);
-    // If the repeat were rejected, its client would submit it to another instance as well.
+    // If the repeat were rejected, its client would submit the message to another instance as well.
     assert_eq!(
         responses(&fixture.submit(20, 2, message("pending", 0, 20_000))),
         [(2, SubmitResponse::Accepted)]
--- a/crates/delivery/tests/policy_change.rs
+++ b/crates/delivery/tests/policy_change.rs
@@ -1,4 +1,4 @@
-//! Policy changes of a running engine. Without any wire, with a clock set by the tests.
+//! Policy changes of a running engine. The tests use no network and set the clock themselves.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -16,7 +16,7 @@
 #[test]
 fn policy_change_preserves_open_messages_and_attempts() {
     let mut fixture = PolicyEngine::start("change");
-    // The state of a route is preserved as well: a route that was never used would receive only two attempts.
+    // The delivery gives the route a state that must be preserved as well: an unused route would receive only two attempts.
     let delivered = started_attempts(&fixture.submit(1, 9, message("delivered", 1, 20_000)))[0];
     fixture.step(
         5,
@@ -53,7 +53,7 @@
     );
     fixture.engine.set_lease(LeaseState::Held);
     let commands = fixture.step(50, vec![]);
-    // The attempt in flight is not started again, and the others start as the new policy permits.
+    // The attempt in flight is not started again. The other messages are attempted, as the new policy permits.
     let started = started_attempts(&commands);
     assert_eq!(started.len(), 2, "{started:?}");
     assert!(started.iter().all(|started| started.0 != in_flight.0));
@@ -77,7 +77,7 @@
         .step_by(10)
         .for_each(|ms| retried.extend(started_attempts(&fixture.step(ms, vec![]))));
     assert_eq!(retried.first(), Some(&(in_flight.0, in_flight.1 + 1)));
-    // The class that only the new policy has.
+    // A message of the class that only the new policy contains is accepted.
     let commands = fixture.submit(3010, 4, message("new class", 2, 20_000));
     assert_eq!(responses(&commands), [(4, SubmitResponse::Accepted)]);
 }
@@ -105,13 +105,13 @@
                 .map(|started| (ms, started)),
         );
     }
-    let (started_ms, second) = *started.first().expect("it is retried");
+    let (started_ms, second) = *started.first().expect("the message is retried");
     assert!(
         (2600..3600).contains(&started_ms),
-        "started at {started_ms} ms, in backoff until 2,600 ms"
+        "retried at {started_ms} ms, but the backoff ends at 2,600 ms and the retry is due by 3,600 ms"
     );
     assert_eq!(second, (first.0, 1));
-    // The second attempt may have been executed, so a repeat must be within its window, also after another change.
+    // The second attempt may have been executed, so repeats must stay within its window, even after another policy change.
     fixture.step(
         4100,
         vec![attempt_finished(second.0, second.1, Outcome::Reset)],
@@ -130,7 +130,7 @@
     }
     assert!(
         repeats.iter().all(|ms| *ms < window),
-        "{repeats:?} with a window until {window}"
+        "repeats at {repeats:?} ms, but the window closes at {window} ms"
     );
 }
 
@@ -147,7 +147,9 @@
     let mut check = |proposed: ProposedPolicy| {
         let (result_sender, results) = async_channel::bounded(1);
         fixture.step(30, vec![EngineEvent::CheckPolicy(proposed, result_sender)]);
-        results.try_recv().expect("answered at once")
+        results
+            .try_recv()
+            .expect("the check responds in the same step")
     };
     assert_eq!(check(complete.clone()), Ok(()));
     let without_class = ProposedPolicy {
--- a/crates/delivery/tests/policy_tables.rs
+++ b/crates/delivery/tests/policy_tables.rs
@@ -1,4 +1,4 @@
-//! Destination tables that come with a policy, before it, or after it.
+//! Destination tables that are received with a policy change, before it, or after it.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -17,7 +17,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The endpoints of [`DESTINATION`] in a destination table, each with whether it is active.
+/// The endpoints of [`DESTINATION`] in a destination table: the name of each, and whether it is active.
 type TableEndpoints = [(&'static str, bool); 2];
 
 const BOTH_ACTIVE: TableEndpoints = [("a", true), ("b", true)];
@@ -46,12 +46,12 @@
     EngineEvent::DestinationTableReplaced(destination_table(endpoints))
 }
 
-/// The names of endpoints by the ids that the engine has given them.
+/// The names of endpoints, by the ids that the engine has assigned to them.
 #[derive(Default)]
 struct EndpointNames(BTreeMap<EndpointId, String>);
 
 impl EndpointNames {
-    /// Notes the endpoints that commands list, and returns the names of those to which attempts are started.
+    /// Records the endpoints that commands list. Returns the names of the endpoints to which attempts are started.
     fn attempt_targets(&mut self, commands: &[EngineCommand]) -> Vec<String> {
         let mut targets = Vec::new();
         for command in commands {
@@ -69,7 +69,8 @@
     }
 }
 
-/// Changes the policy of an engine whose destination is in use, and returns the endpoints of all later attempts.
+/// Changes the policy of an engine whose destination is in use, and returns the endpoints of all later attempts. A table in
+/// `before` is received in the same step as the policy, before it; a table in `after` is received in the next step.
 fn targets_after_change(
     name: &str,
     before: Option<TableEndpoints>,
@@ -79,7 +80,7 @@
     let mut fixture = PolicyEngine::start(name);
     let mut names = EndpointNames::default();
     names.attempt_targets(&fixture.step(5, vec![table_replaced(BOTH_ACTIVE)]));
-    // The scheduler is given the endpoints of a destination in use only.
+    // Only the endpoints of a destination in use are passed to the scheduler.
     let commands = fixture.submit(10, 1, message("delivered", 1, 20_000));
     let (id, attempt) = started_attempts(&commands)[0];
     names.attempt_targets(&commands);
@@ -118,7 +119,7 @@
     );
 }
 
-/// An instance that starts receives its first table in the same step as another policy.
+/// A starting instance can receive its first table in the same step as a policy change.
 #[test]
 fn policy_table_replaces_an_earlier_table_of_its_step() {
     assert_only_b(&targets_after_change(
@@ -129,7 +130,7 @@
     ));
 }
 
-/// An endpoint list drains an endpoint while a policy that has it as active is put in force.
+/// An endpoint list can drain an endpoint while a policy whose table contains it as active is put in force.
 #[test]
 fn later_table_replaces_the_table_of_a_policy() {
     assert_only_b(&targets_after_change(
--- a/crates/delivery/tests/restart.rs
+++ b/crates/delivery/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What an engine preserves over a restart: deduplication windows, counts of attempts, and pending notices.
+//! State that an engine preserves over a restart: deduplication windows, attempt counts, and pending notices.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -26,7 +26,7 @@
         assert_eq!(notice_outcomes(&commands).len(), usize::from(!is_repeated));
         assert!(
             second.iter().all(|started| started.1 == 1),
-            "attempts are counted from the first incarnation on"
+            "the attempt count includes those of earlier incarnations"
         );
     }
 }
@@ -40,7 +40,7 @@
         1,
         "within the window of the first attempt"
     );
-    // The second attempt is still within a window of its own, but the window of the first one has closed.
+    // The window closes six seconds after the first attempt, even though the second attempt was only 4.5 s ago.
     let (_, commands) = RestartingEngine::start(incarnation.folder.clone(), 6500);
     assert_eq!(
         (
--- a/crates/delivery/tests/restart_backlog.rs
+++ b/crates/delivery/tests/restart_backlog.rs
@@ -1,5 +1,5 @@
-//! Messages that a restart finds accepted and not attempted: they are still attempted, whatever the list, the endpoints and
-//! the other instances do. With a clock set by the tests.
+//! Messages that were accepted but not attempted before a restart. They must still be attempted, whatever the state of the
+//! endpoint list, the endpoints and the other instances. The tests set the clock.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -16,8 +16,9 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// The maximum size of the journal, in bytes.
+/// Maximum size of the journal, in bytes.
 const MAX_BYTES: u64 = 3_000_000;
+/// Maximum number of open messages.
 const MAX_OPEN: usize = 50;
 const TIME_TO_LIVE_MS: i64 = 20_000;
 
@@ -43,10 +44,11 @@
     settings
 }
 
-/// An incarnation of the engine over a folder, at a time in milliseconds after the first one's start.
+/// An incarnation of the engine over a folder. Times are in milliseconds after the first incarnation's start.
 struct Incarnation {
     engine: Engine,
     started_ms: i64,
+    /// The time of the last step.
     ms: i64,
 }
 
@@ -70,7 +72,7 @@
         (incarnation, commands)
     }
 
-    /// Steps the engine this many milliseconds later, and again for as long as it has a backlog.
+    /// Steps the engine after `later_ms` milliseconds, and again while it has scheduler events to handle.
     fn step(&mut self, later_ms: i64, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
         self.ms += later_ms;
         let now = timestamp_of(self.started_ms, self.ms);
@@ -98,7 +100,8 @@
     EngineEvent::Submitted(RequestId(number), message)
 }
 
-/// The folder of an incarnation that was killed with this many open messages, and how many of them were attempted.
+/// Creates the folder of an incarnation that was killed with the given number of open messages. Returns the folder and how
+/// many of the messages were attempted.
 fn crashed_folder(name: &str, instances: usize, messages: u64) -> (PathBuf, usize) {
     let folder = temporary_folder(name);
     let (mut incarnation, _) = Incarnation::start(&folder, instances, 0, &["h"]);
@@ -115,7 +118,7 @@
 fn backlog_is_delivered_once_an_endpoint_is_listed() {
     let (folder, attempted) = crashed_folder("unlisted", 1, 45);
     let (mut incarnation, commands) = Incarnation::start(&folder, 1, 1000, &[]);
-    // Messages that were in flight and are not idempotent have their final outcome. All others are pending.
+    // Messages that were in flight and are not idempotent get a final outcome immediately. All others are pending.
     let mut given_up = notice_outcomes(&commands).len();
     for _ in 0..70 {
         let commands = incarnation.step(100, Vec::new());
@@ -124,7 +127,7 @@
     }
     assert!(
         given_up <= attempted,
-        "{given_up} of 45 given up, {attempted} were attempted"
+        "{given_up} of 45 messages given up, {attempted} were attempted"
     );
     let mut started = started_attempts(&incarnation.step(10, vec![endpoint_list(&["h"])]));
     let mut deliveries = BTreeMap::new();
@@ -143,8 +146,8 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Where hundreds of instances share the capacity of an idle destination, an instance's next attempt may be due after a
-/// message's deadline. Messages must not fail for that reason while most of their time is left.
+/// When hundreds of instances share the capacity of an idle destination, an instance's next attempt may be due after a
+/// message's deadline. Messages must not fail for that reason while most of their time to live is left.
 #[test]
 fn hanging_endpoints_do_not_expire_the_backlog_early() {
     for instances in [1, 30, 300] {
@@ -153,7 +156,7 @@
         let mut given_up = notice_outcomes(&commands).len();
         let mut in_flight: Vec<(i64, MessageId, u32)> = Vec::new();
         let mut started = started_attempts(&commands);
-        // No endpoint responds until seven tenths of the messages' time have passed.
+        // No endpoint responds until 70 % of the messages' time to live have passed.
         while incarnation.ms < TIME_TO_LIVE_MS * 7 / 10 - 200 {
             in_flight.extend(
                 started
@@ -174,13 +177,13 @@
         }
         assert!(
             given_up <= attempted,
-            "{given_up} of 30 given up early among {instances} instances, {attempted} were attempted"
+            "{given_up} of 30 messages given up early with {instances} instances, {attempted} were attempted"
         );
         let _ = std::fs::remove_dir_all(&folder);
     }
 }
 
-/// New submissions to an instance that has restarted with a full backlog must not cause its messages to fail.
+/// New submissions to an instance that restarted with a full backlog must not cause messages of the backlog to fail.
 #[test]
 fn new_messages_do_not_displace_the_backlog() {
     let (folder, attempted) = crashed_folder("pushed", 1, 45);
@@ -193,7 +196,7 @@
     }
     assert!(
         given_up <= attempted,
-        "{given_up} of 45 given up, {attempted} were attempted"
+        "{given_up} of 45 messages given up, {attempted} were attempted"
     );
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/delivery/tests/restart_histories/history.rs
+++ b/crates/delivery/tests/restart_histories/history.rs
@@ -1,4 +1,4 @@
-//! A random history of an instance, and the records of its destination and its clients.
+//! A random history of an instance, checked against the records of its destination and its clients.
 
 use crate::common::incarnation::{
     is_accepted, message, TestIncarnation, KEYED_CLASS, NON_IDEMPOTENT_CLASS,
@@ -11,15 +11,15 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// The length of one step of a history.
+/// Duration of one step of a history, in ms.
 const STEP_MS: i64 = 10;
-/// When the last message is submitted.
+/// Time after which no message is submitted, in ms.
 const LAST_SUBMISSION_MS: i64 = 8000;
-/// When the last incarnation starts, hands over or is killed.
+/// Time after which incarnations are no longer started, handed over or killed, in ms.
 const LAST_RESTART_MS: i64 = 9000;
-/// Attempts are shorter than this.
+/// Upper bound of an attempt's duration, in ms.
 const MAX_ATTEMPT_MS: i64 = 400;
-/// The deduplication window of [`common::KEYED`].
+/// The deduplication window of [`common::KEYED`], in ms.
 const DEDUPLICATION_WINDOW_MS: i64 = 6000;
 
 /// An attempt in flight.
@@ -50,11 +50,11 @@
     successor_is_active: bool,
     pub ms: i64,
     in_flight: Vec<InFlightAttempt>,
-    /// When each message was executed at the destination.
+    /// The times at which each message was executed at the destination.
     executions: BTreeMap<String, Vec<i64>>,
-    /// The classes of the messages that were accepted.
+    /// The indices of the accepted messages' classes, by message.
     pub accepted_messages: BTreeMap<String, usize>,
-    /// The final outcomes of which notices were sent.
+    /// The final outcomes that notices have reported, by message.
     notices: BTreeMap<String, FinalOutcome>,
     backoff_until_ms: i64,
     next_message_number: usize,
@@ -83,11 +83,12 @@
         }
     }
 
+    /// Adds a line to the trace.
     fn record(&mut self, event: impl Into<String>) {
         self.trace.push(format!("{:5} {}", self.ms, event.into()));
     }
 
-    /// Executes the commands of an incarnation. Violations of invariants are panics, after which the trace is printed.
+    /// Executes the commands of an incarnation. Panics if an attempt violates an invariant.
     fn execute(&mut self, commands: Vec<EngineCommand>, sender: Role) {
         for command in commands {
             match command {
@@ -128,6 +129,7 @@
         }
     }
 
+    /// Steps the incarnation with a role, if there is one. Returns its commands.
     fn step(&mut self, role: Role, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
         let incarnation = match role {
             Role::Predecessor => self.predecessor.as_mut(),
@@ -136,12 +138,13 @@
         incarnation.map_or_else(Vec::new, |incarnation| incarnation.step(self.ms, events))
     }
 
+    /// Steps the incarnation with a role, and executes its commands.
     fn step_and_execute(&mut self, role: Role, events: Vec<EngineEvent>) {
         let commands = self.step(role, events);
         self.execute(commands, role);
     }
 
-    /// The successor takes the predecessor's place once that has exited.
+    /// Makes the active successor the predecessor of later incarnations, once the predecessor has exited.
     fn promote_successor(&mut self) {
         if self.predecessor.is_none() && self.successor.is_some() && self.successor_is_active {
             self.predecessor = self.successor.take();
@@ -177,7 +180,7 @@
             }
             (false, _) => {
                 let (incarnation, commands) = TestIncarnation::start_alone(&self.folder, self.ms);
-                self.record("another one starts alone");
+                self.record("another incarnation starts alone");
                 // A restart ends a backoff.
                 self.backoff_until_ms = 0;
                 self.predecessor = Some(incarnation);
@@ -187,7 +190,7 @@
         self.promote_successor();
     }
 
-    /// Ends the attempts of a killed incarnation: each is executed at the destination or not, and has no result.
+    /// Drops the attempts of a killed incarnation. Each is executed at the destination or not, at random, and has no result.
     fn drop_attempts(&mut self, sender: Role) {
         let (dropped, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
@@ -210,11 +213,11 @@
         let was_active = std::mem::take(&mut self.successor_is_active);
         self.successor = None;
         if was_active {
-            // The predecessor has handed over and exits. A third incarnation recovers the messages of both.
+            // The predecessor has handed over, so it exits. A third incarnation recovers the messages of both.
             self.drop_attempts(Role::Predecessor);
             self.predecessor = None;
             let (incarnation, commands) = TestIncarnation::start_alone(&self.folder, self.ms);
-            self.record("a third one starts alone");
+            self.record("a third incarnation starts alone");
             self.backoff_until_ms = 0;
             self.predecessor = Some(incarnation);
             self.execute(commands, Role::Predecessor);
@@ -272,7 +275,7 @@
             ));
             self.step_and_execute(sender, vec![attempt_finished(id, attempt, outcome)]);
             if sender == Role::Predecessor && self.successor_is_active {
-                // The successor polls the journal before anything else happens.
+                // The successor reads the predecessor's journal before any other event.
                 self.step_and_execute(Role::Successor, vec![EngineEvent::FollowPredecessors]);
             }
         }
@@ -306,7 +309,8 @@
         }
     }
 
-    /// Advances the time by one step: attempts end, messages are submitted, and incarnations come and go.
+    /// Advances the time by one step: attempts end, messages are submitted, and incarnations start, hand over, exit or are
+    /// killed.
     pub fn advance(&mut self) {
         self.ms += STEP_MS;
         self.finish_attempts();
@@ -339,7 +343,7 @@
             .any(|attempt| attempt.sender == sender)
     }
 
-    /// Starts a standby, hands over to it, or kills an incarnation, each with its probability.
+    /// Starts a standby, hands over to it, or kills an incarnation, each with a fixed probability.
     fn restart_at_random(&mut self) {
         match self.rng.u16(0..600) {
             0..=5 if self.successor.is_none() => {
@@ -392,7 +396,7 @@
                         executions.last().unwrap_or(&0) - executions.first().unwrap_or(&0);
                     assert!(
                         span_ms < DEDUPLICATION_WINDOW_MS + MAX_ATTEMPT_MS,
-                        "{name} was executed again after its window"
+                        "{name} was executed again after its deduplication window"
                     );
                 }
                 _ => {}
--- a/crates/delivery/tests/restart_histories/main.rs
+++ b/crates/delivery/tests/restart_histories/main.rs
@@ -1,4 +1,4 @@
-//! Random histories of an instance whose incarnations start, hand over and are killed, from fixed seeds.
+//! Random histories of an instance whose incarnations start, hand over and are killed. Seeds are fixed.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -9,11 +9,11 @@
 use history::RestartHistory;
 use std::fs;
 
-/// When a history ends.
+/// Duration of a history, in ms.
 const END_MS: i64 = 40_000;
 
-/// Whatever happens to the incarnations, every message has a final outcome, none has two attempts in flight, none is
-/// executed more often than its class permits, and nothing is sent during a backoff.
+/// Whatever happens to the incarnations, every accepted message is executed or reported, none has two attempts in flight,
+/// none is executed more often than its class permits, and nothing is sent during a backoff.
 #[test]
 fn random_restart_histories_break_no_invariant() {
     for seed in 0..150 {
--- a/crates/delivery/tests/unjournalled_outcomes.rs
+++ b/crates/delivery/tests/unjournalled_outcomes.rs
@@ -1,4 +1,5 @@
-//! Final outcomes while the journal accepts no record: what a client was told is not contradicted by the next incarnation.
+//! Final outcomes while the journal accepts no records. The next incarnation must not contradict an outcome that was
+//! reported to a client.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -11,12 +12,12 @@
 use marblefall_delivery::core::{MessageId, Origin, RequestId};
 use marblefall_scheduler::{Outcome, Span};
 
-/// A wait that ends after every message of these tests has expired.
+/// A Retry-After that ends after all messages of these tests have expired.
 const RETRY_AFTER: Span = Span(30_000_000);
-/// When the messages expire, in milliseconds after the start.
+/// The expiry of the messages, in milliseconds after the start.
 const EXPIRY_MS: i64 = 20_000;
 
-/// An engine with the message "m" in flight, whose journal accepts nothing more.
+/// An engine that has the message "m" in flight and whose journal accepts no more records.
 struct FailingJournal {
     incarnation: RestartingEngine,
     message: MessageId,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Ends the attempt by a response that asks to wait beyond the message's expiry.
+    /// Ends the attempt with a Retry-After beyond the message's expiry. Returns the commands of the following steps.
     fn reject_attempt(&mut self) -> Vec<EngineCommand> {
         let outcome = Outcome::Rejected {
             retry_after: Some(RETRY_AFTER),
@@ -62,12 +63,12 @@
             commands
                 .iter()
                 .any(|command| matches!(command, EngineCommand::MessageFinished(_))),
-            "the message has its outcome"
+            "the message has a final outcome"
         );
         commands
     }
 
-    /// Kills the incarnation, and starts the next one.
+    /// Kills the incarnation and starts the next one. Returns the commands of its start.
     fn restart(self, ms: i64) -> Vec<EngineCommand> {
         let folder = self.incarnation.folder.clone();
         drop(self.incarnation);
@@ -75,13 +76,14 @@
     }
 }
 
-/// How many notices of a message are sent.
+/// Counts the notices of a message among commands.
 fn notices_of(id: MessageId, commands: &[EngineCommand]) -> usize {
     let is_notice = |command: &&EngineCommand| matches!(command, EngineCommand::SendNotice { message_id, .. } if *message_id == id);
     commands.iter().filter(is_notice).count()
 }
 
-/// Regression: a notice was sent at once, and the next incarnation found the message open and attempted it.
+/// Regression: the notice was sent although the outcome was not in the journal, so the next incarnation found the message
+/// open and attempted it.
 #[test]
 fn unjournalled_outcome_is_not_reported_before_a_crash() {
     let mut failing = FailingJournal::new("not-reported");
@@ -92,7 +94,7 @@
     let is_attempted = started_attempts(&restarted)
         .iter()
         .any(|(message, _)| *message == id);
-    assert!(is_attempted, "the next incarnation has the message");
+    assert!(is_attempted, "the next incarnation attempts the message");
     assert_eq!(notice_outcomes(&commands), []);
 }
 
@@ -119,7 +121,10 @@
     let before = failing.incarnation.step(EXPIRY_MS - 100, Vec::new());
     assert_eq!(notice_outcomes(&before), []);
     let wake = failing.incarnation.engine.next_wake().unwrap();
-    assert!(wake.0 <= (EXPIRY_MS - 50) * 1000, "it looks again in time");
+    assert!(
+        wake.0 <= (EXPIRY_MS - 50) * 1000,
+        "the engine wakes in time for the expiry"
+    );
     let after = failing.incarnation.step(EXPIRY_MS, Vec::new());
     assert_eq!(notices_of(id, &after), 1);
 }
