--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -306,7 +306,7 @@
 fn log_journal_error(result: std::io::Result<()>, commands: &mut Vec<EngineCommand>) {
     if let Err(error) = result {
         commands.push(EngineCommand::Log(format!(
-            "the journal does not accept a record: {error}"
+            "a journal operation failed: {error}"
         )));
     }
 }
--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -190,7 +190,7 @@
             }
             if let Err(error) = self.journal_submission(submission, commands) {
                 commands.push(EngineCommand::Log(format!(
-                    "the journal does not accept a message: {error}"
+                    "a submitted message cannot be written to the journal: {error}"
                 )));
                 not_journalled.insert(id);
                 self.reject_unjournalled(id, commands);
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -89,7 +89,7 @@
             Ok(recovered) => recovered,
             Err(error) => {
                 commands.push(EngineCommand::Log(format!(
-                    "the journal is not taken over completely: {error}"
+                    "cannot recover all messages of earlier incarnations from the journal: {error}"
                 )));
                 let event = EngineEvent::TakeOver {
                     running,
