--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -222,8 +222,8 @@
             return self.step_without_lease(now, events, commands);
         }
         if !self.deferred_events.is_empty() {
-            let later = std::mem::replace(&mut events, self.take_deferred_events());
-            events.extend(later);
+            let new_events = std::mem::replace(&mut events, self.take_deferred_events());
+            events.extend(new_events);
         }
         self.step_active(now, events, commands);
     }
@@ -241,7 +241,7 @@
         let events = self.handle_endpoint_changes(events, &mut batch);
         batch.scheduler_events.append(&mut self.backlog);
         for event in events {
-            self.handle(event, &mut batch);
+            self.handle_event(event, &mut batch);
         }
         self.fire_timers(&mut batch);
         self.stop_attempts_before_shutdown(&mut batch);
@@ -258,25 +258,25 @@
             .handle(now.monotonic, &scheduler_events, &mut actions);
         let not_journalled = self.journal_submissions(now, submissions, &actions, commands);
         for action in actions {
-            self.execute(now, action, &not_journalled, commands);
+            self.execute_action(now, action, &not_journalled, commands);
         }
         self.compact_idle_destinations(now, commands);
     }
 
     /// Handles one event. Endpoint changes were handled earlier in the step, and events of a hot restart are handled in
     /// steps of their own.
-    fn handle(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
+    fn handle_event(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
         match event {
             EngineEvent::Submitted(request, message) => self.submit(request, message, batch),
-            EngineEvent::ClientGone(request) => self.client_gone(request, batch),
-            EngineEvent::AttemptFinished(result) => self.attempt_finished(result, batch),
+            EngineEvent::ClientGone(request) => self.handle_disconnect(request, batch),
+            EngineEvent::AttemptFinished(result) => self.handle_attempt_result(result, batch),
             EngineEvent::NoticeAcknowledged(id) => {
                 self.remove_message(batch.now, id, batch.commands)
             }
             EngineEvent::Shutdown { deadline } => self.prepare_shutdown(deadline),
-            EngineEvent::CheckPolicy(proposed, answer) => {
+            EngineEvent::CheckPolicy(proposed, result_sender) => {
                 // The receiver may have been dropped.
-                let _ = answer.try_send(self.check_policy(&proposed));
+                let _ = result_sender.try_send(self.check_policy(&proposed));
             }
             EngineEvent::LeaseChanged | EngineEvent::PolicyChanged(_) => {}
             EngineEvent::EndpointsReplaced(_)
--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -37,7 +37,7 @@
             Lookup::New {
                 first_possible_execution,
             } => first_possible_execution,
-            Lookup::Open(id) => return self.join(id, request, message, batch),
+            Lookup::Open(id) => return self.join_open_message(id, request, message, batch),
             Lookup::Finished(id, outcome) => {
                 log_journal_error(self.store.add_alias(id, &message.identity), batch.commands);
                 return batch.respond(request, SubmitResponse::Finished(outcome));
@@ -107,7 +107,13 @@
     ///
     /// Each submission of the platform's clients has its own id. A client that submits a known id is therefore not the
     /// client that waits for the message, and must not cancel it by disconnecting.
-    fn join(&mut self, id: MessageId, request: RequestId, message: Message, batch: &mut Batch<'_>) {
+    fn join_open_message(
+        &mut self,
+        id: MessageId,
+        request: RequestId,
+        message: Message,
+        batch: &mut Batch<'_>,
+    ) {
         if message.origin == Origin::Platform {
             let response = match self.store.get(id) {
                 Some(_) => SubmitResponse::Accepted,
@@ -133,7 +139,7 @@
     ///
     /// Its message is cancelled if it was submitted over the platform's protocol and no other client waits for it. An
     /// event is not cancelled, because its client can submit it again.
-    pub(super) fn client_gone(&mut self, request: RequestId, batch: &mut Batch<'_>) {
+    pub(super) fn handle_disconnect(&mut self, request: RequestId, batch: &mut Batch<'_>) {
         let waiting = self
             .waiting_clients
             .iter_mut()
--- a/crates/delivery/src/core/engine/actions.rs
+++ b/crates/delivery/src/core/engine/actions.rs
@@ -9,7 +9,7 @@
 impl Engine {
     /// Executes an action of the scheduler. `not_journalled` contains the messages of this step that were rejected
     /// because the journal did not accept them.
-    pub(super) fn execute(
+    pub(super) fn execute_action(
         &mut self,
         now: Timestamp,
         action: scheduler::Action,
@@ -62,7 +62,7 @@
         let mut actions = Vec::new();
         self.scheduler.handle(now.monotonic, events, &mut actions);
         for action in actions {
-            self.execute(now, action, &BTreeSet::new(), commands);
+            self.execute_action(now, action, &BTreeSet::new(), commands);
         }
     }
 }
--- a/crates/delivery/src/core/engine/attempts.rs
+++ b/crates/delivery/src/core/engine/attempts.rs
@@ -12,7 +12,7 @@
 impl Engine {
     /// Handles the result of an attempt: journals it, reports it to the scheduler, and finishes the message if the result
     /// is final.
-    pub(super) fn attempt_finished(&mut self, result: AttemptResult, batch: &mut Batch<'_>) {
+    pub(super) fn handle_attempt_result(&mut self, result: AttemptResult, batch: &mut Batch<'_>) {
         let id = result.message_id;
         self.in_flight = self.in_flight.saturating_sub(1);
         self.record_backoff(batch.now, id, result.outcome, batch.commands);
@@ -35,12 +35,14 @@
         let was_unlisted = self.predecessor_attempts.remove_unlisted(id);
         match result.disposition {
             _ if result.outcome == scheduler::Outcome::Delivered => {
-                self.finish(batch.now, id, FinalOutcome::Delivered, batch.commands);
+                self.finish_message(batch.now, id, FinalOutcome::Delivered, batch.commands);
+            }
+            Disposition::Failed => {
+                self.finish_message(batch.now, id, FinalOutcome::Failed, batch.commands)
             }
-            Disposition::Failed => self.finish(batch.now, id, FinalOutcome::Failed, batch.commands),
             Disposition::Complete => self.remove_message(batch.now, id, batch.commands),
             Disposition::Undecided if was_unlisted => {
-                self.resume(batch.now, id, RecordedAttempt::Ended, batch.commands);
+                self.resume_message(batch.now, id, RecordedAttempt::Ended, batch.commands);
             }
             Disposition::Undecided => {}
         }
@@ -121,10 +123,10 @@
         endpoint: scheduler::EndpointId,
     ) -> Route {
         let kind = self.endpoints.listing(endpoint).map(|listed| listed.kind);
-        let separate = kind.is_some_and(|kind| self.policy.has_separate_routes(kind));
+        let is_separate_route = kind.is_some_and(|kind| self.policy.has_separate_routes(kind));
         Route {
             destination,
-            endpoint: Some(endpoint).filter(|_| separate),
+            endpoint: Some(endpoint).filter(|_| is_separate_route),
         }
     }
 
--- a/crates/delivery/src/core/engine/endpoints.rs
+++ b/crates/delivery/src/core/engine/endpoints.rs
@@ -66,10 +66,10 @@
         let old = self.destination_table.replace(table.clone());
         let active: Vec<_> = self.active_destinations.active().collect();
         for id in active {
-            let before = old
+            let previous = old
                 .as_ref()
                 .map_or_else(Vec::new, |old| old.listed_endpoints(id));
-            self.replace_endpoints(id, table.listed_endpoints(id), before, batch);
+            self.replace_endpoints(id, table.listed_endpoints(id), previous, batch);
         }
         // Messages of an earlier incarnation may wait for destinations that were unknown until now.
         let open = self.store.open_messages();
@@ -85,14 +85,14 @@
         &mut self,
         id: scheduler::DestinationId,
         mut endpoints: Vec<ListedEndpoint>,
-        before: Vec<ListedEndpoint>,
+        previous: Vec<ListedEndpoint>,
         batch: &mut Batch<'_>,
     ) {
-        if endpoints == before {
+        if endpoints == previous {
             return;
         }
         let is_listed = |name: &str| endpoints.iter().any(|endpoint| endpoint.name == name);
-        let removed = before
+        let removed = previous
             .into_iter()
             .filter(|endpoint| !is_listed(&endpoint.name));
         let removed: Vec<_> = removed
--- a/crates/delivery/src/core/engine/final_outcome.rs
+++ b/crates/delivery/src/core/engine/final_outcome.rs
@@ -53,7 +53,7 @@
         };
         let first = record.first_possible_execution.as_ref();
         let outcome = self.outcome_of_rejection(now, &record.message, first, retry_after);
-        self.finish(now, id, outcome, commands);
+        self.finish_message(now, id, outcome, commands);
     }
 
     /// Fails a pending message that the scheduler will not attempt again.
@@ -67,12 +67,12 @@
             return;
         };
         let outcome = outcome_of_failure(now, &record.message);
-        self.finish(now, id, outcome, commands);
+        self.finish_message(now, id, outcome, commands);
     }
 
     /// Assigns a message its final outcome and reports it. If the journal does not accept an outcome that another
     /// incarnation could contradict, the report is deferred.
-    pub(super) fn finish(
+    pub(super) fn finish_message(
         &mut self,
         now: Timestamp,
         id: MessageId,
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -30,7 +30,7 @@
             .into_iter()
             .partition(EngineEvent::belongs_to_hot_restart);
         for change in changes {
-            self.handle_hot_restart(now, change, &mut step_events, commands);
+            self.handle_hot_restart_event(now, change, &mut step_events, commands);
         }
         match self.role {
             Role::Active if self.lease != LeaseState::Held => {
@@ -43,7 +43,7 @@
 
     /// Handles an event of a hot restart. Events that result from it are appended to `step_events`, the remaining events of
     /// the step.
-    fn handle_hot_restart(
+    fn handle_hot_restart_event(
         &mut self,
         now: Timestamp,
         event: EngineEvent,
@@ -135,7 +135,7 @@
         let all = self.store.messages().keys().copied();
         let found: Vec<MessageId> = all.filter(|id| !before.contains(id)).collect();
         for id in found {
-            self.resume(now, id, RecordedAttempt::Ended, commands);
+            self.resume_message(now, id, RecordedAttempt::Ended, commands);
         }
     }
 
--- a/crates/delivery/src/core/engine/lease.rs
+++ b/crates/delivery/src/core/engine/lease.rs
@@ -62,7 +62,7 @@
             EngineEvent::Submitted(_, ref message)
                 if !matches!(self.look_up(message, &[]), Lookup::New { .. }) =>
             {
-                self.handle(event, batch);
+                self.handle_event(event, batch);
             }
             EngineEvent::Submitted(..) => self.defer(event, batch),
             event if event.changes_endpoints() => self.defer(event, batch),
@@ -70,9 +70,9 @@
                 self.deferred_events.retain(|deferred| {
                     !matches!(deferred.event, EngineEvent::Submitted(other, _) if other == request)
                 });
-                self.handle(event, batch);
+                self.handle_event(event, batch);
             }
-            event => self.handle(event, batch),
+            event => self.handle_event(event, batch),
         }
     }
 
@@ -114,7 +114,7 @@
         let expired = pending.filter(|(_, record)| record.message.expires_ms <= now.unix_ms);
         let expired: Vec<MessageId> = expired.map(|(id, _)| id).collect();
         for id in expired {
-            self.finish(now, id, FinalOutcome::Expired, commands);
+            self.finish_message(now, id, FinalOutcome::Expired, commands);
             self.backlog.push(scheduler::Event::Cancelled(id));
         }
     }
--- a/crates/delivery/src/core/engine/passive.rs
+++ b/crates/delivery/src/core/engine/passive.rs
@@ -25,14 +25,14 @@
             self.update_scheduler(now, &endpoint_changes, batch.commands);
         }
         for event in events {
-            self.handle_passive(event, &mut batch);
+            self.handle_passive_event(event, &mut batch);
         }
         // The submissions are not passed to the scheduler, so they are rejected only if the journal does not accept them.
         self.journal_submissions(now, batch.submissions, &[], batch.commands);
         self.backlog.clear();
     }
 
-    fn handle_passive(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
+    fn handle_passive_event(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
         match event {
             EngineEvent::Submitted(request, message) => self.submit(request, message, batch),
             EngineEvent::AttemptFinished(result) => {
--- a/crates/delivery/src/core/engine/predecessors.rs
+++ b/crates/delivery/src/core/engine/predecessors.rs
@@ -64,9 +64,9 @@
         step_events: &mut Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let mut found = Vec::new();
-        log_journal_error(self.store.follow(&mut found), commands);
-        self.handle_predecessor_events(now, found, step_events, commands);
+        let mut predecessor_events = Vec::new();
+        log_journal_error(self.store.follow(&mut predecessor_events), commands);
+        self.handle_predecessor_events(now, predecessor_events, step_events, commands);
     }
 
     /// Reads the remaining records of a predecessor that has exited.
@@ -77,12 +77,14 @@
         step_events: &mut Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let mut found = Vec::new();
-        let read = self.store.finish_following(generation, &mut found);
+        let mut predecessor_events = Vec::new();
+        let read = self
+            .store
+            .finish_following(generation, &mut predecessor_events);
         let event = EngineEvent::PredecessorExited(generation);
         self.postpone_if_transient(now, event, read.as_ref().err());
         log_journal_error(read, commands);
-        self.handle_predecessor_events(now, found, step_events, commands);
+        self.handle_predecessor_events(now, predecessor_events, step_events, commands);
         if !self.store.is_following() {
             self.reset_predecessor_attempts(now, step_events);
         }
@@ -93,14 +95,14 @@
     fn handle_predecessor_events(
         &mut self,
         now: Timestamp,
-        found: Vec<PredecessorEvent>,
+        predecessor_events: Vec<PredecessorEvent>,
         step_events: &mut Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
-        for event in found {
+        for event in predecessor_events {
             match event {
                 PredecessorEvent::Accepted(id) => {
-                    self.resume(now, id, RecordedAttempt::Ended, commands);
+                    self.resume_message(now, id, RecordedAttempt::Ended, commands);
                 }
                 PredecessorEvent::AttemptFinished(result) => {
                     if self.predecessor_attempts.take_result(result.message_id) {
--- a/crates/delivery/src/core/engine/recovery.rs
+++ b/crates/delivery/src/core/engine/recovery.rs
@@ -39,7 +39,7 @@
             } else {
                 RecordedAttempt::Ended
             };
-            self.resume(now, id, attempt, commands);
+            self.resume_message(now, id, attempt, commands);
         }
         commands.push(EngineCommand::TookOver(self.store.open_count()));
     }
@@ -74,7 +74,7 @@
     }
 
     /// Passes an open message to the scheduler, or sends the pending notice of a finished one.
-    pub(super) fn resume(
+    pub(super) fn resume_message(
         &mut self,
         now: Timestamp,
         id: MessageId,
