--- a/crates/delivery/src/core/engine/command.rs
+++ b/crates/delivery/src/core/engine/command.rs
@@ -36,7 +36,7 @@
     UnknownDestination,
     /// The journal could not be written.
     NotJournalled,
-    /// The scheduler rejected it in the step in which it was submitted.
+    /// The scheduler rejected or failed the message in the step in which it was submitted.
     Scheduler,
 }
 
--- a/crates/delivery/src/core/engine/destination_records.rs
+++ b/crates/delivery/src/core/engine/destination_records.rs
@@ -5,8 +5,8 @@
 use crate::core::Timestamp;
 use marblefall_scheduler as scheduler;
 
-/// Number of steps per call per second to which baseline rates are rounded in records. They change with every delivery, and
-/// each change of a record is written to disk.
+/// Baseline rates in records are rounded to multiples of one over this, in calls per second, because they change with every
+/// delivery and each change of a record is written to disk.
 const BASELINE_RATE_STEPS: f32 = 4.0;
 
 impl Engine {
--- a/crates/delivery/src/core/engine/event.rs
+++ b/crates/delivery/src/core/engine/event.rs
@@ -42,7 +42,7 @@
     /// A predecessor whose journal was being followed has exited.
     PredecessorExited(Generation),
     /// A standby exited before it took over. This incarnation adopts the messages that the standby accepted, and continues
-    /// under the generation that is given.
+    /// under the given generation, which is later than the standby's.
     StandbyExited(Generation),
     /// Another policy comes into force.
     PolicyChanged(Box<PolicyChange>),
--- a/crates/delivery/src/core/engine/final_outcome.rs
+++ b/crates/delivery/src/core/engine/final_outcome.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns a pending message that the scheduler has rejected: its client may retry later.
+    /// Finishes a pending message that the scheduler has rejected with a delay before the client's retry.
     pub(super) fn return_message(
         &mut self,
         now: Timestamp,
--- a/crates/delivery/src/core/engine/hot_restart.rs
+++ b/crates/delivery/src/core/engine/hot_restart.rs
@@ -119,7 +119,7 @@
     }
 
     /// Resumes the messages of a standby that exited before it became active. This incarnation continues under
-    /// `generation`.
+    /// `generation`, which is later than the standby's.
     fn adopt_standby(
         &mut self,
         now: Timestamp,
--- a/crates/delivery/src/core/engine/lease.rs
+++ b/crates/delivery/src/core/engine/lease.rs
@@ -20,7 +20,7 @@
     Held,
     /// The lease is suspended while the policy is being changed. Submissions are deferred.
     Suspended,
-    /// The engine does not hold the lease, and it is unknown when it will again. Submissions are rejected.
+    /// The engine does not hold the lease, and it is unknown when it will hold it again. Submissions are rejected.
     Lost,
 }
 
--- a/crates/delivery/src/core/engine/policy_change.rs
+++ b/crates/delivery/src/core/engine/policy_change.rs
@@ -38,7 +38,7 @@
     }
 
     /// Puts the policy changes among `events` in force. Returns the events, in which each policy change is replaced with its
-    /// destination table, if it has one.
+    /// destination table, or with an event that has no effect if it has no table.
     pub(super) fn apply_policy_changes(
         &mut self,
         now: Timestamp,
--- a/crates/delivery/src/core/engine/predecessors.rs
+++ b/crates/delivery/src/core/engine/predecessors.rs
@@ -1,4 +1,4 @@
-//! Follows the journals of predecessors that have handed over but are still running.
+//! Reads new journal records of predecessors that have handed over but are still running.
 
 use super::recovery::RecordedAttempt;
 use super::{log_journal_error, AttemptResult, Engine, EngineCommand, EngineEvent};
--- a/crates/delivery/tests/restart_histories/history.rs
+++ b/crates/delivery/tests/restart_histories/history.rs
@@ -31,7 +31,7 @@
     ends_ms: i64,
 }
 
-/// One of the two incarnations that run at a time.
+/// The role of an incarnation. At most two incarnations run at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     Predecessor,
@@ -39,7 +39,7 @@
 }
 
 /// A history of one instance and its destination, in which incarnations start, hand over and are killed at random. The
-/// instance is checked against what its destination and its clients have recorded.
+/// instance is checked against the records of its destination and its clients.
 pub struct RestartHistory {
     pub folder: PathBuf,
     rng: fastrand::Rng,
--- a/crates/delivery/tests/restart_histories/main.rs
+++ b/crates/delivery/tests/restart_histories/main.rs
@@ -12,8 +12,8 @@
 /// Duration of a history, in ms.
 const END_MS: i64 = 40_000;
 
-/// Whatever happens to the incarnations, every accepted message is executed or reported, none has two attempts in flight,
-/// none is executed more often than its class permits, and nothing is sent during a backoff.
+/// In every history, each accepted message is executed or has a notice, no message has two attempts in flight or is executed
+/// more often than its class permits, and no attempt is sent during a backoff.
 #[test]
 fn random_restart_histories_break_no_invariant() {
     for seed in 0..150 {
