--- a/crates/delivery/src/core/engine/unjournalled.rs
+++ b/crates/delivery/src/core/engine/unjournalled.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 /// Delay before records that the journal did not accept are written again.
-pub(super) const RETRY_INTERVAL: scheduler::Span = scheduler::Span(20_000);
+pub(super) const JOURNAL_RETRY_INTERVAL: scheduler::Span = scheduler::Span(20_000);
 
 /// An attempt that the scheduler has selected but that is not in the journal yet.
 #[derive(Clone, Copy, Debug)]
@@ -94,7 +94,7 @@
     /// to the journal.
     fn schedule_journal_retry(&mut self, now: Timestamp) {
         if self.journal_retry_at <= now.monotonic {
-            self.journal_retry_at = now.monotonic + RETRY_INTERVAL;
+            self.journal_retry_at = now.monotonic + JOURNAL_RETRY_INTERVAL;
             self.timers
                 .insert((self.journal_retry_at, STEP_TIMER_TOKEN));
         }
--- a/crates/delivery/src/core/engine/unwritten_reports.rs
+++ b/crates/delivery/src/core/engine/unwritten_reports.rs
@@ -4,7 +4,7 @@
 //! handed over, the messages belong to the active incarnation, and the results are reported to it instead. Without them, the
 //! active incarnation would treat the results of delivered attempts as unknown.
 
-use super::unjournalled::RETRY_INTERVAL;
+use super::unjournalled::JOURNAL_RETRY_INTERVAL;
 use super::{log_journal_error, AttemptResult, Engine, EngineCommand};
 use crate::core::journal_record::AttemptReport;
 use crate::core::Timestamp;
@@ -65,7 +65,7 @@
             log_journal_error(reported, commands);
             if !is_reported {
                 self.unwritten_reports.insert(id, report);
-                self.journal_retry_at = now.monotonic + RETRY_INTERVAL;
+                self.journal_retry_at = now.monotonic + JOURNAL_RETRY_INTERVAL;
                 return;
             }
         }
--- a/crates/delivery/tests/unjournalled_outcomes.rs
+++ b/crates/delivery/tests/unjournalled_outcomes.rs
@@ -18,15 +18,15 @@
 const EXPIRY_MS: i64 = 20_000;
 
 /// An engine that has the message "m" in flight and whose journal accepts no more records.
-struct FailingJournal {
+struct EngineWithFullJournal {
     incarnation: RestartingEngine,
     message: MessageId,
     attempt: u32,
     journal: FullJournal,
 }
 
-impl FailingJournal {
-    fn new(name: &str) -> FailingJournal {
+impl EngineWithFullJournal {
+    fn new(name: &str) -> EngineWithFullJournal {
         let (mut incarnation, _) = RestartingEngine::start(temporary_folder(name), 0);
         let commands = incarnation.step(
             0,
@@ -41,7 +41,7 @@
             let submitted = EngineEvent::Submitted(RequestId(request), filler);
             incarnation.step(1, vec![submitted]);
         });
-        FailingJournal {
+        EngineWithFullJournal {
             incarnation,
             message,
             attempt,
@@ -86,11 +86,11 @@
 /// open and attempted it.
 #[test]
 fn unjournalled_outcome_is_not_reported_before_a_crash() {
-    let mut failing = FailingJournal::new("not-reported");
-    let id = failing.message;
-    let commands = failing.reject_attempt();
-    failing.journal.repair();
-    let restarted = failing.restart(200);
+    let mut fixture = EngineWithFullJournal::new("not-reported");
+    let id = fixture.message;
+    let commands = fixture.reject_attempt();
+    fixture.journal.repair();
+    let restarted = fixture.restart(200);
     let is_attempted = started_attempts(&restarted)
         .iter()
         .any(|(message, _)| *message == id);
@@ -100,13 +100,13 @@
 
 #[test]
 fn outcome_is_reported_once_the_journal_accepts_it() {
-    let mut failing = FailingJournal::new("reported-later");
-    let id = failing.message;
-    failing.reject_attempt();
-    failing.journal.repair();
-    let later = failing.incarnation.step(140, Vec::new());
+    let mut fixture = EngineWithFullJournal::new("reported-later");
+    let id = fixture.message;
+    fixture.reject_attempt();
+    fixture.journal.repair();
+    let later = fixture.incarnation.step(140, Vec::new());
     assert_eq!(notices_of(id, &later), 1);
-    let restarted = failing.restart(200);
+    let restarted = fixture.restart(200);
     assert_eq!(notices_of(id, &restarted), 1, "not acknowledged yet");
     assert!(started_attempts(&restarted)
         .iter()
@@ -115,16 +115,16 @@
 
 #[test]
 fn outcome_of_an_expired_message_is_reported_without_the_journal() {
-    let mut failing = FailingJournal::new("reported-at-expiry");
-    let id = failing.message;
-    failing.reject_attempt();
-    let before = failing.incarnation.step(EXPIRY_MS - 100, Vec::new());
+    let mut fixture = EngineWithFullJournal::new("reported-at-expiry");
+    let id = fixture.message;
+    fixture.reject_attempt();
+    let before = fixture.incarnation.step(EXPIRY_MS - 100, Vec::new());
     assert_eq!(notice_outcomes(&before), []);
-    let wake = failing.incarnation.engine.next_wake().unwrap();
+    let wake = fixture.incarnation.engine.next_wake().unwrap();
     assert!(
         wake.0 <= (EXPIRY_MS - 50) * 1000,
         "the engine wakes in time for the expiry"
     );
-    let after = failing.incarnation.step(EXPIRY_MS, Vec::new());
+    let after = fixture.incarnation.step(EXPIRY_MS, Vec::new());
     assert_eq!(notices_of(id, &after), 1);
 }
