--- a/crates/delivery/src/core/engine.rs
+++ b/crates/delivery/src/core/engine.rs
@@ -1,11 +1,11 @@
-//! The engine owns the scheduler and the message store: events go in, commands come out.
+//! The engine owns the scheduler and the message store. It turns [`EngineEvent`]s into [`EngineCommand`]s.
 //!
-//! All events that are received together are handled in one [`step`](Engine::step): the scheduler decides on them, the
-//! submissions that it accepts are journalled, and only then responses and attempts are ordered. The journal therefore
-//! has everything that the scheduler knows, and each decision is executed once.
+//! All events that are received together are handled in one [`step`](Engine::step): the scheduler processes them, the
+//! submissions that it accepts are journalled, and only then are the commands for responses and attempts emitted. The
+//! journal therefore contains everything that the scheduler's state is based on, and each decision is executed once.
 //!
 //! An engine has a `Role`: it is a standby beside an active incarnation, is active itself, or has handed over. Where a
-//! group decides on the policy, it also has a [`LeaseState`]: without the lease it starts nothing.
+//! group decides on the policy, it also has a [`LeaseState`]. Without the lease it starts no attempts.
 
 mod acceptance;
 mod actions;
@@ -46,73 +46,74 @@
 use acceptance::Submission;
 use endpoint_registry::EndpointRegistry;
 use lease::DeferredEvent;
-use marblefall_scheduler as m;
-use postponed::Postponed;
+use marblefall_scheduler as scheduler;
+use postponed::PostponedEvents;
 use predecessors::PredecessorAttempts;
 use role::Role;
 use settings::Policy;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use unjournalled::{UnjournalledAttempt, UnjournalledOutcomes};
+use unjournalled::{SelectedAttempt, UnjournalledOutcomes};
 
-/// The token of timers that only cause a step.
-const STEP_TIMER: u64 = u64::MAX;
+/// The token of timers whose only effect is a step.
+const STEP_TIMER_TOKEN: u64 = u64::MAX;
 
 /// Owns the scheduler and the message store of one instance.
 pub struct Engine {
-    scheduler: m::Scheduler,
+    scheduler: scheduler::Scheduler,
     store: MessageStore,
     policy: Policy,
     endpoints: EndpointRegistry,
-    /// All destinations, where most of them are idle.
+    /// All destinations, most of which are idle; absent until a table is received.
     destination_table: Option<Arc<DestinationTable>>,
     active_destinations: ActiveDestinations,
     /// Identities of the platform's messages that finished recently.
     recent_completions: RecentCompletions,
-    /// The submissions that are answered when their message has a response.
+    /// The submissions that wait for a response, by message.
     waiting_clients: BTreeMap<MessageId, Vec<RequestId>>,
-    timers: BTreeSet<(m::Time, u64)>,
-    /// Scheduler events that arose while commands were collected; the next batch starts with them.
-    backlog: Vec<m::Event>,
-    shutdown_at: Option<m::Time>,
-    /// Whether the end of the process is too near to start an attempt.
+    timers: BTreeSet<(scheduler::Time, u64)>,
+    /// Scheduler events that were generated while commands were collected. The next batch starts with them.
+    backlog: Vec<scheduler::Event>,
+    /// The latest time at which the process ends; absent until a shutdown or a handover is requested.
+    shutdown_at: Option<scheduler::Time>,
+    /// Whether the shutdown is too close to start another attempt.
     attempts_stopped: bool,
     role: Role,
-    /// Events of a hot restart whose step failed by a transient error.
-    postponed: Postponed,
+    /// Events of a hot restart whose step failed with a transient error.
+    postponed_events: PostponedEvents,
     predecessor_attempts: PredecessorAttempts,
     /// Submissions rejected since [`Engine::drain_rejections`] was last called.
     rejections: Vec<Rejection>,
-    /// Attempts that wait for the journal.
-    unjournalled: Vec<UnjournalledAttempt>,
-    /// Final outcomes that wait for the journal.
+    /// Attempts that are not started until the journal accepts them.
+    unjournalled_attempts: Vec<SelectedAttempt>,
+    /// Final outcomes that are not reported until the journal accepts them.
     unjournalled_outcomes: UnjournalledOutcomes,
     /// Results of attempts that the journal did not accept.
     unwritten_reports: BTreeMap<MessageId, AttemptReport>,
-    /// The earliest time at which the journal is tried again with what it did not accept.
-    journal_retry_at: m::Time,
-    /// How many attempts are in flight.
+    /// The earliest time at which records that the journal did not accept are written again.
+    journal_retry_at: scheduler::Time,
+    /// Number of attempts in flight.
     in_flight: usize,
     lease: LeaseState,
-    /// Events received without the lease.
-    deferred: Vec<DeferredEvent>,
+    /// Events that were received without the lease and are handled once it is held again.
+    deferred_events: Vec<DeferredEvent>,
 }
 
-/// The work that an engine has.
+/// The current load of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Messages without a final outcome.
+    /// Number of messages without a final outcome.
     pub open_messages: usize,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
 }
 
-/// What one step collects.
+/// The submissions, scheduler events and commands that one step collects.
 struct Batch<'a> {
     now: Timestamp,
     /// Events for the scheduler.
-    scheduler_events: Vec<m::Event>,
-    /// Messages that the scheduler may accept.
+    scheduler_events: Vec<scheduler::Event>,
+    /// Messages that are offered to the scheduler in this step.
     submissions: Vec<Submission>,
     commands: &'a mut Vec<EngineCommand>,
 }
@@ -134,7 +135,8 @@
 }
 
 impl Engine {
-    /// An engine that is active at once, with the messages in the store. Pending notices are ordered at once.
+    /// Creates an engine that is active immediately, with the messages in the store. Pending notices are sent
+    /// immediately.
     pub fn new(
         settings: EngineSettings,
         store: MessageStore,
@@ -146,7 +148,7 @@
         engine
     }
 
-    /// An engine that is a standby beside another incarnation: it accepts messages, and decides nothing until
+    /// Creates an engine that is a standby beside another incarnation: it accepts messages, but starts no attempts until
     /// [`EngineEvent::TakeOver`].
     pub fn standby(settings: EngineSettings, store: MessageStore) -> Engine {
         let (policy, scheduler) = Policy::split(settings);
@@ -164,22 +166,22 @@
             shutdown_at: None,
             attempts_stopped: false,
             role: Role::Standby,
-            postponed: Postponed::default(),
+            postponed_events: PostponedEvents::default(),
             predecessor_attempts: PredecessorAttempts::default(),
             rejections: Vec::new(),
-            unjournalled: Vec::new(),
+            unjournalled_attempts: Vec::new(),
             unjournalled_outcomes: UnjournalledOutcomes::default(),
             unwritten_reports: BTreeMap::new(),
-            journal_retry_at: m::Time::MIN,
+            journal_retry_at: scheduler::Time::MIN,
             in_flight: 0,
             lease: LeaseState::Held,
-            deferred: Vec::new(),
+            deferred_events: Vec::new(),
         }
     }
 
-    /// When the engine is to be stepped at the latest, even without an event.
-    pub fn next_wake(&self) -> Option<m::Time> {
-        let postponed = self.postponed.next_retry();
+    /// Returns the latest time at which the engine must be stepped, even without an event.
+    pub fn next_wake(&self) -> Option<scheduler::Time> {
+        let postponed = self.postponed_events.next_retry();
         if self.role != Role::Active {
             return postponed.into_iter().chain(self.next_report_retry()).min();
         }
@@ -191,7 +193,7 @@
             .min()
     }
 
-    /// The work that the engine has at present.
+    /// Returns the current load.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             open_messages: self.store.open_count(),
@@ -199,19 +201,19 @@
         }
     }
 
-    /// Whether another step is due at once, as there are events that the scheduler has not handled yet.
+    /// Returns whether another step is due immediately, because the scheduler has not handled all its events yet.
     pub fn has_backlog(&self) -> bool {
         self.lease == LeaseState::Held && !self.backlog.is_empty()
     }
 
-    /// Handles the events since the last step, lets the scheduler decide, and adds the commands that follow.
+    /// Handles the events received since the last step, runs the scheduler, and appends the resulting commands.
     pub fn step(
         &mut self,
         now: Timestamp,
         events: Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let events = self.postponed.take_due(now.monotonic, events);
+        let events = self.postponed_events.take_due(now.monotonic, events);
         let mut events = self.apply_policy_changes(now, events, commands);
         if self.role != Role::Active || events.iter().any(EngineEvent::belongs_to_hot_restart) {
             return self.step_in_hot_restart(now, events, commands);
@@ -219,14 +221,14 @@
         if self.lease != LeaseState::Held {
             return self.step_without_lease(now, events, commands);
         }
-        if !self.deferred.is_empty() {
-            let later = std::mem::replace(&mut events, self.take_deferred());
-            events.extend(later);
+        if !self.deferred_events.is_empty() {
+            let new_events = std::mem::replace(&mut events, self.take_deferred_events());
+            events.extend(new_events);
         }
         self.step_active(now, events, commands);
     }
 
-    /// A step of the active incarnation.
+    /// Executes a step of the active incarnation.
     fn step_active(
         &mut self,
         now: Timestamp,
@@ -239,7 +241,7 @@
         let events = self.handle_endpoint_changes(events, &mut batch);
         batch.scheduler_events.append(&mut self.backlog);
         for event in events {
-            self.handle(event, &mut batch);
+            self.handle_event(event, &mut batch);
         }
         self.fire_timers(&mut batch);
         self.stop_attempts_before_shutdown(&mut batch);
@@ -256,25 +258,25 @@
             .handle(now.monotonic, &scheduler_events, &mut actions);
         let not_journalled = self.journal_submissions(now, submissions, &actions, commands);
         for action in actions {
-            self.execute(now, action, &not_journalled, commands);
+            self.execute_action(now, action, &not_journalled, commands);
         }
         self.compact_idle_destinations(now, commands);
     }
 
-    /// Handles one event. Changes of endpoints have been handled before, and events of a hot restart have steps of their
-    /// own.
-    fn handle(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
+    /// Handles one event. Endpoint changes were handled earlier in the step, and events of a hot restart are handled in
+    /// steps of their own.
+    fn handle_event(&mut self, event: EngineEvent, batch: &mut Batch<'_>) {
         match event {
             EngineEvent::Submitted(request, message) => self.submit(request, message, batch),
-            EngineEvent::ClientGone(request) => self.client_gone(request, batch),
-            EngineEvent::AttemptFinished(result) => self.attempt_finished(result, batch),
+            EngineEvent::ClientGone(request) => self.handle_disconnect(request, batch),
+            EngineEvent::AttemptFinished(result) => self.handle_attempt_result(result, batch),
             EngineEvent::NoticeAcknowledged(id) => {
                 self.remove_message(batch.now, id, batch.commands)
             }
             EngineEvent::Shutdown { deadline } => self.prepare_shutdown(deadline),
-            EngineEvent::CheckPolicy(proposed, answer) => {
+            EngineEvent::CheckPolicy(proposed, result_sender) => {
                 // The receiver may have been dropped.
-                let _ = answer.try_send(self.check_policy(&proposed));
+                let _ = result_sender.try_send(self.check_policy(&proposed));
             }
             EngineEvent::LeaseChanged | EngineEvent::PolicyChanged(_) => {}
             EngineEvent::EndpointsReplaced(_)
@@ -293,16 +295,18 @@
         let now = batch.now.monotonic;
         while let Some((at, token)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, token));
-            batch.scheduler_events.push(m::Event::TimerFired(token));
+            batch
+                .scheduler_events
+                .push(scheduler::Event::TimerFired(token));
         }
     }
 }
 
-/// Logs that the journal did not accept a record. The message continues in memory.
-fn log_journal_error(journalled: std::io::Result<()>, commands: &mut Vec<EngineCommand>) {
-    if let Err(error) = journalled {
+/// Logs a failed journal operation. A message whose record could not be written continues in memory.
+fn log_journal_error(result: std::io::Result<()>, commands: &mut Vec<EngineCommand>) {
+    if let Err(error) = result {
         commands.push(EngineCommand::Log(format!(
-            "the journal does not accept a record: {error}"
+            "a journal operation failed: {error}"
         )));
     }
 }
--- a/crates/delivery/src/core/engine/acceptance.rs
+++ b/crates/delivery/src/core/engine/acceptance.rs
@@ -1,43 +1,43 @@
-//! Submissions: which are accepted, and which clients wait for their responses.
+//! Accepts or rejects submissions, and responds to the clients that wait for them.
 
 use super::final_outcome::outcome_of_failure;
 use super::lookup::Lookup;
 use super::role::Role;
 use super::scheduler_input::scheduler_message;
-use super::shutdown::LAST_ACCEPTED_BEFORE_END;
+use super::shutdown::ACCEPTANCE_CUTOFF_BEFORE_SHUTDOWN;
 use super::{log_journal_error, Batch, Engine, EngineCommand, RejectReason, Rejection};
 use crate::core::message_record::AttemptRecord;
 use crate::core::{FinalOutcome, Message, MessageId, Origin, RequestId, SubmitResponse, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A rejected client retries after this time where nothing better is known, in milliseconds.
+/// Retry-After of a rejection where the scheduler gives none, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1000;
 
-/// The response to a submission that is rejected for no reason of its destination.
+/// The response to a submission that is rejected without a delay from the scheduler.
 pub(super) const REJECTED: SubmitResponse = SubmitResponse::Rejected {
     retry_after_ms: DEFAULT_RETRY_AFTER_MS,
 };
 
-/// A message submitted within the batch at hand.
+/// A message that was submitted in the current batch and is not accepted yet.
 pub(super) struct Submission {
     pub(super) id: MessageId,
     pub(super) message: Rc<Message>,
-    /// The first attempt of an earlier submission of it that may have been executed.
+    /// The first attempt of an earlier submission of this message that may have been executed.
     first_possible_execution: Option<AttemptRecord>,
-    /// Other identities under which it was submitted in the same batch.
+    /// Other identities under which the message was submitted in the same batch.
     aliases: Vec<Vec<u8>>,
 }
 
 impl Engine {
-    /// Handles a submission: it is answered, joins an earlier one, or is offered to the scheduler.
+    /// Handles a submission: responds to it, joins it to an earlier one, or offers it to the scheduler.
     pub(super) fn submit(&mut self, request: RequestId, message: Message, batch: &mut Batch<'_>) {
         let first_possible_execution = match self.look_up(&message, &batch.submissions) {
             Lookup::New {
                 first_possible_execution,
             } => first_possible_execution,
-            Lookup::Open(id) => return self.join(id, request, message, batch),
+            Lookup::Open(id) => return self.join_open_message(id, request, message, batch),
             Lookup::Finished(id, outcome) => {
                 log_journal_error(self.store.add_alias(id, &message.identity), batch.commands);
                 return batch.respond(request, SubmitResponse::Finished(outcome));
@@ -61,39 +61,40 @@
         });
     }
 
-    /// The event that offers a message to the scheduler.
+    /// Returns the event that offers a message to the scheduler.
     fn submission_event(
         &mut self,
         id: MessageId,
         message: &Message,
         first_possible_execution: Option<&AttemptRecord>,
         batch: &Batch<'_>,
-    ) -> m::Event {
+    ) -> scheduler::Event {
         let new_message = scheduler_message(id, message, batch.now);
         match first_possible_execution {
-            None => m::Event::Accepted(new_message),
+            None => scheduler::Event::Accepted(new_message),
             Some(attempt) => {
-                let prior = m::PriorAttempts {
+                let prior = scheduler::PriorAttempts {
                     attempts: 0,
                     first_possible_execution: Some(self.attempt_start(batch.now, attempt)),
                     in_flight: None,
                 };
-                m::Event::Resumed(new_message, prior)
+                scheduler::Event::Resumed(new_message, prior)
             }
         }
     }
 
-    /// Why one more message may not be accepted, if so. The endpoint list may be late, so that a message for a
-    /// destination without endpoints is rejected rather than failed. What is accepted while another incarnation is
-    /// active is delivered by that one.
+    /// Returns the reason to reject a new message, if there is one.
+    ///
+    /// The endpoint list may be late, so a message for a destination without endpoints is rejected rather than failed.
+    /// Messages that are accepted while another incarnation is active are delivered by that incarnation.
     fn reject_reason(&self, message: &Message, batch: &Batch<'_>) -> Option<RejectReason> {
         let is_full = self.role != Role::HandedOver
             && self.store.open_count() + batch.submissions.len() >= self.policy.max_open;
-        let is_ending =
-            self.role == Role::Active && self.ends_within(batch.now, LAST_ACCEPTED_BEFORE_END);
+        let is_shutting_down = self.role == Role::Active
+            && self.ends_within(batch.now, ACCEPTANCE_CUTOFF_BEFORE_SHUTDOWN);
         if !self.is_known_destination(message.destination) {
             Some(RejectReason::UnknownDestination)
-        } else if is_ending {
+        } else if is_shutting_down {
             Some(RejectReason::Ending)
         } else if is_full || !self.store.has_capacity_for(message) {
             Some(RejectReason::Full)
@@ -102,9 +103,17 @@
         }
     }
 
-    /// Joins a submission to an open message. Each submission of the platform's clients has an id of its own, so a
-    /// client with a known id is not the one that waits for the message, and must not cancel it by disconnecting.
-    fn join(&mut self, id: MessageId, request: RequestId, message: Message, batch: &mut Batch<'_>) {
+    /// Joins a submission to an open message.
+    ///
+    /// Each submission of the platform's clients has its own id. A client that submits a known id is therefore not the
+    /// client that waits for the message, and must not cancel it by disconnecting.
+    fn join_open_message(
+        &mut self,
+        id: MessageId,
+        request: RequestId,
+        message: Message,
+        batch: &mut Batch<'_>,
+    ) {
         if message.origin == Origin::Platform {
             let response = match self.store.get(id) {
                 Some(_) => SubmitResponse::Accepted,
@@ -126,9 +135,11 @@
         }
     }
 
-    /// Handles a client that has gone without its response. Its message is cancelled if it came by the platform's
-    /// protocol and no other client waits for it. An event is not cancelled, as its client can submit it again.
-    pub(super) fn client_gone(&mut self, request: RequestId, batch: &mut Batch<'_>) {
+    /// Handles a client that disconnected before its response.
+    ///
+    /// Its message is cancelled if it was submitted over the platform's protocol and no other client waits for it. An
+    /// event is not cancelled, because its client can submit it again.
+    pub(super) fn handle_disconnect(&mut self, request: RequestId, batch: &mut Batch<'_>) {
         let waiting = self
             .waiting_clients
             .iter_mut()
@@ -146,10 +157,10 @@
             .iter()
             .position(|submission| submission.id == id && is_platform(&submission.message));
         if let Some(index) = in_batch {
-            // It has not been accepted yet, and is not accepted at all.
+            // The submission has not been accepted yet, so it is dropped.
             batch.submissions.remove(index);
             self.waiting_clients.remove(&id);
-            batch.scheduler_events.push(m::Event::Cancelled(id));
+            batch.scheduler_events.push(scheduler::Event::Cancelled(id));
             return;
         }
         let record = self
@@ -157,35 +168,35 @@
             .get(id)
             .filter(|record| is_platform(&record.message));
         if record.is_some_and(|record| record.is_open()) {
-            batch.scheduler_events.push(m::Event::Cancelled(id));
+            batch.scheduler_events.push(scheduler::Event::Cancelled(id));
             self.remove_message(batch.now, id, batch.commands);
         }
     }
 
-    /// Journals the submissions that the scheduler did not end in this step; returns those that the journal did not
-    /// accept.
+    /// Journals the submissions that the scheduler did not reject or fail in this step. Returns those that the journal
+    /// did not accept.
     pub(super) fn journal_submissions(
         &mut self,
         now: Timestamp,
         submissions: Vec<Submission>,
-        actions: &[m::Action],
+        actions: &[scheduler::Action],
         commands: &mut Vec<EngineCommand>,
     ) -> BTreeSet<MessageId> {
         let mut not_journalled = BTreeSet::new();
         for submission in submissions {
             let id = submission.id;
-            let given_up = actions
+            let response = actions
                 .iter()
-                .find_map(|action| self.response_of_action(now, &submission, action));
-            if let Some(response) = given_up {
-                // It was not accepted, so the response alone reports its outcome.
+                .find_map(|action| self.immediate_response(now, &submission, action));
+            if let Some(response) = response {
+                // The message was never accepted, so no notice is sent: the response alone reports the outcome.
                 self.record_rejection(id, RejectReason::Scheduler);
                 self.respond_all(id, response, commands);
                 continue;
             }
             if let Err(error) = self.journal_submission(submission, commands) {
                 commands.push(EngineCommand::Log(format!(
-                    "the journal does not accept a message: {error}"
+                    "a submitted message cannot be written to the journal: {error}"
                 )));
                 not_journalled.insert(id);
                 self.reject_unjournalled(id, commands);
@@ -194,7 +205,7 @@
         not_journalled
     }
 
-    /// Accepts a submission: journals it, and responds to its clients.
+    /// Accepts a submission: journals the message and responds to its clients.
     fn journal_submission(
         &mut self,
         submission: Submission,
@@ -220,7 +231,7 @@
     /// Rejects a submission that the journal did not accept.
     fn reject_unjournalled(&mut self, id: MessageId, commands: &mut Vec<EngineCommand>) {
         self.record_rejection(id, RejectReason::NotJournalled);
-        self.backlog.push(m::Event::Cancelled(id));
+        self.backlog.push(scheduler::Event::Cancelled(id));
         self.respond_all(id, REJECTED, commands);
     }
 
@@ -232,21 +243,21 @@
         }));
     }
 
-    /// The submissions that were rejected since the last call.
+    /// Takes the submissions that were rejected since the last call.
     pub fn drain_rejections(&mut self) -> Vec<Rejection> {
         std::mem::take(&mut self.rejections)
     }
 
-    /// The response to a submission that an action of the same step gives up.
-    fn response_of_action(
+    /// Returns the response to a submission that `action` rejects or fails in the step in which it was submitted.
+    fn immediate_response(
         &self,
         now: Timestamp,
         submission: &Submission,
-        action: &m::Action,
+        action: &scheduler::Action,
     ) -> Option<SubmitResponse> {
         let message = &submission.message;
         match action {
-            m::Action::Reject {
+            scheduler::Action::Reject {
                 message: id,
                 retry_after,
             } if *id == submission.id => {
@@ -260,14 +271,14 @@
                     },
                 )
             }
-            m::Action::Fail(id) if *id == submission.id => {
+            scheduler::Action::Fail(id) if *id == submission.id => {
                 Some(SubmitResponse::Finished(outcome_of_failure(now, message)))
             }
             _ => None,
         }
     }
 
-    /// Gives all clients that wait for a message its last response.
+    /// Sends the last response to all clients that wait for a message.
     pub(super) fn respond_all(
         &mut self,
         id: MessageId,
--- a/crates/delivery/src/core/engine/attempts.rs
+++ b/crates/delivery/src/core/engine/attempts.rs
@@ -1,18 +1,18 @@
-//! Attempts: how they are started, and what their results mean.
+//! Starts attempts and handles their results.
 
 use super::recovery::RecordedAttempt;
 use super::settings::DEDUPLICATION_MARGIN;
-use super::unjournalled::UnjournalledAttempt;
+use super::unjournalled::SelectedAttempt;
 use super::{log_journal_error, AttemptRequest, AttemptResult, Batch, Engine, EngineCommand};
 use crate::core::message_record::{AttemptRecord, Execution, MessageRecord};
 use crate::core::{Disposition, FinalOutcome, MessageId, Route, Timestamp};
 use crate::rules;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
 impl Engine {
-    /// Handles the result of an attempt: journals it, reports it to the scheduler, and gives the message its final
-    /// outcome if the result decides it.
-    pub(super) fn attempt_finished(&mut self, result: AttemptResult, batch: &mut Batch<'_>) {
+    /// Handles the result of an attempt: journals it, reports it to the scheduler, and finishes the message if the result
+    /// is final.
+    pub(super) fn handle_attempt_result(&mut self, result: AttemptResult, batch: &mut Batch<'_>) {
         let id = result.message_id;
         self.in_flight = self.in_flight.saturating_sub(1);
         self.record_backoff(batch.now, id, result.outcome, batch.commands);
@@ -23,44 +23,46 @@
             .store
             .attempt_finished(id, Execution::after(result.outcome));
         if journalled.is_err() {
-            self.keep_result(batch.now, &result);
+            self.store_unwritten_report(batch.now, &result);
         }
         log_journal_error(journalled, batch.commands);
         batch.scheduler_events.push(scheduler_result(&result));
         self.conclude_attempt(id, &result, batch);
     }
 
-    /// Ends a message, or resumes it, as the result of its attempt requires.
+    /// Finishes, removes or resumes a message according to the result of its attempt.
     fn conclude_attempt(&mut self, id: MessageId, result: &AttemptResult, batch: &mut Batch<'_>) {
         let was_unlisted = self.predecessor_attempts.remove_unlisted(id);
         match result.disposition {
-            _ if result.outcome == m::Outcome::Delivered => {
-                self.finish(batch.now, id, FinalOutcome::Delivered, batch.commands);
+            _ if result.outcome == scheduler::Outcome::Delivered => {
+                self.finish_message(batch.now, id, FinalOutcome::Delivered, batch.commands);
+            }
+            Disposition::Failed => {
+                self.finish_message(batch.now, id, FinalOutcome::Failed, batch.commands)
             }
-            Disposition::Failed => self.finish(batch.now, id, FinalOutcome::Failed, batch.commands),
             Disposition::Complete => self.remove_message(batch.now, id, batch.commands),
             Disposition::Undecided if was_unlisted => {
-                self.resume(batch.now, id, RecordedAttempt::Ended, batch.commands);
+                self.resume_message(batch.now, id, RecordedAttempt::Ended, batch.commands);
             }
             Disposition::Undecided => {}
         }
     }
 
-    /// Journals an attempt and orders it. An attempt that the journal does not accept is not sent: it waits until the
-    /// journal accepts it.
+    /// Journals and starts an attempt. An attempt that the journal does not accept is deferred until the journal accepts
+    /// it.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
-        chosen: UnjournalledAttempt,
+        selected: SelectedAttempt,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let id = chosen.message;
+        let id = selected.message;
         let attempt = self.store.get(id).map_or(0, |record| record.attempts);
         if let Err(rule) = self.check_start(now, id) {
             commands.push(EngineCommand::RuleViolated(rule, id));
             return self.report_not_sent(now, id);
         }
-        let endpoint_name = self.endpoints.name_of(chosen.endpoint).cloned();
+        let endpoint_name = self.endpoints.name_of(selected.endpoint).cloned();
         let record = AttemptRecord {
             started_ms: now.unix_ms,
             endpoint: endpoint_name.unwrap_or_default(),
@@ -68,26 +70,26 @@
         let journalled = self.store.attempt_started(id, record);
         if journalled.is_err() {
             log_journal_error(journalled, commands);
-            return self.defer_unjournalled(now, chosen);
+            return self.defer_attempt(now, selected);
         }
         let Some(record) = self.store.get(id).filter(|record| record.is_open()) else {
             return self.report_not_sent(now, id);
         };
         let message = record.message.clone();
-        let write_by = self.write_deadline(now, record, chosen.timeout_at);
+        let write_by = self.write_deadline(now, record, selected.timeout_at);
         self.in_flight += 1;
         commands.push(EngineCommand::StartAttempt(AttemptRequest {
             message_id: id,
             attempt,
-            endpoint: chosen.endpoint,
-            route: self.route(message.destination, chosen.endpoint),
+            endpoint: selected.endpoint,
+            route: self.route(message.destination, selected.endpoint),
             message,
-            timeout_at: chosen.timeout_at,
+            timeout_at: selected.timeout_at,
             write_by,
         }));
     }
 
-    /// Checks the rules for an attempt of an open message.
+    /// Checks whether the rules permit an attempt of an open message.
     fn check_start(&self, now: Timestamp, id: MessageId) -> Result<(), rules::Rule> {
         let Some(record) = self.store.get(id).filter(|record| record.is_open()) else {
             return Ok(());
@@ -96,14 +98,14 @@
         rules::may_start(record, class, now)
     }
 
-    /// When an attempt's last byte must have been written: within the deduplication window for a repeat, and before the
-    /// time-out.
+    /// Returns the time by which an attempt's last byte must be written: before the time-out, and for a repeat also within
+    /// the deduplication window.
     fn write_deadline(
         &self,
         now: Timestamp,
         record: &MessageRecord,
-        timeout_at: m::Time,
-    ) -> m::Time {
+        timeout_at: scheduler::Time,
+    ) -> scheduler::Time {
         let window = self.policy.deduplication_window(record.message.class);
         let window_end = match (window, &record.first_possible_execution) {
             (Some(window), Some(first)) => {
@@ -114,25 +116,29 @@
         window_end.min(timeout_at)
     }
 
-    /// The route that a backoff of an endpoint applies to.
-    pub(super) fn route(&self, destination: m::DestinationId, endpoint: m::EndpointId) -> Route {
-        let kind = self.endpoints.listed(endpoint).map(|listed| listed.kind);
-        let separate = kind.is_some_and(|kind| self.policy.has_separate_routes(kind));
+    /// Returns the route to which a backoff of an endpoint applies.
+    pub(super) fn route(
+        &self,
+        destination: scheduler::DestinationId,
+        endpoint: scheduler::EndpointId,
+    ) -> Route {
+        let kind = self.endpoints.listing(endpoint).map(|listed| listed.kind);
+        let is_separate_route = kind.is_some_and(|kind| self.policy.has_separate_routes(kind));
         Route {
             destination,
-            endpoint: Some(endpoint).filter(|_| separate),
+            endpoint: Some(endpoint).filter(|_| is_separate_route),
         }
     }
 
-    /// Journals the backoff that a response requests. Called before anything else is done with the response.
+    /// Journals the backoff that a response requests. Must be called before the response is processed further.
     pub(super) fn record_backoff(
         &mut self,
         now: Timestamp,
         id: MessageId,
-        outcome: m::Outcome,
+        outcome: scheduler::Outcome,
         commands: &mut Vec<EngineCommand>,
     ) {
-        let m::Outcome::Rejected {
+        let scheduler::Outcome::Rejected {
             retry_after: Some(retry_after),
         } = outcome
         else {
@@ -152,22 +158,22 @@
                 .record_backoff(destination, name.clone(), until_ms),
             commands,
         );
-        // The network has set the backoff already if the attempt was this incarnation's, but not otherwise.
-        let endpoint = self.endpoints.id_of(&name);
+        // The network layer has already set the backoff if this incarnation sent the attempt, but not if another one did.
+        let endpoint = self.endpoints.get_or_assign_id(&name);
         let route = self.route(destination, endpoint);
         commands.push(EngineCommand::SetBackoff(route, now.monotonic_of(until_ms)));
     }
 }
 
-/// The result of an attempt in the scheduler's form.
-fn scheduler_result(result: &AttemptResult) -> m::Event {
-    let is_delivered = result.outcome == m::Outcome::Delivered;
-    m::Event::AttemptFinished {
+/// Converts the result of an attempt to a scheduler event.
+fn scheduler_result(result: &AttemptResult) -> scheduler::Event {
+    let is_delivered = result.outcome == scheduler::Outcome::Delivered;
+    scheduler::Event::AttemptFinished {
         message: result.message_id,
-        attempt: m::AttemptNumber(result.attempt),
-        // An endpoint that rejects a message for good has responded: it is healthy.
+        attempt: scheduler::AttemptNumber(result.attempt),
+        // An endpoint that rejects a message permanently has responded, so it counts as healthy.
         outcome: if result.disposition == Disposition::Failed {
-            m::Outcome::Delivered
+            scheduler::Outcome::Delivered
         } else {
             result.outcome
         },
--- a/crates/delivery/src/core/engine/destination_records.rs
+++ b/crates/delivery/src/core/engine/destination_records.rs
@@ -1,16 +1,16 @@
-//! The states of destinations as records: for a snapshot that outlasts the process, and restored from it.
+//! Converts the states of destinations to the records of a snapshot, and restores them from a snapshot.
 
 use super::Engine;
 use crate::core::snapshot::DestinationRecord;
 use crate::core::Timestamp;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
-/// Baseline rates are recorded in steps of one over this, in calls per second. They change with every delivery, and each
-/// change of a record is written to disk.
+/// Baseline rates in records are rounded to multiples of one over this, in calls per second, because they change with every
+/// delivery and each change of a record is written to disk.
 const BASELINE_RATE_STEPS: f32 = 4.0;
 
 impl Engine {
-    /// The records of all active destinations, and of idle ones with a significant state. Empty where there is no
+    /// Returns the records of all active destinations, and of idle ones with a significant state. Empty if there is no
     /// destination table.
     pub fn destination_records(&self, now: Timestamp) -> Vec<DestinationRecord> {
         let active = self.active_destinations.active();
@@ -26,12 +26,12 @@
     }
 
     /// Restores the destinations of an earlier incarnation as idle ones. A restart ends their backoffs, but not their
-    /// ejections. Times in the future, as of a clock that was set back, count as now.
+    /// ejections. Times in the future, which occur after the clock was set back, are replaced by the current time.
     pub fn restore_destinations(&mut self, now: Timestamp, records: &[DestinationRecord]) {
         let not_in_future = |ms: i64| now.monotonic_of(ms.min(now.unix_ms));
         for record in records {
             let baseline_rate = f64::from(record.baseline_rate);
-            let restored = m::IdleRecord {
+            let restored = scheduler::IdleRecord {
                 backoff_until: None,
                 ejected_since: record.ejected_since_ms.map(not_in_future),
                 recovering_since: record.recovering_since_ms.map(not_in_future),
@@ -52,10 +52,10 @@
 
 fn active_record(
     now: Timestamp,
-    id: m::DestinationId,
-    state: &m::DestinationState,
+    id: scheduler::DestinationId,
+    state: &scheduler::DestinationState,
 ) -> DestinationRecord {
-    let unix_ms = |at: m::Time| now.unix_ms_of(at);
+    let unix_ms = |at: scheduler::Time| now.unix_ms_of(at);
     DestinationRecord {
         destination: id.0,
         ejected_since_ms: state.ejected_since.map(unix_ms),
@@ -70,8 +70,12 @@
     }
 }
 
-fn idle_record(now: Timestamp, id: m::DestinationId, record: &m::IdleRecord) -> DestinationRecord {
-    let unix_ms = |at: m::Time| now.unix_ms_of(at);
+fn idle_record(
+    now: Timestamp,
+    id: scheduler::DestinationId,
+    record: &scheduler::IdleRecord,
+) -> DestinationRecord {
+    let unix_ms = |at: scheduler::Time| now.unix_ms_of(at);
     let backoff_until = record.backoff_until.filter(|until| *until > now.monotonic);
     DestinationRecord {
         destination: id.0,
--- a/crates/delivery/src/core/engine/endpoints.rs
+++ b/crates/delivery/src/core/engine/endpoints.rs
@@ -1,20 +1,20 @@
-//! Changes of endpoints, and the use of destinations: the scheduler is given those in use, and idle ones are compacted.
+//! Applies endpoint changes, activates the destinations that are in use, and compacts idle ones.
 
 use super::endpoint_registry::ListScope;
 use super::{Batch, Engine, EngineCommand, EngineEvent};
 use crate::core::destination_table::DestinationTable;
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::Timestamp;
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How many destinations one step compacts at most.
+/// Maximum number of destinations that one step compacts.
 const MAX_COMPACTED_PER_STEP: usize = 16;
 
 impl Engine {
-    /// Applies the changes of endpoints, before all other events of the step: no queued submission may be sent to an
-    /// endpoint that is draining. Returns the other events.
+    /// Applies endpoint changes before all other events of the step, so that no queued submission is sent to a draining
+    /// endpoint. Returns the other events.
     pub(super) fn handle_endpoint_changes(
         &mut self,
         events: Vec<EngineEvent>,
@@ -41,41 +41,41 @@
         rest
     }
 
-    /// Replaces all endpoints by a complete list.
+    /// Replaces all endpoints with a complete list.
     fn replace_all_endpoints(&mut self, endpoints: Vec<ListedEndpoint>, batch: &mut Batch<'_>) {
         let updates = self
             .endpoints
             .apply(endpoints, ListScope::Complete, batch.commands);
         batch
             .scheduler_events
-            .push(m::Event::EndpointsReplaced(updates));
+            .push(scheduler::Event::EndpointsReplaced(updates));
     }
 
-    /// Applies changes of the list.
+    /// Applies changes to the endpoint list.
     fn update_endpoints(&mut self, endpoints: Vec<ListedEndpoint>, batch: &mut Batch<'_>) {
         let updates = self
             .endpoints
             .apply(endpoints, ListScope::Changes, batch.commands);
         batch
             .scheduler_events
-            .push(m::Event::EndpointsUpdated(updates));
+            .push(scheduler::Event::EndpointsUpdated(updates));
     }
 
-    /// Replaces the destination table. Endpoints of destinations in use that differ are changes of the list.
+    /// Replaces the destination table. Changed endpoints of destinations in use are applied as changes to the list.
     fn replace_table(&mut self, table: Arc<DestinationTable>, batch: &mut Batch<'_>) {
         let old = self.destination_table.replace(table.clone());
         let active: Vec<_> = self.active_destinations.active().collect();
         for id in active {
-            let before = old
+            let previous = old
                 .as_ref()
                 .map_or_else(Vec::new, |old| old.listed_endpoints(id));
-            self.replace_endpoints(id, table.listed_endpoints(id), before, batch);
+            self.replace_endpoints(id, table.listed_endpoints(id), previous, batch);
         }
-        // Messages of an earlier incarnation wait for their destinations.
+        // Messages of an earlier incarnation may wait for destinations that were unknown until now.
         let open = self.store.open_messages();
-        let with_messages: BTreeSet<_> =
+        let with_open_messages: BTreeSet<_> =
             open.map(|(_, record)| record.message.destination).collect();
-        for id in with_messages {
+        for id in with_open_messages {
             self.use_destination(id, batch);
         }
     }
@@ -83,36 +83,36 @@
     /// Replaces the endpoints of one destination in use.
     fn replace_endpoints(
         &mut self,
-        id: m::DestinationId,
+        id: scheduler::DestinationId,
         mut endpoints: Vec<ListedEndpoint>,
-        before: Vec<ListedEndpoint>,
+        previous: Vec<ListedEndpoint>,
         batch: &mut Batch<'_>,
     ) {
-        if endpoints == before {
+        if endpoints == previous {
             return;
         }
         let is_listed = |name: &str| endpoints.iter().any(|endpoint| endpoint.name == name);
-        let removed = before
+        let removed = previous
             .into_iter()
             .filter(|endpoint| !is_listed(&endpoint.name));
         let removed: Vec<_> = removed
             .map(|endpoint| ListedEndpoint {
-                status: m::EndpointStatus::Removed,
+                status: scheduler::EndpointStatus::Removed,
                 ..endpoint
             })
             .collect();
         endpoints.extend(removed);
         let all_removed = endpoints
             .iter()
-            .all(|endpoint| endpoint.status == m::EndpointStatus::Removed);
+            .all(|endpoint| endpoint.status == scheduler::EndpointStatus::Removed);
         self.update_endpoints(endpoints, batch);
         if all_removed {
             self.endpoints.remove_destination(id);
         }
     }
 
-    /// Notes the use of a destination. The scheduler is given one that was idle, with its record.
-    pub(super) fn use_destination(&mut self, id: m::DestinationId, batch: &mut Batch<'_>) {
+    /// Marks a destination as in use. If it was idle, its endpoints and its record are passed to the scheduler.
+    pub(super) fn use_destination(&mut self, id: scheduler::DestinationId, batch: &mut Batch<'_>) {
         let table = self
             .destination_table
             .as_ref()
@@ -121,17 +121,19 @@
         if self.active_destinations.touch(batch.now.monotonic, id) {
             self.update_endpoints(table.listed_endpoints(id), batch);
             if let Some(record) = self.active_destinations.take_record(id) {
-                let route = m::KnownRoute {
+                let route = scheduler::KnownRoute {
                     destination: id,
                     endpoint: None,
                     record,
                 };
-                batch.scheduler_events.push(m::Event::RouteRestored(route));
+                batch
+                    .scheduler_events
+                    .push(scheduler::Event::RouteRestored(route));
             }
         }
     }
 
-    /// Compacts destinations that have been idle for long enough, a few with each step.
+    /// Compacts destinations that have been idle for long enough, a limited number per step.
     pub(super) fn compact_idle_destinations(
         &mut self,
         now: Timestamp,
@@ -153,8 +155,8 @@
         }
     }
 
-    /// Whether a destination has endpoints in the table, or has had one in the list.
-    pub(super) fn is_known_destination(&self, id: m::DestinationId) -> bool {
+    /// Returns whether a destination has endpoints in the table, or has had one in the list.
+    pub(super) fn is_known_destination(&self, id: scheduler::DestinationId) -> bool {
         let in_table = |table: &Arc<DestinationTable>| table.endpoints(id).next().is_some();
         self.endpoints.has_destination(id) || self.destination_table.as_ref().is_some_and(in_table)
     }
--- a/crates/delivery/src/core/engine/final_outcome.rs
+++ b/crates/delivery/src/core/engine/final_outcome.rs
@@ -1,12 +1,12 @@
-//! How messages get their final outcome, and how they are forgotten.
+//! Assigns final outcomes to messages, reports them, and removes the messages.
 
 use super::settings::DEDUPLICATION_MARGIN;
 use super::{log_journal_error, Engine, EngineCommand};
 use crate::core::message_record::{AttemptRecord, NoticeState};
 use crate::core::{FinalOutcome, Message, MessageId, Origin, SubmitResponse, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
-/// The final outcome of a message that the scheduler fails.
+/// Returns the final outcome of a message that the scheduler fails.
 pub(super) fn outcome_of_failure(now: Timestamp, message: &Message) -> FinalOutcome {
     if now.unix_ms >= message.expires_ms {
         FinalOutcome::Expired
@@ -16,16 +16,16 @@
 }
 
 impl Engine {
-    /// The final outcome of a message that the scheduler rejects with a time to retry after.
+    /// Returns the final outcome of a message that the scheduler rejects with a delay before the client's retry.
     ///
-    /// An event that may have been executed and whose deduplication window will have closed by then fails instead, as a
-    /// retry could only be rejected again. The platform's clients check the window themselves.
+    /// An event fails instead if it may have been executed and its deduplication window will have closed by then, because
+    /// the retry could only be rejected again. The platform's clients check the window themselves.
     pub(super) fn outcome_of_rejection(
         &self,
         now: Timestamp,
         message: &Message,
         first_possible_execution: Option<&AttemptRecord>,
-        retry_after: m::Span,
+        retry_after: scheduler::Span,
     ) -> FinalOutcome {
         let window = self.policy.deduplication_window(message.class);
         let first = first_possible_execution.filter(|_| message.origin == Origin::CloudEvents);
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Rejects a pending message, which the scheduler has given up for now.
+    /// Finishes a pending message that the scheduler has rejected with a delay before the client's retry.
     pub(super) fn return_message(
         &mut self,
         now: Timestamp,
         id: MessageId,
-        retry_after: m::Span,
+        retry_after: scheduler::Span,
         commands: &mut Vec<EngineCommand>,
     ) {
         let Some(record) = self.store.get(id) else {
@@ -53,10 +53,10 @@
         };
         let first = record.first_possible_execution.as_ref();
         let outcome = self.outcome_of_rejection(now, &record.message, first, retry_after);
-        self.finish(now, id, outcome, commands);
+        self.finish_message(now, id, outcome, commands);
     }
 
-    /// Fails a pending message, which the scheduler has given up for good.
+    /// Fails a pending message that the scheduler will not attempt again.
     pub(super) fn fail_message(
         &mut self,
         now: Timestamp,
@@ -67,12 +67,12 @@
             return;
         };
         let outcome = outcome_of_failure(now, &record.message);
-        self.finish(now, id, outcome, commands);
+        self.finish_message(now, id, outcome, commands);
     }
 
-    /// Gives a message its final outcome, and reports it. Where the journal does not accept an outcome that another
-    /// incarnation could contradict, it is reported later.
-    pub(super) fn finish(
+    /// Assigns a message its final outcome and reports it. If the journal does not accept an outcome that another
+    /// incarnation could contradict, the report is deferred.
+    pub(super) fn finish_message(
         &mut self,
         now: Timestamp,
         id: MessageId,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Responds to the clients that wait for a finished message, and sends the platform the notice that is pending.
+    /// Responds to the clients that wait for a finished message, and sends the pending notice to the platform.
     pub(super) fn report_outcome(
         &mut self,
         now: Timestamp,
--- a/crates/delivery/src/core/engine/recovery.rs
+++ b/crates/delivery/src/core/engine/recovery.rs
@@ -1,5 +1,5 @@
-//! Gives the scheduler what earlier incarnations, or a scheduler with another policy, knew: routes, backoffs, and all
-//! messages without a final outcome.
+//! Initialises the scheduler with the state of earlier incarnations, or of a scheduler with another policy: routes,
+//! backoffs, and all messages without a final outcome.
 
 use super::role::Role;
 use super::scheduler_input::scheduler_message;
@@ -8,20 +8,20 @@
 use crate::core::message_record::MessageState;
 use crate::core::message_store::Recovered;
 use crate::core::{MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeSet;
 
-/// What became of the attempt that a message's record has in flight.
+/// The current state of an attempt that is in flight according to its message's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordedAttempt {
-    /// It has ended, or there was none.
+    /// The attempt has ended, or there was none.
     Ended,
-    /// It is in flight at an incarnation that is running.
+    /// The attempt is in flight at a running incarnation.
     InFlight,
 }
 
 impl Engine {
-    /// Becomes active: the scheduler is given all messages, including those that this incarnation accepted as a standby.
+    /// Becomes active: the scheduler receives all messages, including those that this incarnation accepted as a standby.
     pub(super) fn activate(
         &mut self,
         now: Timestamp,
@@ -39,7 +39,7 @@
             } else {
                 RecordedAttempt::Ended
             };
-            self.resume(now, id, attempt, commands);
+            self.resume_message(now, id, attempt, commands);
         }
         commands.push(EngineCommand::TookOver(self.store.open_count()));
     }
@@ -49,23 +49,23 @@
             let endpoint = route
                 .endpoint
                 .as_ref()
-                .map(|name| self.endpoints.id_of(name));
-            let known = m::KnownRoute {
+                .map(|name| self.endpoints.get_or_assign_id(name));
+            let known = scheduler::KnownRoute {
                 destination: route.destination,
                 endpoint,
                 record: route.state.map_times(|at| now.monotonic_of_unix_micros(at)),
             };
-            self.backlog.push(m::Event::RouteRestored(known));
+            self.backlog.push(scheduler::Event::RouteRestored(known));
         }
     }
 
     fn restore_backoffs(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         for ((destination, name), until_ms) in self.store.backoffs().clone() {
-            let endpoint = self.endpoints.id_of(&name);
+            let endpoint = self.endpoints.get_or_assign_id(&name);
             let until = now.monotonic_of(until_ms);
             let route = self.route(destination, endpoint);
             commands.push(EngineCommand::SetBackoff(route, until));
-            self.backlog.push(m::Event::BackoffNotified {
+            self.backlog.push(scheduler::Event::BackoffNotified {
                 destination,
                 endpoint,
                 until,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Gives the scheduler a message of an earlier incarnation, or sends the notice that is pending.
-    pub(super) fn resume(
+    /// Passes an open message to the scheduler, or sends the pending notice of a finished one.
+    pub(super) fn resume_message(
         &mut self,
         now: Timestamp,
         id: MessageId,
@@ -98,23 +98,23 @@
         let in_flight = attempt.map(|attempt| self.attempt_start(now, attempt));
         if let Some(start) = in_flight {
             self.in_flight += 1;
-            if self.endpoints.listed(start.endpoint).is_none() {
+            if self.endpoints.listing(start.endpoint).is_none() {
                 self.predecessor_attempts.insert_unlisted(id);
                 return;
             }
             self.predecessor_attempts.insert_scheduled(id);
         }
         let first = record.first_possible_execution.as_ref();
-        let prior = m::PriorAttempts {
+        let prior = scheduler::PriorAttempts {
             attempts: record.attempts,
             first_possible_execution: first.map(|attempt| self.attempt_start(now, attempt)),
             in_flight,
         };
         let message = scheduler_message(id, &record.message, now);
-        self.backlog.push(m::Event::Resumed(message, prior));
+        self.backlog.push(scheduler::Event::Resumed(message, prior));
     }
 
-    /// The states of routes, with Unix times.
+    /// Returns the states of all routes, with their times as Unix times.
     pub(super) fn route_records(&self, now: Timestamp) -> Vec<RouteRecord> {
         let known = self.scheduler.route_records(now.monotonic).into_iter();
         let records = known.map(|route| RouteRecord {
--- a/crates/delivery/src/core/engine/scheduler_input.rs
+++ b/crates/delivery/src/core/engine/scheduler_input.rs
@@ -1,13 +1,17 @@
-//! Messages and attempts in the form of the scheduler.
+//! Converts messages and attempts to the scheduler's types.
 
 use super::Engine;
 use crate::core::message_record::AttemptRecord;
 use crate::core::{Message, MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 
-/// A message in the scheduler's form.
-pub(super) fn scheduler_message(id: MessageId, message: &Message, now: Timestamp) -> m::NewMessage {
-    m::NewMessage {
+/// Converts a message to the scheduler's type.
+pub(super) fn scheduler_message(
+    id: MessageId,
+    message: &Message,
+    now: Timestamp,
+) -> scheduler::NewMessage {
+    scheduler::NewMessage {
         message: id,
         class: message.class,
         tenant: None,
@@ -18,15 +22,15 @@
 }
 
 impl Engine {
-    /// An attempt in the scheduler's form.
+    /// Converts an attempt to the scheduler's type.
     pub(super) fn attempt_start(
         &mut self,
         now: Timestamp,
         attempt: &AttemptRecord,
-    ) -> m::AttemptStart {
-        m::AttemptStart {
+    ) -> scheduler::AttemptStart {
+        scheduler::AttemptStart {
             sent: now.monotonic_of(attempt.started_ms),
-            endpoint: self.endpoints.id_of(&attempt.endpoint),
+            endpoint: self.endpoints.get_or_assign_id(&attempt.endpoint),
         }
     }
 }
--- a/crates/delivery/src/core/engine/unjournalled.rs
+++ b/crates/delivery/src/core/engine/unjournalled.rs
@@ -1,53 +1,54 @@
-//! Records that the journal does not accept while its disk is full or fails. They are written again until it succeeds.
+//! Retries records that the journal does not accept because its disk is full or failing.
 //!
-//! A final outcome that is not in the journal is not reported, unless it is a delivery: the next incarnation would find the
-//! message open and could deliver it, while its client already acts on the outcome. It waits here until the journal accepts
-//! it, and at most until the message expires, as no incarnation attempts it after that.
+//! A final outcome that is not in the journal is not reported, unless it is a delivery. Otherwise the next incarnation would
+//! find the message open and could deliver it, while its client already acts on the outcome. The report is deferred until
+//! the journal accepts the outcome, or until the message expires, because no incarnation attempts it after that.
 //!
-//! An attempt that is not in the journal is not sent. It is not reported to the scheduler as unsent either, which would
-//! choose it again at once and use up the message's attempts. It waits here until the journal accepts it.
+//! An attempt that is not in the journal is not sent. It is not reported to the scheduler as unsent either, because the
+//! scheduler would select the message again immediately and use up its attempts. The attempt is deferred until the journal
+//! accepts it.
 
-use super::shutdown::LAST_ATTEMPT_BEFORE_END;
-use super::{log_journal_error, Engine, EngineCommand, STEP_TIMER};
+use super::shutdown::ATTEMPT_CUTOFF_BEFORE_SHUTDOWN;
+use super::{log_journal_error, Engine, EngineCommand, STEP_TIMER_TOKEN};
 use crate::core::{FinalOutcome, MessageId, Timestamp};
-use marblefall_scheduler as m;
+use marblefall_scheduler as scheduler;
 use std::collections::BTreeMap;
 
-/// Delay before a journal that failed is written again.
-pub(super) const RETRY_INTERVAL: m::Span = m::Span(20_000);
+/// Delay before records that the journal did not accept are written again.
+pub(super) const JOURNAL_RETRY_INTERVAL: scheduler::Span = scheduler::Span(20_000);
 
-/// An attempt that was chosen and is not in the journal yet.
+/// An attempt that the scheduler has selected but that is not in the journal yet.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct UnjournalledAttempt {
+pub(super) struct SelectedAttempt {
     pub(super) message: MessageId,
-    pub(super) endpoint: m::EndpointId,
-    pub(super) timeout_at: m::Time,
+    pub(super) endpoint: scheduler::EndpointId,
+    pub(super) timeout_at: scheduler::Time,
 }
 
 /// A final outcome that is neither in the journal nor reported.
 #[derive(Clone, Copy, Debug)]
 struct DeferredOutcome {
     outcome: FinalOutcome,
-    /// When its message expires, as Unix time in milliseconds.
+    /// The expiry of the message, as Unix time in milliseconds.
     expires_ms: i64,
 }
 
-/// The final outcomes that wait for the journal, by message.
+/// Final outcomes that are not reported until the journal accepts them, by message.
 #[derive(Debug, Default)]
 pub(super) struct UnjournalledOutcomes(BTreeMap<MessageId, DeferredOutcome>);
 
 impl UnjournalledOutcomes {
-    /// Whether none waits.
+    /// Returns whether no outcome waits for the journal.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether that of a message waits.
+    /// Returns whether the outcome of a message waits for the journal.
     pub(super) fn contains(&self, id: MessageId) -> bool {
         self.0.contains_key(&id)
     }
 
-    /// Forgets all.
+    /// Drops all outcomes.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
@@ -67,10 +68,10 @@
             expires_ms,
         };
         self.unjournalled_outcomes.0.insert(id, deferred);
-        self.wake_for_journal(now);
+        self.schedule_journal_retry(now);
     }
 
-    /// Reports the outcomes that the journal has accepted meanwhile, and those of messages that have expired.
+    /// Reports the deferred outcomes that the journal has accepted since, and those of messages that have expired.
     fn report_deferred_outcomes(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         let all = std::mem::take(&mut self.unjournalled_outcomes.0);
         let (waiting, due): (BTreeMap<_, _>, BTreeMap<_, _>) =
@@ -84,33 +85,34 @@
     }
 
     /// Defers an attempt until the journal accepts it.
-    pub(super) fn defer_unjournalled(&mut self, now: Timestamp, attempt: UnjournalledAttempt) {
-        self.unjournalled.push(attempt);
-        self.wake_for_journal(now);
+    pub(super) fn defer_attempt(&mut self, now: Timestamp, attempt: SelectedAttempt) {
+        self.unjournalled_attempts.push(attempt);
+        self.schedule_journal_retry(now);
     }
 
-    /// Has the engine stepped when the journal is to be written again. There is one timer at a time, however many steps
-    /// find the journal failing.
-    fn wake_for_journal(&mut self, now: Timestamp) {
+    /// Schedules a step for the next write to the journal. There is one timer at a time, however many steps fail to write
+    /// to the journal.
+    fn schedule_journal_retry(&mut self, now: Timestamp) {
         if self.journal_retry_at <= now.monotonic {
-            self.journal_retry_at = now.monotonic + RETRY_INTERVAL;
-            self.timers.insert((self.journal_retry_at, STEP_TIMER));
+            self.journal_retry_at = now.monotonic + JOURNAL_RETRY_INTERVAL;
+            self.timers
+                .insert((self.journal_retry_at, STEP_TIMER_TOKEN));
         }
     }
 
-    /// Writes again what the journal did not accept, and starts the attempts that wait for it, if that is due.
+    /// If a retry is due, rewrites the records that the journal did not accept and starts the deferred attempts.
     pub(super) fn retry_journal(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         if now.monotonic < self.journal_retry_at {
             return;
         }
         self.retry_records(now, commands);
-        for attempt in std::mem::take(&mut self.unjournalled) {
+        for attempt in std::mem::take(&mut self.unjournalled_attempts) {
             let is_open = self
                 .store
                 .get(attempt.message)
                 .is_some_and(|record| record.is_open());
             let is_late = now.monotonic >= attempt.timeout_at
-                || self.ends_within(now, LAST_ATTEMPT_BEFORE_END);
+                || self.ends_within(now, ATTEMPT_CUTOFF_BEFORE_SHUTDOWN);
             if !is_open || is_late {
                 self.report_not_sent(now, attempt.message);
             } else {
@@ -119,20 +121,21 @@
         }
     }
 
-    /// Writes again what the journal did not accept, and reports the outcomes that it accepts.
+    /// Rewrites the records that the journal did not accept, and reports the outcomes that it accepts now.
     fn retry_records(&mut self, now: Timestamp, commands: &mut Vec<EngineCommand>) {
         if self.store.has_unwritten() {
             let written = self.store.retry_unwritten();
             if written.is_err() {
-                self.wake_for_journal(now);
+                self.schedule_journal_retry(now);
             }
             log_journal_error(written, commands);
         }
-        self.forget_written_results();
+        self.drop_written_reports();
         self.report_deferred_outcomes(now, commands);
     }
 
-    /// The same for an engine without the lease, which starts no attempts.
+    /// If a retry is due, rewrites the records that the journal did not accept. An engine without the lease starts no
+    /// attempts.
     pub(super) fn retry_journal_without_lease(
         &mut self,
         now: Timestamp,
@@ -143,29 +146,29 @@
         }
     }
 
-    /// Cancels a message's attempt that waits for the journal; returns whether there was one.
-    pub(super) fn cancel_unjournalled(&mut self, now: Timestamp, message: MessageId) -> bool {
-        let before = self.unjournalled.len();
-        self.unjournalled
+    /// Cancels the deferred attempt of a message. Returns whether there was one.
+    pub(super) fn cancel_deferred_attempt(&mut self, now: Timestamp, message: MessageId) -> bool {
+        let before = self.unjournalled_attempts.len();
+        self.unjournalled_attempts
             .retain(|attempt| attempt.message != message);
-        let is_cancelled = self.unjournalled.len() < before;
+        let is_cancelled = self.unjournalled_attempts.len() < before;
         if is_cancelled {
             self.report_not_sent(now, message);
         }
         is_cancelled
     }
 
-    /// Reports to the scheduler that an attempt was not sent after all.
+    /// Reports to the scheduler that an attempt that it selected was not sent.
     pub(super) fn report_not_sent(&mut self, now: Timestamp, message: MessageId) {
         let attempts = self.store.get(message).map_or(0, |record| record.attempts);
-        self.backlog.push(m::Event::AttemptFinished {
+        self.backlog.push(scheduler::Event::AttemptFinished {
             message,
-            attempt: m::AttemptNumber(attempts),
-            outcome: m::Outcome::NotSent,
-            duration: m::Span::ZERO,
+            attempt: scheduler::AttemptNumber(attempts),
+            outcome: scheduler::Outcome::NotSent,
+            duration: scheduler::Span::ZERO,
             is_final: false,
-            rate_limit: m::RateLimitReport::default(),
+            rate_limit: scheduler::RateLimitReport::default(),
         });
-        self.timers.insert((now.monotonic, STEP_TIMER));
+        self.timers.insert((now.monotonic, STEP_TIMER_TOKEN));
     }
 }
