--- a/crates/delivery/src/net/pool/attempt.rs
+++ b/crates/delivery/src/net/pool/attempt.rs
@@ -31,7 +31,7 @@
     /// Encodes the request, given for how many milliseconds its response is awaited.
     pub encode: &'a dyn Fn(u64) -> EncodedRequest<'a>,
     /// Derives the outcome from a response.
-    pub judge: fn(&ResponseHead<'_>) -> AttemptOutcome,
+    pub classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome,
     /// A permit to start the attempt at the moment of the call, which is held while the first bytes are written; `None`
     /// if it must not be started.
     pub permit: &'a dyn Fn() -> Option<LeasePermit<'a>>,
--- a/crates/delivery/src/net/pool/run.rs
+++ b/crates/delivery/src/net/pool/run.rs
@@ -142,7 +142,11 @@
         cancelled: &Receiver<()>,
     ) -> AttemptOutcome {
         let written_at = Instant::now();
-        let reading = read_response(&mut pooled.connection, attempt.judge, attempt.timeout_at);
+        let reading = read_response(
+            &mut pooled.connection,
+            attempt.classify_response,
+            attempt.timeout_at,
+        );
         let Some(response) = until_cancelled(cancelled, reading).await else {
             ConnectionEnd::Cancelled.log(attempt.endpoint);
             return Outcome::Cancelled.into();
--- a/crates/delivery/src/net/pool/tests/fencing.rs
+++ b/crates/delivery/src/net/pool/tests/fencing.rs
@@ -28,7 +28,7 @@
             timeout_at: test_deadline(),
             write_by: test_deadline(),
             encode: &encode,
-            judge: platform::judge,
+            classify_response: platform::judge,
             permit: &permit,
         })
     };
