--- a/crates/delivery/src/net/discovery/endpoint_list.rs
+++ b/crates/delivery/src/net/discovery/endpoint_list.rs
@@ -122,7 +122,7 @@
 fn index_of(names: &[String], name: &str) -> usize {
     names
         .iter()
-        .position(|known| known == name)
+        .position(|configured| configured == name)
         .unwrap_or(usize::MAX)
 }
 
--- a/crates/delivery/src/net/discovery/endpoint_list/tests.rs
+++ b/crates/delivery/src/net/discovery/endpoint_list/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn malformed_entry_does_not_hide_the_others() {
+fn malformed_entry_does_not_invalidate_the_others() {
     let draining = entry("DRAINING");
     for malformed in [
         r#"{"id":"x","host_port":"127.0.0.1:1","cell":-7,"phase":"SERVING"}"#,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn implausible_rate_counts_as_none() {
+fn implausible_rate_is_treated_as_missing() {
     let entry = entry("DRAINING");
     for (size, rate) in [
         ("1e400", 0.0),
--- a/crates/delivery/src/net/discovery/poll_schedule/tests.rs
+++ b/crates/delivery/src/net/discovery/poll_schedule/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn few_instances_do_not_wait_and_many_keep_the_limit() {
+fn first_delay_is_zero_for_few_instances_and_limited_for_many() {
     assert_eq!(
         PollSchedule::new(3, 7, Duration::ZERO).first_delay(),
         Duration::ZERO
@@ -65,7 +65,7 @@
 
 /// An instance must act on changes 4 s after discovery has moved.
 #[test]
-fn delays_end_before_changes_must_be_acted_on() {
+fn delays_end_before_the_deadline_for_changes() {
     let mut schedule = PollSchedule::new(300, 11, Duration::ZERO);
     assert!((0..200).all(|_| schedule.first_delay() <= MAX_SPREAD));
     assert!(
--- a/crates/delivery/src/net/discovery/watch/line_buffer/tests.rs
+++ b/crates/delivery/src/net/discovery/watch/line_buffer/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn indented_list_is_parsed_at_any_cut() {
+fn indented_list_is_parsed_wherever_it_is_split() {
     let text = format!(
         "{{\n  \"revision\": 3,\n  \"complete\": true,\n  \"members\": [\n    {}\n  ]\n}}\n",
         entry("DRAINING")
@@ -10,22 +10,22 @@
             .replace('{', "{\n      ")
             .replace('}', "\n    }")
     );
-    for at in 0..text.len() {
+    for split in 0..text.len() {
         let mut lines = LineBuffer::default();
         lines.push(b"\r\n");
         assert!(matches!(lines.next(), Ok(WatchLine::Heartbeat)));
-        lines.push(&text.as_bytes()[..at]);
+        lines.push(&text.as_bytes()[..split]);
         assert!(
             matches!(lines.next(), Ok(WatchLine::Incomplete)),
-            "cut at {at}"
+            "split at {split}"
         );
-        lines.push(&text.as_bytes()[at..]);
+        lines.push(&text.as_bytes()[split..]);
         lines.push(list(4, false, "SERVING").as_bytes());
         let Ok(WatchLine::List(first)) = lines.next() else {
-            panic!("cut at {at}")
+            panic!("split at {split}")
         };
         let Ok(WatchLine::List(second)) = lines.next() else {
-            panic!("cut at {at}")
+            panic!("split at {split}")
         };
         assert_eq!(
             (first.revision, first.entries.len(), second.revision),
@@ -33,7 +33,7 @@
         );
         assert!(matches!(lines.next(), Ok(WatchLine::Incomplete)));
     }
-    for noise in [
+    for malformed in [
         "noise\n",
         "[1]\n",
         "{\"revision\":-1}\n",
@@ -41,7 +41,7 @@
         "{]}\n",
     ] {
         let mut lines = LineBuffer::default();
-        lines.push(noise.as_bytes());
-        assert!(lines.next().is_err(), "{noise}");
+        lines.push(malformed.as_bytes());
+        assert!(lines.next().is_err(), "{malformed}");
     }
 }
--- a/crates/delivery/src/net/discovery/watch/tests.rs
+++ b/crates/delivery/src/net/discovery/watch/tests.rs
@@ -24,13 +24,13 @@
         );
     }
     let mut schedule = PollSchedule::new(300, 11, Duration::ZERO);
-    let moments: std::collections::BTreeSet<u128> = (0..300)
+    let intervals: std::collections::BTreeSet<u128> = (0..300)
         .map(|_| schedule.reopen_delay().as_millis() / 100)
         .collect();
     assert!(
-        moments.len() > 8,
+        intervals.len() > 8,
         "all requests are made within {} intervals of 100 ms",
-        moments.len()
+        intervals.len()
     );
 }
 
@@ -155,7 +155,7 @@
 
 /// A stalled watch may still receive a change after another one has been connected.
 #[test]
-fn stalled_watch_is_read_until_its_successor_receives() {
+fn stalled_watch_is_read_until_its_candidate_receives_a_line() {
     let (connected, second_connected) = std::sync::mpsc::channel();
     let first: Script = Box::new(move |stream| {
         stream
--- a/crates/delivery/src/net/pool/response.rs
+++ b/crates/delivery/src/net/pool/response.rs
@@ -47,7 +47,7 @@
 }
 
 /// What follows a status line.
-enum Rest {
+enum ResponseRest {
     /// The head of an interim response.
     Interim,
     Final(ReadResponse),
@@ -57,7 +57,7 @@
 /// longer.
 pub(super) async fn read_response(
     connection: &mut Connection,
-    judge: fn(&ResponseHead<'_>) -> AttemptOutcome,
+    classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome,
     timeout_at: Instant,
 ) -> ReadResponse {
     for _ in 0..MAX_RESPONSES {
@@ -68,13 +68,13 @@
             None => return ReadResponse::closed(Outcome::TimedOut, ConnectionEnd::TimedOut),
         };
         let rest_by = (Instant::now() + REST_TIMEOUT).min(timeout_at + REST_GRACE);
-        let rest = with_deadline(rest_by, read_rest(connection, judge))
+        let rest = with_deadline(rest_by, read_rest(connection, classify_response))
             .await
             .unwrap_or(Err(ReadError::TimedOut));
         match rest {
-            Ok(Rest::Interim) => {}
-            Ok(Rest::Final(response)) => return response,
-            Err(error) if is_delivered(status, judge) => {
+            Ok(ResponseRest::Interim) => {}
+            Ok(ResponseRest::Final(response)) => return response,
+            Err(error) if is_delivered(status, classify_response) => {
                 return ReadResponse::closed(Outcome::Delivered, ConnectionEnd::Unreadable(error))
             }
             Err(error) => return unreadable(error),
@@ -84,8 +84,8 @@
 }
 
 /// Whether a status line alone reports delivery.
-fn is_delivered(status: u16, judge: fn(&ResponseHead<'_>) -> AttemptOutcome) -> bool {
-    judge(&ResponseHead::with_status(status)).outcome == Outcome::Delivered
+fn is_delivered(status: u16, classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome) -> bool {
+    classify_response(&ResponseHead::with_status(status)).outcome == Outcome::Delivered
 }
 
 /// What a response that cannot be read means for its attempt.
@@ -100,17 +100,17 @@
 /// Reads what follows a status line.
 async fn read_rest(
     connection: &mut Connection,
-    judge: fn(&ResponseHead<'_>) -> AttemptOutcome,
-) -> Result<Rest, ReadError> {
+    classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome,
+) -> Result<ResponseRest, ReadError> {
     let head_len = connection.read_head(MAX_HEAD_LEN).await?;
     let head = http::parse_response(&connection.bytes()[..head_len])?;
     if status::is_interim(head.status) {
         connection.consume(head_len);
-        return Ok(Rest::Interim);
+        return Ok(ResponseRest::Interim);
     }
-    let (outcome, framing, keep_alive) = (judge(&head), head.framing, head.keep_alive);
+    let (outcome, framing, keep_alive) = (classify_response(&head), head.framing, head.keep_alive);
     let not_kept_alive =
-        |outcome| Rest::Final(ReadResponse::closed(outcome, ConnectionEnd::NotKeptAlive));
+        |outcome| ResponseRest::Final(ReadResponse::closed(outcome, ConnectionEnd::NotKeptAlive));
     let is_delivered = outcome.outcome == Outcome::Delivered;
     if !keep_alive && is_delivered {
         return Ok(not_kept_alive(outcome));
@@ -121,7 +121,7 @@
             // Bytes that follow a response belong to no attempt; the next attempt must not read them as its response.
             if keep_alive && connection.bytes().is_empty() {
                 let reuse = Reuse::Possible;
-                Ok(Rest::Final(ReadResponse { outcome, reuse }))
+                Ok(ResponseRest::Final(ReadResponse { outcome, reuse }))
             } else {
                 Ok(not_kept_alive(outcome))
             }
--- a/crates/delivery/src/net/pool/run.rs
+++ b/crates/delivery/src/net/pool/run.rs
@@ -51,7 +51,7 @@
             Err(outcome) => return outcome.into(),
         };
         let now = Instant::now();
-        if let Err(withheld) = self.conditions(attempt, pooled.address).may_begin(now) {
+        if let Err(withheld) = self.send_conditions(attempt, pooled.address).may_begin(now) {
             log_withheld(attempt, withheld);
             self.return_to_pool(attempt.endpoint, pooled);
             return Outcome::NotSent.into();
@@ -74,7 +74,7 @@
 
     /// The conditions for sending an attempt. They may have changed while its connection was established: its endpoint
     /// may drain or have moved, its route may be in backoff, its time may be over.
-    fn conditions(&self, attempt: &Attempt<'_>, address: SocketAddr) -> SendConditions {
+    fn send_conditions(&self, attempt: &Attempt<'_>, address: SocketAddr) -> SendConditions {
         SendConditions {
             endpoint_accepts: self.accepts_attempts_at(attempt.endpoint, address),
             backoff_until: self.backoff_until(attempt.route),
@@ -85,7 +85,7 @@
     /// Checks the conditions again after the last byte of a request was written, since the process may have been
     /// suspended in between, and counts a violation.
     fn check_sent(&self, attempt: &Attempt<'_>, address: SocketAddr) {
-        let conditions = self.conditions(attempt, address);
+        let conditions = self.send_conditions(attempt, address);
         let rule = match conditions.may_continue(Instant::now()) {
             Err(Withheld::Backoff) => Rule::RespectBackoff,
             // The window is that much longer than `write_by` allows for.
@@ -115,7 +115,7 @@
             matches!(until_cancelled(cancelled, write).await, Some(Some(Ok(()))))
         };
         let is_in_backoff = || {
-            let conditions = self.conditions(attempt, address);
+            let conditions = self.send_conditions(attempt, address);
             conditions.may_continue(Instant::now()) == Err(Withheld::Backoff)
         };
         let mut writing = std::pin::pin!(unless(is_in_backoff, write_all));
--- a/crates/delivery/src/net/pool/tests/backoff.rs
+++ b/crates/delivery/src/net/pool/tests/backoff.rs
@@ -83,7 +83,7 @@
 
 /// The last byte of a request must not be written after the window for repeated attempts.
 #[test]
-fn partial_write_stops_after_its_window() {
+fn partial_write_stops_at_its_deadline() {
     let body = vec![b'x'; LARGE_BODY_LEN];
     let listener = listen();
     let pool = pool(9, &listener);
--- a/crates/delivery/src/net/pool/tests/fencing.rs
+++ b/crates/delivery/src/net/pool/tests/fencing.rs
@@ -5,7 +5,7 @@
 /// A process that was suspended, and resumes after another has taken over, must not start the attempts that it had
 /// chosen: a message would have two attempts in flight.
 #[test]
-fn chosen_attempt_is_not_sent_once_fenced() {
+fn started_attempt_is_not_sent_once_fenced() {
     let folder = std::env::temp_dir().join(format!("marblefall-pool-fence-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let incarnation = RefCell::new(Incarnation::claim(&folder).unwrap());
--- a/crates/delivery/src/net/pool/tests/responses.rs
+++ b/crates/delivery/src/net/pool/tests/responses.rs
@@ -13,23 +13,23 @@
 const CLOSED: bool = false;
 
 /// Reads a response from a connection that the endpoint keeps open.
-fn read(bytes: &[u8], judge: fn(&ResponseHead<'_>) -> AttemptOutcome) -> Expected {
+fn read(bytes: &[u8], classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome) -> Expected {
     async_io::block_on(async {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
         let connecting = Connection::connect(listener.get_ref().local_addr().unwrap());
-        let (near, far) = future::zip(connecting, listener.accept()).await;
-        let (mut near, mut far) = (near.unwrap(), far.unwrap().0);
-        far.write_all(bytes).await.unwrap();
-        let response = read_response(&mut near, judge, test_deadline()).await;
+        let (client, endpoint) = future::zip(connecting, listener.accept()).await;
+        let (mut client, mut endpoint) = (client.unwrap(), endpoint.unwrap().0);
+        endpoint.write_all(bytes).await.unwrap();
+        let response = read_response(&mut client, classify_response, test_deadline()).await;
         let is_reusable = matches!(response.reuse, Reuse::Possible);
         (response.outcome.outcome, is_reusable)
     })
 }
 
 fn assert_read(bytes: &[u8], expected: Expected) {
-    for judge in [platform::judge, cloudevents::judge] {
+    for classify_response in [platform::judge, cloudevents::judge] {
         let start = String::from_utf8_lossy(&bytes[..bytes.len().min(70)]);
-        assert_eq!(read(bytes, judge), expected, "{start}");
+        assert_eq!(read(bytes, classify_response), expected, "{start}");
     }
 }
 
--- a/crates/delivery/src/net/server.rs
+++ b/crates/delivery/src/net/server.rs
@@ -64,7 +64,7 @@
     pub async fn serve(self, listener: Async<TcpListener>) {
         self.clients.listener_opened();
         loop {
-            self.evict_for_next();
+            self.evict_to_free_slots();
             if self.clients.is_full() {
                 Timer::after(FULL_CHECK_INTERVAL).await;
                 continue;
@@ -82,7 +82,7 @@
 
     /// Evicts connections without an open request as the limit comes near. At the limit, new connections wait in the
     /// system's queue.
-    fn evict_for_next(&self) {
+    fn evict_to_free_slots(&self) {
         let max = self.clients.max_connections();
         let wanted_free = max / FREE_SLOTS_DIVISOR;
         let missing = (self.clients.connections() + wanted_free).saturating_sub(max);
--- a/crates/delivery/src/net/server/client_connections.rs
+++ b/crates/delivery/src/net/server/client_connections.rs
@@ -15,16 +15,16 @@
 const EVICT_IDLE_AFTER: Duration = Duration::from_millis(2050);
 /// Many connections are open if they exceed one in this many of the limit: clients that keep idle connections must not
 /// use up the slots of those that have a request to send.
-const MANY_DIVISOR: usize = 4;
+const MANY_CONNECTIONS_DIVISOR: usize = 4;
 /// The capacity for responses to one request; a submission gets at most two, accepted and its final outcome.
-const MAX_RESPONSES: usize = 4;
+const RESPONSE_CAPACITY: usize = 4;
 
 /// All client connections, and the requests that await a response.
 pub struct ClientConnections {
     events: Sender<EngineEvent>,
     /// Where the response to each open request is sent.
     open_requests: RefCell<HashMap<RequestId, Sender<SubmitResponse>>>,
-    next_request: Cell<u64>,
+    next_request_id: Cell<u64>,
     /// Set once the shutdown has begun; connections are closed with their next response from then on. After the time
     /// itself all clients are expected to know of the shutdown.
     clients_notified_at: Cell<Option<Instant>>,
@@ -35,7 +35,7 @@
     final_response: Cell<Option<SubmitResponse>>,
     /// Closed once no connection is accepted any more.
     accepting: Sender<()>,
-    accepting_watch: Receiver<()>,
+    accepting_receiver: Receiver<()>,
     /// How many listeners still accept connections.
     listeners: Cell<usize>,
     /// Whether operators drain the instance; connections are closed with their next response then.
@@ -49,18 +49,18 @@
         max_connections: usize,
         counters: Rc<Counters>,
     ) -> ClientConnections {
-        let (accepting, accepting_watch) = async_channel::bounded(1);
+        let (accepting, accepting_receiver) = async_channel::bounded(1);
         ClientConnections {
             events,
             open_requests: RefCell::default(),
-            next_request: Cell::default(),
+            next_request_id: Cell::default(),
             clients_notified_at: Cell::default(),
             table: ConnectionTable::default(),
             max_connections,
             counters,
             final_response: Cell::default(),
             accepting,
-            accepting_watch,
+            accepting_receiver,
             listeners: Cell::default(),
             draining: Cell::default(),
         }
@@ -105,7 +105,7 @@
     }
 
     pub(super) async fn accepting_stopped(&self) {
-        let _ = self.accepting_watch.recv().await;
+        let _ = self.accepting_receiver.recv().await;
     }
 
     pub(super) fn listener_opened(&self) {
@@ -198,7 +198,7 @@
         let filter = CloseFilter {
             phases: &[Phase::Idle],
             min_time_in_phase: EVICT_IDLE_AFTER,
-            max_connections: self.max_connections / MANY_DIVISOR,
+            max_connections: self.max_connections / MANY_CONNECTIONS_DIVISOR,
         };
         self.table.close(&filter, CloseReason::IdleAmongMany);
     }
@@ -214,15 +214,15 @@
 
     /// Registers a new request; returns its id, and the receiver of its responses.
     pub(super) fn register_request(&self) -> (RequestId, Receiver<SubmitResponse>) {
-        let request = RequestId(self.next_request.get());
-        self.next_request.set(request.0 + 1);
-        let (responses, receiver) = async_channel::bounded(MAX_RESPONSES);
+        let request = RequestId(self.next_request_id.get());
+        self.next_request_id.set(request.0 + 1);
+        let (responses, receiver) = async_channel::bounded(RESPONSE_CAPACITY);
         self.open_requests.borrow_mut().insert(request, responses);
         (request, receiver)
     }
 
     /// Removes a request that awaits no response any more.
-    pub(super) fn forget_request(&self, request: RequestId) {
+    pub(super) fn unregister_request(&self, request: RequestId) {
         self.open_requests.borrow_mut().remove(&request);
     }
 
--- a/crates/delivery/src/net/server/session.rs
+++ b/crates/delivery/src/net/server/session.rs
@@ -138,7 +138,7 @@
             }
         }
         if std::mem::replace(&mut self.had_request, true) {
-            self.read_by = self.after_read_timeout();
+            self.read_by = self.deadline_from_now();
         }
         self.set_phase(Phase::Reading);
         Ok(())
@@ -166,7 +166,7 @@
         add(&self.clients().counters().unreadable_requests);
         self.set_phase(Phase::Lingering);
         let response = Response::with_status(status);
-        let write_by = self.after_read_timeout();
+        let write_by = self.deadline_from_now();
         let writing = write_response(self.connection, &response, AfterResponse::Close);
         let _ = with_deadline(write_by, writing).await;
         self.connection
@@ -246,7 +246,7 @@
             None
         };
         let response = future::or(responded, future::or(submitted, client_gone)).await;
-        clients.forget_request(request);
+        clients.unregister_request(request);
         match response {
             Some(response) => Ok(PendingResponse {
                 response,
@@ -269,7 +269,7 @@
         } else {
             AfterResponse::Close
         };
-        let write_by = self.after_read_timeout();
+        let write_by = self.deadline_from_now();
         let sent_before = self.connection.bytes_sent();
         let writing = write_response(self.connection, &pending.response, after_response);
         match with_deadline(write_by, writing).await {
@@ -304,7 +304,7 @@
     }
 
     /// The deadline for an operation that begins now and is limited by the read time-out.
-    fn after_read_timeout(&self) -> Instant {
+    fn deadline_from_now(&self) -> Instant {
         Instant::now() + self.context.read_timeout.0
     }
 }
--- a/crates/delivery/src/net/server/tests.rs
+++ b/crates/delivery/src/net/server/tests.rs
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn bytes_after_the_last_response_do_not_reset_it() {
+fn bytes_after_the_last_response_do_not_reset_the_connection() {
     with_server(8, TEST_TIMEOUT, |address, clients| async move {
         let (mut connection, mut socket) = idle_connection(address).await;
         clients.begin_closing(Instant::now());
--- a/crates/delivery/tests/parsers.rs
+++ b/crates/delivery/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Random cuts of valid messages and random garbage against the parsers, from fixed seeds.
+//! Property tests of the parsers with fixed seeds: valid messages split at random, and random garbage.
 
 use marblefall_delivery::core::message_store::MessageStore;
 use marblefall_delivery::frontend::cloudevents::event;
@@ -8,7 +8,7 @@
 use marblefall_delivery::net::http::{self, retry_after, ChunkedDecoder, DecodeStep, StatusLine};
 use quickcheck::{Gen, QuickCheck, Testable};
 
-/// Checks a property over what a fixed seed generates.
+/// Checks a property with `times` random inputs from a fixed seed.
 fn check(seed: u64, times: u64, property: impl Testable) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, seed))
@@ -24,7 +24,7 @@
 const EVENT: &[u8] =
     br#"{"specversion":"1.0","id":"1","source":"/s","type":"t","data":{"a":[1,"b"]}}"#;
 
-/// Puts random bytes into a valid message: it may then be valid or not, but must never cause a panic.
+/// Replaces a part of a valid message with other bytes. The result may be valid or not, but must never cause a panic.
 fn corrupt(valid: &[u8], at: usize, with: &[u8]) -> Vec<u8> {
     let mut bytes = valid.to_vec();
     let at = at % bytes.len();
@@ -32,92 +32,98 @@
     bytes
 }
 
-/// Feeds bytes to the chunk parser in pieces cut at random, as reads would return them.
-fn dechunk(bytes: &[u8], cuts: &[u8]) -> Result<(Vec<u8>, usize), http::ParseError> {
-    let (mut chunks, mut content, mut at, mut seen, mut cuts) = (
+/// Decodes a chunked body that arrives in pieces of random lengths, as from reads of a connection. Returns the content,
+/// and the number of bytes that were consumed.
+fn decode_chunked(
+    bytes: &[u8],
+    piece_lengths: &[u8],
+) -> Result<(Vec<u8>, usize), http::ParseError> {
+    let (mut decoder, mut content, mut consumed, mut received, mut piece_lengths) = (
         ChunkedDecoder::default(),
         Vec::new(),
         0,
         0,
-        cuts.iter().cycle(),
+        piece_lengths.iter().cycle(),
     );
     loop {
-        match chunks.next(&bytes[at..seen])? {
-            DecodeStep::Done => return Ok((content, at)),
-            DecodeStep::Skip(len) => at += len,
+        match decoder.next(&bytes[consumed..received])? {
+            DecodeStep::Done => return Ok((content, consumed)),
+            DecodeStep::Skip(len) => consumed += len,
             DecodeStep::Content(len) => {
-                content.extend(&bytes[at..at + len]);
-                at += len;
+                content.extend(&bytes[consumed..consumed + len]);
+                consumed += len;
             }
-            DecodeStep::NeedMore if seen == bytes.len() => return Ok((content, at)),
+            DecodeStep::NeedMore if received == bytes.len() => return Ok((content, consumed)),
             DecodeStep::NeedMore => {
-                seen = (seen + 1 + usize::from(cuts.next().copied().unwrap_or(0) % 7))
-                    .min(bytes.len());
+                received =
+                    (received + 1 + usize::from(piece_lengths.next().copied().unwrap_or(0) % 7))
+                        .min(bytes.len());
             }
         }
     }
 }
 
 #[test]
-fn head_is_parsed_at_any_cut() {
-    fn property(cut: usize) -> bool {
-        let cut = cut % REQUEST.len();
-        assert_eq!(http::head_end(&REQUEST[..cut], 0), None);
+fn head_is_parsed_wherever_it_is_split() {
+    fn property(split: usize) -> bool {
+        let split = split % REQUEST.len();
+        assert_eq!(http::head_end(&REQUEST[..split], 0), None);
         assert_eq!(
-            http::head_end(&[REQUEST, b"body\r\n\r\n"].concat(), cut),
+            http::head_end(&[REQUEST, b"body\r\n\r\n"].concat(), split),
             Some(REQUEST.len())
         );
         assert!(
-            http::parse_request(&REQUEST[..cut]).is_err()
-                && http::parse_response(&RESPONSE[..cut.min(70)]).is_err()
+            http::parse_request(&REQUEST[..split]).is_err()
+                && http::parse_response(&RESPONSE[..split.min(70)]).is_err()
         );
-        let line = http::parse_status_line(&RESPONSE[..cut.min(70)]);
+        let line = http::parse_status_line(&RESPONSE[..split.min(70)]);
         assert_eq!(
             line,
-            Ok((cut > 22).then_some(StatusLine {
+            Ok((split > 22).then_some(StatusLine {
                 is_http_1_1: true,
                 status: 429
             })),
-            "a status line is no error before its end"
+            "an incomplete status line must not be an error"
         );
         true
     }
     check(1, 500, property as fn(usize) -> bool);
-    let read = http::parse_request(REQUEST).unwrap();
+    let request = http::parse_request(REQUEST).unwrap();
     assert_eq!(
-        (read.method, read.path, read.framing),
+        (request.method, request.path, request.framing),
         ("POST", "/api", http::Framing::Length(5))
     );
-    let read = http::parse_response(RESPONSE).unwrap();
+    let response = http::parse_response(RESPONSE).unwrap();
     assert_eq!(
-        (read.status, read.framing, read.keep_alive),
+        (response.status, response.framing, response.keep_alive),
         (429, http::Framing::Chunked, true)
     );
-    assert_eq!(retry_after(&read).map(|wait| wait.ms()), Some(250.0));
+    assert_eq!(retry_after(&response).map(|delay| delay.ms()), Some(250.0));
 }
 
 #[test]
-fn chunked_body_is_parsed_at_any_cut() {
-    fn property(cuts: Vec<u8>) -> bool {
-        dechunk(CHUNKED, &cuts) == Ok((b"Wikipedia ".to_vec(), CHUNKED.len() - b"next".len()))
+fn chunked_body_is_parsed_wherever_it_is_split() {
+    fn property(piece_lengths: Vec<u8>) -> bool {
+        decode_chunked(CHUNKED, &piece_lengths)
+            == Ok((b"Wikipedia ".to_vec(), CHUNKED.len() - b"next".len()))
     }
     check(2, 500, property as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn garbage_never_panics_a_parser() {
-    fn property(at: usize, with: Vec<u8>, cuts: Vec<u8>) -> bool {
+fn parsers_never_panic_on_garbage() {
+    fn property(at: usize, with: Vec<u8>, piece_lengths: Vec<u8>) -> bool {
         for valid in [REQUEST, RESPONSE, CHUNKED, EVENT, &with[..]]
             .into_iter()
-            .filter(|v| !v.is_empty())
+            .filter(|message| !message.is_empty())
         {
             let bytes = corrupt(valid, at, &with);
-            let read =
-                http::parse_request(&bytes).map(|read| event::decode(&read.fields, &with).is_ok());
+            let decoded = http::parse_request(&bytes)
+                .map(|request| event::decode(&request.fields, &with).is_ok());
             let _ = (
-                read,
-                http::parse_response(&bytes).map(|read| retry_after(&read)),
-                dechunk(&bytes, &cuts),
+                decoded,
+                http::parse_response(&bytes).map(|response| retry_after(&response)),
+                decode_chunked(&bytes, &piece_lengths),
             );
             let _ = (
                 serde_json::from_slice::<EndpointList>(&bytes).is_ok(),
@@ -140,13 +146,14 @@
 #[test]
 fn garbage_journal_opens_empty() {
     fn property(bytes: Vec<u8>) -> bool {
-        let dir = std::env::temp_dir().join(format!("marblefall-garbage-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).unwrap();
-        std::fs::write(dir.join("journal-0000000001"), bytes).unwrap();
-        let empty = MessageStore::open(&dir, 3_000_000, vec![])
+        let folder =
+            std::env::temp_dir().join(format!("marblefall-garbage-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).unwrap();
+        std::fs::write(folder.join("journal-0000000001"), bytes).unwrap();
+        let opens_empty = MessageStore::open(&folder, 3_000_000, vec![])
             .is_ok_and(|store| store.messages().is_empty());
-        std::fs::remove_dir_all(&dir).unwrap();
-        empty
+        std::fs::remove_dir_all(&folder).unwrap();
+        opens_empty
     }
     check(4, 50, property as fn(Vec<u8>) -> bool);
 }
