--- a/crates/delivery/src/net/server.rs
+++ b/crates/delivery/src/net/server.rs
@@ -1,8 +1,9 @@
-//! The client side: accepts connections, reads requests one at a time, and responds as the frontend encodes it.
+//! The client side: accepts connections, reads requests one at a time, and writes the responses that the frontend
+//! encodes.
 //!
-//! Each connection is served by a session in a task of its own. All of them are registered with one
-//! [`ClientConnections`], which passes on the engine's responses, evicts connections when too many are open, and closes
-//! them when the process ends.
+//! Each connection is served by a session in its own task. All connections are registered with one
+//! [`ClientConnections`], which passes the engine's responses to them, evicts connections when too many are open, and
+//! closes them when the process ends.
 
 mod client_connections;
 mod connection_table;
@@ -32,16 +33,17 @@
 use std::time::{Duration, Instant};
 use tracing::Instrument;
 
-/// One in this many slots is kept free by eviction. A flood of clients that connect and send nothing, or keep their
-/// connection after one request, must not delay clients with a request, which give up after 400 ms.
+/// Divisor of the connection limit that gives the number of slots kept free by eviction. Clients that connect and send
+/// nothing, or keep their connection after one request, must not delay clients with a request, which give up after
+/// 400 ms.
 const FREE_SLOTS_DIVISOR: usize = 6;
-/// How often the server checks for a free slot while all are in use.
+/// Interval between checks for a free slot while all slots are in use.
 const FULL_CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// How often idle connections are evicted while many are open.
+/// Interval between evictions of idle connections while many connections are open.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a request may take from its first byte to its last. The first request of a connection counts from when it
-/// was opened.
+/// Maximum time between the first and the last byte of a request. For the first request of a connection, the time
+/// starts when the connection is opened.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadTimeout(pub Duration);
 
@@ -51,7 +53,7 @@
     pub frontend: Rc<F>,
     /// All client connections of the instance.
     pub clients: Rc<ClientConnections>,
-    /// How long a request may take.
+    /// Maximum time to receive a request.
     pub read_timeout: ReadTimeout,
     /// The instance's clock.
     pub clock: Clock,
@@ -72,7 +74,7 @@
             match self.accept(&listener).await {
                 Some(Ok((stream, peer))) => self.spawn_session(stream, peer),
                 Some(Err(error)) => {
-                    log_line!(code = "not-accepted", "no connection accepted: {error}");
+                    log_line!(code = "not-accepted", "accept failed: {error}");
                     wait_after_accept_error(&error).await;
                 }
                 None => return self.accept_queued_and_close(listener).await,
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Evicts connections without an open request as the limit comes near. At the limit, new connections wait in the
-    /// system's queue.
+    /// Evicts connections that do not await a response when too few slots are free. At the limit, new connections wait
+    /// in the operating system's accept queue.
     fn evict_to_free_slots(&self) {
         let max = self.clients.max_connections();
         let wanted_free = max / FREE_SLOTS_DIVISOR;
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Accepts the next connection; `None` once no more are accepted.
+    /// Accepts the next connection. Returns `None` once the server stops accepting.
     async fn accept(
         &self,
         listener: &Async<TcpListener>,
@@ -103,14 +105,17 @@
         future::or(async { Some(listener.accept().await) }, stopped).await
     }
 
-    /// Accepts the connections in the system's queue, then closes the listener, which would reset them. While the system
-    /// lacks a resource to accept them they stay queued, at most until the process ends.
+    /// Accepts the connections in the accept queue, then closes the listener. Closing it first would reset them. While
+    /// the operating system lacks a resource to accept a connection, it stays queued, at most until the process ends.
     async fn accept_queued_and_close(self, listener: Async<TcpListener>) {
         loop {
             match listener.get_ref().accept() {
                 Ok((stream, peer)) => match Async::new(stream) {
                     Ok(stream) => self.spawn_session(stream, peer),
-                    Err(error) => log_line!(code = "not-accepted", "connection lost: {error}"),
+                    Err(error) => log_line!(
+                        code = "not-accepted",
+                        "accepted connection closed: it cannot be registered for I/O events: {error}"
+                    ),
                 },
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) => wait_after_accept_error(&error).await,
@@ -121,7 +126,7 @@
         log_line!("no longer accepts connections");
     }
 
-    /// Serves a connection in a task of its own.
+    /// Spawns a task that serves a connection.
     fn spawn_session(&self, stream: Async<TcpStream>, peer: SocketAddr) {
         let context = SessionContext {
             frontend: self.frontend.clone(),
@@ -175,8 +180,8 @@
     );
 }
 
-/// Waits for a request to close a connection that may be granted. A request of the client that crosses the close is
-/// served, whether it is complete, incomplete or still unread.
+/// Waits until the server requests to close the connection at a time when it may be closed. A client's request that
+/// arrives at the same time as the close request is served, whether it is complete, incomplete or still unread.
 async fn await_close(
     clients: &ClientConnections,
     id: ConnectionId,
@@ -198,7 +203,7 @@
     }
 }
 
-/// Evicts idle connections at regular intervals, for ever.
+/// Evicts idle connections at regular intervals. Never returns.
 pub async fn evict_idle(clients: Rc<ClientConnections>) {
     loop {
         Timer::after(EVICTION_INTERVAL).await;
--- a/crates/delivery/src/net/server/client_connections.rs
+++ b/crates/delivery/src/net/server/client_connections.rs
@@ -1,4 +1,5 @@
-//! The link between client sessions and the engine: sessions send events, and responses are returned by request id.
+//! The link between client sessions and the engine. Sessions send events to the engine, and responses are routed back
+//! to them by request id.
 
 use super::connection_table::{CloseFilter, ConnectionTable, Phase};
 use super::session_end::CloseReason;
@@ -11,39 +12,40 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// While many connections are open, those that have been idle for longer are closed.
+/// Minimum idle time after which a connection is closed while many connections are open.
 const EVICT_IDLE_AFTER: Duration = Duration::from_millis(2050);
-/// Many connections are open if they exceed one in this many of the limit: clients that keep idle connections must not
-/// use up the slots of those that have a request to send.
+/// Divisor of the connection limit: many connections are open if their number exceeds the quotient. Clients that keep
+/// idle connections must not use up the slots of clients that have a request to send.
 const MANY_CONNECTIONS_DIVISOR: usize = 4;
-/// The capacity for responses to one request; a submission gets at most two, accepted and its final outcome.
+/// The capacity of the channel for the responses to one request. A submission gets at most two responses: accepted, and
+/// its final outcome.
 const RESPONSE_CAPACITY: usize = 4;
 
 /// All client connections, and the requests that await a response.
 pub struct ClientConnections {
     events: Sender<EngineEvent>,
-    /// Where the response to each open request is sent.
+    /// The sender of responses for each open request.
     open_requests: RefCell<HashMap<RequestId, Sender<SubmitResponse>>>,
     next_request_id: Cell<u64>,
-    /// Set once the shutdown has begun; connections are closed with their next response from then on. After the time
-    /// itself all clients are expected to know of the shutdown.
+    /// The time from which all clients are expected to have been notified of the shutdown; `None` until the shutdown
+    /// begins. Once it is set, each connection is closed with its next response.
     clients_notified_at: Cell<Option<Instant>>,
     pub(super) table: ConnectionTable,
     max_connections: usize,
     counters: Rc<Counters>,
-    /// The response to each request once the engine has ended.
+    /// The response to each submission once the engine has ended; `None` before that.
     final_response: Cell<Option<SubmitResponse>>,
-    /// Closed once no connection is accepted any more.
+    /// A channel that carries nothing and is closed when the listeners must stop accepting.
     accepting: Sender<()>,
     accepting_receiver: Receiver<()>,
-    /// How many listeners still accept connections.
+    /// The number of listeners that still accept connections.
     listeners: Cell<usize>,
-    /// Whether operators drain the instance; connections are closed with their next response then.
+    /// Whether operators drain the instance. Each connection is then closed with its next response.
     draining: Cell<bool>,
 }
 
 impl ClientConnections {
-    /// No connections yet, and at most `max_connections` at once; their requests become events of the engine.
+    /// Creates an empty set of at most `max_connections` connections, whose requests are sent to the engine as events.
     pub fn new(
         events: Sender<EngineEvent>,
         max_connections: usize,
@@ -66,8 +68,8 @@
         }
     }
 
-    /// Drains the instance: closes each connection with its next response and idle ones at once, since clients reuse the
-    /// connections that are open.
+    /// Drains the instance: closes idle connections at once, and each other connection with its next response. Clients
+    /// would otherwise keep sending requests on their open connections.
     pub fn drain(&self) {
         self.draining.set(true);
         self.close_all_idle(CloseReason::Drained);
@@ -78,32 +80,34 @@
         self.draining.set(false);
     }
 
-    /// Whether operators drain the instance.
+    /// Returns whether operators drain the instance.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
     /// Begins the shutdown: closes each connection with its next response. From `notified_at` on, all clients are
-    /// expected to know of the shutdown.
+    /// expected to have been notified of the shutdown.
     pub fn begin_closing(&self, notified_at: Instant) {
         self.clients_notified_at.set(Some(notified_at));
     }
 
-    /// The time given to [`ClientConnections::begin_closing`].
+    /// Returns the time that was passed to [`ClientConnections::begin_closing`], or `None` before that call.
     pub fn clients_notified_at(&self) -> Option<Instant> {
         self.clients_notified_at.get()
     }
 
-    /// Whether a connection stays open after its response.
+    /// Returns whether connections stay open after their next response.
     pub(super) fn keeps_connections(&self) -> bool {
         self.clients_notified_at.get().is_none() && !self.draining.get()
     }
 
-    /// Closes the listeners after the connections in their queues are accepted, which a close would reset.
+    /// Makes the listeners accept the connections in their queues and then close. Closing a listener first would reset
+    /// its queued connections.
     pub fn stop_accepting(&self) {
         self.accepting.close();
     }
 
+    /// Waits for [`ClientConnections::stop_accepting`].
     pub(super) async fn accepting_stopped(&self) {
         let _ = self.accepting_receiver.recv().await;
     }
@@ -116,7 +120,7 @@
         self.listeners.set(self.listeners.get() - 1);
     }
 
-    /// Whether connections are still accepted.
+    /// Returns whether any listener still accepts connections.
     pub fn is_listening(&self) -> bool {
         self.listeners.get() > 0
     }
@@ -124,12 +128,12 @@
     /// Passes the engine's response to the request that awaits it.
     pub fn respond(&self, request: RequestId, response: SubmitResponse) {
         if let Some(responses) = self.open_requests.borrow().get(&request) {
-            // Fails where the session has just ended.
+            // Fails if the session has just ended.
             let _ = responses.try_send(response);
         }
     }
 
-    /// Gives the same response to all open requests and to each that is read from now on, as the engine has ended.
+    /// Sends one response to all open requests and to every later submission. Called when the engine has ended.
     pub fn respond_to_all(&self, response: SubmitResponse) {
         self.final_response.set(Some(response));
         for responses in self.open_requests.borrow().values() {
@@ -137,27 +141,27 @@
         }
     }
 
-    /// The response to each submission once the engine has ended.
+    /// Returns the response to each submission once the engine has ended, and `None` before that.
     pub(super) fn final_response(&self) -> Option<SubmitResponse> {
         self.final_response.get()
     }
 
-    /// Whether any request is being read or awaits its response.
+    /// Returns whether any request is being read or awaits its response.
     pub fn has_open_requests(&self) -> bool {
         self.table.has_open_requests()
     }
 
-    /// Queues an event for the engine.
+    /// Sends an event to the engine, and waits while its queue is full.
     pub async fn send(&self, event: EngineEvent) {
         let _ = self.events.send(event).await;
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.table.len()
     }
 
-    /// The limit of open connections.
+    /// Returns the limit on open connections.
     pub(super) fn max_connections(&self) -> usize {
         self.max_connections
     }
@@ -166,19 +170,19 @@
         self.connections() >= self.max_connections
     }
 
-    /// The instance's counters.
+    /// Returns the instance's counters.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Closes the idle connections, for a shutdown.
+    /// Closes the idle connections because the process shuts down.
     pub fn close_idle(&self) {
         self.close_all_idle(CloseReason::ShuttingDown);
     }
 
-    /// Closes the connections that have awaited a request for at least `idle_for`, for a handover. A client that has just
-    /// received a response is likely to send its next request at once, and would lose it on a connection that is closed;
-    /// its connection is closed with its next response.
+    /// Closes the connections that have awaited a request for at least `idle_for`, because another process takes over.
+    /// A client that has just received a response is likely to send its next request at once, and would lose it if the
+    /// connection were closed. Such a connection is closed with its next response instead.
     pub fn close_idle_for(&self, idle_for: Duration) {
         let filter = CloseFilter {
             phases: &[Phase::New, Phase::Idle],
@@ -188,12 +192,12 @@
         self.table.close(&filter, CloseReason::HandedOver);
     }
 
-    /// Closes up to `count` connections without an open request, to free their slots.
+    /// Closes up to `count` connections that do not await a response, to free their slots.
     pub(super) fn evict(&self, count: usize) {
         self.table.evict(count);
     }
 
-    /// Closes connections that have been idle for long while many are open.
+    /// Closes connections that have been idle for [`EVICT_IDLE_AFTER`] while many connections are open.
     pub(super) fn evict_idle(&self) {
         let filter = CloseFilter {
             phases: &[Phase::Idle],
@@ -212,7 +216,7 @@
         self.table.close(&filter, reason);
     }
 
-    /// Registers a new request; returns its id, and the receiver of its responses.
+    /// Registers a new request. Returns its id and the receiver of its responses.
     pub(super) fn register_request(&self) -> (RequestId, Receiver<SubmitResponse>) {
         let request = RequestId(self.next_request_id.get());
         self.next_request_id.set(request.0 + 1);
@@ -221,7 +225,7 @@
         (request, receiver)
     }
 
-    /// Removes a request that awaits no response any more.
+    /// Removes a request that no longer awaits a response.
     pub(super) fn unregister_request(&self, request: RequestId) {
         self.open_requests.borrow_mut().remove(&request);
     }
--- a/crates/delivery/src/net/server/connection_table.rs
+++ b/crates/delivery/src/net/server/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of all client connections, and the choice of those that are closed.
+//! The table of all client connections, and the selection of connections to close.
 
 use super::session_end::CloseReason;
 use async_channel::{Receiver, Sender};
@@ -6,37 +6,37 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// How long a connection must have been lingering before it may be evicted.
+/// Minimum time for which a connection must have been lingering before it may be evicted.
 const MIN_TIME_LINGERING: Duration = Duration::from_millis(100);
-/// How long a connection must have been open without a request before it may be evicted. A flood of connections without
-/// requests must be evicted faster than it arrives.
+/// Minimum time for which a connection must have been open without a request before it may be evicted. Connections
+/// without requests must be evicted faster than a flood of them arrives.
 const MIN_TIME_NEW: Duration = Duration::from_millis(5);
-/// How long a connection must have been idle before it may be evicted.
+/// Minimum time for which a connection must have been idle before it may be evicted.
 const MIN_TIME_IDLE: Duration = Duration::from_millis(20);
-/// How long a request must have been incomplete before its connection may be evicted.
+/// Minimum time for which a request must have been incomplete before its connection may be evicted.
 const MIN_TIME_READING: Duration = Duration::from_millis(500);
 
-/// Identifies a client connection.
+/// The id of a client connection, unique within its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionId(pub(super) u64);
 
-/// What a connection is doing. The order is that of eviction: the first phase is evicted first.
+/// The phase of a connection. The variants are in the order of eviction, starting with the phase that is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Phase {
-    /// Its last response is sent; what the peer still sends is discarded.
+    /// The last response has been sent. Bytes that the client still sends are discarded.
     Lingering,
-    /// Nothing has been received on it yet.
+    /// Nothing has been received yet.
     New,
-    /// Its last request has been responded to.
+    /// The last request has its response, and no further byte has been received.
     Idle,
     /// A part of a request has been received.
     Reading,
-    /// A request awaits its response.
+    /// A request is complete and awaits its response.
     AwaitingResponse,
 }
 
 impl Phase {
-    /// Its name in log lines.
+    /// Returns the phase's name in log lines.
     pub(super) fn name(self) -> &'static str {
         match self {
             Phase::Lingering => "lingering",
@@ -47,8 +47,8 @@
         }
     }
 
-    /// How long a connection must have been in the phase before it may be evicted, so that a client that has just
-    /// connected can send its request. `None` for phases that are never evicted.
+    /// Returns the minimum time that a connection must have been in the phase before it may be evicted, or `None` for a
+    /// phase that is never evicted. The time lets a client that has just connected send its request.
     fn min_time_before_eviction(self) -> Option<Duration> {
         match self {
             Phase::Lingering => Some(MIN_TIME_LINGERING),
@@ -59,43 +59,43 @@
         }
     }
 
-    /// Whether received bytes may be a request or the rest of one.
+    /// Returns whether bytes received in this phase may be a request or the rest of a request.
     fn may_receive_request(self) -> bool {
         matches!(self, Phase::New | Phase::Idle | Phase::Reading)
     }
 
-    /// Whether a request is being received or awaits its response.
+    /// Returns whether a request is being received or awaits its response.
     fn has_open_request(self) -> bool {
         matches!(self, Phase::Reading | Phase::AwaitingResponse)
     }
 }
 
-/// Selects connections to close, those that have been longest in their phase first.
+/// A filter that selects connections to close, starting with those that have been in their phase longest.
 pub(super) struct CloseFilter<'a> {
     /// The phases whose connections are closed.
     pub(super) phases: &'a [Phase],
-    /// How long a connection must have been in its phase.
+    /// Minimum time that a connection must have been in its phase.
     pub(super) min_time_in_phase: Duration,
-    /// No more are closed once only this many connections remain.
+    /// The number of connections, of any phase, that may stay open. At most the connections in excess of it are closed.
     pub(super) max_connections: usize,
 }
 
-/// One connection.
+/// The table's entry for one connection.
 pub(super) struct ConnectionEntry {
     pub(super) phase: Phase,
-    /// When it entered the phase.
+    /// The time at which the connection entered the phase.
     pub(super) since: Instant,
     close_requests: Sender<CloseReason>,
 }
 
 impl ConnectionEntry {
     fn request_close(&self, reason: CloseReason) {
-        // Full where a close is requested already.
+        // Fails if the channel already holds a close request.
         let _ = self.close_requests.try_send(reason);
     }
 }
 
-/// All client connections, in the order in which they were accepted.
+/// The table of all client connections, in the order in which they were accepted.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     pub(super) connections: RefCell<BTreeMap<ConnectionId, ConnectionEntry>>,
@@ -103,7 +103,7 @@
 }
 
 impl ConnectionTable {
-    /// Adds a connection; returns its id, and the receiver of requests to close it.
+    /// Adds a connection. Returns its id and the receiver of requests to close it.
     pub(super) fn register(&self) -> (ConnectionId, Receiver<CloseReason>) {
         let id = ConnectionId(self.next_id.get());
         self.next_id.set(id.0 + 1);
@@ -117,7 +117,7 @@
         (id, receiver)
     }
 
-    /// Removes a connection; returns its last phase.
+    /// Removes a connection and returns its last phase.
     pub(super) fn remove(&self, id: ConnectionId) -> Option<Phase> {
         let removed = self.connections.borrow_mut().remove(&id);
         removed.map(|entry| entry.phase)
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether bytes that are received on a connection may be a request or the rest of one.
+    /// Returns whether bytes received on a connection may be a request or the rest of a request.
     pub(super) fn may_receive_request(&self, id: ConnectionId) -> bool {
         let connections = self.connections.borrow();
         connections
@@ -137,7 +137,7 @@
             .is_some_and(|entry| entry.phase.may_receive_request())
     }
 
-    /// Whether any connection has a request that is being received or awaits its response.
+    /// Returns whether any connection has a request that is being received or awaits its response.
     pub(super) fn has_open_requests(&self) -> bool {
         let connections = self.connections.borrow();
         connections
@@ -149,7 +149,7 @@
         self.connections.borrow().len()
     }
 
-    /// Closes up to `count` connections that may be evicted, by phase and then by time in the phase.
+    /// Requests to close up to `count` evictable connections, ordered by phase and then by the time spent in it.
     pub(super) fn evict(&self, count: usize) {
         let (connections, now) = (self.connections.borrow(), Instant::now());
         let is_evictable = |entry: &&ConnectionEntry| {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Closes the connections that a filter selects.
+    /// Requests to close the connections that a filter selects.
     pub(super) fn close(&self, filter: &CloseFilter<'_>, reason: CloseReason) {
         let (connections, now) = (self.connections.borrow(), Instant::now());
         let is_selected = |entry: &&ConnectionEntry| {
--- a/crates/delivery/src/net/server/session.rs
+++ b/crates/delivery/src/net/server/session.rs
@@ -1,7 +1,7 @@
-//! One client connection: await a request, read it, process it, respond, and start again.
+//! The session of one client connection: it awaits a request, reads and processes it, responds, and starts again.
 //!
-//! A session may be dropped at any await point, which closes its connection. [`CloseConditions`] say when that is
-//! allowed: not while a request is open.
+//! A session may be dropped at any await point, which closes its connection. [`CloseConditions`] define when this is
+//! allowed: never while the client's bytes are unread and may be a request.
 //!
 //! [`CloseConditions`]: crate::rules::CloseConditions
 
@@ -28,30 +28,31 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a connection may be idle between two requests.
+/// Maximum idle time of a connection between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// How long bytes are discarded after a rejected request: a client that is still sending it must not lose the response
-/// to a reset.
+/// Maximum time for which bytes are discarded after a rejected request. A client that is still sending the request must
+/// not lose the response to a reset.
 const LINGER_AFTER_REJECTION: Duration = Duration::from_secs(5);
-/// How long bytes are discarded after the last response of a connection.
+/// Maximum time for which bytes are discarded after the last response of a connection.
 const LINGER_AFTER_RESPONSE: Duration = Duration::from_millis(500);
 
-/// What becomes of a connection after a response.
+/// Whether a connection stays open after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AfterResponse {
     KeepOpen,
     Close,
 }
 
-/// A request, and whether its client keeps the connection open after the response.
+/// A request, and whether its client wants the connection to stay open after the response.
 struct ReceivedRequest {
     request: ParsedRequest,
     after_response: AfterResponse,
 }
 
-/// A response, and the submission that it belongs to, if any.
+/// A response that has not been written yet.
 struct PendingResponse {
     response: Response,
+    /// The submission that the response belongs to; `None` for other requests and after the engine has ended.
     submission: Option<RequestId>,
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// What the sessions of one server share.
+/// The context that all sessions of one server share.
 pub(super) struct SessionContext<F> {
     pub(super) frontend: Rc<F>,
     pub(super) clients: Rc<ClientConnections>,
@@ -72,14 +73,15 @@
     pub(super) clock: Clock,
 }
 
-/// Serves one connection.
+/// The session of one connection.
 pub(super) struct Session<'a, F> {
     context: SessionContext<F>,
     connection: &'a mut Connection,
     id: ConnectionId,
-    /// The deadline for reading the current request. That of the first one counts from the connection's opening, since a
-    /// client that sends nothing occupies a slot as much as one that does not complete its request.
+    /// The deadline for reading the current request. For the first request, the read time-out starts when the
+    /// connection is opened, since a client that sends nothing occupies a slot just as one with an incomplete request.
     read_by: Instant,
+    /// Whether the first bytes of a request have been received on this connection.
     had_request: bool,
 }
 
@@ -148,8 +150,8 @@
         let extent = with_deadline(self.read_by, read_request(self.connection))
             .await
             .unwrap_or(Err(ReadError::TimedOut))?;
-        // Bytes that follow a request before its response are the next request, or a body longer than declared. Where
-        // clients send one request at a time, neither can be trusted.
+        // Bytes that follow a request before its response are either the next request or a body longer than declared.
+        // If clients send one request at a time, neither can be trusted.
         if self.context.frontend.one_request_at_a_time()
             && self.connection.has_more_than(extent.len())
         {
@@ -158,7 +160,7 @@
         Ok(extent)
     }
 
-    /// Responds to a request that could not be read, unless its connection has ended.
+    /// Sends an error response to a request that could not be read, unless the connection has ended.
     async fn reject(&mut self, error: ReadError) -> SessionEnd {
         let Some(status) = error.rejection_status() else {
             return SessionEnd::Unreadable(error);
@@ -175,10 +177,11 @@
         SessionEnd::Unreadable(error)
     }
 
-    /// Parses and consumes a request.
+    /// Parses a request and removes it from the connection's buffer.
     fn parse(&mut self, extent: RequestExtent) -> Result<ReceivedRequest, SessionEnd> {
         let (head, rest) = self.connection.bytes().split_at(extent.head_len);
-        // The head was parsed before for its framing; only now is the body there, and both are used in place.
+        // The head is parsed a second time: the first parse gave the framing by which the body was read, and its result
+        // borrowed the buffer that the body was then read into.
         let head = http::parse_request(head)
             .map_err(|error| SessionEnd::Unreadable(ReadError::Unparsable(error)))?;
         let after_response = if head.keep_alive {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Submits a message and waits for its response, unless the client leaves first.
+    /// Submits a message and waits for its response, or until the client closes the connection.
     async fn submit(&mut self, message: Message) -> Result<PendingResponse, SessionEnd> {
         let SessionContext {
             frontend, clients, ..
@@ -228,7 +231,7 @@
             return Ok(response.into());
         }
         let (request, responses) = clients.register_request();
-        // A response may be due before the engine's queue has capacity for the submission: at the end of the process.
+        // At the end of the process, the response may arrive before the engine's queue has capacity for the submission.
         let submitted = async {
             clients.send(EngineEvent::Submitted(request, message)).await;
             future::pending().await
@@ -285,7 +288,8 @@
                 Err(SessionEnd::ClosedAfterResponse)
             }
             Some(Err(_)) | None => {
-                // A client that received a part of its response may have read that its message is accepted.
+                // A client that received a part of its response may already treat its message as accepted, so the
+                // message is withdrawn only if nothing was sent.
                 let nothing_sent = self.connection.bytes_sent() == sent_before;
                 if let Some(request) = pending.submission.filter(|_| nothing_sent) {
                     self.clients().send(EngineEvent::ClientGone(request)).await;
@@ -303,7 +307,7 @@
         self.clients().table.set_phase(self.id, phase);
     }
 
-    /// The deadline for an operation that begins now and is limited by the read time-out.
+    /// Returns the deadline of an operation that starts now and may take as long as the read time-out.
     fn deadline_from_now(&self) -> Instant {
         Instant::now() + self.context.read_timeout.0
     }
--- a/crates/delivery/src/net/server/session/request_reader.rs
+++ b/crates/delivery/src/net/server/session/request_reader.rs
@@ -3,13 +3,13 @@
 use crate::net::connection::{Connection, ReadError};
 use crate::net::http::{self, header};
 
-/// The longest head that is read, in bytes.
+/// Maximum length of a request's head in bytes.
 pub(in crate::net::server) const MAX_HEAD_LEN: usize = 16 * 1024;
-/// The longest body that is read, in bytes; the limit of the platform's protocol.
+/// Maximum length of a request's body in bytes, which is the limit of the platform's protocol.
 pub const MAX_BODY_LEN: usize = 64 * 1024;
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The lengths of a request's parts at the start of the unconsumed bytes.
+/// The lengths of the head and the body of a request that starts at the first unconsumed byte.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestExtent {
     pub(super) head_len: usize,
@@ -17,13 +17,14 @@
 }
 
 impl RequestExtent {
-    /// The length of the whole request in bytes.
+    /// Returns the total length of the request in bytes.
     pub(super) fn len(self) -> usize {
         self.head_len + self.body_len
     }
 }
 
-/// Reads one request. A client that expects `100 Continue` receives it before its body is read.
+/// Reads one request. If the client expects `100 Continue` and has not sent body bytes yet, it is sent before the body
+/// is read.
 pub(super) async fn read_request(connection: &mut Connection) -> Result<RequestExtent, ReadError> {
     let head_len = connection.read_head(MAX_HEAD_LEN).await?;
     let request = http::parse_request(&connection.bytes()[..head_len])?;
--- a/crates/delivery/src/net/server/session/response_writer.rs
+++ b/crates/delivery/src/net/server/session/response_writer.rs
@@ -6,13 +6,13 @@
 use crate::net::http::{header, status, HeadWriter};
 use std::io;
 
-/// The content type of bodies that give a reason.
+/// The content type of response bodies, which are plain text.
 const TEXT_CONTENT_TYPE: &str = "text/plain; charset=utf-8";
 
-/// Writes a response, and announces the close that follows it.
+/// Writes a response. Its head announces whether the connection is closed afterwards.
 ///
 /// # Errors
-/// The connection failed.
+/// Returns the I/O error of the connection.
 pub(super) async fn write_response(
     connection: &mut Connection,
     response: &Response,
@@ -28,7 +28,7 @@
         head = head.field(name, value);
     }
     let content_type = (!response.body.is_empty()).then_some(TEXT_CONTENT_TYPE);
-    // A response without content must not have a length.
+    // A 204 response must not have a `Content-Length`.
     let content_length =
         (response.status != status::NO_CONTENT).then(|| response.body.len().to_string());
     let connection = (after_response == AfterResponse::Close).then_some("close");
--- a/crates/delivery/src/net/server/session_end.rs
+++ b/crates/delivery/src/net/server/session_end.rs
@@ -1,24 +1,24 @@
-//! Why the server closes client connections, and how sessions end.
+//! Reasons for closing client connections, and the ways in which sessions end.
 
 use crate::net::connection::ReadError;
 
-/// Why the server closes a connection without an open request.
+/// The server's reason for closing a connection that does not await a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Its slot is needed for new connections.
+    /// The slot of the connection is needed for new connections.
     Evicted,
-    /// It was idle while many connections are open.
+    /// The connection was idle while many connections were open.
     IdleAmongMany,
     /// Operators drain the instance.
     Drained,
     /// Another process takes over.
     HandedOver,
-    /// The process ends.
+    /// The process shuts down.
     ShuttingDown,
 }
 
 impl CloseReason {
-    /// The reason code for the log.
+    /// Returns the reason code for the log.
     fn code(self) -> &'static str {
         match self {
             CloseReason::Evicted => "evicted",
@@ -30,27 +30,27 @@
     }
 }
 
-/// How a session ended.
+/// The reason for the end of a session.
 #[derive(Debug)]
 pub(super) enum SessionEnd {
-    /// The server closed the connection.
+    /// The server closed the connection for the given reason.
     Closed(CloseReason),
-    /// No byte was received within the time for a first request.
+    /// No byte was received within the read time-out of the first request.
     NoRequest,
     /// No further request was received within the idle time-out.
     IdleTimeout,
     /// A request could not be read.
     Unreadable(ReadError),
-    /// The client left before its response.
+    /// The client closed the connection before it received its response.
     ClientGone,
-    /// The client did not read its response.
+    /// The response could not be written to the client.
     ResponseNotRead,
-    /// The connection was closed after a response, as announced with it.
+    /// The server closed the connection after a response that announced this.
     ClosedAfterResponse,
 }
 
 impl SessionEnd {
-    /// The reason code for the log.
+    /// Returns the reason code for the log.
     pub(super) fn code(&self) -> &'static str {
         match self {
             SessionEnd::Closed(reason) => reason.code(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether the server closes a connection on which the client may send a request in this moment.
+    /// Returns whether the server closes the connection while the client may be sending a request.
     pub(super) fn is_by_server(&self) -> bool {
         matches!(
             self,
@@ -71,7 +71,7 @@
         )
     }
 
-    /// Whether the client ended the session, so that an open request needs no response.
+    /// Returns whether the client ended the session. An open request needs no response then.
     pub(super) fn is_by_client(&self) -> bool {
         matches!(self, SessionEnd::ClientGone | SessionEnd::ResponseNotRead)
     }
--- a/crates/delivery/src/net/server/tests.rs
+++ b/crates/delivery/src/net/server/tests.rs
@@ -33,13 +33,17 @@
     table.set_phase(ConnectionId(0), Phase::AwaitingResponse);
     table.evict(4);
     assert_eq!(closed(), 4);
-    assert!(close_requests[0].is_empty(), "a request is open there");
+    assert!(
+        close_requests[0].is_empty(),
+        "closed a connection with an open request"
+    );
 }
 
-/// Time limit for conditions that must hold well before it.
+/// Time limit for operations that complete much sooner unless the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs a test against a platform frontend on loopback.
+/// Runs a test against a server with a platform frontend on loopback. The engine's queue has a capacity of one event,
+/// which is never received.
 fn with_server<T, F>(max_connections: usize, read_timeout: Duration, test: T)
 where
     T: FnOnce(SocketAddr, Rc<ClientConnections>) -> F,
@@ -66,7 +70,7 @@
     }));
 }
 
-/// Starts a server on loopback; returns its address.
+/// Starts a server on loopback and returns its address.
 fn start_server(
     frontend: impl Frontend + 'static,
     clients: Rc<ClientConnections>,
@@ -86,7 +90,7 @@
     address
 }
 
-/// Sends a request; returns the status of the response, and whether the connection is kept alive.
+/// Sends a request. Returns the status of the response, and whether the connection is kept alive.
 async fn request(connection: &mut Connection, bytes: &[u8]) -> (u16, bool) {
     connection.write(bytes, b"").await.unwrap();
     let head_len = connection.read_head(MAX_HEAD_LEN).await.unwrap();
@@ -119,7 +123,7 @@
         let mut open = Connection::connect(address).await.unwrap();
         assert_eq!(request(&mut open, READY).await, (200, true));
         clients.drain();
-        // The idle connection is closed at once, a new one with its response.
+        // The idle connection is closed at once; a new connection is closed with its response.
         assert!(!open.fill().await.unwrap_or(false));
         let mut while_draining = Connection::connect(address).await.unwrap();
         assert_eq!(request(&mut while_draining, READY).await, (503, false));
@@ -129,7 +133,8 @@
     });
 }
 
-/// A connection that has had one response, and its socket, to which a test writes without yielding to other tasks.
+/// Opens a connection and receives one response on it. Also returns its socket, to which a test can write without
+/// yielding to other tasks.
 async fn idle_connection(address: SocketAddr) -> (Connection, TcpStream) {
     let mut connection = Connection::connect(address).await.unwrap();
     assert_eq!(request(&mut connection, READY).await, (200, true));
@@ -142,7 +147,7 @@
     with_server(8, TEST_TIMEOUT, |address, clients| async move {
         for (first, rest) in [(READY, &b""[..]), READY.split_at(9), READY.split_at(1)] {
             let (mut connection, mut socket) = idle_connection(address).await;
-            // The connection's task does not run in between: it finds both the bytes and the request to close.
+            // The server's task does not run before the next await, so it finds both the bytes and the close requests.
             socket.write_all(first).unwrap();
             clients.begin_closing(Instant::now());
             clients.close_idle();
@@ -154,16 +159,16 @@
             assert_eq!(
                 request(&mut connection, rest).await,
                 (200, false),
-                "its first {} bytes were received",
+                "when {} bytes arrive before the close",
                 first.len()
             );
             assert!(
                 !connection.fill().await.unwrap(),
-                "the connection stays open"
+                "the connection was not closed"
             );
             clients.cancel_closing();
         }
-        // In the other order the connection is closed, and the client knows that its request was not read.
+        // If the close comes first, the connection is closed, which shows the client that its request was not read.
         let (mut connection, mut socket) = idle_connection(address).await;
         clients.close_idle();
         assert!(!connection.fill().await.unwrap_or(false));
@@ -175,7 +180,7 @@
 #[test]
 fn queued_connections_are_served_before_the_listener_closes() {
     with_server(8, TEST_TIMEOUT, |address, clients| async move {
-        // The task that accepts does not run in between: these connections stay in the system's queue.
+        // The accepting task does not run before the next await, so these connections stay in the accept queue.
         let queued: Vec<TcpStream> = (0..20)
             .map(|_| {
                 let mut stream = TcpStream::connect(address).unwrap();
@@ -200,7 +205,7 @@
         let (mut connection, mut socket) = idle_connection(address).await;
         clients.begin_closing(Instant::now());
         socket.write_all(READY).unwrap();
-        // The response is sent once the server has closed its sending side; it discards further bytes.
+        // A lingering connection has sent its response and discards further bytes.
         while clients
             .table
             .connections
@@ -215,12 +220,12 @@
             future::yield_now().await;
         }
         assert_eq!(request(&mut connection, b"").await, (200, false));
-        assert!(!connection.fill().await.unwrap(), "closed, not reset");
+        assert!(!connection.fill().await.unwrap(), "not closed");
         assert_eq!(clients.counters().submitted.get(), 0);
     });
 }
 
-/// The last part of a request is received at the moment when its connection is evicted.
+/// The rest of a request arrives at the moment when its connection is evicted.
 #[test]
 fn request_that_crosses_its_eviction_gets_its_response() {
     with_server(8, TEST_TIMEOUT, |address, clients| async move {
@@ -253,7 +258,7 @@
     });
 }
 
-/// Requests may be read in the last moments of the process, when the engine has ended.
+/// A request may be read after the engine has ended and before the process ends.
 #[test]
 fn request_read_after_the_engine_has_ended_is_rejected() {
     with_server(8, TEST_TIMEOUT, |address, clients| async move {
@@ -272,7 +277,7 @@
 /// A frontend whose responses are longer than the system's send buffer.
 struct LongResponses;
 
-/// The length of such a response in bytes.
+/// The length of a [`LongResponses`] body in bytes.
 const LONG_RESPONSE_LEN: usize = 64 << 20;
 
 impl Frontend for LongResponses {
@@ -299,7 +304,7 @@
     }
 }
 
-/// A client that has received a part of its response may have read that its message is accepted, so the message must not
+/// A client that has received a part of its response may already treat its message as accepted, so the message must not
 /// be withdrawn.
 #[test]
 fn truncated_response_leaves_its_message_accepted() {
@@ -332,10 +337,10 @@
     }));
 }
 
-/// Requests may await capacity in the engine's queue when the engine ends.
+/// Requests may be waiting for capacity in the engine's queue when the engine ends.
 #[test]
 fn request_that_awaits_queue_capacity_is_rejected_at_the_end() {
-    // The queue of these tests has a capacity of one event, which nobody receives.
+    // The first event fills the engine's queue, and the others wait.
     with_server(8, TEST_TIMEOUT, |address, clients| async move {
         let mut waiting = Vec::new();
         for _ in 0..3 {
