--- a/crates/delivery/src/net/pool.rs
+++ b/crates/delivery/src/net/pool.rs
@@ -1,7 +1,7 @@
 //! Attempts against endpoints, over a pool of connections that are reused from one attempt to the next.
 //!
-//! Each connection carries one attempt at a time. The pool never retries an attempt by itself: once the last byte is
-//! written, the endpoint may have executed it.
+//! Each connection carries one attempt at a time. The pool never retries an attempt, since the endpoint may execute a
+//! request as soon as its last byte is written.
 
 mod acquire;
 mod attempt;
@@ -29,20 +29,20 @@
 /// The limits of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// How long establishing a connection may take.
+    /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
-    /// How long a connection may be idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
-    /// The most open connections, idle ones included.
+    /// Maximum number of open connections, idle ones included.
     pub max_connections: usize,
 }
 
 /// The connections of one instance to all endpoints.
 pub struct Pool {
     endpoints: RefCell<BTreeMap<EndpointId, EndpointConnections>>,
-    /// Where each running attempt receives its cancellation.
+    /// The sender that cancels each running attempt.
     cancellations: RefCell<HashMap<MessageId, Sender<()>>>,
-    /// When the backoff of each route ends.
+    /// The end of each route's backoff.
     backoffs: RefCell<BTreeMap<Route, Instant>>,
     limits: PoolLimits,
     open_connections: Rc<Cell<usize>>,
@@ -50,6 +50,7 @@
     reuse: Cell<ReusePolicy>,
 }
 
+/// The use of connections after their attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReusePolicy {
     /// Connections are returned to the pool after their attempt.
@@ -59,7 +60,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates a pool without endpoints.
     pub fn new(limits: PoolLimits, counters: Rc<Counters>) -> Pool {
         Pool {
             endpoints: RefCell::default(),
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Closes idle connections, and others after their attempt: the process that takes over needs the connection slots of
-    /// the endpoints.
+    /// Closes idle connections at once and each other connection after its attempt, because another process takes over
+    /// and needs the connection slots of the endpoints.
     pub fn stop_reusing(&self) {
         self.reuse.set(ReusePolicy::Close);
         for endpoint in self.endpoints.borrow_mut().values_mut() {
@@ -104,8 +105,9 @@
         }
     }
 
-    /// Closes connections that have been idle for too long. An attempt on a connection that its endpoint is closing ends
-    /// with a reset, after which it is unknown whether the attempt was executed.
+    /// Closes connections that have been idle for longer than the idle time-out. If an endpoint closes an idle
+    /// connection first, the next attempt on it may end with a reset, after which it is unknown whether the attempt was
+    /// executed.
     pub fn close_expired(&self) {
         let Some(before) = Instant::now().checked_sub(self.limits.idle_timeout) else {
             return;
@@ -115,8 +117,8 @@
         }
     }
 
-    /// Sends nothing on a route before `until`. The scheduler starts no attempt there by itself; this stops the attempts
-    /// that it has started and that are not sent yet.
+    /// Begins or extends the backoff of a route: nothing is sent on it before `until`. The scheduler starts no new
+    /// attempts on a route in backoff. The pool withholds those that were started before and are not sent yet.
     pub fn back_off(&self, route: Route, until: Instant) {
         let (mut backoffs, now) = (self.backoffs.borrow_mut(), Instant::now());
         backoffs.retain(|_, until| *until > now);
@@ -145,7 +147,8 @@
         outcome
     }
 
-    /// Whether an endpoint accepts new attempts at an address. After a move its old address may belong to another one.
+    /// Returns whether an endpoint accepts new attempts at an address. After the endpoint has moved, its old address
+    /// may belong to another endpoint.
     fn accepts_attempts_at(&self, id: EndpointId, address: SocketAddr) -> bool {
         self.endpoints
             .borrow()
@@ -154,7 +157,7 @@
     }
 }
 
-/// Awaits a future; `None` if the attempt is cancelled first.
+/// Awaits a future. Returns `None` if the attempt is cancelled first.
 async fn until_cancelled<T>(
     cancelled: &Receiver<()>,
     future: impl Future<Output = T>,
--- a/crates/delivery/src/net/pool/acquire.rs
+++ b/crates/delivery/src/net/pool/acquire.rs
@@ -1,4 +1,4 @@
-//! Getting a connection for an attempt: an idle one, or else a new one within the limit.
+//! Acquisition of a connection for an attempt: an idle connection, or else a new one within the connection limit.
 
 use super::connection_end::ConnectionEnd;
 use super::{until_cancelled, Attempt, Pool, ReusePolicy};
@@ -16,19 +16,20 @@
 pub(super) struct PooledConnection {
     pub(super) connection: Connection,
     pub(super) origin: ConnectionOrigin,
-    /// The address that it is connected to.
+    /// The peer's address.
     pub(super) address: SocketAddr,
 }
 
+/// The origin of the connection that an attempt uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionOrigin {
-    /// Opened for this attempt.
+    /// The connection was opened for this attempt.
     New,
-    /// Used by an earlier attempt.
+    /// The connection has carried an earlier attempt.
     Reused,
 }
 
-/// The slot that a connection occupies while it exists.
+/// A slot of the connection limit, which a connection occupies from its creation until it is dropped.
 struct ConnectionSlot {
     open_connections: Rc<Cell<usize>>,
 }
@@ -49,7 +50,8 @@
 }
 
 impl Pool {
-    /// Takes an idle connection to the attempt's endpoint, or opens a new one.
+    /// Acquires an idle connection to the attempt's endpoint, or opens a new one. Fails with the outcome of the
+    /// attempt.
     pub(super) async fn acquire(
         &self,
         attempt: &Attempt<'_>,
@@ -81,7 +83,7 @@
         address: SocketAddr,
         cancelled: &Receiver<()>,
     ) -> Result<PooledConnection, Outcome> {
-        // Occupied before the connection is established, so that concurrent connects keep to the limit.
+        // The slot is occupied before the connection is established, so that concurrent connects respect the limit.
         let slot = ConnectionSlot::occupy(&self.open_connections);
         add(&self.counters.connections_opened);
         let connect_by = attempt
@@ -109,7 +111,8 @@
         Err(Outcome::ConnectFailed)
     }
 
-    /// At the limit of connections, evicts the one that has been idle longest. Fails if none is idle.
+    /// Ensures that a connection may be opened: at the connection limit, evicts the connection that has been idle
+    /// longest. Fails if no connection is idle.
     fn ensure_free_slot(&self) -> Result<(), Outcome> {
         if self.open_connections.get() < self.limits.max_connections {
             return Ok(());
@@ -126,7 +129,7 @@
         Ok(())
     }
 
-    /// Makes a connection available to later attempts, or closes it.
+    /// Makes a connection available to later attempts, or closes it if it cannot be reused.
     pub(super) fn return_to_pool(&self, id: EndpointId, pooled: PooledConnection) {
         let is_usable =
             self.accepts_attempts_at(id, pooled.address) && self.reuse.get() == ReusePolicy::Keep;
--- a/crates/delivery/src/net/pool/attempt.rs
+++ b/crates/delivery/src/net/pool/attempt.rs
@@ -7,10 +7,10 @@
 use std::borrow::Cow;
 use std::time::Instant;
 
-/// The request of an attempt as it is written.
+/// An attempt's request in its encoding for the wire.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedRequest<'a> {
-    /// The request line and the header fields, with the empty line.
+    /// The request line and the header fields, up to and including the empty line.
     pub head: Vec<u8>,
     /// The body.
     pub body: Cow<'a, [u8]>,
@@ -18,31 +18,31 @@
 
 /// One attempt to deliver a message.
 pub struct Attempt<'a> {
-    /// The message.
+    /// The id of the message.
     pub message_id: MessageId,
-    /// The endpoint that receives it.
+    /// The endpoint that the message is sent to.
     pub endpoint: EndpointId,
-    /// The route of the endpoint; the attempt is not sent while it is in backoff.
+    /// The endpoint's route. The attempt is not sent while the route is in backoff.
     pub route: Route,
-    /// When the attempt times out.
+    /// The time at which the attempt times out.
     pub timeout_at: Instant,
-    /// The last byte of the request is written before this time or not at all.
+    /// The deadline for writing the last byte of the request. After it, the byte is not written at all.
     pub write_by: Instant,
-    /// Encodes the request, given for how many milliseconds its response is awaited.
+    /// Encodes the request. The argument is the time for which the response is awaited, in ms.
     pub encode: &'a dyn Fn(u64) -> EncodedRequest<'a>,
     /// Derives the outcome from a response.
     pub classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome,
-    /// A permit to start the attempt at the moment of the call, which is held while the first bytes are written; `None`
-    /// if it must not be started.
+    /// Returns a permit to start the attempt now, or `None` if it must not be started. The permit is held while the
+    /// first bytes are written.
     pub permit: &'a dyn Fn() -> Option<LeasePermit<'a>>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt, with the information that its response carries.
 #[derive(Debug)]
 pub struct AttemptOutcome {
-    /// The outcome.
+    /// The outcome that is reported to the scheduler.
     pub outcome: Outcome,
-    /// What the outcome means for the message.
+    /// The effect of the outcome on the message.
     pub disposition: Disposition,
     /// The endpoint's rate limit, as far as the response reports it.
     pub rate_limit: RateLimitReport,
--- a/crates/delivery/src/net/pool/connection_end.rs
+++ b/crates/delivery/src/net/pool/connection_end.rs
@@ -1,33 +1,34 @@
-//! Why connections to endpoints end, as reason codes of log lines.
+//! The reasons for which connections to endpoints end, and their reason codes in log lines.
 
 use crate::log_line;
 use crate::net::connection::ReadError;
 use marblefall_scheduler::EndpointId;
 
-/// Why a connection to an endpoint ended.
+/// The reason for which a connection to an endpoint ended.
 #[derive(Debug)]
 pub(super) enum ConnectionEnd {
     /// The endpoint has a new address.
     Moved,
-    /// The endpoint drains.
+    /// The endpoint is draining.
     Draining,
     /// The endpoint is no longer listed.
     NotListed,
-    /// The engine requested it.
+    /// The engine requested to close the idle connections to the endpoint.
     Requested,
     /// Another process takes over.
     HandedOver,
-    /// It was idle for too long.
+    /// The connection was idle for longer than the idle time-out.
     IdleTimeout,
-    /// It is no longer usable after it was idle.
+    /// The connection was not usable any more when an attempt was to reuse it.
     ClosedWhileIdle,
-    /// Its slot was needed for another connection.
+    /// The slot of the connection was needed for another connection.
     Evicted,
-    /// The pool keeps no connection to this endpoint.
+    /// The pool does not keep the connection after its attempt, because the endpoint no longer accepts attempts at its
+    /// address or another process takes over.
     NotReused,
     /// The attempt was cancelled.
     Cancelled,
-    /// The request was not completed, since its route is in backoff or its window has ended.
+    /// The request was not written completely, because its route is in backoff or its deadline for writing has passed.
     WriteWithheld,
     /// The request could not be written.
     WriteFailed,
@@ -37,16 +38,16 @@
     Unreadable(ReadError),
     /// The endpoint sent interim responses without a final one.
     InterimWithoutEnd,
-    /// The endpoint closes it after the response.
+    /// The endpoint does not keep the connection open after its response, or the response does not end cleanly.
     NotKeptAlive,
-    /// The endpoint closed it while it was idle, which the next attempt found.
+    /// The endpoint had closed the connection while it was idle, which the next attempt detected by a reset.
     ResetWhenReused,
-    /// The endpoint accepts no further connection.
+    /// The endpoint rejected the first request of the connection and closed it, as it accepts no more connections.
     NoConnectionSlot,
 }
 
 impl ConnectionEnd {
-    /// The reason code for the log.
+    /// Returns the reason code for the log.
     fn code(&self) -> &'static str {
         match self {
             ConnectionEnd::Moved => "moved",
--- a/crates/delivery/src/net/pool/endpoint_connections.rs
+++ b/crates/delivery/src/net/pool/endpoint_connections.rs
@@ -8,15 +8,16 @@
 
 struct IdleConnection {
     connection: Connection,
+    /// The time at which the connection became idle.
     since: Instant,
 }
 
-/// One endpoint: its address and status as listed, and its idle connections.
+/// An endpoint's address and status as listed, and the idle connections to it.
 pub(super) struct EndpointConnections {
     id: EndpointId,
     address: String,
     status: EndpointStatus,
-    /// In the order in which they went idle.
+    /// The idle connections in the order in which they became idle.
     idle: Vec<IdleConnection>,
 }
 
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Sets the address and the status, and closes the idle connections that cannot be used any more.
+    /// Sets the address and the status. Closes the idle connections if the address changed or the endpoint no longer
+    /// accepts attempts.
     pub(super) fn update(&mut self, address: &str, status: EndpointStatus) {
         if self.address != address {
             address.clone_into(&mut self.address);
@@ -46,12 +48,12 @@
         }
     }
 
-    /// Whether the endpoint accepts new attempts.
+    /// Returns whether the endpoint accepts new attempts.
     pub(super) fn is_active(&self) -> bool {
         self.status == EndpointStatus::Active
     }
 
-    /// The address; `None` where it cannot be parsed.
+    /// Returns the address, or `None` if it cannot be parsed.
     pub(super) fn address(&self) -> Option<SocketAddr> {
         self.address.parse().ok()
     }
@@ -63,8 +65,8 @@
         });
     }
 
-    /// Removes and returns the connection that went idle last, among those that are still usable. Unusable ones are
-    /// closed.
+    /// Removes and returns the usable connection that became idle last. Closes unusable connections that became idle
+    /// after it.
     pub(super) fn take_idle(&mut self, idle_timeout: Duration) -> Option<Connection> {
         while let Some(idle) = self.idle.pop() {
             if idle.since.elapsed() < idle_timeout && idle.connection.is_reusable() {
@@ -75,7 +77,7 @@
         None
     }
 
-    /// When the connection that has been idle longest went idle.
+    /// Returns the time at which the connection that has been idle longest became idle.
     pub(super) fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.first().map(|idle| idle.since)
     }
@@ -91,7 +93,7 @@
         self.close_idle_before(Instant::now(), end);
     }
 
-    /// Closes the connections that went idle before a time.
+    /// Closes the connections that became idle before a time.
     pub(super) fn close_idle_before(&mut self, before: Instant, end: &ConnectionEnd) {
         self.idle.retain(|idle| {
             let is_closed = idle.since < before;
--- a/crates/delivery/src/net/pool/response.rs
+++ b/crates/delivery/src/net/pool/response.rs
@@ -1,8 +1,8 @@
-//! Reading an endpoint's response: what it means for the attempt, and whether its connection can be reused.
+//! Reading of an endpoint's response, which gives the attempt's outcome and whether the connection can be reused.
 //!
-//! A response that cannot be read to its end proves nothing, even if its head reports that the attempt was not executed:
-//! the endpoint may have executed it, and the response may be corrupt. The exception is a status line that reports
-//! delivery, which is final whatever follows it.
+//! A response that cannot be read to its end is not trusted, even if its head reports that the attempt was not
+//! executed: the response may be corrupt, and the endpoint may have executed the attempt. The exception is a status
+//! line that reports delivery, which is final regardless of the bytes that follow it.
 
 use super::connection_end::ConnectionEnd;
 use super::AttemptOutcome;
@@ -11,33 +11,34 @@
 use marblefall_scheduler::Outcome;
 use std::time::{Duration, Instant};
 
-/// The longest head, in bytes.
+/// Maximum length of a response's head in bytes.
 const MAX_HEAD_LEN: usize = 16 * 1024;
-/// The longest body that is read for the sake of its connection, in bytes. Bodies themselves are ignored.
+/// Maximum length of a response's body in bytes. Bodies are ignored and only read so that the connection can be reused.
 const MAX_BODY_LEN: usize = 64 * 1024;
-/// How long the rest of a response is awaited after its status line; endpoints write a response at once.
+/// Maximum time to receive the rest of a response after its status line. Endpoints write a response at once.
 const REST_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the rest of a response is awaited after the attempt's time-out, when the message's deadline may be close.
+/// Maximum time to receive the rest of a response after the attempt's time-out. The message's deadline may be close
+/// then.
 const REST_GRACE: Duration = Duration::from_millis(50);
-/// The most responses in a row of which only the last is not an interim one.
+/// Maximum number of responses to one request: interim responses, followed by the final one.
 const MAX_RESPONSES: usize = 32;
 
 /// Whether a connection can be reused after a response.
 #[derive(Debug)]
 pub(super) enum Reuse {
     Possible,
-    /// The connection is closed.
+    /// The connection is closed for the given reason.
     Impossible(ConnectionEnd),
 }
 
-/// What a response means.
+/// The result of reading a response.
 pub(super) struct ReadResponse {
     pub(super) outcome: AttemptOutcome,
     pub(super) reuse: Reuse,
 }
 
 impl ReadResponse {
-    /// An outcome after which the connection is closed.
+    /// Creates a result after which the connection is closed.
     fn closed(outcome: impl Into<AttemptOutcome>, end: ConnectionEnd) -> ReadResponse {
         ReadResponse {
             outcome: outcome.into(),
@@ -46,15 +47,16 @@
     }
 }
 
-/// What follows a status line.
+/// The part of a response that follows its status line.
 enum ResponseRest {
-    /// The head of an interim response.
+    /// The rest of an interim response's head.
     Interim,
+    /// The rest of the final response.
     Final(ReadResponse),
 }
 
-/// Reads a response. The status line is awaited until `timeout_at`, and the rest of a response that has begun slightly
-/// longer.
+/// Reads a response. The status line is awaited until `timeout_at`. The rest of the response may arrive up to
+/// [`REST_GRACE`] later.
 pub(super) async fn read_response(
     connection: &mut Connection,
     classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome,
@@ -83,12 +85,12 @@
     ReadResponse::closed(Outcome::Error, ConnectionEnd::InterimWithoutEnd)
 }
 
-/// Whether a status line alone reports delivery.
+/// Returns whether a status line alone reports delivery.
 fn is_delivered(status: u16, classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome) -> bool {
     classify_response(&ResponseHead::with_status(status)).outcome == Outcome::Delivered
 }
 
-/// What a response that cannot be read means for its attempt.
+/// Returns the result for a response that cannot be read.
 fn unreadable(error: ReadError) -> ReadResponse {
     let outcome = match error {
         ReadError::Unparsable(_) | ReadError::TimedOut => Outcome::Error,
@@ -97,7 +99,7 @@
     ReadResponse::closed(outcome, ConnectionEnd::Unreadable(error))
 }
 
-/// Reads what follows a status line.
+/// Reads the part of a response that follows its status line.
 async fn read_rest(
     connection: &mut Connection,
     classify_response: fn(&ResponseHead<'_>) -> AttemptOutcome,
@@ -118,7 +120,8 @@
     match connection.read_body(head_len, framing, MAX_BODY_LEN).await {
         Ok(body_len) => {
             connection.consume(head_len + body_len);
-            // Bytes that follow a response belong to no attempt; the next attempt must not read them as its response.
+            // Bytes that follow a response belong to no attempt, and the next attempt must not read them as its
+            // response.
             if keep_alive && connection.bytes().is_empty() {
                 let reuse = Reuse::Possible;
                 Ok(ResponseRest::Final(ReadResponse { outcome, reuse }))
@@ -126,7 +129,7 @@
                 Ok(not_kept_alive(outcome))
             }
         }
-        // The rate limit report in a readable head counts, even if the body cannot be read.
+        // The rate limit report of a readable head is used even if the body cannot be read.
         Err(_) if is_delivered => Ok(not_kept_alive(outcome)),
         Err(error) => Err(error),
     }
--- a/crates/delivery/src/net/pool/run.rs
+++ b/crates/delivery/src/net/pool/run.rs
@@ -1,4 +1,4 @@
-//! Running one attempt: its connection, its request, and its response.
+//! Execution of one attempt: acquires a connection, writes the request, and reads the response.
 
 use super::acquire::{ConnectionOrigin, PooledConnection};
 use super::connection_end::ConnectionEnd;
@@ -16,22 +16,25 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// A reused connection that breaks within this time of the request had been closed by its endpoint before.
+/// Maximum time after the request in which the reset of a reused connection shows that the endpoint had closed the
+/// connection before the request.
 const STALE_RESET_WINDOW: Duration = Duration::from_millis(100);
 
-/// How long the process may be suspended between reading its clock and writing. Windows allow for more than that.
+/// Maximum time for which the process may be suspended between reading its clock and writing. Deduplication windows
+/// allow for more.
 const MAX_SUSPENSION: Duration = Duration::from_millis(150);
 
-/// How far a request was written.
+/// The result of writing a request.
 enum RequestWrite {
-    /// To its last byte: the endpoint may execute it.
+    /// The last byte was written, so the endpoint may execute the request.
     Complete,
-    /// Not at all, for lack of a permit.
+    /// No byte was written, since there was no permit to start the attempt.
     NotStarted,
-    /// In part, and its last byte is never written.
+    /// At most a part was written, and the last byte is never written.
     Incomplete(WriteStop),
 }
 
+/// The reason for which a request was not written completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteStop {
     /// The route is in backoff.
@@ -72,8 +75,9 @@
         }
     }
 
-    /// The conditions for sending an attempt. They may have changed while its connection was established: its endpoint
-    /// may drain or have moved, its route may be in backoff, its time may be over.
+    /// Returns the current conditions for sending an attempt. They may have changed while the connection was
+    /// established: the endpoint may be draining or have moved, the route may be in backoff, or the deadline may have
+    /// passed.
     fn send_conditions(&self, attempt: &Attempt<'_>, address: SocketAddr) -> SendConditions {
         SendConditions {
             endpoint_accepts: self.accepts_attempts_at(attempt.endpoint, address),
@@ -83,12 +87,13 @@
     }
 
     /// Checks the conditions again after the last byte of a request was written, since the process may have been
-    /// suspended in between, and counts a violation.
+    /// suspended between the previous check and the write. Counts a violation if the route was in backoff or the
+    /// deduplication window may have ended.
     fn check_sent(&self, attempt: &Attempt<'_>, address: SocketAddr) {
         let conditions = self.send_conditions(attempt, address);
         let rule = match conditions.may_continue(Instant::now()) {
             Err(Withheld::Backoff) => Rule::RespectBackoff,
-            // The window is that much longer than `write_by` allows for.
+            // The deduplication window ends at least `MAX_SUSPENSION` after `write_by`.
             Err(Withheld::Late) if attempt.write_by.elapsed() > MAX_SUSPENSION => {
                 Rule::RepeatWithinWindow
             }
@@ -108,7 +113,7 @@
         let response_timeout_ms = (attempt.timeout_at - now).as_millis() as u64;
         let EncodedRequest { head, body } = (attempt.encode)(response_timeout_ms);
         let address = pooled.address;
-        // An endpoint that reads slowly may delay the last byte for long.
+        // An endpoint that reads slowly may delay the last byte, so the deadline also covers the write.
         let write_all = async {
             let deadline = attempt.timeout_at.min(attempt.write_by);
             let write = with_deadline(deadline, pooled.connection.write(&head, &body));
@@ -183,13 +188,13 @@
 /// A connection that cannot be reused after its attempt.
 struct ClosedConnection {
     origin: ConnectionOrigin,
-    /// When the request was written.
+    /// The time at which the last byte of the request was written.
     written_at: Instant,
     end: ConnectionEnd,
 }
 
 impl ClosedConnection {
-    /// Replaces the outcome where the connection rather than the call has failed, and logs the end of the connection.
+    /// Replaces the outcome if the connection rather than the call has failed, and logs the end of the connection.
     fn adjust_outcome(self, outcome: AttemptOutcome, endpoint: EndpointId) -> AttemptOutcome {
         let (outcome, end) = match (self.origin, outcome.outcome, self.end) {
             (ConnectionOrigin::Reused, Outcome::Reset, _)
@@ -201,7 +206,7 @@
                 )
             }
             // An endpoint that rejects the first request of a connection and closes it accepts no more connections. It
-            // may still accept calls on other ones.
+            // may still accept calls on its other connections.
             (
                 ConnectionOrigin::New,
                 Outcome::Rejected { retry_after: None },
@@ -217,8 +222,8 @@
     }
 }
 
-/// The outcome of an attempt whose last byte was never written, so that it was not executed. A failed write on a reused
-/// connection only shows that the endpoint had closed that.
+/// Returns the outcome of an attempt whose last byte was never written, so that it was not executed. A failed write on
+/// a reused connection only shows that the endpoint had closed that connection.
 fn incomplete_write(pooled: &PooledConnection, attempt: &Attempt<'_>, stop: WriteStop) -> Outcome {
     let was_withheld = stop == WriteStop::Backoff || Instant::now() >= attempt.write_by;
     let end = if was_withheld {
@@ -243,7 +248,7 @@
     );
 }
 
-/// Awaits a future; `None` if the condition holds when the future is about to be polled.
+/// Awaits a future. Returns `None` as soon as the condition holds when the future is about to be polled.
 async fn unless<T>(condition: impl Fn() -> bool, future: impl Future<Output = T>) -> Option<T> {
     let mut future = std::pin::pin!(future);
     future::poll_fn(|context| {
--- a/crates/delivery/src/net/pool/tests.rs
+++ b/crates/delivery/src/net/pool/tests.rs
@@ -16,13 +16,13 @@
 
 const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// Long enough for any test; a timeout of this length is a failure.
+/// Time limit for operations that complete much sooner unless the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The endpoint that every pool of these tests lists.
+/// The endpoint that is listed in every pool of these tests.
 const ENDPOINT: EndpointId = EndpointId(0);
 
-/// The route of a destination whose endpoints share one.
+/// The route that all endpoints of a destination share.
 const SHARED: Route = Route {
     destination: DestinationId(7),
     endpoint: None,
@@ -32,7 +32,7 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// A pool that lists [`ENDPOINT`] at a listener's address.
+/// Creates a pool that lists [`ENDPOINT`] at a listener's address.
 fn pool(max_connections: usize, listener: &TcpListener) -> Pool {
     let limits = PoolLimits {
         connect_timeout: TEST_TIMEOUT,
@@ -94,12 +94,17 @@
     pool.run_attempt(attempt).await.outcome
 }
 
-/// Awaits an event while an attempt runs; the attempt must not end before it.
+/// Awaits an event while an attempt runs. Panics if the attempt ends before the event.
 async fn await_while_running<T>(
     attempt: &mut Pin<&mut impl Future<Output = Outcome>>,
     event: impl Future<Output = T>,
 ) -> T {
-    let ended_early = async { panic!("ended with {:?} before the event", attempt.await) };
+    let ended_early = async {
+        panic!(
+            "the attempt ended with {:?} before the event",
+            attempt.await
+        )
+    };
     future::or(event, ended_early).await
 }
 
@@ -107,7 +112,7 @@
     listener.accept().unwrap().0
 }
 
-/// Reads what an endpoint receives at once; returns the number of bytes.
+/// Reads from an endpoint's connection once and returns the number of bytes.
 fn receive(stream: &mut TcpStream) -> usize {
     stream.read(&mut [0; 256]).unwrap_or(0)
 }
@@ -116,7 +121,7 @@
     let _ = stream.write(response);
 }
 
-/// Reads an endpoint's connection to its end; returns the number of bytes.
+/// Reads from an endpoint's connection until its end and returns the number of bytes.
 fn read_to_end(mut stream: TcpStream) -> usize {
     let (mut bytes, mut total) = (vec![0; 1 << 16], 0);
     while let Ok(read @ 1..) = stream.read(&mut bytes) {
--- a/crates/delivery/src/net/pool/tests/backoff.rs
+++ b/crates/delivery/src/net/pool/tests/backoff.rs
@@ -1,10 +1,10 @@
 use super::*;
 use marblefall_scheduler::Span;
 
-/// More bytes than the system buffers for an endpoint that does not read.
+/// Length of a body in bytes that exceeds what the operating system buffers for an endpoint that does not read.
 const LARGE_BODY_LEN: usize = 32 << 20;
 
-/// A backoff applies also to attempts that were chosen before it was received.
+/// A backoff also applies to attempts that were started before the `Retry-After` was received.
 #[test]
 fn retry_after_received_during_connect_is_honoured() {
     let own_route = |id| Route {
@@ -31,7 +31,7 @@
         });
         let first = async_io::block_on(async {
             let mut first = std::pin::pin!(run_attempt_at(&pool, 1, ENDPOINT, routes[0]));
-            // It is connecting, and is not polled until the other route's response has been received.
+            // The first attempt is connecting, and is not polled again until the second one has its response.
             assert!(future::poll_once(&mut first).await.is_none());
             let second = run_attempt_at(&pool, 2, EndpointId(1), routes[1]).await;
             let rejected_for_15_s = Outcome::Rejected {
@@ -45,12 +45,12 @@
         assert_eq!(
             endpoints.join().unwrap() > 0,
             expected == Outcome::Delivered,
-            "bytes at the first endpoint"
+            "whether the first endpoint received a request"
         );
     }
 }
 
-/// Execution begins at a request's last byte, which must not be written during a backoff.
+/// An endpoint executes a request once it receives the last byte, which must not be written during a backoff.
 #[test]
 fn partial_write_stops_in_backoff() {
     let body = vec![b'x'; LARGE_BODY_LEN];
@@ -62,7 +62,7 @@
         let async_listener = Async::<TcpListener>::new(listener.try_clone().unwrap()).unwrap();
         let accepting = async { async_listener.accept().await.unwrap() };
         let (stream, _) = await_while_running(&mut running, accepting).await;
-        // A part of the request is written once the endpoint has bytes to read.
+        // Once the endpoint has bytes to read, a part of the request has been written.
         let first_bytes = async { stream.readable().await.unwrap() };
         await_while_running(&mut running, first_bytes).await;
         pool.back_off(SHARED, Instant::now() + Duration::from_secs(60));
@@ -81,7 +81,7 @@
     assert_eq!(outcome, Outcome::NotSent);
 }
 
-/// The last byte of a request must not be written after the window for repeated attempts.
+/// The last byte of a request must not be written after the deduplication window for repeated attempts.
 #[test]
 fn partial_write_stops_at_its_deadline() {
     let body = vec![b'x'; LARGE_BODY_LEN];
--- a/crates/delivery/src/net/pool/tests/endpoint_changes.rs
+++ b/crates/delivery/src/net/pool/tests/endpoint_changes.rs
@@ -1,8 +1,8 @@
 use super::*;
 use std::sync::mpsc;
 
-/// After a move, another process may listen on the old address: connections that were in use or being established must
-/// not be reused.
+/// After an endpoint has moved, another process may listen on its old address. Connections that were in use or being
+/// established at the time of the move must not carry another attempt.
 #[test]
 fn moved_endpoint_receives_nothing_at_its_old_address() {
     let [old, new] = [listen(), listen()];
@@ -32,7 +32,7 @@
         let mut connecting = std::pin::pin!(run_attempt(&pool, 2));
         assert!(
             future::poll_once(&mut connecting).await.is_none(),
-            "it is connecting"
+            "the attempt is not connecting"
         );
         pool.set_endpoint(ENDPOINT, &new_address, EndpointStatus::Active);
         moved.send(()).unwrap();
@@ -58,7 +58,7 @@
             let mut connecting = std::pin::pin!(run_attempt(&pool, 1));
             assert!(
                 future::poll_once(&mut connecting).await.is_none(),
-                "it is connecting"
+                "the attempt is not connecting"
             );
             match status {
                 EndpointStatus::Removed => pool.remove_endpoint(ENDPOINT),
@@ -68,6 +68,6 @@
         });
         drop(pool);
         let received = read_to_end(accept(&listener));
-        assert_eq!(received, 0, "bytes to a draining endpoint");
+        assert_eq!(received, 0, "bytes at the endpoint, {status:?}");
     }
 }
--- a/crates/delivery/src/net/pool/tests/fencing.rs
+++ b/crates/delivery/src/net/pool/tests/fencing.rs
@@ -2,8 +2,8 @@
 use crate::hot_restart::driver;
 use crate::hot_restart::incarnation::Incarnation;
 
-/// A process that was suspended, and resumes after another has taken over, must not start the attempts that it had
-/// chosen: a message would have two attempts in flight.
+/// A process that was suspended and resumes after another process has taken over must not send the attempts that it had
+/// started. Otherwise a message would have two attempts in flight.
 #[test]
 fn started_attempt_is_not_sent_once_fenced() {
     let folder = std::env::temp_dir().join(format!("marblefall-pool-fence-{}", std::process::id()));
--- a/crates/delivery/src/net/pool/tests/responses.rs
+++ b/crates/delivery/src/net/pool/tests/responses.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// A 200 is final whatever follows its status line, and the message must not be sent again.
+/// A 200 is final regardless of the bytes that follow its status line, and the message must not be sent again.
 #[test]
 fn unreadable_delivery_is_delivered() {
     let two_responses = OK_RESPONSE.repeat(2);
@@ -74,7 +74,8 @@
     );
 }
 
-/// An endpoint that rejects a new connection lacks connection slots; that says nothing of its limit on calls.
+/// An endpoint that rejects the first request of a connection and closes it lacks connection slots. This does not show
+/// that it has reached its limit on calls.
 #[test]
 fn rejection_that_closes_a_new_connection_is_connect_failed() {
     let rejects_and_closes = "HTTP/1.1 503 x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
--- a/crates/delivery/src/net/pool/tests/reuse.rs
+++ b/crates/delivery/src/net/pool/tests/reuse.rs
@@ -1,13 +1,13 @@
 use super::*;
 use std::sync::mpsc;
 
-/// The reset of a reused connection is no failure of its endpoint, which must not be ejected for it.
+/// The reset of a reused connection is not a failure of its endpoint, which must not be ejected because of it.
 #[test]
 fn reset_of_a_reused_connection_is_a_stale_connection() {
     let listener = listen();
     let pool = pool(9, &listener);
     std::thread::spawn(move || {
-        // The first connection ends with its second request, the second one with its first.
+        // The first connection is closed at its second request, and the second connection at its first request.
         for responses in [1, 0] {
             let mut stream = accept(&listener);
             for _ in 0..responses {
@@ -47,7 +47,7 @@
             let mut second = accept(&listener);
             receive(&mut second);
             second.write_all(OK_RESPONSE).unwrap();
-            // The first connection must be closed without another request.
+            // No other request may arrive on the first connection before it is closed.
             receive(&mut first)
         });
         let outcomes = async_io::block_on(async {
