--- a/crates/delivery/src/net/connection.rs
+++ b/crates/delivery/src/net/connection.rs
@@ -1,7 +1,7 @@
-//! One TCP connection with its read buffer.
+//! A TCP connection with its read buffer.
 //!
-//! Messages are read in place: the `read_*` functions leave what they read in the buffer, and the caller consumes it.
-//! Dropping a read before it completes loses no bytes.
+//! Messages are read in place: the `read_*` functions leave the bytes of a message in the buffer, and the caller
+//! consumes them. No bytes are lost if a read is dropped before it completes.
 
 mod message;
 mod read_error;
@@ -17,18 +17,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The delay between two attempts to connect while this machine lacks a resource for it.
+/// Delay between two attempts to connect while this machine lacks a resource for it.
 const LOCAL_ERROR_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The most bytes that one read requests from the system.
+/// Minimum free space in the buffer for one read, in bytes.
 const READ_SIZE: usize = 16 * 1024;
-/// The capacity that an empty buffer retains, in bytes.
+/// Maximum capacity that an empty buffer retains, in bytes.
 const MAX_RETAINED_CAPACITY: usize = 2 * READ_SIZE;
-/// The most bytes that are read while the peer awaits its response.
+/// Number of buffered bytes above which reading stops while the peer awaits its response.
 const MAX_READ_AHEAD: usize = 4 * READ_SIZE;
-/// The most unread bytes that are counted.
+/// Maximum number of unread bytes that are counted.
 const MAX_UNREAD_COUNTED: usize = 1024;
 
-/// Awaits a future until a deadline; `None` if that passes first.
+/// Awaits a future until a deadline. Returns `None` if the deadline passes first.
 pub async fn with_deadline<T>(
     deadline: Instant,
     future: impl future::Future<Output = T>,
@@ -40,41 +40,41 @@
     .await
 }
 
-/// A connection, and what was read from it but not yet consumed.
+/// A connection, and the bytes that were read from it but are not consumed yet.
 pub struct Connection {
     stream: Rc<Async<TcpStream>>,
     buffer: Vec<u8>,
-    /// The end of the consumed bytes at the start of the buffer.
+    /// The index in the buffer at which the unconsumed bytes start.
     consumed: usize,
-    /// The end of the bytes that were read; the rest of the buffer is free.
+    /// The index in the buffer at which the unconsumed bytes end. The rest of the buffer is free.
     filled: usize,
-    /// Bytes that were read from the system.
+    /// The number of bytes that were read from the socket.
     bytes_received: u64,
-    /// Bytes that the system has accepted for sending.
+    /// The number of bytes that the socket has accepted for sending.
     bytes_sent: u64,
-    /// Dropped with the connection.
+    /// A value that is dropped with the connection, to release a resource.
     guard: Option<Box<dyn std::any::Any>>,
 }
 
-/// Detects unread bytes on a connection, also while another task awaits them.
+/// Detects unread bytes on a connection. It can be used while another future reads from the connection.
 pub struct UnreadDetector {
     stream: Rc<Async<TcpStream>>,
 }
 
 impl UnreadDetector {
-    /// Whether the system has received bytes that are not read yet.
+    /// Returns whether the socket has received bytes that are not read yet.
     pub fn has_unread(&self) -> bool {
         peek(&self.stream, &mut [0]).is_ok_and(|available| available > 0)
     }
 
-    /// How many bytes the system has received that are not read yet, up to 1,024. Closing the connection
-    /// over them resets it.
+    /// Returns the number of bytes that the socket has received and that are not read yet, up to 1,024. Closing a
+    /// connection with unread bytes resets it.
     pub fn unread_len(&self) -> usize {
         peek(&self.stream, &mut [0; MAX_UNREAD_COUNTED]).unwrap_or(0)
     }
 }
 
-/// Peeks at unread bytes without waiting; 0 once the peer has closed its sending side.
+/// Peeks at unread bytes without waiting. Returns 0 once the peer has closed its sending side.
 fn peek(stream: &Async<TcpStream>, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         match stream.get_ref().peek(buffer) {
@@ -85,9 +85,9 @@
 }
 
 impl Connection {
-    /// Wraps a stream.
+    /// Creates a connection from a stream.
     pub fn new(stream: Async<TcpStream>) -> Connection {
-        // With Nagle's algorithm the last part of a message could wait for the peer's acknowledgement.
+        // Nagle's algorithm could delay the last part of a message until the peer acknowledges the part before it.
         let _ = stream.get_ref().set_nodelay(true);
         Connection {
             stream: Rc::new(stream),
@@ -103,16 +103,16 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// The peer cannot be reached.
+    /// Returns the I/O error if the connection cannot be established.
     pub async fn connect(to: SocketAddr) -> io::Result<Connection> {
         Async::<TcpStream>::connect(to).await.map(Connection::new)
     }
 
-    /// Opens a connection. While this machine has no descriptor, address or route for it, the peer is not at fault:
-    /// connecting is then retried until the caller drops the future.
+    /// Opens a connection, and retries while this machine has no file descriptor, address or route for it. The peer is
+    /// not the cause of such an error. Retries end when the caller drops the future.
     ///
     /// # Errors
-    /// The peer cannot be reached.
+    /// Returns the I/O error if the connection cannot be established for another reason.
     pub async fn connect_with_retry(to: SocketAddr) -> io::Result<Connection> {
         loop {
             let error = match Connection::connect(to).await {
@@ -122,7 +122,10 @@
             if !is_local_resource_error(&error) {
                 return Err(error);
             }
-            log_line!(code = "connect-deferred", "{to}: {error}");
+            log_line!(
+                code = "connect-deferred",
+                "connecting to {to} failed, retrying: {error}"
+            );
             Timer::after(LOCAL_ERROR_RETRY_DELAY).await;
         }
     }
@@ -133,37 +136,39 @@
         self
     }
 
-    /// What was read and not consumed.
+    /// Returns the bytes that were read and are not consumed yet.
     pub fn bytes(&self) -> &[u8] {
         &self.buffer[self.consumed..self.filled]
     }
 
-    /// How many bytes were read from the system.
+    /// Returns the number of bytes that were read from the socket.
     pub fn bytes_received(&self) -> u64 {
         self.bytes_received
     }
 
-    /// How many bytes the system has accepted for sending, including those of writes that then failed.
+    /// Returns the number of bytes that the socket has accepted for sending, including those of writes that failed
+    /// later.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// Marks bytes as consumed; the buffer is reused once all are.
+    /// Marks the first `len` unconsumed bytes as consumed. The buffer is reused once all its bytes are consumed.
     pub fn consume(&mut self, len: usize) {
         self.consumed += len;
         if self.consumed == self.filled {
             (self.consumed, self.filled) = (0, 0);
-            // One large body must not leave its capacity allocated on an idle connection.
+            // The capacity for a large body must not stay allocated while the connection is idle.
             self.buffer.truncate(MAX_RETAINED_CAPACITY);
             self.buffer.shrink_to(MAX_RETAINED_CAPACITY);
         }
     }
 
-    /// Reads more bytes; false once the peer has closed its sending side. Reads race against time-outs and responses:
-    /// one that is dropped before it completes leaves the unconsumed bytes unchanged.
+    /// Reads more bytes into the buffer. Returns `false` once the peer has closed its sending side. Callers race reads
+    /// against time-outs and responses: a read that is dropped before it completes leaves the unconsumed bytes
+    /// unchanged.
     ///
     /// # Errors
-    /// The connection failed.
+    /// Returns the I/O error of the connection.
     pub async fn fill(&mut self) -> io::Result<bool> {
         if self.consumed > 0 {
             self.buffer.copy_within(self.consumed..self.filled, 0);
@@ -174,7 +179,7 @@
         }
         let read = loop {
             match (&*self.stream).read(&mut self.buffer[self.filled..]).await {
-                // Nothing was read, and the connection is intact.
+                // A signal interrupted the read. Nothing was read, and the connection is intact.
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 read => break read?,
             }
@@ -184,10 +189,10 @@
         Ok(read > 0)
     }
 
-    /// Writes a head and a body, in one system call where the system accepts both at once.
+    /// Writes a head and a body, in one system call if the socket accepts both at once.
     ///
     /// # Errors
-    /// The connection failed.
+    /// Returns the I/O error of the connection.
     pub async fn write(&mut self, mut head: &[u8], mut body: &[u8]) -> io::Result<()> {
         while !head.is_empty() || !body.is_empty() {
             let parts = [io::IoSlice::new(head), io::IoSlice::new(body)];
@@ -205,48 +210,50 @@
         Ok(())
     }
 
-    /// Whether an idle connection can be reused: it is open and has received no unrequested bytes.
+    /// Returns whether an idle connection can be reused, which requires that it is open and has received no unrequested
+    /// bytes.
     pub fn is_reusable(&self) -> bool {
         let would_block = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
         self.bytes().is_empty() && peek(&self.stream, &mut [0]).err().is_some_and(would_block)
     }
 
-    /// Whether more than `len` unconsumed bytes have been received.
+    /// Returns whether more than `len` unconsumed bytes are in the buffer, or any unread bytes in the socket.
     pub fn has_more_than(&self, len: usize) -> bool {
         self.bytes().len() > len || self.unread_detector().has_unread()
     }
 
-    /// The socket itself, for tests that write without the executor.
+    /// Returns the socket, for tests that write to it without the executor.
     #[cfg(test)]
     pub fn socket(&self) -> &TcpStream {
         self.stream.get_ref()
     }
 
-    /// A detector for unread bytes on this connection.
+    /// Returns a detector of unread bytes on this connection.
     pub fn unread_detector(&self) -> UnreadDetector {
         UnreadDetector {
             stream: self.stream.clone(),
         }
     }
 
-    /// Waits until the peer closes the connection. Bytes that are received meanwhile stay in the buffer.
+    /// Waits until the peer closes the connection. Bytes that are received in the meantime stay in the buffer. If there
+    /// are more than 64 KiB of them, the function stops reading and never returns.
     pub async fn wait_until_closed(&mut self) {
         while matches!(self.fill().await, Ok(true)) {
-            // A peer that sends without awaiting its response must not fill the buffer without bound.
+            // The buffer must not grow without bound if the peer sends without awaiting its response.
             if self.bytes().len() > MAX_READ_AHEAD {
                 return future::pending().await;
             }
         }
     }
 
-    /// Closes the sending side and discards what is received until a deadline: closing a connection that has unread
-    /// bytes would reset it, and the peer would lose the last response.
+    /// Closes the sending side, and discards received bytes until the peer closes its side or a deadline passes.
+    /// Closing a connection that has unread bytes would reset it, and the peer would lose the last response.
     pub async fn linger(&mut self, until: Instant) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
         let _ = with_deadline(until, async {
             while matches!(self.fill().await, Ok(true)) {
                 self.consume(self.bytes().len());
-                // A read that always finds bytes never suspends, and other tasks would not run.
+                // Reads never suspend while bytes are available. Without this yield, other tasks would not run.
                 future::yield_now().await;
             }
         })
--- a/crates/delivery/src/net/connection/message.rs
+++ b/crates/delivery/src/net/connection/message.rs
@@ -1,4 +1,4 @@
-//! Reading the parts of an HTTP message into the buffer of a connection.
+//! Functions that read the parts of an HTTP message into the buffer of a connection.
 
 use super::{Connection, ReadError};
 use crate::net::http::{self, ChunkedDecoder, DecodeStep, Framing, ParseError};
@@ -7,7 +7,7 @@
     /// Reads the status line of a response and returns its status.
     ///
     /// # Errors
-    /// The connection ended first, or the line is malformed or longer than `max_len` bytes.
+    /// Fails if the connection ends first, or the line is malformed or longer than `max_len` bytes.
     pub async fn read_status_line(&mut self, max_len: usize) -> Result<u16, ReadError> {
         loop {
             if let Some(line) = http::parse_status_line(self.bytes())? {
@@ -20,10 +20,10 @@
         }
     }
 
-    /// Reads up to the end of a head and returns its length in bytes.
+    /// Reads until the buffer contains a complete head, and returns the head's length in bytes.
     ///
     /// # Errors
-    /// The connection ended first, or the head is longer than `max_len` bytes.
+    /// Fails if the connection ends first, or the head is longer than `max_len` bytes.
     pub async fn read_head(&mut self, max_len: usize) -> Result<usize, ReadError> {
         let mut searched = 0;
         loop {
@@ -46,7 +46,7 @@
     /// follows the head in the buffer.
     ///
     /// # Errors
-    /// The connection ended first, or the body is malformed or longer than `max_len` bytes.
+    /// Fails if the connection ends first, or the body is malformed or longer than `max_len` bytes.
     pub async fn read_body(
         &mut self,
         head_len: usize,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Removes bytes within what was read and not consumed, so that the chunks' content is joined in place.
+    /// Removes `len` bytes at `offset` of the unconsumed bytes, which joins the content of two chunks in place.
     fn remove_bytes(&mut self, offset: usize, len: usize) {
         let start = self.consumed + offset;
         self.buffer.copy_within(start + len..self.filled, start);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Reads more of a head, of which nothing may have been received yet.
+    /// Reads more bytes of a head. The connection may have received none of it yet.
     async fn fill_head(&mut self) -> Result<(), ReadError> {
         let is_between_messages = self.bytes().is_empty();
         match self.fill_message().await {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Reads more of a message of which a part has been received.
+    /// Reads more bytes of a message that has been received in part.
     async fn fill_message(&mut self) -> Result<(), ReadError> {
         match self.fill().await {
             Ok(true) => Ok(()),
--- a/crates/delivery/src/net/connection/read_error.rs
+++ b/crates/delivery/src/net/connection/read_error.rs
@@ -1,22 +1,22 @@
-//! Why reading a message from a connection stopped.
+//! Errors of reading a message from a connection.
 
 use crate::net::http::{status, ParseError};
 use std::io;
 
-/// Why reading a message stopped.
+/// An error of reading a message from a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The peer closed the connection between two messages.
-    #[error("closed by the peer")]
+    #[error("the peer closed the connection")]
     Closed,
     /// The peer closed the connection within a message.
-    #[error("closed by the peer within a message")]
+    #[error("the peer closed the connection within a message")]
     Truncated,
     /// The connection failed.
     #[error("the connection failed")]
     Io(#[source] io::Error),
     /// The message was not received in time.
-    #[error("timed out")]
+    #[error("the message was not received in time")]
     TimedOut,
     /// The message cannot be parsed.
     #[error(transparent)]
@@ -24,7 +24,7 @@
 }
 
 impl ReadError {
-    /// The reason code for the log.
+    /// Returns the reason code for the log.
     pub fn code(&self) -> &'static str {
         match self {
             ReadError::Closed => "closed-by-peer",
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The status of the response to a request that could not be read; `None` where its connection has ended.
+    /// Returns the status of the response to a request that could not be read, or `None` if the connection has ended.
     pub fn rejection_status(&self) -> Option<u16> {
         match self {
             ReadError::TimedOut => Some(status::REQUEST_TIMEOUT),
--- a/crates/delivery/src/net/connection/tests.rs
+++ b/crates/delivery/src/net/connection/tests.rs
@@ -10,7 +10,7 @@
         let (mut client, mut peer) = (client.unwrap(), Connection::new(peer.unwrap().0));
         assert!(
             future::poll_once(client.fill()).await.is_none(),
-            "nothing was sent yet"
+            "the read completed before anything was sent"
         );
         assert!(client.bytes().is_empty() && client.is_reusable());
         peer.write(b"GET / HTTP/1.1\r\n\r\n", b"").await.unwrap();
--- a/crates/delivery/src/net/http.rs
+++ b/crates/delivery/src/net/http.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 as far as the delivery of messages needs it.
+//! The subset of HTTP/1.1 that the delivery of messages needs.
 //!
-//! Parsers work on the read buffer in place: a head borrows from it, and a chunked body is joined within it
-//! ([`ChunkedDecoder`]). Callers copy only what must outlive the buffer.
+//! Parsers work on the read buffer in place: a parsed head borrows from it, and the chunks of a body are joined within
+//! it ([`ChunkedDecoder`]). Callers copy only the data that must outlive the buffer.
 
 mod chunked;
 mod fields;
@@ -20,22 +20,22 @@
 pub use head_writer::HeadWriter;
 pub use retry_after::retry_after;
 
-/// Why a message cannot be parsed.
+/// An error of parsing an HTTP message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// It is not HTTP/1.1, or contradicts itself.
-    #[error("malformed")]
+    /// The message is not HTTP/1.1, or its parts contradict each other.
+    #[error("malformed HTTP message")]
     Malformed,
-    /// Its head is longer than allowed.
+    /// The head is longer than allowed.
     #[error("the head is too large")]
     HeadTooLarge,
-    /// Its body is longer than allowed.
+    /// The body is longer than allowed.
     #[error("the body is too large")]
     BodyTooLarge,
 }
 
 impl ParseError {
-    /// The status with which a server responds.
+    /// Returns the status of a server's response to a request with this error.
     pub fn status(self) -> u16 {
         match self {
             ParseError::Malformed => status::BAD_REQUEST,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The reason code for the log.
+    /// Returns the reason code for the log.
     pub fn code(self) -> &'static str {
         match self {
             ParseError::Malformed => "malformed",
--- a/crates/delivery/src/net/http/chunked.rs
+++ b/crates/delivery/src/net/http/chunked.rs
@@ -1,54 +1,55 @@
-//! Decoding of a chunked body: a state machine that is fed with the bytes at hand.
+//! Decoding of a chunked body by a state machine, whose input is the bytes that have been received so far.
 
 use super::ParseError;
 
-/// The longest line with a chunk's size, or of the trailer, in bytes.
+/// Maximum length, in bytes, of a trailer line or a line with a chunk's size.
 const MAX_LINE_LEN: usize = 256;
-/// The most digits of a chunk's size.
+/// Maximum number of hexadecimal digits in a chunk's size.
 const MAX_SIZE_DIGITS: usize = 8;
 const HEXADECIMAL: u32 = 16;
 const LINE_END: &[u8; 2] = b"\r\n";
 
-/// The decoder of one chunked body.
+/// Decodes one chunked body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChunkedDecoder {
     state: State,
 }
 
-/// What the decoder expects next.
+/// The state of a decoder, named after the part of the body that it expects next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// A line with the size of a chunk.
+    /// The decoder expects a line with the size of a chunk.
     #[default]
     Size,
-    /// This many more bytes of a chunk.
+    /// The decoder expects this many more bytes of a chunk.
     Data(usize),
-    /// The line end after a chunk.
+    /// The decoder expects the line end after a chunk.
     DataEnd,
-    /// Trailer lines, up to the empty one.
+    /// The decoder expects trailer lines, up to the empty one.
     Trailer,
-    /// Nothing: the body is complete.
+    /// The body is complete.
     Done,
 }
 
-/// What the input starts with.
+/// The type and the length of the bytes at the start of a decoder's input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeStep {
-    /// This many bytes that are not content.
+    /// The input starts with this many bytes that are not content.
     Skip(usize),
-    /// This many bytes of content.
+    /// The input starts with this many bytes of content.
     Content(usize),
-    /// Too few bytes to decide: the caller must read more.
+    /// The input is too short to decode, and the caller must read more bytes.
     NeedMore,
-    /// Nothing: the body is complete.
+    /// The body is complete.
     Done,
 }
 
 impl ChunkedDecoder {
-    /// Decodes the start of `input`. The caller consumes the bytes that the step names before the next call.
+    /// Decodes the start of `input`. Before the next call, the caller removes as many bytes from the input as the step
+    /// contains.
     ///
     /// # Errors
-    /// The body is malformed.
+    /// Fails if the body is malformed.
     pub fn next(&mut self, input: &[u8]) -> Result<DecodeStep, ParseError> {
         match self.state {
             State::Size => self.decode_size(input),
@@ -107,7 +108,7 @@
     }
 }
 
-/// The length of the line that `input` starts with, line end included; `None` while the line is incomplete.
+/// Returns the length of the line at the start of `input`, including its line end, or `None` while it is incomplete.
 fn line_len(input: &[u8]) -> Result<Option<usize>, ParseError> {
     match input.iter().position(|byte| *byte == b'\n') {
         Some(end) if end > 0 && end <= MAX_LINE_LEN && input[end - 1] == b'\r' => Ok(Some(end + 1)),
@@ -117,7 +118,7 @@
     }
 }
 
-/// The size that a line gives, before any chunk extensions.
+/// Parses the line with a chunk's size, and ignores chunk extensions.
 fn chunk_size(line: &[u8]) -> Result<usize, ParseError> {
     let digits = line
         .split(|byte| *byte == b';')
--- a/crates/delivery/src/net/http/fields.rs
+++ b/crates/delivery/src/net/http/fields.rs
@@ -1,19 +1,19 @@
-//! Header fields, and the framing of a body that they declare.
+//! Header fields, and the body framing that they declare.
 
 use super::{header, ParseError};
 
-/// How the end of a message's body is found.
+/// The framing of a message's body, which defines where the body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After this many bytes.
+    /// The body has this length in bytes.
     Length(usize),
-    /// By the chunked transfer coding.
+    /// The body has the chunked transfer coding.
     Chunked,
-    /// By the end of the connection; responses only.
+    /// The body ends with the connection. Only responses have this framing.
     UntilEnd,
 }
 
-/// The most header fields that a message may have.
+/// Maximum number of header fields in a message.
 pub(super) const MAX_FIELDS: usize = 100;
 
 /// The header fields of a message, borrowed from the read buffer.
@@ -23,34 +23,35 @@
 }
 
 impl<'a> Fields<'a> {
-    /// All fields in their order.
+    /// Iterates over the names and values of all fields in the order of the message.
     pub fn iter(&self) -> impl Iterator<Item = (&'a str, &'a [u8])> + '_ {
         self.fields.iter().copied()
     }
 
-    /// The values of all fields with a name.
+    /// Iterates over the values of all fields with a name.
     pub fn all<'s>(&'s self, name: &'s str) -> impl Iterator<Item = &'a [u8]> + 's {
         self.iter()
             .filter(move |(field, _)| field.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// The value of the first field with a name.
+    /// Returns the value of the first field with a name.
     pub fn get(&self, name: &str) -> Option<&'a [u8]> {
         self.all(name).next()
     }
 
-    /// The value of the first field with a name; `None` also where it is not UTF-8.
+    /// Returns the value of the first field with a name, or `None` if there is no such field or its value is not UTF-8.
     pub fn text(&self, name: &str) -> Option<&'a str> {
         self.get(name)
             .and_then(|value| std::str::from_utf8(value).ok())
     }
 
-    /// Whether the sender closes the connection after this message.
+    /// Returns whether the sender closes the connection after this message.
     pub fn requests_close(&self) -> bool {
         self.contains_token(header::CONNECTION, "close")
     }
 
+    /// Returns whether a field with a comma-separated list as its value contains a token.
     fn contains_token(&self, name: &str, token: &str) -> bool {
         let mut parts = self
             .all(name)
@@ -58,13 +59,14 @@
         parts.any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// The framing that the fields declare, if any.
+    /// Returns the framing that the fields declare, if any.
     pub(super) fn framing(&self) -> Result<Option<Framing>, ParseError> {
         let mut lengths = self.all(header::CONTENT_LENGTH);
         let length = lengths.next();
         let mut codings = self.all(header::TRANSFER_ENCODING);
         let coding = codings.next();
-        // With two lengths, or a length beside a coding, two readers could see two different messages.
+        // With two lengths, or both a length and a coding, two receivers could find different ends of the message
+        // (request smuggling).
         if lengths.next().is_some() || length.is_some() && coding.is_some() {
             return Err(ParseError::Malformed);
         }
@@ -82,7 +84,7 @@
     }
 }
 
-/// A body's length: decimal digits alone, where Rust would accept a sign as well.
+/// Parses a body's length. Only decimal digits are valid, whereas Rust's integer parser also accepts a sign.
 fn parse_length(text: &[u8]) -> Result<usize, ParseError> {
     let is_number = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(text)
--- a/crates/delivery/src/net/http/head.rs
+++ b/crates/delivery/src/net/http/head.rs
@@ -1,48 +1,50 @@
-//! The heads of requests and responses.
+//! Parsing of the heads of requests and responses.
 
 use super::fields::MAX_FIELDS;
 use super::{status, Fields, Framing, ParseError};
 
 /// The end of a head: the end of its last line, and the empty line.
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
-/// The longest status line, in bytes.
+/// Maximum length of a status line in bytes.
 const MAX_STATUS_LINE_LEN: usize = 1024;
 /// The start of every status line: `v` stands for the minor version, `s` for a digit of the status.
 const STATUS_LINE_PATTERN: &[u8; 12] = b"HTTP/1.v sss";
 const STATUS_DIGITS: usize = 3;
+/// The index of the minor version in a status line.
 const MINOR_VERSION_INDEX: usize = 7;
+/// The control character DEL.
 const DELETE: u8 = 0x7f;
 
 /// The head of a request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RequestHead<'a> {
-    /// The method.
+    /// The method, for example `POST`.
     pub method: &'a str,
     /// The path without the query.
     pub path: &'a str,
     /// The header fields.
     pub fields: Fields<'a>,
-    /// How the end of the body is found.
+    /// The framing of the body.
     pub framing: Framing,
-    /// Whether the sender keeps the connection open.
+    /// Whether the client keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
 /// The head of a response.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ResponseHead<'a> {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The header fields.
     pub fields: Fields<'a>,
-    /// How the end of the body is found.
+    /// The framing of the body.
     pub framing: Framing,
-    /// Whether the sender keeps the connection open.
+    /// Whether the server keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
 impl ResponseHead<'_> {
-    /// A response of which only the status is known.
+    /// Creates the head of a response of which only the status is known.
     pub fn with_status(status: u16) -> ResponseHead<'static> {
         ResponseHead {
             status,
@@ -58,12 +60,12 @@
 pub struct StatusLine {
     /// Whether the version is HTTP/1.1 rather than HTTP/1.0.
     pub is_http_1_1: bool,
-    /// The status.
+    /// The status code.
     pub status: u16,
 }
 
-/// The length of the head at the start of a buffer, including its empty line. The first `searched` bytes were passed to
-/// an earlier call that found no end.
+/// Returns the length of the head at the start of a buffer, including its empty line, or `None` if the head is
+/// incomplete. The first `searched` bytes were passed to an earlier call that found no end.
 pub fn head_end(buffer: &[u8], searched: usize) -> Option<usize> {
     let from = searched.saturating_sub(HEAD_END.len() - 1);
     let found = buffer
@@ -73,10 +75,10 @@
     Some(from + found + HEAD_END.len())
 }
 
-/// Parses the head of a request; `head` ends with its empty line.
+/// Parses the head of a request. `head` includes the empty line at its end.
 ///
 /// # Errors
-/// The head is malformed.
+/// Fails if the head is malformed.
 pub fn parse_request(head: &[u8]) -> Result<RequestHead<'_>, ParseError> {
     let (request_line, fields) = parse_head(head)?;
     let mut parts = request_line.split(' ');
@@ -101,10 +103,10 @@
     })
 }
 
-/// Parses the head of a response; `head` ends with its empty line.
+/// Parses the head of a response. `head` includes the empty line at its end.
 ///
 /// # Errors
-/// The head is malformed.
+/// Fails if the head is malformed.
 pub fn parse_response(head: &[u8]) -> Result<ResponseHead<'_>, ParseError> {
     let StatusLine {
         is_http_1_1,
@@ -125,10 +127,11 @@
     })
 }
 
-/// Parses the status line of a response; `None` while the line is incomplete.
+/// Parses the status line of a response. Returns `None` while the line is incomplete.
 ///
 /// # Errors
-/// The line is malformed. The first wrong byte is enough, since an endpoint that sends garbage may never end a line.
+/// Fails if the line is malformed. An incomplete line fails at its first invalid byte, since an endpoint that sends
+/// garbage may never end a line.
 pub fn parse_status_line(input: &[u8]) -> Result<Option<StatusLine>, ParseError> {
     if !input.iter().zip(STATUS_LINE_PATTERN).all(matches_pattern) {
         return Err(ParseError::Malformed);
@@ -168,7 +171,7 @@
     }
 }
 
-/// Splits a head into its first line and its fields.
+/// Splits a head into its first line and its header fields.
 fn parse_head(head: &[u8]) -> Result<(&str, Fields<'_>), ParseError> {
     let head = head.strip_suffix(HEAD_END).ok_or(ParseError::Malformed)?;
     let mut lines = head.split(|byte| *byte == b'\n').map(parse_line);
@@ -185,7 +188,7 @@
     Ok((first, Fields { fields }))
 }
 
-/// One line of a head without its end. The last line was split from its end together with the empty line.
+/// Returns one line of a head without its line end. The last line has none, as it was removed with the empty line.
 fn parse_line(line: &[u8]) -> Result<&[u8], ParseError> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let is_control = |byte: &u8| *byte < b' ' && *byte != b'\t' || *byte == DELETE;
@@ -209,12 +212,12 @@
     Ok((name, line[colon + 1..].trim_ascii()))
 }
 
-/// Whether a byte may stand in a method or a field's name.
+/// Returns whether a byte may occur in a method or a field's name.
 fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// Whether a protocol version is HTTP/1.1 rather than HTTP/1.0.
+/// Returns whether a protocol version is HTTP/1.1 rather than HTTP/1.0.
 fn is_http_1_1(version: &str) -> Result<bool, ParseError> {
     match version {
         "HTTP/1.1" => Ok(true),
--- a/crates/delivery/src/net/http/head_writer.rs
+++ b/crates/delivery/src/net/http/head_writer.rs
@@ -1,10 +1,10 @@
-//! Encoding of heads.
+//! Encoding of the heads of requests and responses.
 
 use super::status;
 
 /// Encodes the head of a request or a response.
 ///
-/// Names and values are written as they are: callers ensure that none contains a line end.
+/// Names and values are written without escaping. Callers ensure that none of them contains a line end.
 #[derive(Debug)]
 pub struct HeadWriter {
     head: Vec<u8>,
@@ -35,7 +35,7 @@
         self
     }
 
-    /// Adds a header field if there is a value for it.
+    /// Adds a header field if its value is present.
     pub fn optional_field(self, name: &str, value: Option<impl AsRef<[u8]>>) -> HeadWriter {
         match value {
             Some(value) => self.field(name, value),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Ends the head with its empty line.
+    /// Ends the head with the empty line and returns its bytes.
     pub fn finish(mut self) -> Vec<u8> {
         self.head.extend(b"\r\n");
         self.head
--- a/crates/delivery/src/net/http/header.rs
+++ b/crates/delivery/src/net/http/header.rs
@@ -1,20 +1,20 @@
-//! Names of the standard header fields that this program reads or writes. Lookups ignore case.
+//! The names of the standard header fields that this program reads or writes. Lookups of fields ignore case.
 
-/// Whether the sender closes the connection after this message.
+/// Options of the connection; `close` if the sender closes the connection after this message.
 pub const CONNECTION: &str = "Connection";
 /// The length of the body in bytes.
 pub const CONTENT_LENGTH: &str = "Content-Length";
 /// The media type of the body.
 pub const CONTENT_TYPE: &str = "Content-Type";
-/// When the message was written.
+/// The time at which the message was written.
 pub const DATE: &str = "Date";
-/// What the client expects before it sends the body.
+/// The client's expectation of the server; `100-continue` if the client awaits a response before it sends the body.
 pub const EXPECT: &str = "Expect";
 /// The host that a request is addressed to.
 pub const HOST: &str = "Host";
-/// The key by which a receiver recognises a repeated request.
+/// The key by which a receiver detects a repeated request.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-/// When the client may retry: seconds, or a date.
+/// The time after which the client may retry, in seconds or as a date.
 pub const RETRY_AFTER: &str = "Retry-After";
-/// How the body is encoded for the transfer.
+/// The transfer coding of the body.
 pub const TRANSFER_ENCODING: &str = "Transfer-Encoding";
--- a/crates/delivery/src/net/http/retry_after.rs
+++ b/crates/delivery/src/net/http/retry_after.rs
@@ -4,13 +4,14 @@
 use marblefall_scheduler::Span;
 use std::time::SystemTime;
 
-/// A longer delay is reduced to this, so that sums with it do not overflow a clock.
+/// Maximum delay in seconds. Longer delays are reduced to it, since adding them to a time could overflow.
 const MAX_RETRY_AFTER_S: f64 = 3600.0;
 const MS_PER_S: f64 = 1000.0;
 
-/// How long a response asks its client to wait: seconds, with or without decimals, or until a date.
+/// Returns the delay that a response requests in its `Retry-After` field: seconds, with or without decimals, or the
+/// time until a date.
 ///
-/// `None` where the field is missing, cannot be parsed, or names no positive delay.
+/// Returns `None` if the field is missing, cannot be parsed, or contains no positive delay.
 pub fn retry_after(response: &ResponseHead<'_>) -> Option<Span> {
     let text = response.fields.text(header::RETRY_AFTER)?.trim();
     let seconds = text
@@ -21,10 +22,10 @@
     Some(Span::from_ms(seconds.min(MAX_RETRY_AFTER_S) * MS_PER_S))
 }
 
-/// The seconds from when the response was written until a date; 0 for a date in the past.
+/// Returns the seconds between the time when the response was written and a date, or 0 for an earlier date.
 fn seconds_until(date: &str, response: &ResponseHead<'_>) -> Option<f64> {
     let date = httpdate::parse_http_date(date).ok()?;
-    // Both dates come from the sender's clock, which may differ from this machine's.
+    // Both dates are from the sender's clock, which may differ from this machine's clock.
     let written_at = response
         .fields
         .text(header::DATE)
--- a/crates/delivery/src/net/http/status.rs
+++ b/crates/delivery/src/net/http/status.rs
@@ -4,9 +4,9 @@
 pub const OK: u16 = 200;
 /// The request was accepted for later processing.
 pub const ACCEPTED: u16 = 202;
-/// The request succeeded; the response has no content.
+/// The request succeeded. The response has no content.
 pub const NO_CONTENT: u16 = 204;
-/// The content that the client has is still valid; the response has no content.
+/// The client's copy of the content is still valid. The response has no content.
 pub const NOT_MODIFIED: u16 = 304;
 /// The request is malformed.
 pub const BAD_REQUEST: u16 = 400;
@@ -22,7 +22,7 @@
 pub const PROXY_AUTHENTICATION_REQUIRED: u16 = 407;
 /// The request was not received in time.
 pub const REQUEST_TIMEOUT: u16 = 408;
-/// The request conflicts with the state of its target.
+/// The request conflicts with the state of the target.
 pub const CONFLICT: u16 = 409;
 /// The target is no longer available.
 pub const GONE: u16 = 410;
@@ -42,34 +42,34 @@
 pub const REQUEST_HEADER_FIELDS_TOO_LARGE: u16 = 431;
 /// The server failed.
 pub const INTERNAL_SERVER_ERROR: u16 = 500;
-/// A server behind this one failed.
+/// An upstream server failed.
 pub const BAD_GATEWAY: u16 = 502;
-/// The server cannot process requests at the moment.
+/// The server temporarily cannot process requests.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
-/// A server behind this one did not respond in time.
+/// An upstream server did not respond in time.
 pub const GATEWAY_TIMEOUT: u16 = 504;
 
-/// Whether a number is a status at all.
+/// Returns whether a number is a valid status code.
 pub(super) fn is_valid(status: u16) -> bool {
     (100..600).contains(&status)
 }
 
-/// Whether a status is that of an interim response, which another response follows.
+/// Returns whether a status is that of an interim response, which is followed by another response.
 pub fn is_interim(status: u16) -> bool {
     (100..200).contains(&status)
 }
 
-/// Whether a status reports that the request failed.
+/// Returns whether a status reports that the request failed.
 pub fn is_error(status: u16) -> bool {
     status >= BAD_REQUEST
 }
 
-/// Whether a response with this status never has a body.
+/// Returns whether a response with this status never has a body.
 pub(super) fn has_no_body(status: u16) -> bool {
     is_interim(status) || matches!(status, NO_CONTENT | NOT_MODIFIED)
 }
 
-/// The reason phrase of a status that this program sends; `Unknown` for others.
+/// Returns the reason phrase of a status that this program sends, and `Unknown` for other statuses.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         OK => "OK",
