--- a/crates/delivery/src/net/discovery.rs
+++ b/crates/delivery/src/net/discovery.rs
@@ -1,7 +1,7 @@
-//! The platform's discovery: a watch on the endpoint list, and notices of final outcomes.
+//! Clients of the platform's discovery: a watch on the endpoint list, and the delivery of notices of final outcomes.
 //!
-//! The address of discovery may change while the instance runs. Each task holds a [`DiscoveryEndpoint`]; on a change it
-//! abandons the request to the old address and starts over at the new one.
+//! The address of discovery may change while the instance runs. Each task holds a [`DiscoveryEndpoint`]. When the
+//! address changes, the task abandons its request to the old address and starts again at the new one.
 
 mod endpoint_list;
 mod fetch;
@@ -27,15 +27,16 @@
 const ENDPOINTS_PATH: &str = "/v1/endpoints";
 /// The path that notices are posted to.
 const NOTICES_PATH: &str = "/status";
-/// The longest head of a response, in bytes.
+/// Maximum length of a response's head in bytes.
 const MAX_HEAD_LEN: usize = 16 * 1024;
-/// The longest endpoint list, in bytes: enough for tens of thousands of endpoints.
+/// Maximum length of an endpoint list in bytes. It is enough for tens of thousands of endpoints.
 const MAX_LIST_LEN: usize = 4 * 1024 * 1024;
-/// The delay after the first failure.
+/// Backoff after the first failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The limit of the delay, which doubles with each further failure.
+/// Maximum backoff. The backoff doubles with each further failure up to this value.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
+/// Returns the backoff after another failure.
 fn next_backoff(backoff: Duration) -> Duration {
     (backoff * 2).min(MAX_BACKOFF)
 }
@@ -44,12 +45,13 @@
 pub struct DiscoveryEndpoint {
     /// The current address.
     pub address: SocketAddr,
-    /// The addresses that replace it.
+    /// The receiver of new addresses.
     pub changes: Receiver<SocketAddr>,
 }
 
 impl DiscoveryEndpoint {
-    /// Awaits a future; drops it and returns `None` once the address changes, as the old one may not respond any more.
+    /// Awaits a future. If the address changes first, drops the future and returns `None`, since discovery may no
+    /// longer respond at the old address.
     async fn unless_moved<T>(&mut self, future: impl future::Future<Output = T>) -> Option<T> {
         let moved = async {
             loop {
--- a/crates/delivery/src/net/discovery/endpoint_list.rs
+++ b/crates/delivery/src/net/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it, and its translation for the core.
+//! The endpoint list in the format of discovery, and its conversion into an event of the engine.
 
 use crate::core::endpoint::ListedEndpoint;
 use crate::core::engine::EngineEvent;
@@ -7,28 +7,28 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The highest plausible rate of an endpoint, in calls per second; higher ones are ignored.
+/// Maximum plausible rate of an endpoint, in calls per second. Higher rates are ignored.
 pub const MAX_RATE_PER_S: f64 = 1e6;
 
-/// The status of an endpoint that accepts attempts.
+/// The platform's name for the status of an endpoint that accepts attempts.
 const STATUS_ACTIVE: &str = "SERVING";
-/// The status of an endpoint that is removed from the list.
+/// The platform's name for the status of an endpoint that is removed from the list.
 const STATUS_REMOVED: &str = "DELETED";
 
-/// The endpoint list, or changes to it. The keys are the platform's.
+/// The endpoint list, or changes to it. The platform defines the JSON keys.
 #[derive(Debug, Deserialize)]
 pub struct EndpointList {
-    /// The version, which grows with each change.
+    /// The revision of the list, which grows with each change.
     pub revision: u64,
-    /// Whether all endpoints are listed, rather than changed ones only.
+    /// Whether all endpoints are listed, rather than only those that changed.
     #[serde(rename = "complete", default)]
     pub is_complete: bool,
-    /// The entries. Each is parsed by itself, so that a malformed one does not hide the others.
+    /// The entries. They are parsed one by one, so that a malformed entry does not invalidate the others.
     #[serde(rename = "members", default)]
     pub entries: Vec<Box<RawValue>>,
 }
 
-/// One entry of the list. The keys are the platform's.
+/// One entry of the list. The platform defines the JSON keys.
 #[derive(Debug, Deserialize)]
 struct ListEntry<'a> {
     #[serde(rename = "id")]
@@ -47,17 +47,17 @@
     rate: Option<&'a RawValue>,
 }
 
-/// The names of kinds and zones; in the settings an index stands for each.
+/// The names of the kinds and zones in the settings. The index of a name is the kind's or the zone's id.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
-    /// The kinds of endpoints.
+    /// The names of the endpoint kinds.
     pub kinds: Vec<String>,
-    /// The zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
 }
 
 impl EndpointList {
-    /// The engine's event for this list.
+    /// Converts the list into an event of the engine, without malformed entries.
     pub fn into_event(self, names: &NameIndex) -> EngineEvent {
         let endpoints = self
             .entries
@@ -79,7 +79,7 @@
         Err(error) => {
             log_line!(
                 code = "entry-malformed",
-                "an entry of the list is ignored: {error}"
+                "ignored a malformed entry of the endpoint list: {error}"
             );
             None
         }
@@ -104,12 +104,12 @@
         match self.status.as_str() {
             STATUS_ACTIVE => EndpointStatus::Active,
             STATUS_REMOVED => EndpointStatus::Removed,
-            // An endpoint of unknown status is treated as draining: no more attempts are started to it.
+            // An endpoint with an unknown status is treated as draining, so no more attempts are started to it.
             _ => EndpointStatus::Draining,
         }
     }
 
-    /// The advertised rate in calls per second; 0 where there is none or it is implausible.
+    /// Returns the advertised rate in calls per second, or 0 if there is none or it is implausible.
     fn advertised_rate(&self) -> f64 {
         self.rate
             .and_then(|rate| rate.get().parse::<f64>().ok())
@@ -118,7 +118,7 @@
     }
 }
 
-/// The index of a name; `usize::MAX` for one that the settings do not have.
+/// Returns the index of a name, or `usize::MAX` for a name that is not in the settings.
 fn index_of(names: &[String], name: &str) -> usize {
     names
         .iter()
--- a/crates/delivery/src/net/discovery/fetch.rs
+++ b/crates/delivery/src/net/discovery/fetch.rs
@@ -1,4 +1,5 @@
-//! One request for the complete endpoint list, for a process that could not begin when it was started.
+//! One request for the complete endpoint list, for a process that was started long before it becomes active, so that
+//! its configured list may be old.
 
 use super::{EndpointList, ENDPOINTS_PATH, MAX_HEAD_LEN, MAX_LIST_LEN};
 use crate::log_line;
@@ -7,10 +8,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long the request may take: discovery responds at once unless it is down.
+/// Maximum time for the request. Discovery responds at once unless it is down.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Fetches the complete list; `None` if discovery does not return it in time.
+/// Fetches the complete list. Returns `None` if discovery does not return it in time.
 pub async fn fetch_list(discovery: SocketAddr) -> Option<EndpointList> {
     let deadline = Instant::now() + FETCH_TIMEOUT;
     let fetched = with_deadline(deadline, fetch(discovery))
@@ -23,7 +24,7 @@
     };
     log_line!(
         code,
-        "discovery {discovery}: the list of the configuration stays"
+        "discovery {discovery}: no endpoint list received, using the configured list"
     );
     None
 }
--- a/crates/delivery/src/net/discovery/notices.rs
+++ b/crates/delivery/src/net/discovery/notices.rs
@@ -1,4 +1,4 @@
-//! Delivery of notices of final outcomes to the platform; each is sent until it is acknowledged.
+//! Delivery of notices of final outcomes to the platform. Each notice is sent again until it is acknowledged.
 
 use super::{next_backoff, DiscoveryEndpoint, MAX_HEAD_LEN, MIN_BACKOFF, NOTICES_PATH};
 use crate::core::engine::EngineEvent;
@@ -11,30 +11,31 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long the first response is awaited. Discovery responds at once, so a connection without a response is likely to be
-/// broken. Notices are idempotent: sending one again early is harmless, while one that arrives late counts as lost.
+/// Time-out of the first response. Discovery responds at once, so a connection without a response is likely to be
+/// broken. Notices are idempotent: sending a notice again early is harmless, while a notice that arrives late counts as
+/// lost.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
-/// The limit of the response time-out, which doubles with each missing response.
+/// Maximum response time-out. The time-out doubles with each missing response up to this value.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The most notices in one request.
+/// Maximum number of notices in one request.
 const MAX_BATCH_LEN: usize = 200;
 
 /// A notice that awaits delivery.
 #[derive(Debug)]
 pub struct PendingNotice {
-    /// The message's id in the engine.
+    /// The id of the message in the engine.
     pub message_id: MessageId,
-    /// The identity that the client gave the message.
+    /// The message's identity, which the client has chosen.
     pub identity: Vec<u8>,
-    /// The message's final outcome.
+    /// The final outcome of the message.
     pub outcome: FinalOutcome,
 }
 
-/// Encodes a notice as one line, given the message's identity and final outcome.
+/// A function that encodes a message's identity and final outcome as a notice of one line.
 pub type EncodeNotice = fn(&[u8], FinalOutcome) -> String;
 
-/// Delivers the notices of the `pending` queue until that is closed, and sends the engine an event for each that is
-/// acknowledged.
+/// Delivers the notices of the `pending` queue until the queue is closed. Sends an event to the engine for each notice
+/// that is acknowledged.
 pub async fn deliver_notices(
     mut discovery: DiscoveryEndpoint,
     pending: Receiver<PendingNotice>,
@@ -59,16 +60,16 @@
     }
 }
 
-/// How sending a batch ended.
+/// The result of sending a batch.
 enum BatchResult {
     Acknowledged,
-    /// The batch must be sent again; the backoff has passed.
+    /// The batch must be sent again. The backoff has already passed.
     NotAcknowledged,
     /// The queue of notices is closed.
     QueueClosed,
 }
 
-/// A notice as it is sent.
+/// A notice in the encoding in which it is sent.
 struct EncodedNotice {
     message_id: MessageId,
     line: String,
@@ -76,10 +77,12 @@
 
 /// Sends one batch of notices at a time.
 struct NoticeSender {
-    /// The connection that is reused for the next request.
+    /// A connection that the next request can reuse.
     idle_connection: Option<Connection>,
+    /// The delay after the next failure.
     backoff: Duration,
     response_timeout: Duration,
+    /// The notices that are sent and not acknowledged yet.
     batch: Vec<EncodedNotice>,
     pending: Receiver<PendingNotice>,
     encode: EncodeNotice,
@@ -97,6 +100,7 @@
         }
     }
 
+    /// Prepares for a new address of discovery.
     fn reset(&mut self) {
         self.idle_connection = None;
         self.reset_delays();
@@ -107,6 +111,7 @@
         self.response_timeout = MIN_RESPONSE_TIMEOUT;
     }
 
+    /// Sends the unacknowledged notices and those that are queued, in one request. Waits for a notice if there is none.
     async fn send_batch(&mut self, address: SocketAddr) -> BatchResult {
         if self.fill_batch().await.is_err() {
             return BatchResult::QueueClosed;
@@ -134,7 +139,7 @@
             self.batch.len()
         );
         if posted.is_none() {
-            // The time-out has served as the backoff.
+            // The time-out replaces the backoff.
             self.response_timeout = (self.response_timeout * 2).min(MAX_RESPONSE_TIMEOUT);
         } else {
             Timer::after(self.backoff).await;
@@ -143,7 +148,7 @@
         BatchResult::NotAcknowledged
     }
 
-    /// Waits for a notice if the batch is empty, and adds those that are queued.
+    /// Waits for a notice if the batch is empty, and adds queued notices up to [`MAX_BATCH_LEN`].
     async fn fill_batch(&mut self) -> Result<(), async_channel::RecvError> {
         if self.batch.is_empty() {
             let notice = self.pending.recv().await?;
@@ -165,7 +170,7 @@
         });
     }
 
-    /// Posts notices over the idle connection or a new one; returns the status of the response.
+    /// Posts notices over the idle connection or a new one. Returns the status of the response.
     async fn post(&mut self, address: SocketAddr, body: &str) -> Result<u16, ReadError> {
         let idle = self.idle_connection.take();
         let mut connection = match idle.filter(Connection::is_reusable) {
--- a/crates/delivery/src/net/discovery/notices/tests.rs
+++ b/crates/delivery/src/net/discovery/notices/tests.rs
@@ -4,7 +4,8 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// A notice counts as lost 300 ms after its message's deadline; this allows for a loaded machine.
+/// Time limit for the delivery of a notice. A notice counts as lost 300 ms after its message's deadline. The limit is
+/// longer to allow for a loaded machine.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(1200);
 
 async fn accept(listener: &Async<TcpListener>) -> Connection {
@@ -12,7 +13,7 @@
     Connection::new(stream)
 }
 
-/// Reads one request with notices and returns its body.
+/// Reads one request with notices, and returns its body.
 async fn read_notices(connection: &mut Connection) -> String {
     let head_len = connection.read_head(MAX_HEAD_LEN).await.unwrap();
     let framing = http::parse_request(&connection.bytes()[..head_len])
@@ -27,7 +28,7 @@
     String::from_utf8(body).unwrap()
 }
 
-/// A reused connection whose peer has vanished must not delay a notice.
+/// A reused connection whose peer no longer responds must not delay a notice.
 #[test]
 fn notice_without_response_is_sent_on_another_connection_in_time() {
     let tasks = Rc::new(LocalExecutor::new());
@@ -55,7 +56,7 @@
             .await
             .unwrap();
         acknowledged.recv().await.unwrap();
-        // From here on the first connection is open, but does not respond.
+        // From here on, the first connection is open, but gets no more responses.
         sender.try_send(notice(2)).unwrap();
         let deadline = Instant::now() + DELIVERY_TIMEOUT;
         let second = with_deadline(deadline, async {
--- a/crates/delivery/src/net/discovery/poll_schedule/tests.rs
+++ b/crates/delivery/src/net/discovery/poll_schedule/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use std::collections::VecDeque;
 
-/// Simulates instances that lose their watches together, and a discovery that serves `rate` requests per second and
-/// rejects those that have waited for 2 s. Returns for each instance when it was served, in seconds.
+/// Simulates instances that lose their watches at the same time, and a discovery that serves `rate` requests per second
+/// and rejects requests that have waited for 2 s. Returns the time in seconds at which each instance was served.
 fn simulate_reconnect(instances: usize, rate: f64, seconds: u32) -> Vec<Option<f64>> {
     let mut schedules: Vec<PollSchedule> = (0..instances)
         .map(|n| PollSchedule::new(instances, n as u64, Duration::from_secs(10)))
@@ -26,7 +26,7 @@
         }
         capacity = (capacity + rate / 100.0).min(1.0);
         while capacity >= 1.0 && !queue.is_empty() {
-            // A request that is rejected costs discovery as much as one that is served.
+            // A rejected request uses as much of discovery's capacity as a served one.
             capacity -= 1.0;
             let (n, since) = queue.pop_front().expect("not empty");
             if now - since < 2.0 {
@@ -63,7 +63,7 @@
     assert!((0..100).all(|_| schedule.first_delay() <= Duration::from_secs(10)));
 }
 
-/// An instance must act on changes 4 s after discovery has moved.
+/// An instance must act on changes within 4 s after discovery has moved.
 #[test]
 fn delays_end_before_the_deadline_for_changes() {
     let mut schedule = PollSchedule::new(300, 11, Duration::ZERO);
--- a/crates/delivery/src/net/discovery/watch.rs
+++ b/crates/delivery/src/net/discovery/watch.rs
@@ -1,8 +1,8 @@
 //! The watch on the endpoint list.
 //!
-//! Discovery sends an empty line as a heartbeat while nothing changes; a watch that receives no line for some time has
-//! stalled. [`WatchSet`] then opens a candidate beside the active watch. Since discovery itself may have stalled, both
-//! stay open until one of them receives a line; the other is closed then.
+//! Discovery sends an empty line as a heartbeat while nothing changes. A watch that receives no line for some time has
+//! stalled, and [`WatchSet`] then opens a candidate beside it. Since discovery itself may have stalled, both watches
+//! stay open until one of them receives a line. The other watch is then closed.
 
 mod line_buffer;
 mod open_watch;
@@ -22,15 +22,16 @@
 use stream::{follow, StreamRequest};
 use watch_set::WatchSet;
 
-/// What a watch needs to know of the instance.
+/// The parameters of a watch on the endpoint list.
 pub struct ListWatch {
-    /// The names of kinds and zones.
+    /// The names of the kinds and zones in the settings.
     pub names: NameIndex,
-    /// The revision of the list that the instance has; 0 for none.
+    /// The revision of the list that the instance has, or 0 if it has none.
     pub since_revision: u64,
 }
 
-/// Watches the endpoint list for ever; each watch that ends or stalls is followed by another.
+/// Watches the endpoint list and sends the received lists to the engine. A watch that ends or stalls is replaced by a
+/// new one. Never returns.
 pub async fn watch_endpoints(
     mut discovery: DiscoveryEndpoint,
     watch: ListWatch,
@@ -38,8 +39,8 @@
     engine: Sender<EngineEvent>,
 ) {
     let since_revision = Cell::new(watch.since_revision);
-    // A new incarnation requests at once: its list may be old, and it must act on changes as soon as instances that have
-    // been watching.
+    // A new incarnation requests the list at once: its list may be old, and it must act on changes as soon as instances
+    // that have been watching.
     let mut delay = Duration::ZERO;
     loop {
         let address = discovery.address;
@@ -52,14 +53,15 @@
         let open = || OpenWatch::new(|progress| follow(request, progress));
         let watching = run(WatchSet::new(open, &mut schedule, address, delay));
         if discovery.unless_moved(watching).await.is_none() {
-            // Revisions are counted per address, so the complete list is requested from the new one.
+            // Each address of discovery counts its own revisions, so the complete list is requested from the new
+            // address.
             since_revision.set(0);
             delay = schedule.first_delay();
         }
     }
 }
 
-/// Drives watches for ever.
+/// Polls watches and handles their time-outs. Never returns.
 async fn run<'w>(mut watches: WatchSet<'_, 'w, impl Fn() -> OpenWatch<'w>>) {
     loop {
         watches.handle_timeouts(Instant::now());
--- a/crates/delivery/src/net/discovery/watch/line_buffer.rs
+++ b/crates/delivery/src/net/discovery/watch/line_buffer.rs
@@ -1,18 +1,19 @@
-//! The lines of a watch, which chunks may cut anywhere. A list may be indented, and so span several lines.
+//! The lines of a watch. A chunk may end anywhere within a line. A list may be indented, so that it spans several
+//! lines.
 
 use super::super::{EndpointList, MAX_LIST_LEN};
 
-/// Why a line cannot be accepted.
+/// The error of a line that is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum LineError {
-    #[error("neither empty nor a list")]
+    #[error("the line is neither empty nor an endpoint list")]
     Malformed,
-    #[error("too long")]
+    #[error("the line is too long")]
     TooLong,
 }
 
 impl LineError {
-    /// The reason code for the log.
+    /// Returns the reason code for the log.
     pub(super) fn code(self) -> &'static str {
         match self {
             LineError::Malformed => "malformed",
@@ -21,11 +22,11 @@
     }
 }
 
-/// What the buffered bytes start with.
+/// A line of a watch, or a list of several lines.
 pub(super) enum WatchLine {
-    /// An incomplete line or list: more bytes are needed.
+    /// The line or the list is incomplete, and more bytes are needed.
     Incomplete,
-    /// An empty line, which is a heartbeat.
+    /// The line is empty, which is a heartbeat.
     Heartbeat,
     List(EndpointList),
 }
@@ -34,7 +35,7 @@
 #[derive(Default)]
 pub(super) struct LineBuffer {
     bytes: Vec<u8>,
-    /// The length of the complete lines that form the start of a list.
+    /// The length of the buffered complete lines that are the start of an incomplete list.
     incomplete_len: usize,
 }
 
@@ -43,10 +44,10 @@
         self.bytes.extend(bytes);
     }
 
-    /// Removes the next line, or list of several lines, and returns it.
+    /// Removes and returns the next line, or the next list if it spans several lines.
     ///
     /// # Errors
-    /// The line is malformed or too long.
+    /// Fails if the line is malformed or too long.
     pub(super) fn next(&mut self) -> Result<WatchLine, LineError> {
         while let Some(line_len) = self.bytes[self.incomplete_len..]
             .iter()
@@ -69,7 +70,7 @@
     }
 }
 
-/// Parses complete lines. A list is parsed only where its last line may be the end of it, not at each line.
+/// Parses complete lines. A list is parsed only if its last line may be its end, rather than after each line.
 fn parse(text: &[u8]) -> Result<WatchLine, LineError> {
     match (text.first(), text.last()) {
         (None, _) => Ok(WatchLine::Heartbeat),
--- a/crates/delivery/src/net/discovery/watch/line_buffer/tests.rs
+++ b/crates/delivery/src/net/discovery/watch/line_buffer/tests.rs
@@ -22,10 +22,10 @@
         lines.push(&text.as_bytes()[split..]);
         lines.push(list(4, false, "SERVING").as_bytes());
         let Ok(WatchLine::List(first)) = lines.next() else {
-            panic!("split at {split}")
+            panic!("no first list, split at {split}")
         };
         let Ok(WatchLine::List(second)) = lines.next() else {
-            panic!("split at {split}")
+            panic!("no second list, split at {split}")
         };
         assert_eq!(
             (first.revision, first.entries.len(), second.revision),
--- a/crates/delivery/src/net/discovery/watch/open_watch.rs
+++ b/crates/delivery/src/net/discovery/watch/open_watch.rs
@@ -1,4 +1,4 @@
-//! One watch as a task, and what it has received so far.
+//! One watch as a future, and the watch's progress.
 
 use super::super::poll_schedule::WatchResult;
 use super::stream::WatchEnd;
@@ -9,19 +9,19 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-/// What a watch has received so far.
+/// The progress of a watch: a summary of the lines that it has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct WatchProgress {
-    /// When the last complete line was received, or else the watch was opened.
+    /// The time at which the last complete line was received, or the watch was opened if it has received none.
     pub(super) last_line_at: Instant,
     /// The number of complete lines, heartbeats included.
     pub(super) lines: u64,
-    /// Whether one of them was a list.
+    /// Whether any of the lines was a list.
     pub(super) result: WatchResult,
 }
 
 impl WatchProgress {
-    /// The progress of a watch that is opened now.
+    /// Creates the progress of a watch that is opened now.
     fn new() -> WatchProgress {
         WatchProgress {
             last_line_at: Instant::now(),
@@ -37,7 +37,7 @@
     progress: Rc<Cell<WatchProgress>>,
 }
 
-/// What happened on a watch.
+/// An event on a watch.
 pub(super) enum WatchEvent {
     /// At least one complete line was received.
     LineReceived,
@@ -45,7 +45,7 @@
 }
 
 impl<'a> OpenWatch<'a> {
-    /// A watch that is opened when it is first polled.
+    /// Creates a watch, which is opened when it is first polled.
     pub(super) fn new<F: Future<Output = WatchEnd> + 'a>(
         follow: impl FnOnce(Rc<Cell<WatchProgress>>) -> F,
     ) -> OpenWatch<'a> {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Polls the watch; returns its event, if there is one.
+    /// Polls the watch. Returns its event, if there is one.
     pub(super) fn poll(&mut self, context: &mut Context<'_>) -> Option<WatchEvent> {
         let lines_before = self.progress.get().lines;
         match self.task.as_mut().poll(context) {
--- a/crates/delivery/src/net/discovery/watch/stream.rs
+++ b/crates/delivery/src/net/discovery/watch/stream.rs
@@ -1,4 +1,4 @@
-//! One watch: a request whose response is a stream of lines, each an endpoint list or a heartbeat.
+//! The protocol of one watch: a request whose response is a stream of lines with endpoint lists and heartbeats.
 
 use super::super::poll_schedule::WatchResult;
 use super::super::{NameIndex, ENDPOINTS_PATH, MAX_HEAD_LEN};
@@ -16,12 +16,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Why a watch ended.
+/// The reason for which a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchEnd {
-    #[error("no connection")]
+    #[error("no connection to discovery could be established")]
     NoConnection,
-    #[error("no response")]
+    #[error("the head of the response could not be read")]
     NoResponse,
     #[error("the status of the response is not 200")]
     UnexpectedStatus,
@@ -42,7 +42,7 @@
 }
 
 impl WatchEnd {
-    /// The reason code for the log.
+    /// Returns the reason code for the log.
     pub(super) fn code(&self) -> &'static str {
         match self {
             WatchEnd::NoConnection => "no-connection",
@@ -56,17 +56,18 @@
     }
 }
 
-/// What a watch requests, and where it sends what it receives.
+/// The request of a watch, and the recipients of the lists that it receives.
 #[derive(Clone, Copy)]
 pub(super) struct StreamRequest<'a> {
     pub(super) address: SocketAddr,
     pub(super) names: &'a NameIndex,
-    /// The revision of the last list that was received.
+    /// The revision of the last list that was received. The watch requests only later changes, and updates the
+    /// revision.
     pub(super) since_revision: &'a Cell<u64>,
     pub(super) engine: &'a Sender<EngineEvent>,
 }
 
-/// Opens a watch and follows it until it ends.
+/// Opens a watch and receives lines until it ends. Returns the reason for its end.
 pub(super) async fn follow(
     request: StreamRequest<'_>,
     progress: Rc<Cell<WatchProgress>>,
@@ -102,7 +103,7 @@
     }
 }
 
-/// Sends the request and reads the head of its response.
+/// Sends the request of a watch and reads the head of the response.
 async fn open(request: &StreamRequest<'_>) -> Result<Connection, WatchEnd> {
     let address = request.address;
     let Ok(mut connection) = Connection::connect_with_retry(address).await else {
@@ -129,7 +130,7 @@
     Ok(connection)
 }
 
-/// Processes the complete lines that are buffered.
+/// Processes the complete lines in the buffer.
 fn receive_lines(
     request: &StreamRequest<'_>,
     progress: &Cell<WatchProgress>,
@@ -152,7 +153,8 @@
         });
         let Some(list) = list else { continue };
         request.since_revision.set(list.revision);
-        // The queue is unbounded: with an await here, a watch that is dropped could lose a list that it has received.
+        // The engine's queue is unbounded, so that the list is sent without an await. If the watch were dropped at an
+        // await, the list would be lost.
         let event = list.into_event(request.names);
         if request.engine.try_send(event).is_err() {
             return Err(WatchEnd::EngineEnded);
--- a/crates/delivery/src/net/discovery/watch/tests.rs
+++ b/crates/delivery/src/net/discovery/watch/tests.rs
@@ -8,8 +8,8 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// A stall must be detected, and another watch be requested twice if need be, within 6 s of the last line, when the
-/// instance must act on changes that it has missed.
+/// Within 6 s of the last line, the instance must act on changes that it has missed. In this time, a stall must be
+/// detected and a new watch be requested, if necessary twice.
 #[test]
 fn stalled_watch_is_reopened_in_time_at_any_scale() {
     for instances in [1, 30, 300, 5000] {
@@ -40,11 +40,11 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The behaviour of a fake discovery on one connection, run on a thread of its own.
+/// The behaviour of a fake discovery server on one connection. Each script runs in its own thread.
 type Script = Box<dyn FnOnce(&mut TcpStream) + Send>;
 
-/// Watches a fake discovery on loopback until a number of lists is received. The discovery runs one script for each
-/// connection, in order, and keeps connections open to the end. Returns the status of the endpoint in each list.
+/// Watches a fake discovery server on loopback until a number of lists has been received. The server runs one script
+/// for each connection, in order, and keeps all connections open. Returns the status of the endpoint in each list.
 fn received_statuses(scripts: Vec<Script>, lists: usize) -> Vec<EndpointStatus> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -107,7 +107,8 @@
     Box::new(move |stream| stream.write_all(text.as_bytes()).unwrap())
 }
 
-/// Bytes without a complete line must not keep a watch alive: a drain would never be received.
+/// Bytes without a complete line must not keep a watch open. Otherwise a change of the list, such as a drain, would
+/// never be received.
 #[test]
 fn watch_without_complete_lines_is_replaced() {
     let list_response = format!("{RESPONSE_HEAD}{}", chunk(&list(1, true, "SERVING")));
@@ -153,7 +154,7 @@
     cases.into_iter().for_each(|case| case.join().unwrap());
 }
 
-/// A stalled watch may still receive a change after another one has been connected.
+/// A stalled watch may receive a change after another watch has been connected.
 #[test]
 fn stalled_watch_is_read_until_its_candidate_receives_a_line() {
     let (connected, second_connected) = std::sync::mpsc::channel();
@@ -164,7 +165,7 @@
         second_connected.recv().unwrap();
         let _ = stream.write_all(chunk(&list(2, false, "DRAINING")).as_bytes());
     });
-    // The second one never responds.
+    // The second connection never gets a response.
     let second: Script = Box::new(move |_| connected.send(()).unwrap());
     assert_eq!(
         received_statuses(vec![first, second], 2),
@@ -172,7 +173,7 @@
     );
 }
 
-/// A reload of the configuration must not interrupt the watch if discovery has not moved.
+/// A reload of the configuration must not interrupt the watch if the address of discovery has not changed.
 #[test]
 fn reload_without_a_move_keeps_the_watch_open() {
     async_io::block_on(async {
--- a/crates/delivery/src/net/discovery/watch/watch_set.rs
+++ b/crates/delivery/src/net/discovery/watch/watch_set.rs
@@ -1,4 +1,4 @@
-//! When watches are opened and closed: a state machine that is driven by events of the watches and by time.
+//! The opening and closing of watches: a state machine driven by events of the watches and by time.
 
 use super::super::poll_schedule::{PollSchedule, WatchResult};
 use super::open_watch::{OpenWatch, WatchEvent};
@@ -8,10 +8,10 @@
 use std::task::Context;
 use std::time::{Duration, Instant};
 
-/// A watch that receives no complete line for this long has stalled, even if it receives bytes; heartbeats are sent every
-/// 2 s. An instance must act on a change within 6 s, and another watch has received the list well before then.
+/// Time without a complete line after which a watch has stalled, even if it receives bytes. Heartbeats are sent every
+/// 2 s. An instance must act on a change within 6 s, and another watch receives the list well before then.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_millis(2600);
-/// A candidate that receives no complete line for this long is replaced by another one.
+/// Time without a complete line after which a candidate is replaced by a new one.
 pub(super) const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The active watch, and the candidate that may replace it.
@@ -22,12 +22,12 @@
     address: SocketAddr,
     active: Option<OpenWatch<'w>>,
     candidate: Option<OpenWatch<'w>>,
-    /// When another candidate is opened; it replaces one that has received no line.
+    /// The time at which a candidate is opened. It replaces an existing candidate, which has received no line.
     next_open_at: Option<Instant>,
 }
 
 impl<'a, 'w, F: Fn() -> OpenWatch<'w>> WatchSet<'a, 'w, F> {
-    /// No watch yet; the first candidate is opened after a delay.
+    /// Creates a set without watches. The first candidate is opened after `delay`.
     pub(super) fn new(
         open: F,
         schedule: &'a mut PollSchedule,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Polls both watches; returns whether one of them had an event.
+    /// Polls both watches. Returns whether one of them had an event.
     pub(super) fn poll(&mut self, context: &mut Context<'_>) -> bool {
         let now = Instant::now();
         if let Some(event) = poll(&mut self.candidate, context) {
@@ -58,7 +58,7 @@
         false
     }
 
-    /// When the next step is due if nothing is received.
+    /// Returns the time of the next time-out if no line is received before it.
     pub(super) fn next_timeout(&self) -> Option<Instant> {
         let candidate_timeout = self
             .candidate
@@ -71,7 +71,7 @@
         self.next_open_at.or(candidate_timeout).or(active_timeout)
     }
 
-    /// Opens a candidate, or schedules that, if it is due.
+    /// Schedules the opening of a candidate if a watch has timed out, and opens a candidate if that is due.
     pub(super) fn handle_timeouts(&mut self, now: Instant) {
         if self.next_open_at.is_none() && self.next_timeout().is_some_and(|at| at <= now) {
             let delay = match self.candidate {
@@ -118,7 +118,7 @@
 
     fn handle_end(&mut self, end: &WatchEnd, ended: Option<OpenWatch<'w>>, now: Instant) {
         self.log_ended(end.code());
-        // A candidate that is being opened makes another one unnecessary.
+        // If a candidate is being opened already, no other one is needed.
         if self.candidate.is_none() {
             let result = ended.map_or(WatchResult::NoList, |watch| watch.progress().result);
             let retry_at = now + self.schedule.retry_delay(result);
