--- a/crates/delivery/src/net.rs
+++ b/crates/delivery/src/net.rs
@@ -1,9 +1,9 @@
-//! The network around the core.
+//! The network code around the core.
 //!
-//! [`http`] parses HTTP/1.1, [`connection`] reads and writes it on one TCP connection. [`server`] serves clients,
-//! [`pool`] runs attempts against endpoints, [`discovery`] watches the endpoint list and delivers notices, and [`admin`]
-//! serves operators' calls. A [`frontend::Frontend`] gives requests their meaning; the translations that implement it
-//! are in [`crate::frontend`].
+//! [`http`] parses HTTP/1.1, and [`connection`] reads and writes it on one TCP connection. [`server`] serves clients,
+//! [`pool`] runs attempts against endpoints, [`discovery`] watches the endpoint list and delivers notices, and
+//! [`admin`] serves operators' calls. [`frontend::Frontend`] is the interface for parsing requests and encoding
+//! responses. Its implementations are in [`crate::frontend`].
 
 pub mod admin;
 pub mod connection;
--- a/crates/delivery/src/net/admin.rs
+++ b/crates/delivery/src/net/admin.rs
@@ -1,6 +1,7 @@
-//! Operators' calls: HTTP/1.1, one call per connection. Each gets its response within a second, whatever callers do.
+//! The server of operators' calls over HTTP/1.1, one call per connection. Each call gets its response within a second,
+//! also while other calls are incomplete.
 //!
-//! An [`AdminHandler`] executes the calls; this module parses them and responds.
+//! This module parses the calls and responds to them. An [`AdminHandler`] executes them.
 
 use super::connection::{with_deadline, Connection, ReadError};
 use super::http::{self, header, status, HeadWriter};
@@ -12,48 +13,48 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a call may take from when its connection is opened until its response is due. Operators' tools expect a
-/// response within 1 s, and some callers send an incomplete call, or nothing, and keep the connection open.
+/// Maximum time between the opening of a connection and the start of its response. Operators' tools expect a response
+/// within 1 s, and some callers send an incomplete call, or nothing, and keep the connection open.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long writing the response may take beyond that.
+/// Maximum time to write the response after [`RESPONSE_TIMEOUT`].
 const WRITE_GRACE: Duration = Duration::from_millis(200);
-/// How long bytes are discarded after the response: closing a connection that has unread bytes would reset it, and the
-/// caller would lose the response.
+/// Maximum time for which bytes are discarded after the response. Closing a connection that has unread bytes would
+/// reset it, and the caller would lose the response.
 const LINGER_AFTER_RESPONSE: Duration = Duration::from_secs(1);
-/// The longest head, and the longest body, in bytes.
+/// Maximum length of a call's head, and of its body, in bytes.
 const MAX_PART_LEN: usize = 4 * 1024;
 
 /// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall<'a> {
-    /// `GET /ready`: whether the instance accepts clients.
+    /// `GET /ready`: reports whether the instance accepts clients.
     Ready,
-    /// `POST /endpoints/disable` with an endpoint's id as the body: start no more attempts to it.
+    /// `POST /endpoints/disable` with an endpoint's id as the body: starts no more attempts to the endpoint.
     Disable(&'a str),
-    /// `POST /endpoints/enable` with the id as the body: the endpoint may be used again.
+    /// `POST /endpoints/enable` with an endpoint's id as the body: allows attempts to the endpoint again.
     Enable(&'a str),
-    /// `POST /drain`: accept no more clients.
+    /// `POST /drain`: accepts no more clients.
     Drain,
-    /// `POST /undrain`: accept clients again.
+    /// `POST /undrain`: accepts clients again.
     Undrain,
 }
 
-/// Why a request is not a call.
+/// The error of a request that is not a valid call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// The path is unknown.
     #[error("unknown path")]
     UnknownPath,
-    /// The path has another method.
-    #[error("wrong method for the path")]
+    /// The path does not support the method.
+    #[error("the path does not support the method")]
     WrongMethod,
-    /// The body is not one word of text.
+    /// The body is not UTF-8, empty, or contains white space.
     #[error("the body is not an endpoint's id")]
     InvalidEndpointId,
 }
 
 impl CallError {
-    /// The status with which the request is rejected.
+    /// Returns the status of the response that rejects the request.
     pub fn status(self) -> u16 {
         match self {
             CallError::UnknownPath => status::NOT_FOUND,
@@ -63,16 +64,16 @@
     }
 }
 
-/// Executes calls.
+/// Executes operators' calls.
 pub trait AdminHandler {
-    /// Executes a call at once; returns the status of the response.
+    /// Executes a call without waiting. Returns the status of the response.
     fn handle(&self, call: AdminCall<'_>) -> u16;
 }
 
 /// Parses a call.
 ///
 /// # Errors
-/// The request is not a call.
+/// Fails if the request is not a valid call.
 pub fn parse_call<'a>(
     method: &str,
     path: &str,
@@ -100,7 +101,7 @@
         .ok_or(CallError::InvalidEndpointId)
 }
 
-/// Accepts operators' connections for ever, and serves each in a task of its own.
+/// Accepts operators' connections, and serves each connection in its own task. Never returns.
 pub async fn serve(listener: Async<TcpListener>, handler: Rc<dyn AdminHandler>, tasks: Spawner) {
     loop {
         match listener.accept().await {
@@ -108,7 +109,7 @@
             Err(error) => {
                 log_line!(
                     code = "not-accepted",
-                    "no operators' connection accepted: {error}"
+                    "accept of an operators' connection failed: {error}"
                 );
                 wait_after_accept_error(&error).await;
             }
@@ -116,7 +117,7 @@
     }
 }
 
-/// The status of the response, and the reason code for the log.
+/// The result of a call: the status of the response, and the reason code for the log.
 struct CallResult {
     status: u16,
     code: &'static str,
@@ -138,7 +139,7 @@
             None => {
                 return log_line!(
                     code = error.code(),
-                    "operators' call ended without a response"
+                    "operators' call: connection ended without a response"
                 )
             }
         },
@@ -159,7 +160,7 @@
     log_line!(code, "operators' call: status {status}");
 }
 
-/// The lengths of a call's parts in the buffer of its connection.
+/// The lengths of the head and the body of a call at the start of the connection's buffer.
 struct CallExtent {
     head_len: usize,
     body_len: usize,
--- a/crates/delivery/src/net/admin/tests.rs
+++ b/crates/delivery/src/net/admin/tests.rs
@@ -4,7 +4,7 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-/// Executes all calls, and records them.
+/// A handler that records all calls and reports success.
 #[derive(Default)]
 struct RecordingHandler(RefCell<Vec<String>>);
 
@@ -22,7 +22,7 @@
         .status
 }
 
-/// Runs a test against a server of operators' calls on loopback.
+/// Runs a test against a server for operators' calls on loopback.
 fn with_server<F: Future<Output = ()>>(test: impl FnOnce(SocketAddr, Rc<RecordingHandler>) -> F) {
     let tasks = Rc::new(LocalExecutor::new());
     let spawner = Spawner::new(&tasks);
@@ -61,7 +61,7 @@
         assert_eq!(
             *handler.0.borrow(),
             ["Disable(\"s-1\")"],
-            "a response while two other calls are incomplete"
+            "calls executed while two others are incomplete"
         );
         assert_eq!(read_status(&mut incomplete).await, 408);
         assert_eq!(read_status(&mut without_bytes).await, 408);
@@ -74,7 +74,7 @@
     });
 }
 
-/// A call that is rejected at its head must not be reset before its caller has read the response.
+/// If a call is rejected because of its head, the connection must not be reset before the caller has read the response.
 #[test]
 fn too_long_call_gets_its_response() {
     with_server(|address, _| async move {
--- a/crates/delivery/src/net/frontend.rs
+++ b/crates/delivery/src/net/frontend.rs
@@ -4,7 +4,7 @@
 use crate::clock::ReceivedAt;
 use crate::core::{Message, SubmitResponse};
 
-/// The path where clients request whether an instance is ready.
+/// The path that clients request to check whether an instance is ready.
 pub const READY_PATH: &str = "/ready";
 
 const MS_PER_S: f64 = 1000.0;
@@ -12,16 +12,16 @@
 /// An HTTP response to a client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Header fields beside those that the server adds.
+    /// The header fields, without those that the server adds.
     pub fields: Vec<(&'static str, String)>,
-    /// The body, as plain text.
+    /// The body, in plain text.
     pub body: String,
 }
 
 impl Response {
-    /// A response with a status alone.
+    /// Creates a response without fields and body.
     pub fn with_status(status: u16) -> Response {
         Response {
             status,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A response whose body gives the reason.
+    /// Creates a response whose body contains the reason.
     pub fn with_reason(status: u16, reason: impl Into<String>) -> Response {
         Response {
             status,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A response with a `Retry-After` in seconds with three decimals.
+    /// Creates a response with a `Retry-After` field, in seconds with three decimals.
     pub fn retry_after(status: u16, retry_after_ms: u64) -> Response {
         let seconds = format!("{:.3}", retry_after_ms as f64 / MS_PER_S);
         Response {
@@ -48,33 +48,34 @@
         }
     }
 
-    /// Whether the status reports that the request failed.
+    /// Returns whether the status reports that the request failed.
     pub fn is_error(&self) -> bool {
         status::is_error(self.status)
     }
 }
 
-/// A request as its frontend has parsed it.
+/// A request that a frontend has parsed.
 #[derive(Debug, PartialEq)]
 pub enum ParsedRequest {
-    /// It gets this response at once.
+    /// The request gets this response at once.
     Respond(Response),
-    /// It submits a message.
+    /// The request submits a message.
     Submit(Message),
-    /// It asks whether the instance accepts clients, which it does unless operators drain it.
+    /// The request checks whether the instance accepts clients, which it does unless operators drain it.
     Readiness,
 }
 
-/// The translation of one protocol.
+/// The translation between one protocol and the core.
 pub trait Frontend {
-    /// Parses a request that was read at the moment `at`.
+    /// Parses a request that was received at the time `at`.
     fn parse(&self, request: &RequestHead<'_>, body: &[u8], at: ReceivedAt) -> ParsedRequest;
 
-    /// Whether clients await each response before they send the next request on a connection.
+    /// Returns whether clients await each response before they send the next request on a connection.
     fn one_request_at_a_time(&self) -> bool {
         false
     }
 
-    /// Encodes the core's response to a submission; `None` if the client gets the core's next one instead.
+    /// Encodes the core's response to a submission. Returns `None` if the client does not get this response, but the
+    /// core's next one.
     fn respond(&self, response: SubmitResponse) -> Option<Response>;
 }
--- a/crates/delivery/src/net/listener.rs
+++ b/crates/delivery/src/net/listener.rs
@@ -1,7 +1,7 @@
-//! Listening sockets, which several incarnations of a process may share.
+//! Listening sockets, whose address several incarnations of a process may share.
 //!
-//! While a standby starts and the active process still serves, both listen on the clients' address, and the system
-//! distributes new connections between them.
+//! During a hot restart, the standby and the active process both listen on the clients' address, and the operating
+//! system distributes new connections between them.
 
 use async_io::Timer;
 use futures_lite::future;
@@ -13,19 +13,19 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// Connections that the system queues; a client that finds the queue full retries a second later.
+/// Maximum number of connections in the accept queue. A client whose connection does not fit retries a second later.
 const BACKLOG: i32 = 1024;
-/// The delay after an `accept` that failed for lack of a resource, where an immediate retry would spin.
+/// Delay after an `accept` that failed for lack of a resource. Immediate retries would be a busy loop.
 const SYSTEM_ERROR_DELAY: Duration = Duration::from_millis(2);
-/// The code of the packet filter instruction that ends a program with a constant result.
+/// The opcode of the classic BPF instruction that returns a constant (`BPF_RET | BPF_K`).
 const BPF_RETURN: u16 = 0x06;
 
 /// Binds a TCP socket with `SO_REUSEADDR` and `SO_REUSEPORT`, so that another process of the same user can bind the
 /// same address at the same time. Connections are refused until [`listen`] is called.
 ///
 /// # Errors
-/// The system's error for the socket, its options or the bind: the address is bound by a socket without
-/// `SO_REUSEPORT`, for example, or does not belong to this machine.
+/// Returns the I/O error of creating the socket, setting its options or binding it. For example, the address is bound
+/// by a socket without `SO_REUSEPORT`, or does not belong to this machine.
 pub fn bind_shared(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = open_socket(address)?;
     sockopt::set_socket_reuseport(&socket, true)?;
@@ -35,8 +35,8 @@
 /// Binds a TCP socket with `SO_REUSEADDR`. Connections are refused until [`listen`] is called.
 ///
 /// # Errors
-/// The system's error for the socket, its options or the bind: another socket listens at the address, for example, or it
-/// does not belong to this machine.
+/// Returns the I/O error of creating the socket, setting its options or binding it. For example, another socket listens
+/// on the address, or the address does not belong to this machine.
 pub fn bind_exclusive(address: SocketAddr) -> io::Result<TcpListener> {
     bind(open_socket(address)?, address)
 }
@@ -57,16 +57,17 @@
     Ok(TcpListener::from(socket))
 }
 
-/// Starts to listen: the system queues connections until they are accepted. Has no effect on a socket that listens.
+/// Starts to listen: the operating system queues connections until they are accepted. Has no effect on a socket that
+/// listens already.
 ///
 /// # Errors
-/// The system's error: another socket listens on the address without `SO_REUSEPORT`, for example.
+/// Returns the I/O error. For example, another socket without `SO_REUSEPORT` listens on the address.
 pub fn listen(listener: &TcpListener) -> io::Result<()> {
     Ok(rustix::net::listen(listener, BACKLOG)?)
 }
 
-/// Errors of `accept` that belong to the waiting connection, which Linux reports in place of it, or to nothing at all.
-/// The next connection can be accepted at once.
+/// Errors of `accept` after which the next connection can be accepted at once. Most are errors of the queued
+/// connection, which Linux reports instead of returning it. `EINTR` concerns no connection.
 const ERRORS_OF_ONE_CONNECTION: &[i32] = &[
     libc::ECONNABORTED,
     libc::ECONNRESET,
@@ -83,8 +84,8 @@
     libc::EPERM,
 ];
 
-/// Waits after a failed `accept`: it only yields where the next connection can be accepted at once, and sleeps for a
-/// moment where the system lacks a resource and leaves the connection in its queue.
+/// Waits after a failed `accept`. Only yields if the next connection can be accepted at once. Sleeps for a moment if
+/// the operating system lacks a resource, in which case the connection stays in the accept queue.
 pub async fn wait_after_accept_error(error: &io::Error) {
     if concerns_one_connection(error) {
         future::yield_now().await;
@@ -99,13 +100,13 @@
         .is_some_and(|number| ERRORS_OF_ONE_CONNECTION.contains(&number))
 }
 
-/// Directs all new connections on an address to `listener`, which was opened after `earlier_listeners` of other
-/// processes: a process that is stopped, or about to end, would leave its share of them waiting. Once one of these
-/// listeners closes, the system distributes connections by hash again.
+/// Directs all new connections on a shared address to `listener`, which was opened after `earlier_listeners` listeners
+/// of other processes. A process that is stopped, or about to end, would leave its share of the connections waiting.
+/// Once any of these listeners closes, the operating system distributes connections by hash again.
 ///
 /// # Errors
-/// The listener was not bound with [`bind_shared`], or the system has no such filters. Connections are then distributed
-/// by hash.
+/// Fails if the listener was not bound with [`bind_shared`], or the operating system does not support such filters.
+/// Connections are then distributed by hash.
 pub fn prefer(listener: &TcpListener, earlier_listeners: usize) -> io::Result<()> {
     // The program returns the index of the listener to use, in the order in which the listeners were opened.
     let mut program = [sock_filter {
--- a/crates/delivery/src/net/listener/tests.rs
+++ b/crates/delivery/src/net/listener/tests.rs
@@ -25,7 +25,7 @@
     assert_eq!(second.local_addr().unwrap(), address);
     assert!(
         TcpListener::bind(address).is_err(),
-        "a listener without the option may not bind"
+        "a listener without SO_REUSEPORT was bound"
     );
 }
 
@@ -50,11 +50,11 @@
     assert_eq!(accepted(&first), 50);
     assert!(
         prefer(&TcpListener::bind("127.0.0.1:0").unwrap(), 1).is_err(),
-        "its address is not shared"
+        "the address of the listener is not shared"
     );
 }
 
-/// Regression: the backlog was 128 until the server began to accept, and a client beyond it waited for a second.
+/// Regression test: with a backlog of 128 until the server accepts, a client beyond the 128 waits for a second.
 #[test]
 fn burst_before_the_first_accept_is_queued() {
     const BURST: usize = 600;
