--- a/crates/delivery/src/net/pool/response.rs
+++ b/crates/delivery/src/net/pool/response.rs
@@ -69,8 +69,8 @@
             Some(Err(error)) => return unreadable(error),
             None => return ReadResponse::closed(Outcome::TimedOut, ConnectionEnd::TimedOut),
         };
-        let rest_by = (Instant::now() + REST_TIMEOUT).min(timeout_at + REST_GRACE);
-        let rest = with_deadline(rest_by, read_rest(connection, classify_response))
+        let rest_deadline = (Instant::now() + REST_TIMEOUT).min(timeout_at + REST_GRACE);
+        let rest = with_deadline(rest_deadline, read_rest(connection, classify_response))
             .await
             .unwrap_or(Err(ReadError::TimedOut));
         match rest {
--- a/crates/delivery/src/net/pool/tests.rs
+++ b/crates/delivery/src/net/pool/tests.rs
@@ -23,7 +23,7 @@
 const ENDPOINT: EndpointId = EndpointId(0);
 
 /// The route that all endpoints of a destination share.
-const SHARED: Route = Route {
+const SHARED_ROUTE: Route = Route {
     destination: DestinationId(7),
     endpoint: None,
 };
@@ -61,7 +61,7 @@
 }
 
 async fn run_attempt(pool: &Pool, message: u64) -> Outcome {
-    run_attempt_at(pool, message, ENDPOINT, SHARED).await
+    run_attempt_at(pool, message, ENDPOINT, SHARED_ROUTE).await
 }
 
 async fn run_attempt_at(pool: &Pool, message: u64, endpoint: EndpointId, route: Route) -> Outcome {
@@ -84,7 +84,7 @@
     let attempt = Attempt {
         message_id: MessageId(1),
         endpoint: ENDPOINT,
-        route: SHARED,
+        route: SHARED_ROUTE,
         timeout_at: test_deadline(),
         write_by,
         encode: &encode,
@@ -134,14 +134,14 @@
 fn concurrent_connects_stay_within_the_connection_limit() {
     let listener = listen();
     let pool = pool(2, &listener);
-    let all = async {
-        let two = async {
+    let attempts = async {
+        let first_two = async {
             let (first, _) = future::zip(run_attempt(&pool, 1), run_attempt(&pool, 2)).await;
             first
         };
         // Both slots are occupied by attempts that are still connecting.
-        future::or(two, run_attempt(&pool, 3)).await
+        future::or(first_two, run_attempt(&pool, 3)).await
     };
-    assert_eq!(async_io::block_on(all), Outcome::ConnectFailed);
+    assert_eq!(async_io::block_on(attempts), Outcome::ConnectFailed);
     assert_eq!(pool.counters.connections_opened.get(), 2);
 }
--- a/crates/delivery/src/net/pool/tests/backoff.rs
+++ b/crates/delivery/src/net/pool/tests/backoff.rs
@@ -9,10 +9,10 @@
 fn retry_after_received_during_connect_is_honoured() {
     let own_route = |id| Route {
         endpoint: Some(EndpointId(id)),
-        ..SHARED
+        ..SHARED_ROUTE
     };
     for (routes, expected) in [
-        ([SHARED, SHARED], Outcome::NotSent),
+        ([SHARED_ROUTE, SHARED_ROUTE], Outcome::NotSent),
         ([own_route(0), own_route(1)], Outcome::Delivered),
     ] {
         let listeners = [listen(), listen()];
@@ -65,7 +65,7 @@
         // Once the endpoint has bytes to read, a part of the request has been written.
         let first_bytes = async { stream.readable().await.unwrap() };
         await_while_running(&mut running, first_bytes).await;
-        pool.back_off(SHARED, Instant::now() + Duration::from_secs(60));
+        pool.back_off(SHARED_ROUTE, Instant::now() + Duration::from_secs(60));
         let reading = std::thread::spawn(move || {
             let stream = stream.into_inner().unwrap();
             stream.set_nonblocking(false).unwrap();
--- a/crates/delivery/src/net/pool/tests/fencing.rs
+++ b/crates/delivery/src/net/pool/tests/fencing.rs
@@ -24,7 +24,7 @@
         pool.run_attempt(Attempt {
             message_id: MessageId(message),
             endpoint: ENDPOINT,
-            route: SHARED,
+            route: SHARED_ROUTE,
             timeout_at: test_deadline(),
             write_by: test_deadline(),
             encode: &encode,
--- a/crates/delivery/tests/parsers.rs
+++ b/crates/delivery/tests/parsers.rs
@@ -25,10 +25,13 @@
     br#"{"specversion":"1.0","id":"1","source":"/s","type":"t","data":{"a":[1,"b"]}}"#;
 
 /// Replaces a part of a valid message with other bytes. The result may be valid or not, but must never cause a panic.
-fn corrupt(valid: &[u8], at: usize, with: &[u8]) -> Vec<u8> {
+fn corrupt(valid: &[u8], at: usize, replacement: &[u8]) -> Vec<u8> {
     let mut bytes = valid.to_vec();
     let at = at % bytes.len();
-    bytes.splice(at..(at + with.len()).min(valid.len()), with.iter().copied());
+    bytes.splice(
+        at..(at + replacement.len()).min(valid.len()),
+        replacement.iter().copied(),
+    );
     bytes
 }
 
@@ -112,14 +115,14 @@
 
 #[test]
 fn parsers_never_panic_on_garbage() {
-    fn property(at: usize, with: Vec<u8>, piece_lengths: Vec<u8>) -> bool {
-        for valid in [REQUEST, RESPONSE, CHUNKED, EVENT, &with[..]]
+    fn property(at: usize, random: Vec<u8>, piece_lengths: Vec<u8>) -> bool {
+        for valid in [REQUEST, RESPONSE, CHUNKED, EVENT, &random[..]]
             .into_iter()
             .filter(|message| !message.is_empty())
         {
-            let bytes = corrupt(valid, at, &with);
+            let bytes = corrupt(valid, at, &random);
             let decoded = http::parse_request(&bytes)
-                .map(|request| event::decode(&request.fields, &with).is_ok());
+                .map(|request| event::decode(&request.fields, &random).is_ok());
             let _ = (
                 decoded,
                 http::parse_response(&bytes).map(|response| retry_after(&response)),
@@ -203,12 +206,12 @@
     ]
     .map(CallError::status);
     assert_eq!(statuses, [405, 400, 404]);
-    fn property(at: usize, with: Vec<u8>, cut: usize) -> bool {
+    fn property(at: usize, random: Vec<u8>, cut: usize) -> bool {
         let valid = b"POST /endpoints/disable HTTP/1.1\r\nContent-Length: 4\r\n\r\n";
-        let bytes = corrupt(valid, at, &with);
+        let bytes = corrupt(valid, at, &random);
         let bytes = &bytes[..cut % (bytes.len() + 1)];
         if let Ok(request) = http::parse_request(bytes) {
-            let status = admin::parse_call(request.method, request.path, &with)
+            let status = admin::parse_call(request.method, request.path, &random)
                 .map_or_else(CallError::status, |_| 200);
             assert!(matches!(status, 200 | 400 | 404 | 405));
         }
