--- a/crates/delivery/src/net/pool/tests.rs
+++ b/crates/delivery/src/net/pool/tests.rs
@@ -16,14 +16,14 @@
 
 const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// Long enough for any test; a timeout of this length is a failure.
+/// Time limit for operations that complete much sooner unless the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The endpoint that every pool of these tests lists.
+/// The endpoint that is listed in every pool of these tests.
 const ENDPOINT: EndpointId = EndpointId(0);
 
-/// The route of a destination whose endpoints share one.
-const SHARED: Route = Route {
+/// The route that all endpoints of a destination share.
+const SHARED_ROUTE: Route = Route {
     destination: DestinationId(7),
     endpoint: None,
 };
@@ -32,7 +32,7 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// A pool that lists [`ENDPOINT`] at a listener's address.
+/// Creates a pool that lists [`ENDPOINT`] at a listener's address.
 fn pool(max_connections: usize, listener: &TcpListener) -> Pool {
     let limits = PoolLimits {
         connect_timeout: TEST_TIMEOUT,
@@ -61,7 +61,7 @@
 }
 
 async fn run_attempt(pool: &Pool, message: u64) -> Outcome {
-    run_attempt_at(pool, message, ENDPOINT, SHARED).await
+    run_attempt_at(pool, message, ENDPOINT, SHARED_ROUTE).await
 }
 
 async fn run_attempt_at(pool: &Pool, message: u64, endpoint: EndpointId, route: Route) -> Outcome {
@@ -73,7 +73,7 @@
         timeout_at: test_deadline(),
         write_by: test_deadline(),
         encode: &encode,
-        judge: platform::judge,
+        classify_response: platform::judge,
         permit: &|| Some(LeasePermit::unconditional()),
     };
     pool.run_attempt(attempt).await.outcome
@@ -84,22 +84,27 @@
     let attempt = Attempt {
         message_id: MessageId(1),
         endpoint: ENDPOINT,
-        route: SHARED,
+        route: SHARED_ROUTE,
         timeout_at: test_deadline(),
         write_by,
         encode: &encode,
-        judge: platform::judge,
+        classify_response: platform::judge,
         permit: &|| Some(LeasePermit::unconditional()),
     };
     pool.run_attempt(attempt).await.outcome
 }
 
-/// Awaits an event while an attempt runs; the attempt must not end before it.
+/// Awaits an event while an attempt runs. Panics if the attempt ends before the event.
 async fn await_while_running<T>(
     attempt: &mut Pin<&mut impl Future<Output = Outcome>>,
     event: impl Future<Output = T>,
 ) -> T {
-    let ended_early = async { panic!("ended with {:?} before the event", attempt.await) };
+    let ended_early = async {
+        panic!(
+            "the attempt ended with {:?} before the event",
+            attempt.await
+        )
+    };
     future::or(event, ended_early).await
 }
 
@@ -107,7 +112,7 @@
     listener.accept().unwrap().0
 }
 
-/// Reads what an endpoint receives at once; returns the number of bytes.
+/// Reads from an endpoint's connection once and returns the number of bytes.
 fn receive(stream: &mut TcpStream) -> usize {
     stream.read(&mut [0; 256]).unwrap_or(0)
 }
@@ -116,7 +121,7 @@
     let _ = stream.write(response);
 }
 
-/// Reads an endpoint's connection to its end; returns the number of bytes.
+/// Reads from an endpoint's connection until its end and returns the number of bytes.
 fn read_to_end(mut stream: TcpStream) -> usize {
     let (mut bytes, mut total) = (vec![0; 1 << 16], 0);
     while let Ok(read @ 1..) = stream.read(&mut bytes) {
@@ -129,14 +134,14 @@
 fn concurrent_connects_stay_within_the_connection_limit() {
     let listener = listen();
     let pool = pool(2, &listener);
-    let all = async {
-        let two = async {
+    let attempts = async {
+        let first_two = async {
             let (first, _) = future::zip(run_attempt(&pool, 1), run_attempt(&pool, 2)).await;
             first
         };
         // Both slots are occupied by attempts that are still connecting.
-        future::or(two, run_attempt(&pool, 3)).await
+        future::or(first_two, run_attempt(&pool, 3)).await
     };
-    assert_eq!(async_io::block_on(all), Outcome::ConnectFailed);
+    assert_eq!(async_io::block_on(attempts), Outcome::ConnectFailed);
     assert_eq!(pool.counters.connections_opened.get(), 2);
 }
--- a/crates/delivery/src/net/pool/tests/fencing.rs
+++ b/crates/delivery/src/net/pool/tests/fencing.rs
@@ -2,10 +2,10 @@
 use crate::hot_restart::driver;
 use crate::hot_restart::incarnation::Incarnation;
 
-/// A process that was suspended, and resumes after another has taken over, must not start the attempts that it had
-/// chosen: a message would have two attempts in flight.
+/// A process that was suspended and resumes after another process has taken over must not send the attempts that it had
+/// started. Otherwise a message would have two attempts in flight.
 #[test]
-fn chosen_attempt_is_not_sent_once_fenced() {
+fn started_attempt_is_not_sent_once_fenced() {
     let folder = std::env::temp_dir().join(format!("marblefall-pool-fence-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let incarnation = RefCell::new(Incarnation::claim(&folder).unwrap());
@@ -24,11 +24,11 @@
         pool.run_attempt(Attempt {
             message_id: MessageId(message),
             endpoint: ENDPOINT,
-            route: SHARED,
+            route: SHARED_ROUTE,
             timeout_at: test_deadline(),
             write_by: test_deadline(),
             encode: &encode,
-            judge: platform::judge,
+            classify_response: platform::judge,
             permit: &permit,
         })
     };
