--- a/crates/delivery/src/core.rs
+++ b/crates/delivery/src/core.rs
@@ -1,8 +1,8 @@
-//! Accepts, journals and delivers messages, without knowing any wire.
+//! Accepts, journals and delivers messages, independently of any wire protocol.
 //!
 //! A frontend submits [`Message`]s and receives [`SubmitResponse`]s. The time of each step is passed in as a
-//! [`Timestamp`], so that tests set the clock. [`engine`] owns the scheduler and the [`message_store`], which has each
-//! message's state in memory and in the [`journal`] that outlasts the process.
+//! [`Timestamp`], so that tests control the clock. [`engine`] owns the scheduler and the [`message_store`]. The store
+//! keeps the state of each message in memory and in the [`journal`], which persists across restarts.
 
 pub mod active_destinations;
 pub mod attempt_result;
@@ -22,8 +22,8 @@
 
 const MICROS_PER_MS: i64 = 1000;
 
-/// A moment on both clocks: the monotonic one of this incarnation of the process, and the Unix one, by which times are
-/// stored for later incarnations.
+/// A point in time on two clocks: the monotonic clock of this incarnation of the process, and the Unix clock, which is
+/// used for times stored for later incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timestamp {
     /// Time since the process started.
@@ -33,7 +33,7 @@
 }
 
 impl Timestamp {
-    /// The monotonic time of a Unix time in milliseconds. It may lie before the start of the process.
+    /// Converts a Unix time in milliseconds to monotonic time. The result may be before the start of the process.
     pub fn monotonic_of(self, unix_ms: i64) -> Time {
         let micros_from_now = unix_ms
             .saturating_sub(self.unix_ms)
@@ -41,27 +41,27 @@
         Time(self.monotonic.0.saturating_add(micros_from_now))
     }
 
-    /// The monotonic time of a Unix time in microseconds, rounded down to a millisecond.
+    /// Converts a Unix time in microseconds to monotonic time, rounded down to a millisecond.
     pub fn monotonic_of_unix_micros(self, at: Time) -> Time {
         self.monotonic_of(at.0.div_euclid(MICROS_PER_MS))
     }
 
-    /// A monotonic time as Unix time in microseconds.
+    /// Converts a monotonic time to Unix time in microseconds.
     pub fn unix_micros_of(self, at: Time) -> Time {
         Time(self.unix_ms * MICROS_PER_MS + (at - self.monotonic).0)
     }
 
-    /// A monotonic time as Unix time in milliseconds, rounded down.
+    /// Converts a monotonic time to Unix time in milliseconds, rounded down.
     pub fn unix_ms_of(self, at: Time) -> i64 {
         self.unix_ms + (at - self.monotonic).0.div_euclid(MICROS_PER_MS)
     }
 
-    /// The first whole millisecond of Unix time after a span from now.
+    /// Returns the first whole millisecond of Unix time that is later than a span from now.
     pub fn unix_ms_after(self, span: Span) -> i64 {
         self.unix_ms + span.0.div_euclid(MICROS_PER_MS) + 1
     }
 
-    /// The time since a Unix time in milliseconds, or zero for one in the future.
+    /// Returns the time since a Unix time in milliseconds, or zero for a time in the future.
     pub fn elapsed_since_unix_ms(self, unix_ms: i64) -> Span {
         Span((self.unix_ms - unix_ms).max(0) * MICROS_PER_MS)
     }
@@ -70,9 +70,9 @@
 /// The route that a backoff applies to: a destination, or one endpoint of it where its endpoints are separate routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Route {
-    /// The destination.
+    /// Destination of the route.
     pub destination: DestinationId,
-    /// The endpoint, where it is a separate route.
+    /// Endpoint of the destination; `None` where all of its endpoints are one route.
     pub endpoint: Option<EndpointId>,
 }
 
@@ -80,75 +80,75 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The frontend by which a message was submitted, and which encodes its attempts.
+/// The frontend through which a message was submitted, and which encodes its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// The platform's protocol: any final outcome but a delivery is sent as a notice.
+    /// The platform's protocol. Every final outcome except a delivery is sent as a notice.
     Platform,
-    /// CloudEvents: the final outcome is the response to waiting clients, and is retained for repeats.
+    /// CloudEvents. The final outcome is sent to waiting clients as their response, and is retained for repeats.
     CloudEvents,
 }
 
-/// A message as it was submitted.
+/// A submitted message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The frontend by which it was submitted.
+    /// Frontend through which the message was submitted.
     pub origin: Origin,
-    /// Its identity: a submission with the same one is a repeat.
+    /// Identity of the message. A submission with the same identity is a repeat.
     pub identity: Vec<u8>,
-    /// The key by which its receiver discards repeats.
+    /// Key by which the receiver discards repeats.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Its class.
+    /// Class of the message.
     pub class: ClassId,
-    /// Its destination.
+    /// Destination of the message.
     pub destination: DestinationId,
-    /// Unix time in milliseconds until which it may be delivered.
+    /// Unix time in milliseconds until which the message may be delivered.
     pub expires_ms: i64,
-    /// What else the frontend needs to encode an attempt. Its form is the frontend's.
+    /// Further data that the frontend needs to encode an attempt, in a format defined by the frontend.
     pub attributes: Vec<u8>,
-    /// The content, unchanged.
+    /// Content of the message, as submitted.
     pub body: Vec<u8>,
 }
 
-/// The one final outcome of a message.
+/// The final outcome of a message. Each message has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// An attempt's response reports the delivery.
+    /// The response to an attempt reports the delivery.
     Delivered,
-    /// Not delivered; it may be submitted again.
+    /// The message was not delivered and may be submitted again.
     Returned {
-        /// When to submit it again at the earliest, in milliseconds from now.
+        /// Minimum time before the next submission, in milliseconds from now.
         retry_after_ms: u64,
     },
-    /// Failed for good.
+    /// The message failed permanently.
     Failed,
-    /// Its deadline passed.
+    /// The deadline of the message passed.
     Expired,
 }
 
-/// What the response to an attempt means for its message.
+/// The effect of an attempt's response on its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// Only the outcome of the attempt counts.
+    /// The response has no further effect: only the outcome of the attempt is used.
     Undecided,
     /// The message is complete, and no final outcome is reported.
     Complete,
-    /// The message has failed for good: any other attempt would have the same response.
+    /// The message has failed permanently, because any other attempt would have the same response.
     Failed,
 }
 
 /// The response to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitResponse {
-    /// Accepted and journalled: the message will have a final outcome.
+    /// The message is accepted and journalled, and will have a final outcome.
     Accepted,
-    /// Not accepted.
+    /// The message is not accepted.
     Rejected {
-        /// When to submit it again at the earliest, in milliseconds from now.
+        /// Minimum time before the next submission, in milliseconds from now.
         retry_after_ms: u64,
     },
-    /// Accepted by an earlier submission with another idempotency key.
+    /// An earlier submission of the message, with another idempotency key, was accepted.
     Conflict,
-    /// The message has its final outcome.
+    /// The message already has its final outcome.
     Finished(FinalOutcome),
 }
--- a/crates/delivery/src/core/message_record.rs
+++ b/crates/delivery/src/core/message_record.rs
@@ -1,39 +1,39 @@
 //! The stored state of one message, as a state machine.
 //!
-//! A message is [`Pending`](MessageState::Pending) from its acceptance, [`InFlight`](MessageState::InFlight) during an
-//! attempt, pending again after an attempt without a final outcome, and [`Finished`](MessageState::Finished) once. The
-//! record of a finished message is retained until its notice is acknowledged and repeats of it need no longer be
-//! recognised.
+//! A message is [`Pending`](MessageState::Pending) once it is accepted, and [`InFlight`](MessageState::InFlight) during
+//! an attempt. It becomes pending again after an attempt without a final outcome, and
+//! [`Finished`](MessageState::Finished) with its final outcome, which never changes. The record of a finished message is
+//! retained until its notice is acknowledged and repeats of the message no longer need to be recognised.
 
 use super::{FinalOutcome, Message};
 use marblefall_scheduler::Outcome;
 use std::rc::Rc;
 
-/// Estimated size of a record in the journal without the message's identity, attributes and body, in bytes.
+/// Estimated size of a record in the journal, excluding the message's identity, attributes and body, in bytes.
 const RECORD_OVERHEAD_BYTES: u64 = 256;
-/// Estimated size of an alias in the journal without its content, in bytes.
+/// Estimated size of an alias in the journal, excluding its content, in bytes.
 const ALIAS_OVERHEAD_BYTES: u64 = 8;
 
-/// An attempt that was started.
+/// The record of a started attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRecord {
-    /// When it was started, as Unix time in milliseconds.
+    /// Start of the attempt, as Unix time in milliseconds.
     pub started_ms: i64,
-    /// The name of its endpoint.
+    /// Name of the endpoint that the attempt was sent to.
     pub endpoint: String,
 }
 
 /// Whether an attempt may have been executed by its receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It may have been executed.
+    /// The attempt may have been executed.
     Possible,
-    /// It was certainly not executed.
+    /// The attempt was certainly not executed.
     RuledOut,
 }
 
 impl Execution {
-    /// Whether an attempt with this outcome may have been executed.
+    /// Returns whether an attempt with this outcome may have been executed.
     pub fn after(outcome: Outcome) -> Execution {
         if outcome.proves_not_executed() {
             Execution::RuledOut
@@ -46,20 +46,20 @@
 /// Whether the platform must be notified of a final outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeState {
-    /// A notice is sent until the platform acknowledges it.
+    /// A notice is sent repeatedly until the platform acknowledges it.
     Pending,
     /// No notice is needed.
     NotRequired,
 }
 
-/// The final outcome of a message, and how long its record is needed.
+/// The final outcome of a message, and the conditions under which its record may be removed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
-    /// The final outcome.
+    /// Final outcome of the message.
     pub outcome: FinalOutcome,
-    /// Whether the platform must be notified of it.
+    /// Whether the platform must be notified of the final outcome.
     pub notice: NoticeState,
-    /// Unix time in milliseconds until which a repeat must be recognised.
+    /// Unix time in milliseconds until which repeats of the message must be recognised.
     pub retain_until_ms: i64,
     /// An attempt whose result had not been reported when the message finished.
     pub unreported: Option<AttemptRecord>,
@@ -68,31 +68,31 @@
 /// The state of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageState {
-    /// Waiting for its first or next attempt.
+    /// The message waits for its first or next attempt.
     Pending,
     /// An attempt is in flight.
     InFlight(AttemptRecord),
-    /// It has its final outcome.
+    /// The message has its final outcome.
     Finished(Completion),
 }
 
 /// The record of one message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MessageRecord {
-    /// The message; without its body and attributes once it has finished.
+    /// The message. Its body and attributes are empty once it has finished.
     pub message: Rc<Message>,
-    /// How many attempts were started.
+    /// Number of started attempts.
     pub attempts: u32,
     /// The first attempt that may have been executed.
     pub first_possible_execution: Option<AttemptRecord>,
-    /// Its state.
+    /// State of the message.
     pub state: MessageState,
-    /// Other identities under which it was submitted.
+    /// Other identities under which the message was submitted.
     pub aliases: Vec<Vec<u8>>,
 }
 
 impl MessageRecord {
-    /// The record of a message that was just accepted.
+    /// Creates the record of a newly accepted message.
     pub fn new(message: Rc<Message>) -> MessageRecord {
         MessageRecord {
             message,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The final outcome, if it has one.
+    /// Returns the final outcome, if the message has one.
     pub fn completion(&self) -> Option<&Completion> {
         match &self.state {
             MessageState::Finished(completion) => Some(completion),
@@ -111,18 +111,18 @@
         }
     }
 
-    /// Whether it has no final outcome yet.
+    /// Returns whether the message has no final outcome yet.
     pub fn is_open(&self) -> bool {
         self.completion().is_none()
     }
 
-    /// Whether a notice of its final outcome has not been acknowledged yet.
+    /// Returns whether a notice of the final outcome has not been acknowledged yet.
     pub fn has_pending_notice(&self) -> bool {
         self.completion()
             .is_some_and(|completion| completion.notice == NoticeState::Pending)
     }
 
-    /// The attempt whose result has not been reported.
+    /// Returns the attempt whose result has not been reported.
     pub fn in_flight(&self) -> Option<&AttemptRecord> {
         match &self.state {
             MessageState::Pending => None,
@@ -131,8 +131,9 @@
         }
     }
 
-    /// Starts an attempt. An earlier attempt that is still in flight was so when its process ended. It may have been
-    /// executed, and is recorded so: otherwise a repeat could be sent after the receiver's deduplication window.
+    /// Starts an attempt. If an earlier attempt is still in flight, its process ended before the result was known. That
+    /// attempt is recorded as possibly executed: otherwise a repeat could be sent after the receiver's deduplication
+    /// window.
     pub(super) fn start_attempt(&mut self, attempt: AttemptRecord) {
         self.attempts += 1;
         let unfinished = match &mut self.state {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Ends the attempt in flight; returns whether there was one.
+    /// Ends the attempt in flight. Returns whether there was one.
     pub(super) fn finish_attempt(&mut self, execution: Execution) -> bool {
         let Some(attempt) = self.take_in_flight() else {
             return false;
@@ -159,7 +160,7 @@
         true
     }
 
-    /// Gives it its final outcome, and drops the body and the attributes.
+    /// Sets the final outcome of the message, and drops its body and attributes.
     pub(super) fn finish(
         &mut self,
         outcome: FinalOutcome,
@@ -194,19 +195,19 @@
         }
     }
 
-    /// Estimated size of its record in the journal, in bytes.
+    /// Returns the estimated size of this record in the journal, in bytes.
     pub(super) fn journal_cost(&self) -> u64 {
         let aliases: u64 = self.aliases.iter().map(|alias| alias_cost(alias)).sum();
         message_cost(&self.message) + aliases
     }
 }
 
-/// Estimated size of an alias in the journal, in bytes.
+/// Returns the estimated size of an alias in the journal, in bytes.
 pub(super) fn alias_cost(alias: &[u8]) -> u64 {
     alias.len() as u64 + ALIAS_OVERHEAD_BYTES
 }
 
-/// Estimated size of an accepted message in the journal, in bytes.
+/// Returns the estimated size of an accepted message in the journal, in bytes.
 pub(super) fn message_cost(message: &Message) -> u64 {
     let content = message.identity.len() + message.attributes.len() + message.body.len();
     content as u64 + RECORD_OVERHEAD_BYTES
--- a/crates/delivery/src/core/message_store.rs
+++ b/crates/delivery/src/core/message_store.rs
@@ -1,5 +1,7 @@
-//! The state of every accepted message, in memory and in the journal. Each message has exactly one final outcome. A
-//! finished message is retained until its notice is acknowledged and repeats of it need no longer be recognised.
+//! The store of all accepted messages, in memory and in the journal.
+//!
+//! Each message has exactly one final outcome. A finished message is retained until its notice is acknowledged and
+//! repeats of it no longer need to be recognised.
 
 mod backoffs;
 mod following;
@@ -23,51 +25,52 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Space reserved for the files' last blocks and for records that must always be written, in bytes.
+/// Space reserved for the last block of each file, and for records that must always be written, in bytes.
 const RESERVED_BYTES: u64 = 32 * 1024;
 /// Length of a journal segment, in bytes.
 const SEGMENT_BYTES: u64 = 128 * 1024;
-/// The live records fill at most this part of the journal, in percent. The rest makes compaction cheap.
+/// Maximum share of the journal that live records may fill, in percent. The free rest keeps compaction cheap.
 const MAX_LIVE_PERCENT: u64 = 80;
 const PERCENT: u64 = 100;
 
 /// All messages of one instance.
 pub struct MessageStore {
     journal: Journal,
-    /// The maximum size of this incarnation's part of the journal, in bytes.
+    /// Maximum size of this incarnation's part of the journal, in bytes.
     hard_limit: u64,
-    /// The size above which the journal is compacted, in bytes.
+    /// Size above which the journal is compacted, in bytes.
     compact_above: u64,
     messages: BTreeMap<MessageId, MessageRecord>,
-    /// The segment of each message's latest full record.
+    /// Number of the segment with each message's latest full record.
     segments: BTreeMap<MessageId, u64>,
     identities: HashMap<Vec<u8>, MessageId>,
     idempotency_keys: HashMap<(DestinationId, Vec<u8>), MessageId>,
     /// Estimated size of all live records in the journal, in bytes.
     live_cost: u64,
-    /// How many messages have no final outcome.
+    /// Number of messages without a final outcome.
     open_count: usize,
     next_id: MessageId,
-    /// Finished messages without a pending notice, by the Unix time in milliseconds until which they are retained.
+    /// Finished messages without a pending notice, ordered by the Unix time in milliseconds until which they are retained.
     retained: BTreeSet<(i64, MessageId)>,
-    /// Estimated size of the records of retained messages in the journal, in bytes.
+    /// Estimated size of the retained messages' records in the journal, in bytes.
     retained_cost: u64,
     class_names: Vec<String>,
-    /// The ends of the backoffs that endpoints requested, as Unix times in milliseconds.
+    /// End of the backoff that each endpoint requested, as Unix time in milliseconds.
     backoffs: BTreeMap<(DestinationId, String), i64>,
-    /// The logs of predecessors that are still running.
+    /// Read positions in the journals of predecessors that are still running.
     tails: Vec<Tail>,
-    /// Messages whose last records the journal did not accept.
+    /// Messages whose latest records could not be journalled.
     unwritten: BTreeSet<MessageId>,
-    /// Whether another incarnation follows this one's journal.
+    /// Whether this incarnation has handed over, so that a successor follows its journal.
     handed_over: bool,
-    /// The maximum size of this incarnation's part of the journal while it is the only one, in bytes.
+    /// Maximum size of this incarnation's part of the journal after its takeover, in bytes.
     exclusive_limit: u64,
 }
 
 impl MessageStore {
-    /// Opens the journal in a folder of at most `max_bytes` that no other incarnation writes to, and recovers the messages
-    /// of earlier ones. Classes are journalled by name, as their order may change between two incarnations.
+    /// Opens the journal in a folder that no other incarnation writes to, and recovers the messages of earlier
+    /// incarnations. The folder may grow to `max_bytes`. Classes are journalled by name, as their order may change between
+    /// two incarnations.
     ///
     /// # Errors
     /// The folder cannot be created, read or written.
@@ -83,50 +86,50 @@
         Ok(store)
     }
 
-    /// The names of the classes, in their order.
+    /// Returns the names of the classes, in their order.
     pub fn class_names(&self) -> &[String] {
         &self.class_names
     }
 
-    /// Replaces the names of the classes. Those that were known must keep their places, as messages refer to them.
+    /// Replaces the names of the classes. Known classes must keep their positions, as messages refer to them by position.
     pub fn set_class_names(&mut self, class_names: Vec<String>) {
         self.class_names = class_names;
     }
 
-    /// All messages, by id.
+    /// Returns all messages, ordered by id.
     pub fn messages(&self) -> &BTreeMap<MessageId, MessageRecord> {
         &self.messages
     }
 
-    /// The messages without a final outcome.
+    /// Returns the messages without a final outcome.
     pub fn open_messages(&self) -> impl Iterator<Item = (MessageId, &MessageRecord)> {
         let messages = self.messages.iter().map(|(id, record)| (*id, record));
         messages.filter(|(_, record)| record.is_open())
     }
 
-    /// One message.
+    /// Returns the record of a message.
     pub fn get(&self, id: MessageId) -> Option<&MessageRecord> {
         self.messages.get(&id)
     }
 
-    /// The message with an identity.
+    /// Returns the message that has an identity, also as an alias.
     pub fn by_identity(&self, identity: &[u8]) -> Option<MessageId> {
         self.identities.get(identity).copied()
     }
 
-    /// The message with an idempotency key at a destination.
+    /// Returns the message with an idempotency key at a destination.
     pub fn by_idempotency_key(&self, destination: DestinationId, key: &[u8]) -> Option<MessageId> {
         self.idempotency_keys
             .get(&(destination, key.to_vec()))
             .copied()
     }
 
-    /// How many messages have no final outcome.
+    /// Returns the number of messages without a final outcome.
     pub fn open_count(&self) -> usize {
         self.open_count
     }
 
-    /// Whether a message of this size can be accepted. Space is left for final outcomes and for compaction.
+    /// Returns whether the journal has space for a message. Space for final outcomes and for compaction stays reserved.
     pub fn has_capacity_for(&self, message: &Message) -> bool {
         self.live_cost + message_cost(message) <= self.max_live_cost()
     }
@@ -135,18 +138,18 @@
         self.compact_above * MAX_LIVE_PERCENT / PERCENT
     }
 
-    /// Allocates an id for a message. It is not used again, even if the message is never accepted.
+    /// Allocates an id for a message. The id is not reused, even if the message is never accepted.
     pub fn allocate_id(&mut self) -> MessageId {
         let id = self.next_id;
         self.next_id = MessageId(id.0 + 1);
         id
     }
 
-    /// Accepts a message: it is in the journal when this returns. `first_possible_execution` is an attempt of an earlier
-    /// submission of the same message.
+    /// Accepts a message, which is in the journal when this returns. `first_possible_execution` is an attempt that was
+    /// started for an earlier submission of the same message.
     ///
     /// # Errors
-    /// The journal is full or cannot be written; the message is not accepted.
+    /// The journal is full or cannot be written. The message is not accepted.
     pub fn accept(
         &mut self,
         id: MessageId,
@@ -165,10 +168,10 @@
         Ok(())
     }
 
-    /// Adds another identity to a message, under which it is then recognised.
+    /// Adds another identity to a message, by which repeats of it are also recognised.
     ///
     /// # Errors
-    /// The journal is full or cannot be written. This incarnation has the alias all the same.
+    /// The journal is full or cannot be written. The alias is still in force in this incarnation.
     pub fn add_alias(&mut self, id: MessageId, identity: &[u8]) -> io::Result<()> {
         if !self.messages.contains_key(&id) || self.identities.contains_key(identity) {
             return Ok(());
@@ -185,7 +188,7 @@
     /// Journals an attempt before its first byte is sent.
     ///
     /// # Errors
-    /// The journal is full or cannot be written. The attempt is not counted, and must not be sent.
+    /// The journal is full or cannot be written. The attempt does not count, and must not be sent.
     pub fn attempt_started(&mut self, id: MessageId, attempt: AttemptRecord) -> io::Result<()> {
         if !self.messages.contains_key(&id) {
             return Ok(());
@@ -193,25 +196,26 @@
         if self.unwritten.contains(&id) {
             self.journal_full_record(id)?;
         }
-        // Written before it is applied: a compaction would copy the attempt, and its own record would count it again.
+        // The record is written before it is applied. Otherwise a compaction during the write would copy the message with
+        // the attempt, and a replay of the attempt's own record would count it twice.
         let record = JournalRecord::AttemptStarted(attempt);
         self.write(&record.encode(id, &self.class_names))?;
         record.apply(id, &mut self.messages);
         Ok(())
     }
 
-    /// Ends the attempt in flight.
+    /// Records the end of the attempt in flight.
     ///
     /// # Errors
-    /// The journal is full or cannot be written. This incarnation has the result all the same.
+    /// The journal is full or cannot be written. The result is still in force in this incarnation.
     pub fn attempt_finished(&mut self, id: MessageId, execution: Execution) -> io::Result<()> {
         self.update(id, JournalRecord::AttemptFinished(execution))
     }
 
-    /// Gives a message its final outcome; returns false if it had one already.
+    /// Sets the final outcome of a message. Returns false if the message already had one.
     ///
     /// # Errors
-    /// The journal is full or cannot be written. This incarnation has the outcome all the same.
+    /// The journal is full or cannot be written. The outcome is still in force in this incarnation.
     pub fn finish(
         &mut self,
         id: MessageId,
@@ -243,7 +247,7 @@
     /// Removes a message.
     ///
     /// # Errors
-    /// The journal is full or cannot be written. This incarnation has removed it all the same.
+    /// The journal is full or cannot be written. The message is still removed in this incarnation.
     pub fn remove(&mut self, id: MessageId) -> io::Result<()> {
         if !self.messages.contains_key(&id) {
             return Ok(());
@@ -252,8 +256,9 @@
         self.update(id, JournalRecord::Removed)
     }
 
-    /// Removes the finished messages whose retention has ended, and the oldest ones beyond `max_retained` of them or beyond
-    /// half of the space for live records, so that retained messages do not displace new ones.
+    /// Removes the finished messages whose retention has ended. It also removes the oldest ones while there are more than
+    /// `max_retained`, or while they use more than half of the space for live records: retained messages must not displace
+    /// new ones.
     ///
     /// # Errors
     /// The journal cannot be written.
--- a/crates/delivery/src/core/message_store/backoffs.rs
+++ b/crates/delivery/src/core/message_store/backoffs.rs
@@ -1,4 +1,4 @@
-//! The backoffs that endpoints requested, which a successor must respect.
+//! The backoffs that endpoints requested. They are journalled, as a successor must respect them.
 
 use super::MessageStore;
 use crate::core::journal_record::{BackoffRecord, JournalRecord, NO_MESSAGE};
@@ -7,10 +7,11 @@
 use std::io;
 
 impl MessageStore {
-    /// Journals a backoff that an endpoint requested until a Unix time in milliseconds. The longest one is in force.
+    /// Journals a backoff that an endpoint requested until a Unix time in milliseconds. The backoff that ends last is in
+    /// force.
     ///
     /// # Errors
-    /// The journal is full or cannot be written. It is in force for this incarnation all the same.
+    /// The journal is full or cannot be written. The backoff is still in force in this incarnation.
     pub fn record_backoff(
         &mut self,
         destination: DestinationId,
@@ -31,7 +32,7 @@
             .map(|_| ())
     }
 
-    /// The ends of the backoffs that endpoints requested, as Unix times in milliseconds. Some may have passed.
+    /// Returns the end of the backoff that each endpoint requested, as Unix time in milliseconds. It may have passed.
     pub fn backoffs(&self) -> &BTreeMap<(DestinationId, String), i64> {
         &self.backoffs
     }
--- a/crates/delivery/src/core/message_store/following.rs
+++ b/crates/delivery/src/core/message_store/following.rs
@@ -1,4 +1,4 @@
-//! Follows the journals of predecessors that have handed over and are still running.
+//! Reads the journals of predecessors that have handed over and are still running.
 
 use super::MessageStore;
 use crate::core::attempt_result::AttemptResult;
@@ -8,21 +8,22 @@
 use crate::system_error::is_transient;
 use std::io;
 
-/// What a running predecessor has journalled.
+/// An event that a predecessor journalled after it handed over.
 #[derive(Debug, PartialEq)]
 pub enum PredecessorEvent {
-    /// It accepted a message.
+    /// The predecessor accepted a message.
     Accepted(MessageId),
-    /// It reported the result of an attempt.
+    /// The predecessor reported the result of an attempt.
     AttemptFinished(AttemptResult),
 }
 
 impl MessageStore {
-    /// Reads what running predecessors have journalled since the last call. The messages that they accepted are stored as
-    /// this incarnation's. The results of their attempts are only added to `found`.
+    /// Reads the records that running predecessors have journalled since the last call, and adds their events to `found`.
+    /// Messages that a predecessor accepted are also stored as messages of this incarnation. Results of its attempts are
+    /// not applied.
     ///
     /// # Errors
-    /// The journal cannot be read. What was read before the error has been added to `found`.
+    /// The journal cannot be read. Events that precede the error have been added to `found`.
     pub fn follow(&mut self, found: &mut Vec<PredecessorEvent>) -> io::Result<()> {
         let mut tails = std::mem::take(&mut self.tails);
         let followed = tails.iter_mut().try_for_each(|tail| {
@@ -37,10 +38,10 @@
         followed
     }
 
-    /// Reads the rest of what a predecessor has journalled that has exited.
+    /// Reads the remaining records of a predecessor that has exited.
     ///
     /// # Errors
-    /// The journal cannot be read. After a transient error the next call reads on.
+    /// The journal cannot be read. After a transient error the next call continues.
     pub fn finish_following(
         &mut self,
         generation: Generation,
@@ -67,7 +68,8 @@
         Ok(())
     }
 
-    /// Handles the records that a predecessor journalled after it had handed over.
+    /// Stores the messages among records that a predecessor journalled after it handed over, and adds the events to
+    /// `found`.
     fn absorb(&mut self, read: Vec<(u64, Vec<u8>)>, found: &mut Vec<PredecessorEvent>) {
         for (segment, payload) in read {
             match JournalRecord::decode(&payload, &self.class_names) {
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Whether predecessors are still running.
+    /// Returns whether the journal of any predecessor is still followed.
     pub fn is_following(&self) -> bool {
         !self.tails.is_empty()
     }
--- a/crates/delivery/src/core/message_store/handover.rs
+++ b/crates/delivery/src/core/message_store/handover.rs
@@ -1,4 +1,4 @@
-//! What an incarnation journals for the one that takes over from it.
+//! The records that an incarnation journals for its successor.
 
 use super::takeover::AFTER_HANDOVER_BYTES;
 use super::MessageStore;
@@ -6,13 +6,13 @@
 use std::io;
 
 impl MessageStore {
-    /// Hands over to an incarnation that reads the journal from now on, and journals the states of routes for it. Later
-    /// records are written to a segment of their own, and no segment is removed any more.
+    /// Hands over to a successor, which follows the journal from now on, and journals the states of routes for it. Later
+    /// records are written to a new segment, and no segment is removed any more.
     ///
     /// # Errors
-    /// The journal cannot be written. It is handed over all the same.
+    /// The journal cannot be written. The handover takes effect regardless.
     pub fn hand_over(&mut self, routes: Vec<RouteRecord>) -> io::Result<()> {
-        // What is not journalled now is lost to the successor.
+        // The successor never sees records that cannot be journalled now.
         let _ = self.retry_unwritten();
         self.handed_over = true;
         self.hard_limit = self.journal.size() + AFTER_HANDOVER_BYTES;
@@ -23,7 +23,7 @@
         Ok(())
     }
 
-    /// Reports the result of an attempt of this incarnation to the one that is active now.
+    /// Journals the result of an attempt of this incarnation, as a report to the active incarnation.
     ///
     /// # Errors
     /// The journal is full or cannot be written.
--- a/crates/delivery/src/core/message_store/index.rs
+++ b/crates/delivery/src/core/message_store/index.rs
@@ -1,10 +1,10 @@
-//! The indexes of the store by identity and idempotency key, and the accounts of its sizes.
+//! The indexes of the store by identity and idempotency key, and its counts and sizes.
 
 use super::MessageStore;
 use crate::core::MessageId;
 
 impl MessageStore {
-    /// Adds a stored message to the indexes and accounts.
+    /// Adds a stored message to the indexes, counts and sizes.
     pub(super) fn index(&mut self, id: MessageId) {
         let record = &self.messages[&id];
         let message = record.message.clone();
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Removes a stored message from the indexes and accounts.
+    /// Removes a stored message from the indexes, counts and sizes.
     pub(super) fn unindex(&mut self, id: MessageId) {
         let record = &self.messages[&id];
         let message = record.message.clone();
@@ -51,7 +51,7 @@
         self.segments.remove(&id);
     }
 
-    /// Adds a finished message without a pending notice to the retained ones.
+    /// Adds a finished message without a pending notice to the retained messages.
     pub(super) fn retain(&mut self, id: MessageId) {
         let record = &self.messages[&id];
         let Some(completion) = record.completion() else {
--- a/crates/delivery/src/core/message_store/journalling.rs
+++ b/crates/delivery/src/core/message_store/journalling.rs
@@ -1,16 +1,16 @@
-//! How the store writes its journal: records that fail are written again later, and old segments are compacted.
+//! Writes the journal of the store: retries records that could not be written, and compacts old segments.
 
 use super::MessageStore;
 use crate::core::journal_record::{BackoffRecord, JournalRecord, NO_MESSAGE};
 use crate::core::MessageId;
 use std::io;
 
-/// Space left free behind each record, in bytes.
+/// Space that must remain free after each record, in bytes.
 const APPEND_MARGIN_BYTES: u64 = 1024;
 
 impl MessageStore {
-    /// Applies a record to a message in memory, and journals it. A record that the journal does not accept is in force all
-    /// the same, and is journalled later by [`MessageStore::retry_unwritten`].
+    /// Applies a record to a message in memory, and journals it. A record that cannot be journalled is still in force, and
+    /// [`MessageStore::retry_unwritten`] journals it later.
     pub(super) fn update(&mut self, id: MessageId, record: JournalRecord) -> io::Result<()> {
         if !self.messages.contains_key(&id) {
             return Ok(());
@@ -18,7 +18,7 @@
         let bytes = record.encode(id, &self.class_names);
         record.apply(id, &mut self.messages);
         if self.unwritten.contains(&id) {
-            // After a missing record, this one alone would be applied to another state.
+            // An earlier record of this message is missing, so a replay would apply this record to the wrong state.
             return self.journal_full_record(id);
         }
         let written = self.write(&bytes);
@@ -28,17 +28,17 @@
         written.map(|_| ())
     }
 
-    /// Whether there are records that the journal did not accept.
+    /// Returns whether some records could not be journalled.
     pub fn has_unwritten(&self) -> bool {
         !self.unwritten.is_empty()
     }
 
-    /// Whether the journal did not accept the last record of a message.
+    /// Returns whether the latest record of a message could not be journalled.
     pub fn is_unwritten(&self, id: MessageId) -> bool {
         self.unwritten.contains(&id)
     }
 
-    /// Journals the messages whose records the journal did not accept.
+    /// Journals the messages whose latest records could not be journalled.
     ///
     /// # Errors
     /// The journal is full or cannot be written. The next call continues.
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Journals the full record of a message, in place of the records that the journal did not accept.
+    /// Journals the full record of a message, in place of its records that could not be journalled.
     pub(super) fn journal_full_record(&mut self, id: MessageId) -> io::Result<()> {
         let stored = self.messages.get(&id).cloned();
         let is_stored = stored.is_some();
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Writes a record, and returns its segment. The journal is compacted first if the record would not fit.
+    /// Writes a record, and returns the number of its segment. Compacts the journal first if the record would not fit.
     pub(super) fn write(&mut self, payload: &[u8]) -> io::Result<u64> {
         for _ in 0..self.journal.segment_count() {
             let fits = self.journal.size() + payload.len() as u64 <= self.compact_above;
@@ -73,13 +73,14 @@
         if self.journal.size() + payload.len() as u64 + APPEND_MARGIN_BYTES > self.hard_limit {
             return Err(io::Error::new(
                 io::ErrorKind::StorageFull,
-                "the journal's folder is full",
+                "the journal has reached its maximum size",
             ));
         }
         self.journal.append(payload)
     }
 
-    /// Copies the live records of the oldest segment forward and removes it; returns whether there was one.
+    /// Copies the live records of the oldest segment to the end of the journal and removes the segment. Returns whether
+    /// there was a segment to remove.
     fn compact(&mut self) -> io::Result<bool> {
         let Some(oldest) = self.journal.oldest() else {
             return Ok(false);
@@ -99,7 +100,7 @@
         Ok(true)
     }
 
-    /// Writes all backoffs again, as their records may be in the oldest segment. There is at most one for each endpoint.
+    /// Writes all backoffs again, as their records may be in the oldest segment. Each endpoint has at most one.
     fn copy_backoffs_forward(&mut self) -> io::Result<()> {
         for ((destination, endpoint), until_ms) in self.backoffs.clone() {
             let record = JournalRecord::Backoff(BackoffRecord {
--- a/crates/delivery/src/core/message_store/takeover.rs
+++ b/crates/delivery/src/core/message_store/takeover.rs
@@ -1,4 +1,4 @@
-//! How an incarnation begins its part of the journal, and recovers the messages of earlier ones.
+//! Begins an incarnation's part of the journal, and recovers the messages of earlier incarnations.
 
 use super::{MessageStore, RESERVED_BYTES, SEGMENT_BYTES};
 use crate::core::journal::{Generation, Journal, Tail};
@@ -11,28 +11,28 @@
 use std::io;
 use std::path::Path;
 
-/// An incarnation leaves one in this many parts of the folder to a successor.
+/// Divisor of the folder's maximum size that yields the space left to a successor.
 const SUCCESSOR_DIVISOR: u64 = 4;
-/// The most that it leaves to a successor, in bytes.
+/// Maximum space that an incarnation leaves to a successor, in bytes.
 const MAX_SUCCESSOR_BYTES: u64 = 8 << 20;
-/// Space for what an incarnation writes after it has handed over, in bytes: results of its attempts, and submissions of
-/// its last clients.
+/// Space for the records that an incarnation writes after it has handed over, in bytes: results of its attempts, and
+/// submissions of its remaining clients.
 pub(super) const AFTER_HANDOVER_BYTES: u64 = 128 * 1024;
-/// How many segments compaction needs space for.
+/// Number of segments that compaction needs space for.
 const COMPACTION_SEGMENTS: u64 = 2;
-/// How many bits of a message's id count within one incarnation.
+/// Number of low bits of a message's id that count within one incarnation.
 const ID_BITS_PER_GENERATION: u32 = 40;
 
-/// What was recovered besides messages.
+/// The data recovered from earlier incarnations besides their messages.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// The states of routes.
+    /// States of the routes.
     pub routes: Vec<RouteRecord>,
-    /// Messages whose attempt is still in flight, at an incarnation that is running.
+    /// Messages whose attempt is still in flight in a running incarnation.
     pub in_flight: Vec<MessageId>,
 }
 
-/// What the journal of earlier incarnations has besides messages.
+/// The data replayed from the journals of earlier incarnations besides the messages.
 #[derive(Default)]
 struct Replayed {
     routes: Vec<RouteRecord>,
@@ -41,8 +41,8 @@
 }
 
 impl MessageStore {
-    /// Begins this incarnation's part of the journal in a folder of at most `max_bytes`. Until it takes over, it uses only
-    /// the space that its predecessors leave.
+    /// Begins this incarnation's part of the journal in a folder that may grow to `max_bytes`. Until it takes over, the
+    /// incarnation uses only the space that its predecessors leave.
     ///
     /// # Errors
     /// The folder cannot be read or written.
@@ -84,15 +84,17 @@
         })
     }
 
-    /// Recovers the messages of all earlier incarnations, in their order. Those that are `running` have handed over: their
-    /// journals are followed from here on, and their attempts in flight remain theirs. Incarnations from
-    /// `first_concurrent` on were running when this one started. Only their backoffs remain in force, and only their
-    /// states of routes are returned, as a restart ends a backoff.
+    /// Recovers the messages of all earlier incarnations, in the order of their generations. The `running` incarnations
+    /// have handed over. Their journals are followed from now on, and their attempts in flight are not ended.
     ///
-    /// Records that the journal does not accept meanwhile are left to [`MessageStore::retry_unwritten`].
+    /// Incarnations from `first_concurrent` on were running when this one started. Only their backoffs remain in force,
+    /// and only their states of routes are returned, as a restart ends a backoff.
+    ///
+    /// Records that cannot be journalled meanwhile are journalled later by [`MessageStore::retry_unwritten`].
     ///
     /// # Errors
-    /// The journal cannot be read. After a transient error nothing is recovered, otherwise what is before the error is.
+    /// The journal cannot be read. After a transient error nothing is recovered; otherwise the records that precede the
+    /// error are recovered.
     pub fn take_over(
         &mut self,
         running: &[Generation],
@@ -101,7 +103,7 @@
         let own: Vec<MessageId> = self.messages.keys().copied().collect();
         let mut replayed = Replayed::default();
         let replay = self.replay(running, first_concurrent, &mut replayed);
-        // What was read before an error is recovered, with none of its attempts in flight.
+        // After a permanent error, the records that precede it are recovered, and all their attempts in flight are ended.
         let (tails, read) = match replay {
             Ok(tails) => (tails, Ok(())),
             Err(error) if is_transient(&error) => return Err(error),
@@ -125,7 +127,7 @@
         read.map(|()| Recovered { routes, in_flight })
     }
 
-    /// Uses the space of an incarnation that is the only one, from now on.
+    /// Sets the size limits of an incarnation that has taken over.
     fn use_exclusive_limit(&mut self) {
         self.hard_limit = self.exclusive_limit;
         self.compact_above = self
@@ -133,16 +135,17 @@
             .saturating_sub(COMPACTION_SEGMENTS * SEGMENT_BYTES);
     }
 
-    /// Journals the backoffs of predecessors as this incarnation's, so that the next one need not know when this one
-    /// started.
+    /// Journals the backoffs of predecessors as backoffs of this incarnation. Its successor then does not need to know when
+    /// this incarnation started.
     fn record_backoffs_again(&mut self, backoffs: BTreeMap<(DestinationId, String), i64>) {
         for ((destination, endpoint), until_ms) in backoffs {
-            // A backoff that is not journalled is in force for this incarnation alone, and a restart ends a backoff.
+            // The error is ignored: without its record, the backoff is still in force in this incarnation, and a restart
+            // ends a backoff anyway.
             let _ = self.record_backoff(destination, endpoint, until_ms);
         }
     }
 
-    /// Applies the journal of earlier incarnations to the messages.
+    /// Applies the journals of earlier incarnations to the messages.
     fn replay(
         &mut self,
         running: &[Generation],
@@ -175,8 +178,8 @@
         })
     }
 
-    /// Ends the attempts whose incarnation has exited, as they may have been executed. Where some incarnations are
-    /// running, the messages with an attempt in flight are returned instead.
+    /// Ends the attempts in flight as possibly executed, as their incarnations have exited. If some incarnations are still
+    /// running, ends none, and returns the messages with an attempt in flight instead.
     fn settle_in_flight(
         &mut self,
         found: Vec<MessageId>,
@@ -190,14 +193,14 @@
             if some_are_running {
                 in_flight.push(id);
             } else {
-                // If this is not journalled, the next incarnation finds the attempt in flight and does the same.
+                // The error is ignored: the next incarnation then finds the attempt in flight and ends it.
                 let _ = self.attempt_finished(id, Execution::Possible);
             }
         }
         in_flight
     }
 
-    /// Continues under a later generation, so that the messages of incarnations in between can be recovered.
+    /// Continues the journal under a later generation, so that messages of the generations in between can be recovered.
     ///
     /// # Errors
     /// The journal cannot be written.
@@ -208,7 +211,7 @@
     }
 }
 
-/// The first message id of an incarnation.
+/// Returns the first message id of an incarnation.
 fn first_id(generation: Generation) -> MessageId {
     MessageId((generation.0 << ID_BITS_PER_GENERATION) + 1)
 }
