--- a/crates/delivery/src/core/active_destinations.rs
+++ b/crates/delivery/src/core/active_destinations.rs
@@ -1,27 +1,27 @@
-//! Which destinations are in use, and the records of those that were.
+//! The set of destinations in use, and the records of idle destinations.
 //!
-//! A destination is active from its first message until it has not been used for [`IDLE_AFTER`]. Of an idle destination
-//! only a small record is stored, if it is significant. Destinations are checked one by one as they are due, so that no
-//! step checks all of them.
+//! A destination is active from its first message until it has not been used for [`IDLE_AFTER`]. An idle destination has
+//! only a small record, which is stored if it is significant. Each destination has its own time for the next check, so
+//! that no step checks all of them.
 
 use marblefall_scheduler::{DestinationId, IdleRecord, Span, Time};
 use std::collections::{HashMap, VecDeque};
 
-/// A destination that has not been used for this long is idle. With the usual settings its recovery ramp, its rate limit
-/// and its idle connections have ended by then, so that little state is lost.
+/// Time without use after which a destination is idle. With the usual settings, its recovery ramp, its rate limit and its
+/// idle connections have ended by then, so that little state is lost.
 pub const IDLE_AFTER: Span = Span(30_000_000);
 
-/// The destinations in use, and the records of idle ones.
+/// The destinations in use, and the records of idle destinations.
 #[derive(Debug, Default)]
 pub struct ActiveDestinations {
     last_used: HashMap<DestinationId, Time>,
-    /// Each active destination once, by the time of its next check.
+    /// The next check of each active destination, in order of time.
     checks: VecDeque<(Time, DestinationId)>,
     idle_records: HashMap<DestinationId, IdleRecord>,
 }
 
 impl ActiveDestinations {
-    /// Notes the use of a destination; returns whether it was not active before.
+    /// Records the use of a destination. Returns whether it was idle before.
     pub fn touch(&mut self, now: Time, id: DestinationId) -> bool {
         let newly_active = self.last_used.insert(id, now).is_none();
         if newly_active {
@@ -30,23 +30,23 @@
         newly_active
     }
 
-    /// The destinations that are active.
+    /// Returns the active destinations.
     pub fn active(&self) -> impl Iterator<Item = DestinationId> + '_ {
         self.last_used.keys().copied()
     }
 
-    /// Whether a destination is active.
+    /// Returns whether a destination is active.
     pub fn is_active(&self, id: DestinationId) -> bool {
         self.last_used.contains_key(&id)
     }
 
-    /// When the next destination is to be checked.
+    /// Returns the time of the next check.
     pub fn next_check(&self) -> Option<Time> {
         self.checks.front().map(|(at, _)| *at)
     }
 
-    /// The next destination that is due for its check and has become idle. The checks of those that were used meanwhile
-    /// are postponed.
+    /// Returns the next destination whose check is due and which has become idle. Postpones the due checks of destinations
+    /// that were used meanwhile.
     pub fn next_idle(&mut self, now: Time) -> Option<DestinationId> {
         while let Some((_, id)) = self.checks.pop_front_if(|(at, _)| *at <= now) {
             match self.last_used.get(&id) {
@@ -65,7 +65,7 @@
         self.checks.push_back((now + IDLE_AFTER, id));
     }
 
-    /// Makes a destination idle; its record is stored if it is significant.
+    /// Makes a destination idle, and stores its record if it is significant.
     pub fn deactivate(&mut self, id: DestinationId, record: IdleRecord) {
         self.last_used.remove(&id);
         self.insert_idle(id, record);
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Removes the record of a destination that becomes active.
+    /// Removes and returns the record of a destination that becomes active.
     pub fn take_record(&mut self, id: DestinationId) -> Option<IdleRecord> {
         self.idle_records.remove(&id)
     }
 
-    /// The records of idle destinations.
+    /// Returns the records of idle destinations.
     pub fn idle_records(&self) -> impl Iterator<Item = (DestinationId, &IdleRecord)> {
         self.idle_records.iter().map(|(id, record)| (*id, record))
     }
--- a/crates/delivery/src/core/active_destinations/tests.rs
+++ b/crates/delivery/src/core/active_destinations/tests.rs
@@ -1,4 +1,4 @@
-//! Active and idle destinations, with a clock set by the tests.
+//! Tests of the transitions between active and idle destinations, with a simulated clock.
 
 use super::*;
 
--- a/crates/delivery/src/core/attempt_result.rs
+++ b/crates/delivery/src/core/attempt_result.rs
@@ -6,16 +6,16 @@
 /// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// The message.
+    /// Id of the message.
     pub message_id: MessageId,
-    /// The attempt's number, from 0 for the message's first.
+    /// Number of the attempt, counted from 0 for the first attempt of the message.
     pub attempt: u32,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it was in flight.
+    /// Time that the attempt was in flight.
     pub duration: Span,
-    /// What the response means for the message.
+    /// Effect of the response on the message.
     pub disposition: Disposition,
-    /// The rate limit that the response reports.
+    /// Rate limit that the response reports.
     pub rate_limit: RateLimitReport,
 }
--- a/crates/delivery/src/core/destination_table.rs
+++ b/crates/delivery/src/core/destination_table.rs
@@ -1,73 +1,73 @@
 //! All destinations and their endpoints in a compact form, as there may be thousands, most of them idle.
 //!
-//! A table is immutable once it is built. All instances of a process share it, and a change replaces it. The state of a
-//! destination in an instance is not part of it.
+//! A table is immutable once it is built. All instances of a process share one table, and a change replaces the table.
+//! The state of a destination in an instance is not part of the table.
 
 use super::endpoint::ListedEndpoint;
 use marblefall_scheduler::{DestinationId, EndpointStatus, KindId, ZoneId};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// How many destinations [`DestinationTable::with_large_capacity`] allocates space for. Unused space is freed by
-/// [`DestinationTable::build`]. Growing the lists step by step instead would fragment the allocator's memory.
+/// Number of destinations that [`DestinationTable::with_large_capacity`] allocates space for. [`DestinationTable::build`]
+/// frees unused space. Growing the lists step by step instead would fragment the allocator's memory.
 const LARGE_CAPACITY: usize = 1 << 18;
-/// Space for the names of each of them, in bytes.
+/// Space allocated for the names of each destination and its endpoints, in bytes.
 const NAME_BYTES: usize = 32;
 
 /// An endpoint of a destination in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEntry<'a> {
-    /// Its name, which does not change with its address.
+    /// Name of the endpoint, which does not depend on the address.
     pub name: &'a str,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Its share of the destination's calls relative to the other endpoints' weights, where weights are given.
+    /// Share of the destination's calls, relative to the weights of its other endpoints; `None` where no weight is given.
     pub weight: Option<f32>,
-    /// Whether new attempts may be sent to it; otherwise it is draining.
+    /// Whether new attempts may be sent to the endpoint; otherwise it is draining.
     pub active: bool,
 }
 
 /// A destination in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DestinationEntry<'a> {
-    /// Its name.
+    /// Name of the destination.
     pub name: &'a str,
-    /// Its id in the core.
+    /// Id of the destination in the core.
     pub id: DestinationId,
-    /// How its frontend encodes an attempt, as a number that the frontend defines.
+    /// Encoding of attempts, as a number that the frontend defines.
     pub encoding: u16,
-    /// Calls per second that it accepts from all instances together.
+    /// Calls per second that the destination accepts from all instances together.
     pub rate: f32,
-    /// Whether its endpoints are from an endpoint list. Their names are then prefixed with the destination's name.
+    /// Whether the endpoints are from an endpoint list. Their names are then prefixed with the destination's name.
     pub from_list: bool,
 }
 
-/// Why a destination cannot be added.
+/// A limit of the table that a destination exceeds.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum TableError {
     /// A name is longer than 65,535 bytes, or all names together are longer than 4 GB.
-    #[error("names take too much space")]
+    #[error("a name is longer than 65,535 bytes, or all names together are longer than 4 GB")]
     Names,
     /// There are more than 65,535 ways to encode an attempt.
     #[error("too many encodings of attempts")]
     Encodings,
     /// A destination has more than 65,535 endpoints.
-    #[error("{0} has too many endpoints")]
+    #[error("destination {0} has more than 65,535 endpoints")]
     Endpoints(String),
 }
 
-/// All destinations.
+/// The compact table of all destinations and their endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct DestinationTable {
-    /// All names, concatenated.
+    /// All names of destinations and endpoints, concatenated.
     names: String,
     /// Sorted by id once the table is built.
     destinations: Vec<PackedDestination>,
-    /// All endpoints; those of one destination are adjacent.
+    /// All endpoints. The endpoints of one destination are adjacent.
     endpoints: Vec<PackedEndpoint>,
     ipv6_addresses: Vec<IpAddr>,
 }
 
-/// The position of a name among all names.
+/// The position of a name in [`DestinationTable::names`].
 #[derive(Clone, Copy, Debug)]
 struct NameRange {
     start: u32,
@@ -89,7 +89,7 @@
 struct PackedEndpoint {
     name: NameRange,
     port: u16,
-    /// An IPv4 address, or the index of an IPv6 one.
+    /// The IPv4 address, or the index of the IPv6 address in [`DestinationTable::ipv6_addresses`].
     ip: u32,
     /// NaN where no weight is given.
     weight: f32,
@@ -98,7 +98,7 @@
 }
 
 impl DestinationTable {
-    /// An empty table with space for many destinations.
+    /// Creates an empty table with space for many destinations.
     pub fn with_large_capacity() -> DestinationTable {
         DestinationTable {
             names: String::with_capacity(NAME_BYTES * LARGE_CAPACITY),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Adds a destination, before [`DestinationTable::build`].
+    /// Adds a destination. Must not be called after [`DestinationTable::build`].
     ///
     /// # Errors
     /// The destination exceeds a limit of the compact form.
@@ -163,7 +163,7 @@
         Ok(NameRange { start, len })
     }
 
-    /// Makes the table ready to be read, and frees unused space.
+    /// Sorts the destinations for lookups, and frees unused space.
     pub fn build(mut self) -> DestinationTable {
         self.destinations
             .sort_unstable_by_key(|destination| destination.id);
@@ -173,17 +173,17 @@
         self
     }
 
-    /// How many destinations there are.
+    /// Returns the number of destinations.
     pub fn len(&self) -> usize {
         self.destinations.len()
     }
 
-    /// Whether there are no destinations.
+    /// Returns whether there are no destinations.
     pub fn is_empty(&self) -> bool {
         self.destinations.is_empty()
     }
 
-    /// The size of the table in memory, in bytes.
+    /// Returns the size of the table in memory, in bytes.
     pub fn bytes(&self) -> usize {
         self.destinations.capacity() * size_of::<PackedDestination>()
             + self.endpoints.capacity() * size_of::<PackedEndpoint>()
@@ -191,17 +191,17 @@
             + self.names.capacity()
     }
 
-    /// A destination by its id.
+    /// Returns the destination with an id.
     pub fn entry(&self, id: DestinationId) -> Option<DestinationEntry<'_>> {
         self.find(id).map(|packed| self.unpack(packed))
     }
 
-    /// All destinations, by their ids.
+    /// Returns all destinations, ordered by id.
     pub fn entries(&self) -> impl Iterator<Item = DestinationEntry<'_>> {
         self.destinations.iter().map(|packed| self.unpack(packed))
     }
 
-    /// The endpoints of a destination; none where it is unknown.
+    /// Returns the endpoints of a destination; none if the destination is unknown.
     pub fn endpoints(&self, id: DestinationId) -> impl Iterator<Item = EndpointEntry<'_>> {
         let packed = self.find(id).map(|destination| {
             let first = destination.first_endpoint as usize;
@@ -214,7 +214,7 @@
             .map(|packed| self.unpack_endpoint(packed))
     }
 
-    /// The listings of a destination's endpoints; none where it is unknown.
+    /// Returns the endpoints of a destination in the form that discovery also uses; none if the destination is unknown.
     pub fn listed_endpoints(&self, id: DestinationId) -> Vec<ListedEndpoint> {
         let Some(destination) = self.entry(id) else {
             return Vec::new();
--- a/crates/delivery/src/core/destination_table/tests.rs
+++ b/crates/delivery/src/core/destination_table/tests.rs
@@ -1,4 +1,4 @@
-//! The compact form of the table.
+//! Tests of the compact table: its content, its size and its limits.
 
 use super::*;
 
--- a/crates/delivery/src/core/endpoint.rs
+++ b/crates/delivery/src/core/endpoint.rs
@@ -1,24 +1,25 @@
-//! An endpoint in the list.
+//! The listing of an endpoint.
 
 use marblefall_scheduler::{DestinationId, EndpointStatus, KindId, ZoneId};
 
 /// An endpoint as discovery or the destination table lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its name, which does not change with its address.
+    /// Name of the endpoint, which does not depend on the address.
     pub name: String,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: String,
-    /// Its destination.
+    /// Destination of the endpoint.
     pub destination: DestinationId,
-    /// The destination's kind.
+    /// Kind of the destination.
     pub kind: KindId,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: ZoneId,
-    /// Whether attempts may be sent to it.
+    /// Whether new attempts may be sent to the endpoint.
     pub status: EndpointStatus,
-    /// The rate that the list advertises, in calls per second.
+    /// Rate that the list advertises, in calls per second.
     pub advertised_rate: f64,
-    /// Its share of the destination's calls relative to the other endpoints' weights, where the list gives weights.
+    /// Share of the destination's calls, relative to the weights of its other endpoints; `None` where the list gives no
+    /// weight.
     pub weight: Option<f64>,
 }
--- a/crates/delivery/src/core/journal.rs
+++ b/crates/delivery/src/core/journal.rs
@@ -1,10 +1,10 @@
-//! The journal: an append-only log in segments, in which each record has a length and a checksum in front.
+//! The journal: an append-only log in segments, in which each record is preceded by its length and a checksum.
 //!
-//! The journal does not know what the records say. The message store decides which are live, and copies them forward
-//! before a segment is removed.
+//! The journal does not interpret its records. The message store determines which of them are live, and copies these to
+//! the end of the journal before a segment is removed.
 //!
-//! Each incarnation of the process writes segments of its own, numbered from its generation on. Two incarnations may
-//! write to one folder at the same time; in the order of their numbers, their segments are one log.
+//! Each incarnation of the process writes its own segments, in a range of numbers that belongs to its generation. Two
+//! incarnations may write to one folder at the same time. In the order of their numbers, all segments form one log.
 
 mod adoption;
 mod generation;
@@ -20,22 +20,22 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// File sizes count in whole blocks of this size, in bytes.
+/// Size of the disk blocks in which file sizes are counted, in bytes.
 const BLOCK_BYTES: u64 = 512;
 
-/// A segment of this incarnation, or one that it has taken over.
+/// A segment that this incarnation has written or taken over.
 struct Segment {
     number: u64,
-    /// Its length in bytes.
+    /// Length of the file, in bytes.
     len: u64,
 }
 
-/// The segment that is written to.
+/// The newest segment, to which records are appended.
 struct Head {
     segment: Segment,
     file: File,
-    /// Whether a failed write may have left a part of a record at the end. Nothing is appended to it, as a reader would
-    /// stop there.
+    /// Whether a failed write may have left an incomplete record at the end. Nothing is appended then, as a reader would
+    /// stop at the incomplete record.
     is_torn: bool,
 }
 
@@ -49,18 +49,18 @@
     }
 }
 
-/// The log of one instance.
+/// The journal of one instance.
 pub struct Journal {
     folder: PathBuf,
-    /// The length beyond which a new segment is begun, in bytes.
+    /// Length beyond which a new segment is begun, in bytes.
     segment_len: u64,
-    /// All segments but the head, in ascending order.
+    /// All segments except the head, in ascending order of their numbers.
     closed: VecDeque<Segment>,
     head: Head,
 }
 
 impl Journal {
-    /// Begins the first segment of an incarnation in a folder. The segments of others are not read.
+    /// Begins the first segment of an incarnation in a folder, without reading the segments of other incarnations.
     ///
     /// # Errors
     /// The folder or the segment cannot be created.
@@ -74,8 +74,8 @@
         })
     }
 
-    /// Opens the log in a folder that no other incarnation writes to, passes its records to `replay` with the number of
-    /// their segment, and begins a new segment. The torn tail that a killed process leaves is truncated.
+    /// Opens the journal in a folder that no other incarnation writes to, passes its records to `replay` with the number of
+    /// their segment, and begins a new segment. An incomplete record that a killed process left at the end is truncated.
     ///
     /// # Errors
     /// The folder or a segment cannot be read or written.
@@ -90,7 +90,7 @@
         Ok(journal)
     }
 
-    /// Continues under a generation that is later than all others, so that their segments can be taken over.
+    /// Continues under a generation that is later than all others, so that all of their segments can be taken over.
     ///
     /// # Errors
     /// The segment cannot be created.
@@ -101,12 +101,12 @@
         self.begin_segment(generation.first_segment())
     }
 
-    /// The generation under which this log is written.
+    /// Returns the generation under which this journal is written.
     fn generation(&self) -> Generation {
         Generation::of(self.head.segment.number)
     }
 
-    /// The size of all segments on disk in bytes, in whole blocks.
+    /// Returns the size of all segments on disk, in bytes. Each file counts in whole blocks.
     pub fn size(&self) -> u64 {
         self.closed
             .iter()
@@ -115,12 +115,12 @@
             .sum()
     }
 
-    /// The number of the oldest segment, unless it is the head.
+    /// Returns the number of the oldest segment; `None` if the head is the only one.
     pub fn oldest(&self) -> Option<u64> {
         self.closed.front().map(|segment| segment.number)
     }
 
-    /// How many segments there are.
+    /// Returns the number of segments, including the head.
     pub fn segment_count(&self) -> usize {
         self.closed.len() + 1
     }
@@ -128,7 +128,7 @@
     /// Appends a record, and returns the number of its segment.
     ///
     /// # Errors
-    /// The record cannot be written; the log does not have it then.
+    /// The record cannot be written, and is not part of the journal.
     pub fn append(&mut self, payload: &[u8]) -> io::Result<u64> {
         self.repair_head()?;
         let record = frame(payload);
@@ -138,7 +138,7 @@
         }
         if let Err(error) = self.head.file.write_all(&record) {
             self.head.is_torn = true;
-            // If that fails as well, it is tried again before the next record.
+            // If the repair fails as well, it is retried before the next record.
             let _ = self.repair_head();
             return Err(error);
         }
@@ -146,7 +146,7 @@
         Ok(self.head.segment.number)
     }
 
-    /// Begins another segment.
+    /// Closes the head, and begins a new segment.
     ///
     /// # Errors
     /// The segment cannot be created.
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// Truncates what a failed write left at the head's end, or begins another segment.
+    /// Truncates the incomplete record that a failed write left at the end of the head, or else begins a new segment.
     fn repair_head(&mut self) -> io::Result<()> {
         if !self.head.is_torn {
             return Ok(());
@@ -173,7 +173,7 @@
         Ok(())
     }
 
-    /// Removes the oldest segment, whose live records must have been copied forward.
+    /// Removes the oldest segment. Its live records must have been copied to a later one.
     ///
     /// # Errors
     /// The file cannot be removed.
--- a/crates/delivery/src/core/journal/adoption.rs
+++ b/crates/delivery/src/core/journal/adoption.rs
@@ -1,4 +1,4 @@
-//! Takes over the segments of earlier incarnations, and follows those of incarnations that are still running.
+//! Takes over the segments of earlier incarnations, and follows the segments of incarnations that are still running.
 
 use super::segment::{path_of, read_records, segment_numbers, truncate};
 use super::{Generation, Journal, Segment};
@@ -6,36 +6,36 @@
 use std::fs::{self, File};
 use std::io::{self, Read, Seek, SeekFrom};
 
-/// The position up to which the log of a running incarnation was read.
+/// The position up to which the journal of a running incarnation was read.
 #[derive(Debug)]
 pub struct Tail {
-    /// The incarnation.
+    /// Generation of the running incarnation.
     pub generation: Generation,
     segment: u64,
     offset: u64,
 }
 
-/// The content of another incarnation's segment.
+/// The content of a segment of another incarnation.
 struct SegmentContent {
     number: u64,
     bytes: Vec<u8>,
 }
 
-/// The segments that are to be taken over.
+/// The readable segments that have not been taken over yet.
 #[derive(Default)]
 struct UnadoptedSegments {
     segments: Vec<SegmentContent>,
-    /// Why the next one can never be read.
+    /// Permanent error of the next segment, which cannot be read.
     unreadable: Option<io::Error>,
 }
 
 impl Journal {
     /// Takes over the segments of all earlier incarnations in their order, and passes their records to `replay` with the
-    /// number of their segment. The latest segment of an incarnation that is `running` remains its own; a tail of each
-    /// is returned, to be followed.
+    /// number of their segment. The latest segment of each `running` incarnation is not taken over. Returns the tails of
+    /// these segments, which are to be followed.
     ///
     /// # Errors
-    /// A segment cannot be read. After a transient error nothing is taken over, otherwise the segments before it are.
+    /// A segment cannot be read. After a transient error nothing is taken over; otherwise the preceding segments are.
     pub fn take_over(
         &mut self,
         running: &[Generation],
@@ -46,7 +46,7 @@
             .into_iter()
             .filter(|number| Generation::of(*number) < own)
             .collect();
-        // All segments are read before any is applied: a state that lacks the middle of the log would be useless.
+        // All segments are read before any is replayed, as a state without the middle of the log would be useless.
         let UnadoptedSegments {
             segments,
             unreadable,
@@ -72,14 +72,14 @@
         unreadable.map_or(Ok(tails), Err)
     }
 
-    /// Reads the segments that are not this incarnation's yet, up to the first that can never be read.
+    /// Reads the segments that have not been taken over yet, up to the first with a permanent error.
     fn read_unadopted(&self, numbers: &[u64]) -> io::Result<UnadoptedSegments> {
         let mut read = UnadoptedSegments::default();
         let is_adopted = |number: u64| self.closed.iter().any(|own| own.number == number);
         for &number in numbers.iter().filter(|number| !is_adopted(**number)) {
             match fs::read(path_of(&self.folder, number)) {
                 Ok(bytes) => read.segments.push(SegmentContent { number, bytes }),
-                // A running incarnation may have compacted it meanwhile.
+                // A running incarnation may have removed the segment by compaction meanwhile.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 Err(error) if is_transient(&error) => return Err(error),
                 Err(error) => {
@@ -91,7 +91,7 @@
         Ok(read)
     }
 
-    /// Reads what a running incarnation has written since the last call.
+    /// Reads the records that a running incarnation has written since the last call.
     ///
     /// # Errors
     /// A segment cannot be read.
@@ -101,7 +101,7 @@
         mut replay: impl FnMut(u64, &[u8]),
     ) -> io::Result<()> {
         loop {
-            // Checked before reading: once the next segment exists, nothing more is written to this one.
+            // Checked before reading: once the next segment exists, nothing more is appended to the current one.
             let has_next = path_of(&self.folder, tail.segment + 1).exists();
             let mut file = File::open(path_of(&self.folder, tail.segment))?;
             if file.metadata()?.len() > tail.offset {
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Reads the rest of the log of an incarnation that has exited, and takes over its last segment.
+    /// Reads the remaining records of an incarnation that has exited, and takes over its last segment.
     ///
     /// # Errors
-    /// A segment cannot be read. The tail has the position from which the next call reads on.
+    /// A segment cannot be read. The next call continues from the position of the tail.
     pub fn finish_following(
         &mut self,
         tail: &mut Tail,
@@ -133,8 +133,8 @@
         Ok(())
     }
 
-    /// Adds a segment to this incarnation's, truncated to its valid length if the disk permits. Nothing more is written
-    /// to it, so that an invalid end only takes up space.
+    /// Adds a segment to those of this incarnation, and truncates it to its valid length. If the truncation fails, the
+    /// invalid end only takes up space, as nothing more is appended to the segment.
     fn adopt_segment(&mut self, number: u64, valid_len: u64, len: u64) {
         let keeps_invalid_end =
             valid_len < len && truncate(&self.folder, number, valid_len).is_err();
--- a/crates/delivery/src/core/journal/segment.rs
+++ b/crates/delivery/src/core/journal/segment.rs
@@ -1,22 +1,22 @@
-//! Segment files: their names, and how records are framed in them.
+//! Segment files: their names, and the framing of the records in them.
 //!
-//! Each record has its length and its checksum in front, both as little-endian numbers of four bytes.
+//! Each record is preceded by its length and its checksum, both as little-endian numbers of four bytes.
 
 use super::Generation;
 use std::fs::{self, File, OpenOptions};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Length of what is in front of each record: its length and its checksum.
+/// Length of the header of each record, which holds the record's length and checksum, in bytes.
 const HEADER_BYTES: usize = 2 * NUMBER_BYTES;
-/// Length of each of the two numbers.
+/// Length of each number in the header, in bytes.
 const NUMBER_BYTES: usize = 4;
-/// No record is longer than this; a greater length means that the segment is corrupt.
+/// Maximum length of a record, in bytes. A greater length means that the segment is corrupt.
 const MAX_RECORD_BYTES: usize = 1 << 20;
-/// What the name of each segment begins with.
+/// Prefix of the file name of each segment.
 const FILE_PREFIX: &str = "journal-";
 
-/// The numbers of the segments in a folder, in ascending order.
+/// Returns the numbers of the segments in a folder, in ascending order.
 ///
 /// # Errors
 /// The folder cannot be read.
@@ -34,7 +34,7 @@
     Ok(numbers)
 }
 
-/// The last generation that wrote segments in a folder.
+/// Returns the latest generation that has segments in a folder; generation 0 if there are none.
 ///
 /// # Errors
 /// The folder cannot be read.
@@ -44,7 +44,7 @@
         .map_or(Generation(0), |last| Generation::of(*last)))
 }
 
-/// The file of a segment.
+/// Returns the path of a segment's file.
 pub(super) fn path_of(folder: &Path, number: u64) -> PathBuf {
     folder.join(format!("{FILE_PREFIX}{number:010}"))
 }
@@ -65,7 +65,7 @@
         .set_len(len)
 }
 
-/// A record with its header in front.
+/// Returns a record, preceded by its header.
 pub(super) fn frame(payload: &[u8]) -> Vec<u8> {
     let mut record = Vec::with_capacity(HEADER_BYTES + payload.len());
     record.extend((payload.len() as u32).to_le_bytes());
@@ -74,7 +74,7 @@
     record
 }
 
-/// Passes all records up to the first incomplete or corrupt one to `each`; returns their length in bytes.
+/// Passes all records up to the first incomplete or corrupt one to `each`. Returns their total length in bytes.
 pub(super) fn read_records(bytes: &[u8], mut each: impl FnMut(&[u8])) -> usize {
     let mut at = 0;
     while let Some(record) = record_at(&bytes[at..]) {
@@ -84,6 +84,7 @@
     at
 }
 
+/// Returns the record at the start of `bytes`, if it is complete and its checksum matches.
 fn record_at(bytes: &[u8]) -> Option<&[u8]> {
     let number = |at: usize| {
         let bytes = bytes.get(at..at + NUMBER_BYTES)?;
--- a/crates/delivery/src/core/journal_record.rs
+++ b/crates/delivery/src/core/journal_record.rs
@@ -1,7 +1,7 @@
-//! The records of the journal, and how they are encoded.
+//! The records of the journal, and their encoding.
 //!
 //! The encoding is stored data: the numbers of variants and the order of fields never change. A record starts with the
-//! message's id (0 where it is about no message) and the number of its variant.
+//! id of its message (0 if it does not concern a message) and the number of its variant.
 
 mod codec;
 mod message;
@@ -19,16 +19,16 @@
 use route::{decode_backoff, decode_route, encode_backoff, encode_route};
 use std::collections::BTreeMap;
 
-/// The id in records that are about no message.
+/// The message id in records that do not concern a message.
 pub(super) const NO_MESSAGE: MessageId = MessageId(0);
 
 /// One record of the journal.
 pub(super) enum JournalRecord {
     /// The full record of a message.
     Message(MessageRecord),
-    /// An attempt starts.
+    /// An attempt of the message starts.
     AttemptStarted(AttemptRecord),
-    /// The attempt in flight ended.
+    /// The attempt in flight has ended.
     AttemptFinished(Execution),
     /// The message has its final outcome.
     Finished {
@@ -38,17 +38,17 @@
     },
     /// The message is no longer needed.
     Removed,
-    /// The message has another identity as well.
+    /// The message has a further identity.
     Alias(Vec<u8>),
-    /// An endpoint requested a backoff. About no message.
+    /// An endpoint requested a backoff. Does not concern a message.
     Backoff(BackoffRecord),
     /// The result of an attempt whose incarnation has handed over.
     AttemptReported(Box<AttemptReport>),
-    /// The state of a route. About no message.
+    /// The state of a route. Does not concern a message.
     Route(RouteRecord),
 }
 
-/// The numbers of the variants in the journal. 4 was used by an earlier version.
+/// The numbers of the variants in the journal. Number 4 was used by an earlier version and must not be reused.
 mod variant {
     pub(super) const MESSAGE: u8 = 0;
     pub(super) const ATTEMPT_STARTED: u8 = 1;
@@ -62,13 +62,14 @@
 }
 
 impl JournalRecord {
-    /// Applies the record to the message that it is about.
+    /// Applies the record to its message.
     pub(super) fn apply(self, id: MessageId, messages: &mut BTreeMap<MessageId, MessageRecord>) {
         if let JournalRecord::Message(record) = self {
             messages.insert(id, record);
             return;
         }
-        // The full record of a finished message may have been removed with an older segment.
+        // The full record of a message that was finished and removed may have been dropped with an older segment, while
+        // later records of the message remain.
         let Some(record) = messages.get_mut(&id) else {
             return;
         };
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The record as bytes. Classes are written by name, as their order may change between two incarnations.
+    /// Encodes the record. Classes are written by name, as their order may change between two incarnations.
     pub(super) fn encode(&self, id: MessageId, classes: &[String]) -> Vec<u8> {
         let mut encoder = Encoder::new(id);
         match self {
@@ -127,8 +128,8 @@
         encoder.into_bytes()
     }
 
-    /// Reads a record back; `None` where it is corrupt or of a later version. A class that is not configured becomes one
-    /// that the scheduler does not know either, which then fails the message.
+    /// Decodes a record; `None` if it is corrupt or was written by a later version. A class that is not configured becomes
+    /// a class id that is unknown to the scheduler, so that the message fails.
     pub(super) fn decode(payload: &[u8], classes: &[String]) -> Option<(MessageId, JournalRecord)> {
         let mut decoder = Decoder::new(payload);
         let id = MessageId(decoder.number()? as u64);
--- a/crates/delivery/src/core/journal_record/codec.rs
+++ b/crates/delivery/src/core/journal_record/codec.rs
@@ -1,5 +1,5 @@
-//! The fields of journal records: little-endian numbers, byte strings with their length in front, options with a byte in
-//! front.
+//! The encoding of the fields of journal records: numbers are little-endian, byte strings are preceded by their length,
+//! and an optional field is preceded by a byte that states whether it is present.
 
 use crate::core::message_record::{AttemptRecord, Execution, NoticeState};
 use crate::core::{FinalOutcome, MessageId};
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads the fields of one record; each call returns `None` where the rest does not start with that field.
+/// Reads the fields of one record. Each call returns `None` if the remaining bytes do not start with a valid field.
 pub(super) struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
--- a/crates/delivery/src/core/journal_record/message.rs
+++ b/crates/delivery/src/core/journal_record/message.rs
@@ -1,4 +1,4 @@
-//! How the record of a message is encoded in the journal.
+//! The encoding of a message's full record in the journal.
 
 use super::codec::{Decoder, Encoder};
 use super::variant;
@@ -9,7 +9,7 @@
 use marblefall_scheduler::{ClassId, DestinationId};
 use std::rc::Rc;
 
-/// Encodes a record. The class is written by its name.
+/// Encodes the full record of a message. The class is written by its name.
 pub(super) fn encode_message(encoder: &mut Encoder, record: &MessageRecord, classes: &[String]) {
     let message = &record.message;
     let class_name = classes
@@ -42,7 +42,8 @@
     }
 }
 
-/// Reads a record back. A class that is not configured becomes one that the scheduler does not know either.
+/// Decodes the full record of a message. A class that is not configured becomes a class id that is unknown to the
+/// scheduler.
 pub(super) fn decode_message(
     decoder: &mut Decoder<'_>,
     classes: &[String],
--- a/crates/delivery/src/core/journal_record/report.rs
+++ b/crates/delivery/src/core/journal_record/report.rs
@@ -1,4 +1,4 @@
-//! Results of attempts that the incarnation which started them reports to the one that is active now.
+//! Reports on attempts: an incarnation that has handed over journals the results of its attempts for the active one.
 
 use super::codec::{Decoder, Encoder};
 use super::variant;
@@ -8,12 +8,12 @@
 use marblefall_scheduler::{Outcome, RateLimitReport, Span};
 use std::collections::BTreeMap;
 
-/// The result of an attempt, reported by the incarnation that started it to the one that is active now.
+/// The result of an attempt, as reported to the active incarnation by the incarnation that started the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptReport {
-    /// The result.
+    /// Result of the attempt.
     pub result: AttemptResult,
-    /// Unix time in milliseconds until which the message is retained if the attempt ended it.
+    /// Unix time in milliseconds until which the message is retained if the attempt gave it its final outcome.
     pub retain_until_ms: i64,
 }
 
@@ -29,7 +29,7 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
-/// The number of [`Outcome::Rejected`].
+/// Number of [`Outcome::Rejected`] in the journal.
 const REJECTED: u8 = 2;
 /// Dispositions in the order of their numbers in the journal.
 const DISPOSITIONS: [Disposition; 3] = [
@@ -38,8 +38,8 @@
     Disposition::Failed,
 ];
 
-/// Applies a report that a later incarnation reads again. The incarnation that was active may have handled it, or may have
-/// exited before.
+/// Applies a report that a later incarnation replays. The incarnation that was active at the time may already have handled
+/// it, or may have exited first.
 pub(super) fn apply_report(
     report: &AttemptReport,
     messages: &mut BTreeMap<MessageId, MessageRecord>,
@@ -85,7 +85,7 @@
     encoder.option(result.rate_limit.limit, Encoder::real);
 }
 
-/// Reads the report on an attempt of a message back.
+/// Decodes the report on an attempt of a message.
 pub(super) fn decode_report(
     decoder: &mut Decoder<'_>,
     message_id: MessageId,
@@ -117,7 +117,7 @@
     })
 }
 
-/// The number of a value in the list of all values.
+/// Returns the number of a value: its index in the list of all values.
 fn position<T: PartialEq>(all: &[T], value: T) -> u8 {
     all.iter().position(|known| *known == value).unwrap_or(0) as u8
 }
--- a/crates/delivery/src/core/journal_record/route.rs
+++ b/crates/delivery/src/core/journal_record/route.rs
@@ -1,28 +1,28 @@
-//! The states of routes and their backoffs, which an incarnation journals for its successor.
+//! The states and backoffs of routes, which an incarnation journals for its successor.
 
 use super::codec::{Decoder, Encoder};
 use super::variant;
 use marblefall_scheduler::{DestinationId, IdleRecord, Time};
 
-/// A backoff that an endpoint requested.
+/// The record of a backoff that an endpoint requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackoffRecord {
-    /// The destination.
+    /// Destination of the endpoint.
     pub destination: DestinationId,
-    /// The name of the endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// When it ends, as Unix time in milliseconds.
+    /// End of the backoff, as Unix time in milliseconds.
     pub until_ms: i64,
 }
 
-/// The state of a route when an incarnation handed over. Its times are Unix times in microseconds.
+/// The record of a route's state at a handover. Its times are Unix times in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRecord {
-    /// The destination.
+    /// Destination of the route.
     pub destination: DestinationId,
-    /// The name of the endpoint, where it is a separate route.
+    /// Name of the endpoint; `None` where all endpoints of the destination are one route.
     pub endpoint: Option<String>,
-    /// The state.
+    /// State of the route.
     pub state: IdleRecord,
 }
 
@@ -36,7 +36,7 @@
         .number(backoff.until_ms);
 }
 
-/// Reads a backoff back.
+/// Decodes a backoff.
 pub(super) fn decode_backoff(decoder: &mut Decoder<'_>) -> Option<BackoffRecord> {
     Some(BackoffRecord {
         destination: DestinationId(decoder.number()? as u64),
@@ -66,7 +66,7 @@
         .real(state.baseline_rate);
 }
 
-/// Reads the state of a route back.
+/// Decodes the state of a route.
 pub(super) fn decode_route(decoder: &mut Decoder<'_>) -> Option<RouteRecord> {
     let destination = DestinationId(decoder.number()? as u64);
     let endpoint = decoder.option(Decoder::text)?;
--- a/crates/delivery/src/core/recent_completions.rs
+++ b/crates/delivery/src/core/recent_completions.rs
@@ -1,13 +1,13 @@
-//! The identities of messages that finished recently: one that is submitted again is not a new message.
+//! The identities of messages that finished recently, by which repeats are not mistaken for new messages.
 
 use marblefall_scheduler::{Span, Time};
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
 
-/// How long an identity is retained: longer than the deadline of any message of the platform.
+/// Time for which an identity is retained: longer than the deadline of any message of the platform.
 const RETENTION: Span = Span(20_000_000);
 
-/// Identities of messages that finished recently.
+/// The identities of messages that finished recently.
 #[derive(Debug, Default)]
 pub struct RecentCompletions {
     identities: HashSet<Rc<[u8]>>,
@@ -15,7 +15,7 @@
 }
 
 impl RecentCompletions {
-    /// Inserts a message that finishes now.
+    /// Inserts the identity of a message that finishes now.
     pub fn insert(&mut self, now: Time, identity: &[u8]) {
         let identity: Rc<[u8]> = identity.into();
         if self.identities.insert(identity.clone()) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Whether a message finished recently.
+    /// Returns whether a message with this identity finished recently.
     pub fn contains(&self, identity: &[u8]) -> bool {
         self.identities.contains(identity)
     }
--- a/crates/delivery/src/core/snapshot.rs
+++ b/crates/delivery/src/core/snapshot.rs
@@ -1,62 +1,62 @@
-//! The encoding of the snapshot of destinations in the state folder. The next incarnation reads it, so that it does not
-//! overload a destination that is ejected, and operators do.
+//! The encoding of the snapshot of destinations in the state folder.
 //!
-//! A snapshot starts with a magic number, a version and a checksum. The records follow in the encoding of `postcard`, so
-//! neither the order of their fields nor their types change within a version.
+//! The next incarnation reads the snapshot, so that it does not overload an ejected destination. Operators read it as
+//! well. A snapshot starts with a magic number, a version and a checksum. The records follow in the encoding of
+//! `postcard`, so neither the order of their fields nor their types may change within a version.
 
 use marblefall_scheduler::DestinationId;
 use serde::{Deserialize, Serialize};
 
-/// State of one destination. Times are Unix times in milliseconds.
+/// The state of one destination. Times are Unix times in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DestinationRecord {
-    /// The destination's id.
+    /// Id of the destination.
     pub destination: u64,
-    /// It has been ejected since then.
+    /// Start of the ejection; `None` if the destination is not ejected.
     pub ejected_since_ms: Option<i64>,
-    /// It has been recovering since then.
+    /// Start of the recovery ramp; `None` if the destination is not recovering.
     pub recovering_since_ms: Option<i64>,
-    /// The end of the backoff that it requested.
+    /// End of the backoff that the destination requested; `None` if there is none.
     pub backoff_until_ms: Option<i64>,
-    /// Its mean latency, in milliseconds.
+    /// Mean latency in milliseconds; `None` if it is unknown.
     pub mean_latency_ms: Option<f32>,
-    /// Calls per second that this instance usually delivers there.
+    /// Calls per second that this instance usually delivers to the destination.
     pub baseline_rate: f32,
-    /// Messages for it without a final outcome.
+    /// Number of messages for the destination without a final outcome.
     pub pending: u32,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub in_flight: u32,
-    /// Whether it is in use; otherwise this is the record of an idle destination.
+    /// Whether the destination is in use; otherwise this is the record of an idle destination.
     pub active: bool,
 }
 
 impl DestinationRecord {
-    /// The destination's id in the core.
+    /// Returns the id of the destination in the core.
     pub fn id(&self) -> DestinationId {
         DestinationId(self.destination)
     }
 }
 
-/// Why a snapshot cannot be used.
+/// An error in the content of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The file is not a snapshot.
-    #[error("it is no snapshot of destinations")]
+    #[error("not a snapshot of destinations")]
     Foreign,
-    /// It has the format of another version.
-    #[error("it is of version {0}, this program reads version {VERSION}")]
+    /// The snapshot has the format of another version.
+    #[error("unsupported snapshot version {0}; this program reads version {VERSION}")]
     Version(u16),
-    /// It is incomplete or corrupt.
-    #[error("it is torn: its checksum does not hold")]
+    /// The snapshot is incomplete or corrupt.
+    #[error("incomplete or corrupt snapshot: the checksum does not match")]
     Torn,
 }
 
 const MAGIC: [u8; 4] = *b"MFds";
-/// The version of the format, raised when the records change.
+/// Version of the format. It is incremented when the records change.
 pub const VERSION: u16 = 1;
-/// Length of the version number.
+/// Length of the version number, in bytes.
 const VERSION_BYTES: usize = 2;
-/// Length of the magic number, the version and the checksum.
+/// Length of the magic number, the version and the checksum together, in bytes.
 const HEADER_BYTES: usize = 10;
 
 /// Encodes records.
@@ -67,7 +67,7 @@
     [&MAGIC[..], &VERSION.to_le_bytes(), &checksum, &payload].concat()
 }
 
-/// Reads records back.
+/// Decodes records.
 ///
 /// # Errors
 /// The bytes are not a complete snapshot of this version.
--- a/crates/delivery/src/core/snapshot/tests.rs
+++ b/crates/delivery/src/core/snapshot/tests.rs
@@ -1,4 +1,4 @@
-//! The encoding of snapshots, also of incomplete and corrupt ones.
+//! Tests of the snapshot encoding, with incomplete and corrupt snapshots.
 
 use super::*;
 
@@ -16,7 +16,7 @@
     let records: Vec<DestinationRecord> = (0..20).map(record).collect();
     let bytes = encode(&records);
     assert_eq!(decode(&bytes), Ok(records));
-    // A write that stopped at any byte, and any corrupt byte.
+    // A write that stopped after any number of bytes, and a corruption of any byte.
     for cut in 0..bytes.len() {
         assert!(decode(&bytes[..cut]).is_err(), "cut at {cut}");
         let mut corrupt = bytes.clone();
