--- a/crates/delivery/src/clock/tests.rs
+++ b/crates/delivery/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! The steady clock and its file.
+//! Tests of the steady clock and its file.
 
 use super::*;
 
@@ -43,7 +43,7 @@
 #[test]
 fn clock_is_reset_after_a_reboot_or_torn_write() {
     let folder = folder("reboot");
-    write(&folder, "another start", 12);
+    write(&folder, "another boot", 12);
     let behind_ms = wall_unix_ms() - SteadyClock::open(&folder).unwrap().unix_ms();
     assert!(behind_ms.abs() < 1000, "{behind_ms} ms behind");
     fs::write(folder.join(FILE), b"{\"boot_id\":").unwrap();
--- a/crates/delivery/src/counters.rs
+++ b/crates/delivery/src/counters.rs
@@ -7,7 +7,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident = $printed:literal),* $(,)?) => {
-        /// Counts since the process started.
+        /// Counts of one instance since its process started.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Cell<u64>,)*
@@ -43,7 +43,7 @@
     attempts_rejected = "turned_away",
     /// Attempts whose response is an error.
     attempts_failed = "errors",
-    /// Attempts abandoned at their time-out.
+    /// Attempts abandoned at their timeout.
     attempts_timed_out = "timed_out",
     /// Attempts for which no connection could be established.
     attempts_unconnected = "unconnected",
@@ -61,26 +61,26 @@
     expired = "expired",
     /// Notices acknowledged by the platform.
     notices_acknowledged = "notices",
-    /// Submissions rejected because the limit of open messages is reached or the journal is full.
+    /// Submissions rejected because the limit on open messages was reached or the journal is full.
     rejected_full = "rejected_full",
     /// Submissions rejected because the process is about to end.
     rejected_ending = "rejected_ending",
-    /// Submissions rejected because their destination has had no endpoint.
+    /// Submissions rejected because their destination never had an endpoint.
     rejected_unknown = "rejected_unknown",
     /// Submissions rejected because the journal could not be written.
     rejected_unjournalled = "rejected_unjournalled",
     /// Submissions rejected by the scheduler.
     rejected_by_scheduler = "rejected_by_scheduler",
-    /// Client connections that were closed over unread bytes, which resets them.
+    /// Client connections that were closed with unread bytes, and therefore reset.
     connections_closed_unread = "closed_unread",
-    /// Invariants that an action broke, or would have broken had it not been refused.
+    /// Invariants that an action violated, or would have violated if it had not been refused.
     violations = "violations",
     /// Duration of the engine's longest step, in microseconds.
     longest_step_us = "longest_step_us",
 }
 
 impl Counters {
-    /// Counts and logs an invariant that was broken, or would have been.
+    /// Counts and logs an invariant that an action violated, or would have violated.
     pub fn violated(&self, rule: Rule, what: &dyn fmt::Display) {
         add(&self.violations);
         log_line!(code = "invariant-violated", rule = rule.name(), "{what}");
--- a/crates/delivery/src/lease_guard.rs
+++ b/crates/delivery/src/lease_guard.rs
@@ -1,7 +1,8 @@
-//! The lease guard of a process. Its instances accept messages and start attempts only with a permit of the guard.
+//! The lease guard of a process. The instances of the process accept messages and start attempts only with a permit from
+//! the guard.
 //!
-//! The process opens the guard while it holds the lease for a revision of the policy that a group decides on, and closes
-//! it otherwise. Once the guard is closed, no permit is held any more.
+//! A group decides on revisions of the policy. The process opens the guard while it holds the lease for a revision, and
+//! closes the guard otherwise. Once the guard is closed, no permit is held any more.
 
 use std::fs::File;
 use std::io::Write;
@@ -11,14 +12,14 @@
 const MICROS_PER_SECOND: i64 = 1_000_000;
 const NANOS_PER_MICRO: i64 = 1000;
 
-/// Whether the guard gives permits.
+/// The state of the guard, which determines whether it issues permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GuardState {
-    /// It gives permits, until the end of the lease if a time is given.
+    /// The guard issues permits until the lease ends at the given time, or without a time limit if there is none.
     Open(Option<Instant>),
-    /// The policy is being changed: submissions are deferred.
+    /// The policy is being changed. Submissions are deferred.
     Suspended,
-    /// The policy in force is unknown: submissions are rejected.
+    /// The policy in force is unknown. Submissions are rejected.
     Closed,
 }
 
@@ -37,25 +38,25 @@
     }
 }
 
-/// The lease guard of all instances of a process.
+/// The lease guard, which all instances of a process share.
 #[derive(Debug)]
 pub struct LeaseGuard {
     lease: RwLock<Lease>,
     history: Option<Mutex<File>>,
 }
 
-/// A permit to act under the lease. The guard closes only once no permit is held.
+/// A permit to act under the lease. While a permit is held, the guard cannot close.
 pub struct LeasePermit<'a> {
     lease: Option<RwLockReadGuard<'a, Lease>>,
 }
 
 impl LeasePermit<'_> {
-    /// A permit for instances that need no lease.
+    /// Creates a permit for instances that need no lease.
     pub fn unconditional() -> LeasePermit<'static> {
         LeasePermit { lease: None }
     }
 
-    /// Whether the lease is valid at this moment. It may have ended since the permit was given.
+    /// Returns whether the lease is valid now. It may have ended since the permit was issued.
     pub fn is_valid(&self) -> bool {
         self.lease
             .as_ref()
@@ -64,8 +65,9 @@
 }
 
 impl LeaseGuard {
-    /// A closed guard. Its changes and the acts under it are written to `history`, if there is one, a line each: the
-    /// system's monotonic clock in microseconds, the instance or `-` for the guard itself, the act, and the revision.
+    /// Creates a closed guard. If there is a `history`, each change of the guard and each act under a permit is written to
+    /// it as a line: the system's monotonic clock in microseconds, the instance or `-` for the guard itself, the act, and
+    /// the revision.
     pub fn new(history: Option<File>) -> LeaseGuard {
         let lease = Lease {
             revision: 0,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Opens or closes the guard for a revision of the policy. Returns once no earlier permit is held.
+    /// Sets the state of the guard for a revision of the policy. Blocks until no earlier permit is held.
     pub fn set(&self, revision: u64, state: GuardState) {
         *self.lease.write().unwrap_or_else(PoisonError::into_inner) = Lease { revision, state };
         // These words are read by tools that check histories.
@@ -89,15 +91,15 @@
         self.record("-", change, revision);
     }
 
-    /// A permit to act under a revision, if the guard is open for it at this moment.
+    /// Returns a permit to act under a revision, if the guard is open for that revision now.
     pub fn acquire(&self, revision: u64) -> Option<LeasePermit<'_>> {
         let lease = self.lease.read().unwrap_or_else(PoisonError::into_inner);
         let is_open = lease.is_open_at(Instant::now());
         (is_open && lease.revision == revision).then_some(LeasePermit { lease: Some(lease) })
     }
 
-    /// The state for an instance with a revision. It is suspended for an instance that does not yet have the revision in
-    /// force.
+    /// Returns the state of the guard for an instance with a revision. An open guard is suspended for an instance that does
+    /// not yet have the revision in force.
     pub fn state(&self, revision: u64) -> GuardState {
         let lease = *self.lease.read().unwrap_or_else(PoisonError::into_inner);
         match lease.state {
--- a/crates/delivery/src/lease_guard/tests.rs
+++ b/crates/delivery/src/lease_guard/tests.rs
@@ -1,4 +1,4 @@
-//! When the lease guard gives permits, and when it closes.
+//! Tests of the permits and the closing of the lease guard.
 
 use super::*;
 use std::time::Duration;
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -1,7 +1,7 @@
 //! Accepts, journals and delivers outbound messages.
 //!
-//! [`core`] is independent of any wire protocol. [`net`] is the network around it, and [`frontend`] translates between the
-//! two. In a [`hot_restart`] one process takes over from another. [`instance`] assembles and runs an instance.
+//! [`core`] is independent of any wire protocol. [`net`] implements the network connections, and [`frontend`] translates
+//! between the two. In a [`hot_restart`] one process takes over from another. [`instance`] assembles and runs an instance.
 
 #![forbid(unsafe_code)]
 
--- a/crates/delivery/src/log.rs
+++ b/crates/delivery/src/log.rs
@@ -2,7 +2,7 @@
 //!
 //! All lines are written by [`log_line!`](crate::log_line) and [`message_line!`](crate::message_line), with the reason code
 //! and the subject as fields, and the instance and connection as spans. The rate of lines is limited for each instance.
-//! The next line that is written after some were dropped is preceded by their count.
+//! After some lines were dropped, the next line is preceded by the number of dropped lines.
 
 #[doc(hidden)]
 pub use tracing;
@@ -17,20 +17,20 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::{Layer, Registry};
 
-/// How many lines an instance may write in a second.
+/// Maximum number of lines that an instance may write in a second.
 const MAX_LINES_PER_SECOND: u32 = 50;
-/// How many lines about single messages an instance may write in a second. They have a limit of their own, so that they do
-/// not displace the others.
+/// Maximum number of lines about single messages that an instance may write in a second. They have a separate limit, so
+/// that they do not displace other lines.
 const MAX_MESSAGE_LINES_PER_SECOND: u32 = 20;
-/// The span over which lines are counted.
+/// Length of the window in which lines are counted.
 const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
-/// The lines of one window.
+/// The count of lines in the current window of a rate limit.
 #[derive(Clone, Copy)]
 struct FloodWindow {
     started_at: Option<Instant>,
     lines: u32,
-    /// How many lines were dropped since the last one that was written.
+    /// Number of dropped lines since the last written line.
     dropped: u64,
 }
 
@@ -41,7 +41,7 @@
         dropped: 0,
     };
 
-    /// Counts one more line; returns whether it is within the limit.
+    /// Counts a line. Returns whether it is within the limit.
     fn admit(&mut self, now: Instant, max_lines: u32) -> bool {
         let has_ended = self
             .started_at
@@ -61,9 +61,9 @@
 }
 
 thread_local! {
-    /// The window of the instance, as each has a thread of its own.
+    /// Window of the instance. It is thread-local, as each instance has its own thread.
     static WINDOW: Cell<FloodWindow> = const { Cell::new(FloodWindow::EMPTY) };
-    /// The window of the instance for lines about single messages.
+    /// Window of the instance for lines about single messages.
     static MESSAGE_WINDOW: Cell<FloodWindow> = const { Cell::new(FloodWindow::EMPTY) };
 }
 
@@ -77,7 +77,7 @@
     Json,
 }
 
-/// Counts one more line of a level; returns whether it may be written.
+/// Counts a line of a level. Returns whether it may be written.
 fn admit(level: &Level, now: Instant) -> bool {
     let (cell, max_lines) = if *level <= Level::INFO {
         (&WINDOW, MAX_LINES_PER_SECOND)
@@ -90,7 +90,7 @@
     is_admitted
 }
 
-/// Returns how many lines were dropped since the last call.
+/// Returns the number of dropped lines since the last call.
 fn take_dropped() -> u64 {
     [&WINDOW, &MESSAGE_WINDOW]
         .into_iter()
@@ -103,7 +103,7 @@
         .sum()
 }
 
-/// Filters the lines beyond the limits. Spans are not counted.
+/// A filter that drops lines above the limits. Spans are not counted.
 struct FloodLimit;
 
 impl<S> Filter<S> for FloodLimit {
@@ -117,7 +117,7 @@
     }
 }
 
-/// A layout that writes the count of dropped lines before the next line.
+/// A layout that writes the number of dropped lines before the next line.
 struct WithDropCount<F> {
     layout: Layout<F>,
     format: Format,
@@ -149,7 +149,7 @@
     }
 }
 
-/// Starts to write the log lines of the process in a format. Only the first call has an effect.
+/// Starts the logging of the process in a format. Only the first call has an effect.
 pub fn start(format: Format) {
     let layout = tracing_subscriber::fmt::format()
         .with_target(false)
@@ -175,8 +175,8 @@
     }
 }
 
-/// Writes a line for operators, within the limit of the present second. The fields, such as `code = %code`, are followed by
-/// a text as in `format!`.
+/// Writes a line for operators, unless the limit of the current second is reached. The fields, such as `code = %code`, are
+/// followed by a text as in `format!`.
 #[macro_export]
 macro_rules! log_line {
     ($($part:tt)*) => {
@@ -184,7 +184,7 @@
     };
 }
 
-/// Writes a line about a single message, within the limit for such lines of the present second.
+/// Writes a line about a single message, unless the limit of the current second for such lines is reached.
 #[macro_export]
 macro_rules! message_line {
     ($($part:tt)*) => {
--- a/crates/delivery/src/log/tests.rs
+++ b/crates/delivery/src/log/tests.rs
@@ -1,4 +1,4 @@
-//! The limits of log lines.
+//! Tests of the rate limits of log lines.
 
 use super::*;
 
--- a/crates/delivery/src/rules.rs
+++ b/crates/delivery/src/rules.rs
@@ -1,8 +1,9 @@
-//! The invariants of delivery: whether an attempt may be started, whether its bytes may be sent, and whether a connection
-//! may be closed.
+//! The invariants of delivery, which determine whether an attempt may be started, whether its bytes may be sent, and
+//! whether a connection may be closed.
 //!
-//! They are checked immediately before each action. The scheduler and the pool decide by the same rules, so an attempt
-//! that is refused here is a fault of this program: it is counted as a violation and logged, and nothing is sent.
+//! The invariants are checked immediately before each action. The scheduler and the pool decide by the same rules, so an
+//! attempt that is refused here indicates a fault in this program. The refusal is counted as a violation and logged, and
+//! nothing is sent.
 
 use crate::core::message_record::MessageRecord;
 use crate::core::Timestamp;
@@ -10,7 +11,7 @@
 use std::fmt;
 use std::time::Instant;
 
-/// An invariant that an action would break, or has broken.
+/// An invariant of delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// A message has at most one attempt in flight.
@@ -23,12 +24,12 @@
     RepeatWithinWindow,
     /// Nothing is sent on a route in backoff.
     RespectBackoff,
-    /// A request that was read has its response before its connection is closed.
+    /// A request that was read is answered before its connection is closed.
     RequestAnswered,
 }
 
 impl Rule {
-    /// The rule's name in log lines.
+    /// Returns the name of the rule in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAttemptInFlight => "one-attempt-in-flight",
@@ -50,7 +51,7 @@
 /// Checks that an attempt of a message may be started.
 ///
 /// # Errors
-/// The rule that the attempt would break.
+/// Returns the rule that the attempt would violate.
 pub fn may_start(
     record: &MessageRecord,
     class: Option<&MessageClass>,
@@ -79,25 +80,26 @@
     }
 }
 
-/// Why the bytes of an attempt are withheld. The names of the variants are written to log lines.
+/// The reason for which the bytes of an attempt are withheld. The names of the variants are written to log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
-    /// Its endpoint is draining, was removed, or has another address.
+    /// The endpoint is draining, was removed, or has another address.
     EndpointGone,
-    /// Its route is in backoff.
+    /// The route is in backoff.
     Backoff,
-    /// Its last byte can no longer be written in time.
+    /// The last byte can no longer be written in time.
     Late,
 }
 
 /// The conditions for sending the bytes of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct SendConditions {
-    /// Whether its endpoint accepts attempts at the address of its connection.
+    /// Whether the endpoint accepts attempts at the address of the connection.
     pub endpoint_accepts: bool,
-    /// The end of its route's backoff.
+    /// End of the route's backoff; `None` if the route is not in backoff.
     pub backoff_until: Option<Instant>,
-    /// When its last byte must have been written: the end of the deduplication window for a repeat, or its time-out.
+    /// Time by which the last byte must have been written: the end of the deduplication window for a repeat, otherwise the
+    /// timeout of the attempt.
     pub write_by: Instant,
 }
 
@@ -105,7 +107,7 @@
     /// Checks that the first byte may be sent now.
     ///
     /// # Errors
-    /// Why the attempt is withheld.
+    /// Returns the reason for which the attempt is withheld.
     pub fn may_begin(&self, now: Instant) -> Result<(), Withheld> {
         if !self.endpoint_accepts {
             return Err(Withheld::EndpointGone);
@@ -113,10 +115,10 @@
         self.may_continue(now)
     }
 
-    /// Checks that more of a request may be sent that has begun. An endpoint that is draining still receives the rest.
+    /// Checks that more bytes of a partly sent request may be sent. A draining endpoint still receives the rest.
     ///
     /// # Errors
-    /// Why the rest is withheld.
+    /// Returns the reason for which the rest is withheld.
     pub fn may_continue(&self, now: Instant) -> Result<(), Withheld> {
         if self.backoff_until.is_some_and(|until| now < until) {
             return Err(Withheld::Backoff);
@@ -131,14 +133,14 @@
 /// The conditions for closing a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseConditions {
-    /// Whether the client may begin or continue a request on it.
+    /// Whether the client may begin or continue a request on the connection.
     pub may_send_request: bool,
     /// Whether received bytes have not been read yet.
     pub has_unread: bool,
 }
 
 impl CloseConditions {
-    /// Whether it may be closed: not while unread bytes may be a request or a part of one.
+    /// Returns whether the connection may be closed. It may not while unread bytes may be a request or part of a request.
     pub fn may_close(self) -> bool {
         !(self.may_send_request && self.has_unread)
     }
--- a/crates/delivery/src/rules/tests.rs
+++ b/crates/delivery/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! Which actions the rules permit.
+//! Tests of the actions that the rules permit and refuse.
 
 use super::*;
 use crate::core::message_record::{AttemptRecord, MessageState};
--- a/crates/delivery/src/snapshot_store.rs
+++ b/crates/delivery/src/snapshot_store.rs
@@ -1,4 +1,4 @@
-//! The file of an instance's snapshot of destinations.
+//! Reads and writes the file with an instance's snapshot of destinations.
 
 use crate::core::snapshot::{decode, encode, DestinationRecord, SnapshotError};
 use crate::log_line;
@@ -6,10 +6,10 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The name of the file in the state folder.
+/// Name of the snapshot file in the state folder.
 const FILE: &str = "destinations.bin";
 
-/// Why a snapshot cannot be read.
+/// An error that prevents a snapshot from being read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The file cannot be read.
@@ -25,24 +25,23 @@
 pub struct SnapshotStore<D = LocalDisk> {
     disk: D,
     path: PathBuf,
-    /// The encoded records in the file.
+    /// Bytes of the last successful write; initially the encoded records that were read from the file.
     last_written: Vec<u8>,
     /// Whether the last write failed.
     failed: bool,
 }
 
-/// A snapshot that was opened.
+/// An opened snapshot: its store, and the records in the file.
 #[derive(Debug)]
 pub struct OpenedSnapshot<D = LocalDisk> {
-    /// The store that replaces the records from now on.
+    /// Store for later snapshots of this incarnation.
     pub store: SnapshotStore<D>,
-    /// The records of an earlier incarnation.
+    /// Records of an earlier incarnation; empty if there was no usable snapshot.
     pub records: Vec<DestinationRecord>,
 }
 
 impl<D: Disk> SnapshotStore<D> {
-    /// Opens the snapshot in a state folder, and reads its records. A snapshot that cannot be used is ignored with a log
-    /// line.
+    /// Opens the snapshot in a state folder, and reads its records. A snapshot that cannot be used is logged and ignored.
     pub fn open(disk: D, folder: &Path) -> OpenedSnapshot<D> {
         let path = folder.join(FILE);
         let (last_written, records) = match read(&disk, folder) {
@@ -61,14 +60,14 @@
         OpenedSnapshot { store, records }
     }
 
-    /// The disk that it writes to.
+    /// Returns the disk that the snapshots are written to.
     pub fn disk(&self) -> &D {
         &self.disk
     }
 
-    /// Writes the records, if they have changed. The instance works without a snapshot, so a failure is only logged, once
-    /// until a write succeeds again. The file is not synced: it may be lost or torn in a power failure, and the checksum
-    /// detects a torn one.
+    /// Writes the records if they have changed. The instance works without a snapshot, so a failure is only logged, and
+    /// only once until a write succeeds again. The file is not synced: a power failure may lose or truncate it, and the
+    /// checksum then detects a truncated file.
     pub fn write(&mut self, records: &[DestinationRecord]) {
         let bytes = encode(records);
         if bytes == self.last_written {
@@ -92,7 +91,7 @@
     }
 }
 
-/// Reads the snapshot in a state folder; no records where there is none.
+/// Reads the records of the snapshot in a state folder; none if there is no snapshot.
 ///
 /// # Errors
 /// The file cannot be read, or is not a usable snapshot.
--- a/crates/delivery/src/system_error.rs
+++ b/crates/delivery/src/system_error.rs
@@ -1,9 +1,9 @@
-//! Classes of errors of system calls: transient ones, and those caused by a shortage on this machine.
+//! Classification of system call errors: transient errors, and errors caused by a lack of resources on this machine.
 
 use nix::libc;
 use std::io;
 
-/// Errors of a disk, and of a system that lacks a resource for the moment.
+/// Errors of a disk, and of a system that temporarily lacks a resource.
 const TRANSIENT_ERRORS: &[i32] = &[
     libc::ENOSPC,
     libc::EDQUOT,
@@ -17,7 +17,7 @@
     libc::ENOLCK,
 ];
 
-/// Errors of a machine that has no descriptor, address, memory or route for a connection.
+/// Errors of a machine that lacks a descriptor, address, memory or route for a connection.
 const LOCAL_RESOURCE_ERRORS: &[i32] = &[
     libc::EADDRNOTAVAIL,
     libc::EAGAIN,
@@ -29,12 +29,12 @@
     libc::ENOMEM,
 ];
 
-/// Whether an error may pass by itself, so that the call is to be retried.
+/// Returns whether an error may resolve itself, so that the call should be retried.
 pub fn is_transient(error: &io::Error) -> bool {
     is_one_of(error, TRANSIENT_ERRORS)
 }
 
-/// Whether a connection failed because this machine lacks a resource, and not because of its peer.
+/// Returns whether a connection failed because this machine lacks a resource, rather than because of its peer.
 pub fn is_local_resource_error(error: &io::Error) -> bool {
     is_one_of(error, LOCAL_RESOURCE_ERRORS)
 }
