--- a/crates/delivery/benches/step.rs
+++ b/crates/delivery/benches/step.rs
@@ -1,6 +1,6 @@
-//! Duration of the engine's steps beside idle destinations: `cargo bench -p marblefall-delivery`.
+//! Benchmark of the engine's steps while many destinations are idle: `cargo bench -p marblefall-delivery`.
 
-// The macros write items without docs.
+// The macros generate items without documentation.
 #![allow(missing_docs)]
 
 #[path = "../tests/common/mod.rs"]
@@ -15,7 +15,7 @@
     DestinationId, Idempotency, Limits, Outcome, RateHints, Span, ValueDecay,
 };
 
-/// The maximum size of the journal, in bytes.
+/// Maximum size of the journal, in bytes.
 const MAX_BYTES: u64 = 64_000_000;
 
 fn settings() -> EngineSettings {
@@ -31,7 +31,7 @@
     settings
 }
 
-/// Two steps in a millisecond each: a message is accepted and sent, and then it is delivered.
+/// Delivers one message in two steps of a millisecond each: the first accepts and sends it, the second delivers it.
 fn deliver_one(engine: &mut Engine, ms: &mut i64, commands: &mut Vec<EngineCommand>) {
     *ms += 1;
     commands.clear();
--- a/crates/delivery/src/rules.rs
+++ b/crates/delivery/src/rules.rs
@@ -98,8 +98,8 @@
     pub endpoint_accepts: bool,
     /// End of the route's backoff; `None` if the route is not in backoff.
     pub backoff_until: Option<Instant>,
-    /// Time by which the last byte must have been written: the end of the deduplication window for a repeat, otherwise the
-    /// timeout of the attempt.
+    /// Time by which the last byte must have been written: the timeout of the attempt, or the end of the deduplication
+    /// window for a repeat, whichever is earlier.
     pub write_by: Instant,
 }
 
--- a/crates/delivery/tests/common/destinations.rs
+++ b/crates/delivery/tests/common/destinations.rs
@@ -1,4 +1,4 @@
-//! Many destinations, of which few are in use. Shared with the benchmark.
+//! Tables of many destinations, and submissions for some of them. Shared with the benchmark.
 
 use super::START_MS;
 use marblefall_delivery::core::destination_table::{
@@ -10,18 +10,18 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// The destinations of a table, each with one endpoint.
+/// The description of a table of destinations with one endpoint each.
 #[derive(Clone, Copy)]
 pub struct TableSpec {
-    /// How many destinations there are. Their ids are the numbers from zero on.
+    /// Number of destinations. Their ids are counted from zero.
     pub count: u64,
-    /// The port of all endpoints.
+    /// Port of all endpoints.
     pub port: u16,
     /// Calls per second that each destination accepts.
     pub rate: f32,
 }
 
-/// The event with a table of destinations.
+/// Returns the event that replaces the table of destinations.
 pub fn table_replaced(spec: TableSpec) -> EngineEvent {
     EngineEvent::DestinationTableReplaced(destination_table(spec))
 }
@@ -48,7 +48,8 @@
     Arc::new(table.build())
 }
 
-/// The submission of an event without content, which expires 20 s later. `number` identifies the event and its request.
+/// Returns the submission of an event without content that expires after 20 s. `number` identifies the event and the
+/// request.
 pub fn event_submission(ms: i64, number: u64, destination: DestinationId) -> EngineEvent {
     let message = Message {
         origin: Origin::CloudEvents,
--- a/crates/delivery/tests/common/full_journal.rs
+++ b/crates/delivery/tests/common/full_journal.rs
@@ -1,26 +1,28 @@
-//! A journal that accepts no record: its segment is full, and something is in the place of the next one.
+//! A journal that accepts no record: its last segment is full, and the next one cannot be created because its name is
+//! taken.
 
 use marblefall_delivery::core::journal::segment_numbers;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The length of a segment of the journal, in bytes.
+/// Length of a segment of the journal, in bytes.
 const SEGMENT_BYTES: usize = 128 * 1024;
-/// Space left in the segment that is too short for any record, in bytes.
+/// Space left in the segment, which is too short for any record, in bytes.
 const REMAINDER_BYTES: usize = 12;
-/// Messages that are submitted first: more than may be in flight, so that the last of them has no record of an attempt.
+/// Number of messages that are submitted first. It exceeds the limit of attempts in flight, so that the last of them has no
+/// record of an attempt.
 const SAMPLES: usize = 6;
-/// The length of their bodies, in bytes.
+/// Length of the body of each of these messages, in bytes.
 const SAMPLE_BYTES: usize = 10;
 
-/// A journal that accepts nothing until it is repaired.
+/// A journal that accepts no record until it is repaired.
 pub struct FullJournal {
-    /// What keeps the journal from its next segment.
+    /// The folder that takes the name of the next segment.
     obstacle: PathBuf,
 }
 
 impl FullJournal {
-    /// Fills the last segment of a journal by messages, each with a name and a body of a length.
+    /// Fills the last segment of a journal with messages. `submit` receives the name and the body length of each message.
     pub fn fill(folder: &Path, mut submit: impl FnMut(&str, usize)) -> FullJournal {
         let last = *segment_numbers(folder).unwrap().last().unwrap();
         let len = || fs::metadata(segment(folder, last)).unwrap().len() as usize;
--- a/crates/delivery/tests/common/incarnation.rs
+++ b/crates/delivery/tests/common/incarnation.rs
@@ -1,4 +1,4 @@
-//! Incarnations of an engine over one folder, of which two may be running at the same time.
+//! Incarnations of an engine with one folder, of which two may be running at the same time.
 
 use super::{
     attempt_finished, class_names, endpoint_list, engine_settings, limits, timestamp_of,
@@ -14,15 +14,15 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// The maximum size of the folder, in bytes.
+/// Maximum size of the folder, in bytes.
 pub const MAX_BYTES: u64 = 3_000_000;
-/// The place of the class whose repeats endpoints discard by their idempotency key.
+/// Index of the class whose repeats are discarded by the endpoints by their idempotency key.
 pub const KEYED_CLASS: usize = 0;
-/// The place of the class whose messages are idempotent.
+/// Index of the class whose messages are idempotent.
 pub const IDEMPOTENT_CLASS: usize = 1;
-/// The place of the class whose messages must not be executed twice.
+/// Index of the class whose messages must not be executed twice.
 pub const NON_IDEMPOTENT_CLASS: usize = 2;
-/// How long a process has to shut down, in microseconds.
+/// Time in which a process must shut down, in microseconds.
 const SHUTDOWN_TIMEOUT_US: i64 = 3_400_000;
 
 fn classes() -> Vec<String> {
@@ -40,7 +40,7 @@
     )
 }
 
-/// One incarnation. Times are in milliseconds after the start of the test.
+/// One incarnation of the engine. Times are in milliseconds after the start of the test.
 pub struct TestIncarnation {
     pub engine: Engine,
     pub generation: Generation,
@@ -63,7 +63,7 @@
         (incarnation, commands)
     }
 
-    /// Starts a standby beside others, with the endpoint "h".
+    /// Starts a standby while other incarnations are running, with the endpoint "h".
     pub fn standby(folder: &Path, ms: i64) -> TestIncarnation {
         let generation = latest_generation(folder).unwrap().next();
         let store = MessageStore::begin(folder, MAX_BYTES, classes(), generation).unwrap();
@@ -76,7 +76,7 @@
         incarnation
     }
 
-    /// Steps the engine, and again for as long as it has a backlog.
+    /// Steps the engine repeatedly until it has no backlog.
     pub fn step(&mut self, ms: i64, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
         let now = timestamp_of(self.started_ms, ms);
         let mut commands = Vec::new();
@@ -87,7 +87,7 @@
         commands
     }
 
-    /// Submits a short message. Its request's number follows from its name.
+    /// Submits a short message. The id of the request is derived from the name of the message.
     pub fn submit(&mut self, ms: i64, name: &str, class: usize) -> Vec<EngineCommand> {
         let request = RequestId(
             name.bytes()
@@ -97,13 +97,13 @@
         self.step(ms, vec![EngineEvent::Submitted(request, message)])
     }
 
-    /// Shuts the incarnation down beside a successor.
+    /// Hands over to a successor, and shuts the incarnation down.
     pub fn hand_over(&mut self, ms: i64) -> Vec<EngineCommand> {
         let deadline = Time((ms - self.started_ms) * 1000 + SHUTDOWN_TIMEOUT_US);
         self.step(ms, vec![EngineEvent::HandOver { deadline }])
     }
 
-    /// Makes a standby active, which was started beside the incarnation `first_concurrent`.
+    /// Makes a standby active. `first_concurrent` is the first incarnation that was running when the standby was started.
     pub fn take_over(
         &mut self,
         ms: i64,
@@ -119,13 +119,13 @@
         )
     }
 
-    /// Steps the engine in each millisecond of a span and delivers what it starts. Returns the names of the messages, in
-    /// alphabetical order.
+    /// Steps the engine in each millisecond of a span, and delivers each message whose attempt it starts. Returns the
+    /// names of these messages in alphabetical order.
     pub fn deliver_all(&mut self, ms: Range<i64>) -> Vec<String> {
         self.deliver_all_after(Vec::new(), ms)
     }
 
-    /// The same, with events for the first step.
+    /// Like [`TestIncarnation::deliver_all`], with events for the first step.
     pub fn deliver_all_after(
         &mut self,
         mut events: Vec<EngineEvent>,
@@ -144,7 +144,7 @@
     }
 }
 
-/// A message of the platform with a body of a length.
+/// Returns a message of the platform with a body of `body` bytes.
 pub fn message(name: &str, class: usize, ms: i64, body: usize) -> Message {
     Message {
         origin: Origin::Platform,
@@ -158,7 +158,7 @@
     }
 }
 
-/// The attempts that are started: the message's id, the attempt's number, and the message's name.
+/// Returns the started attempts, each with the message's id, the attempt's number, and the message's name.
 pub fn started_attempts(commands: &[EngineCommand]) -> Vec<(MessageId, u32, String)> {
     let started = |command: &EngineCommand| match command {
         EngineCommand::StartAttempt(AttemptRequest {
@@ -176,7 +176,7 @@
     commands.iter().filter_map(started).collect()
 }
 
-/// Whether a submission is accepted.
+/// Returns whether a submission is accepted.
 pub fn is_accepted(commands: &[EngineCommand]) -> bool {
     commands
         .iter()
--- a/crates/delivery/tests/common/mod.rs
+++ b/crates/delivery/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the core share: folders, settings, endpoints, and readers of commands.
+//! Helpers that the tests of the core share: folders, settings, endpoints, and filters of commands.
 #![allow(dead_code, reason = "each test uses a part of it")]
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -19,34 +19,34 @@
 };
 use std::path::PathBuf;
 
-/// When the tests begin, as Unix time in milliseconds.
+/// Start of the tests, as Unix time in milliseconds.
 pub const START_MS: i64 = 1_800_000_000_000;
-/// The destination of all tests with a single one.
+/// The destination in tests with a single destination.
 pub const DESTINATION: DestinationId = DestinationId(7);
-/// Endpoints discard repeats by their idempotency key for 6 s.
+/// The idempotency of messages whose repeats are discarded by the endpoints by their idempotency key for 6 s.
 pub const KEYED: Idempotency = Idempotency::IdempotencyKey {
     scope: DeduplicationScope::All,
     window: Span(6_000_000),
 };
-/// The response to a submission that is rejected for no reason of its destination.
+/// The response to a submission that is rejected for a reason that does not depend on its destination.
 pub const REJECTED: SubmitResponse = SubmitResponse::Rejected {
     retry_after_ms: 1000,
 };
 
-/// A folder that does not exist yet.
+/// Returns the path of a temporary folder, which does not exist yet.
 pub fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("marblefall-core-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-/// A time in milliseconds after the start of the tests, for an engine that was started then.
+/// Returns a time in milliseconds after the start of the tests, for an engine that was started with the tests.
 pub fn timestamp(ms: i64) -> Timestamp {
     timestamp_of(0, ms)
 }
 
-/// A time in milliseconds after the start of the tests, for an incarnation that was started at `started_ms`: its
-/// monotonic clock starts at zero.
+/// Returns a time in milliseconds after the start of the tests, for an incarnation that was started at `started_ms`. The
+/// monotonic clock of the incarnation starts at zero.
 pub fn timestamp_of(started_ms: i64, ms: i64) -> Timestamp {
     Timestamp {
         monotonic: Time((ms - started_ms) * 1000),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A class with a latency objective of 2 s and a deadline of 20 s.
+/// Returns a class with a latency objective of 2 s and a deadline of 20 s.
 pub fn class(idempotency: Idempotency) -> MessageClass {
     MessageClass {
         priority_weight: 1.0,
@@ -66,12 +66,13 @@
     }
 }
 
-/// The names of classes.
+/// Returns the names of classes as owned strings.
 pub fn class_names(classes: &[&str]) -> Vec<String> {
     classes.iter().map(|class| (*class).to_owned()).collect()
 }
 
-/// Settings of one instance with classes of these idempotencies. Nothing is retained after its final outcome.
+/// Returns the settings of one instance with a class of each idempotency. Messages are not retained after their final
+/// outcome.
 pub fn engine_settings(idempotencies: &[Idempotency], limits: Limits) -> EngineSettings {
     let settings = Settings {
         classes: idempotencies
@@ -95,7 +96,7 @@
     }
 }
 
-/// Limits of a small instance that may have this many open messages.
+/// Returns the limits of a small instance with at most this many open messages.
 pub fn limits(max_open: usize) -> Limits {
     Limits {
         max_in_flight: 4,
@@ -106,7 +107,7 @@
     }
 }
 
-/// An endpoint of [`DESTINATION`].
+/// Returns an endpoint of [`DESTINATION`].
 pub fn endpoint(name: &str) -> ListedEndpoint {
     ListedEndpoint {
         name: name.to_owned(),
@@ -120,17 +121,17 @@
     }
 }
 
-/// A complete list of these endpoints of [`DESTINATION`].
+/// Returns the event for a complete list of endpoints of [`DESTINATION`].
 pub fn endpoint_list(names: &[&str]) -> EngineEvent {
     EngineEvent::EndpointsReplaced(names.iter().map(|name| endpoint(name)).collect())
 }
 
-/// The result of an attempt that was in flight for 100 ms.
+/// Returns the event for the end of an attempt that was in flight for 100 ms.
 pub fn attempt_finished(id: MessageId, attempt: u32, outcome: Outcome) -> EngineEvent {
     attempt_finished_after(Span::from_ms(100.0), id, attempt, outcome)
 }
 
-/// The result of an attempt that was in flight for a time.
+/// Returns the event for the end of an attempt that was in flight for `duration`.
 pub fn attempt_finished_after(
     duration: Span,
     id: MessageId,
@@ -147,7 +148,7 @@
     })
 }
 
-/// The attempts that are started: each a message's id and the attempt's number.
+/// Returns the started attempts, each with the message's id and the attempt's number.
 pub fn started_attempts(commands: &[EngineCommand]) -> Vec<(MessageId, u32)> {
     let started = |command: &EngineCommand| match command {
         EngineCommand::StartAttempt(request) => Some((request.message_id, request.attempt)),
@@ -156,7 +157,7 @@
     commands.iter().filter_map(started).collect()
 }
 
-/// The responses to submissions, by request.
+/// Returns the responses to submissions, each with the number of its request.
 pub fn responses(commands: &[EngineCommand]) -> Vec<(u64, SubmitResponse)> {
     let response = |command: &EngineCommand| match command {
         EngineCommand::Respond(request, response) => Some((request.0, *response)),
@@ -165,7 +166,7 @@
     commands.iter().filter_map(response).collect()
 }
 
-/// The final outcomes of which notices are sent.
+/// Returns the final outcomes for which notices are sent.
 pub fn notice_outcomes(commands: &[EngineCommand]) -> Vec<FinalOutcome> {
     let outcome = |command: &EngineCommand| match command {
         EngineCommand::SendNotice { outcome, .. } => Some(*outcome),
--- a/crates/delivery/tests/common/policy.rs
+++ b/crates/delivery/tests/common/policy.rs
@@ -1,4 +1,4 @@
-//! An engine under a policy that a group decides on. Times are in milliseconds after its start.
+//! An engine with a policy that a group decides on. Times are in milliseconds after the start of the engine.
 
 use super::{
     class_names, endpoint_list, engine_settings, folder, limits, DESTINATION, KEYED, START_MS,
@@ -10,16 +10,16 @@
 use marblefall_delivery::core::{Message, Origin, RequestId, Timestamp};
 use marblefall_scheduler::{ClassId, Idempotency, Limits, Time};
 
-/// The maximum size of the journal, in bytes.
+/// Maximum size of the journal, in bytes.
 const MAX_BYTES: u64 = 3_000_000;
-/// How many messages may be open.
+/// Maximum number of open messages.
 const MAX_OPEN: usize = 8;
-/// The names of the first policy's classes: one with idempotency keys, and one whose messages are idempotent.
+/// Names of the classes in the first policy: one with idempotency keys, and one whose messages are idempotent.
 pub const CLASSES: [&str; 2] = ["keyed", "free"];
-/// The idempotencies of the first policy's classes.
+/// Idempotencies of the classes in the first policy.
 pub const IDEMPOTENCIES: [Idempotency; 2] = [KEYED, Idempotency::Idempotent];
 
-/// An event with a deadline.
+/// Returns an event with a deadline. Events of the first class have an idempotency key.
 pub fn message(name: &str, class: usize, deadline_ms: i64) -> Message {
     Message {
         origin: Origin::CloudEvents,
@@ -33,7 +33,7 @@
     }
 }
 
-/// The settings of a policy.
+/// Returns the engine settings of a policy.
 pub fn policy_settings(max_in_flight: usize, idempotencies: &[Idempotency]) -> EngineSettings {
     let limits = Limits {
         max_in_flight,
@@ -65,9 +65,9 @@
         fixture
     }
 
-    /// Steps the engine, and again a microsecond later for as long as it has a backlog.
+    /// Steps the engine, and repeats the step a microsecond later until there is no backlog.
     pub fn step(&mut self, ms: i64, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
-        assert!(ms >= self.ms, "time does not go back");
+        assert!(ms >= self.ms, "time must not go back");
         self.ms = ms;
         let now = super::timestamp(ms);
         let mut commands = Vec::new();
@@ -90,7 +90,7 @@
         )
     }
 
-    /// Puts another policy in force, with the destinations of the first one.
+    /// Puts another policy in force, with the destinations unchanged.
     pub fn change_policy(
         &mut self,
         ms: i64,
--- a/crates/delivery/tests/common/restarting_engine.rs
+++ b/crates/delivery/tests/common/restarting_engine.rs
@@ -1,4 +1,4 @@
-//! An engine over a journal that is restarted: the next incarnation starts when none is running.
+//! An engine that is restarted with the same journal. Each incarnation starts while no other is running.
 
 use super::{
     class_names, endpoint_list, engine_settings, limits, timestamp_of, DESTINATION, KEYED, START_MS,
@@ -10,24 +10,24 @@
 use marblefall_scheduler::{ClassId, Idempotency, Limits, Outcome};
 use std::path::{Path, PathBuf};
 
-/// The maximum size of the journal, in bytes.
+/// Maximum size of the journal, in bytes.
 pub const MAX_BYTES: u64 = 3_000_000;
-/// The place of the class whose repeats endpoints discard by their idempotency key.
+/// Index of the class whose repeats are discarded by the endpoints by their idempotency key.
 pub const KEYED_CLASS: usize = 0;
-/// The place of the class whose messages are idempotent.
+/// Index of the class whose messages are idempotent.
 pub const IDEMPOTENT_CLASS: usize = 1;
 
-/// The names of the classes.
+/// Returns the names of the classes.
 pub fn classes() -> Vec<String> {
     class_names(&["keyed", "free"])
 }
 
-/// The store of a folder that no other incarnation writes to.
+/// Opens the store in a folder that no other incarnation writes to.
 pub fn open_store(folder: &Path) -> MessageStore {
     MessageStore::open(folder, MAX_BYTES, classes()).unwrap()
 }
 
-/// A message with a body of a length.
+/// Returns a message with a body of `body` bytes.
 pub fn message(name: &str, origin: Origin, class: usize, body: usize) -> Message {
     Message {
         origin,
@@ -41,17 +41,17 @@
     }
 }
 
-/// The submission of a short message.
+/// Returns the submission of a short message.
 pub fn submission(request: u64, name: &str, origin: Origin, class: usize) -> EngineEvent {
     EngineEvent::Submitted(RequestId(request), message(name, origin, class, 9))
 }
 
-/// The result of an attempt that was in flight for 100 ms.
+/// Returns the event for the end of an attempt that was in flight for 100 ms.
 pub fn attempt_finished((id, attempt): (MessageId, u32), outcome: Outcome) -> EngineEvent {
     super::attempt_finished(id, attempt, outcome)
 }
 
-/// The file of the segment that is this many after the first one of a folder's journal.
+/// Returns the path of the segment whose number is `after` above that of the first segment in a folder.
 pub fn segment_path(folder: &Path, after: u64) -> PathBuf {
     let first = segment_numbers(folder).unwrap()[0];
     folder.join(format!("journal-{:010}", first + after))
@@ -69,7 +69,7 @@
     }
 }
 
-/// One incarnation of an engine over a folder.
+/// One incarnation of an engine with a folder.
 pub struct RestartingEngine {
     pub engine: Engine,
     pub folder: PathBuf,
@@ -77,7 +77,7 @@
 }
 
 impl RestartingEngine {
-    /// Starts an incarnation so many milliseconds after the start of the test, with the endpoint "h".
+    /// Starts an incarnation `ms` milliseconds after the start of the test, with the endpoint "h".
     pub fn start(folder: PathBuf, ms: i64) -> (RestartingEngine, Vec<EngineCommand>) {
         let store = open_store(&folder);
         let mut commands = Vec::new();
@@ -97,7 +97,7 @@
         commands
     }
 
-    /// Steps the engine so many milliseconds after this incarnation's start.
+    /// Steps the engine `after_ms` milliseconds after the start of this incarnation.
     pub fn step(&mut self, after_ms: i64, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
         let now = timestamp_of(self.started_ms, self.started_ms + after_ms);
         self.step_at(now, events)
--- a/crates/delivery/tests/idle_destinations/fixture.rs
+++ b/crates/delivery/tests/idle_destinations/fixture.rs
@@ -1,4 +1,4 @@
-//! An engine beside many destinations, and the changes of its endpoints.
+//! An engine with many destinations, and the changes of its listed endpoints.
 
 use crate::common::destinations::{event_submission, table_replaced, TableSpec};
 use crate::common::{
@@ -13,7 +13,7 @@
 /// The maximum size of the journal, in bytes.
 const MAX_BYTES: u64 = 64_000_000;
 
-/// This many destinations, all at one port.
+/// Returns a table of this many destinations, all at one port.
 pub fn table(count: u64, port: u16) -> TableSpec {
     TableSpec {
         count,
@@ -47,7 +47,7 @@
     settings
 }
 
-/// An engine beside many destinations. Times are in milliseconds after its start.
+/// An engine with many destinations. Times are in milliseconds after its start.
 pub struct Fixture {
     pub engine: Engine,
     folder: PathBuf,
@@ -62,7 +62,7 @@
 }
 
 impl Fixture {
-    /// Starts an engine that is given a table of destinations.
+    /// Starts an engine with a table of `count` destinations.
     pub fn start(name: &str, count: u64) -> Fixture {
         let folder = temporary_folder(&format!("idle-{name}"));
         let store = MessageStore::open(&folder, MAX_BYTES, vec!["free".to_owned()]).unwrap();
@@ -76,14 +76,14 @@
         fixture
     }
 
-    /// Steps the engine once.
+    /// Steps the engine once, and returns its commands.
     pub fn step(&mut self, ms: i64, events: Vec<EngineEvent>) -> Vec<EngineCommand> {
         let mut commands = Vec::new();
         self.engine.step(timestamp(ms), events, &mut commands);
         commands
     }
 
-    /// The next submission of an event for a destination.
+    /// Returns the submission of a new event for a destination.
     pub fn submission(&mut self, ms: i64, destination: u64) -> EngineEvent {
         self.last_number += 1;
         event_submission(ms, self.last_number, DestinationId(destination))
@@ -97,12 +97,12 @@
     }
 }
 
-/// How commands change the listed endpoints.
+/// The changes that commands make to the listed endpoints.
 #[derive(Debug, Default, PartialEq)]
 pub struct EndpointChanges {
-    /// The names of those that were listed, or listed differently.
+    /// Names of the endpoints that were added to the list or changed in it.
     pub listed: Vec<String>,
-    /// How many were removed.
+    /// Number of removed endpoints.
     pub removed: usize,
 }
 
@@ -140,7 +140,7 @@
     }
 }
 
-/// The result of an attempt that was in flight for 10 ms.
+/// Returns the event for the end of an attempt that was in flight for 10 ms.
 pub fn attempt_finished((id, attempt): (MessageId, u32), outcome: Outcome) -> EngineEvent {
     attempt_finished_after(Span::from_ms(10.0), id, attempt, outcome)
 }
--- a/crates/delivery/tests/idle_destinations/main.rs
+++ b/crates/delivery/tests/idle_destinations/main.rs
@@ -1,4 +1,5 @@
-//! Many idle destinations: the scheduler is given only those in use, and the state of the others is stored compactly.
+//! Tests with many idle destinations: the scheduler receives only the destinations in use, and the state of the others is
+//! stored compactly.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -24,7 +25,8 @@
     );
     let started = started_attempts(&commands)[0];
     fixture.step(110, vec![attempt_finished(started, Outcome::Delivered)]);
-    // It stays active when it is used again, is compacted when idle, and becomes active with the next message.
+    // The destination stays active when it is used again, is compacted once it is idle, and becomes active with the next
+    // message.
     let submission = fixture.submission(20_000, 5);
     let commands = fixture.step(20_000, vec![submission]);
     assert_eq!(EndpointChanges::of(&commands), EndpointChanges::none());
@@ -41,7 +43,7 @@
     assert_eq!(
         fixture.engine.next_wake(),
         None,
-        "there is no destination left to check"
+        "no destination is left to check"
     );
     let submission = fixture.submission(90_000, 5);
     let commands = fixture.step(90_000, vec![submission]);
@@ -131,7 +133,7 @@
     assert_eq!(
         started_attempts(&commands).len(),
         1,
-        "an ejected destination receives one trial call, others two"
+        "an ejected destination receives one trial call, a new one receives two attempts"
     );
     let submission: Vec<EngineEvent> = (0..10).map(|_| fixture.submission(70_001, 4)).collect();
     assert_eq!(started_attempts(&fixture.step(70_001, submission)).len(), 2);
@@ -144,7 +146,7 @@
     let (mut started, mut delivered, mut listed, mut now_ms) = (Vec::new(), 0, 0, 0);
     while delivered < COUNT {
         now_ms += 1;
-        assert!(now_ms < 20_000, "{delivered} delivered");
+        assert!(now_ms < 20_000, "only {delivered} delivered");
         let mut events: Vec<EngineEvent> = std::mem::take(&mut started)
             .into_iter()
             .map(|attempt| attempt_finished(attempt, Outcome::Delivered))
@@ -158,13 +160,13 @@
         started = started_attempts(&commands);
     }
     assert_eq!(listed, COUNT);
-    // They are compacted a few at a time.
+    // The idle destinations are compacted a few at a time.
     let (mut removed, mut ms) = (0, now_ms);
     while removed < COUNT as usize {
         ms += 20;
-        assert!(ms < now_ms + 60_000, "{removed} removed");
+        assert!(ms < now_ms + 60_000, "only {removed} removed");
         let removed_now = EndpointChanges::of(&fixture.step(ms, Vec::new())).removed;
-        assert!(removed_now <= 16, "{removed_now} at once");
+        assert!(removed_now <= 16, "{removed_now} removed in one step");
         removed += removed_now;
     }
 }
@@ -185,7 +187,7 @@
         |command| matches!(command, EngineCommand::EndpointListed(_, endpoint) if endpoint.address == "127.0.0.1:2"),
     );
     assert!(moved, "{commands:?}");
-    // Of the two attempts that fail, only the one to the endpoint that is still listed is retried.
+    // Both attempts fail. Only the one whose endpoint is still listed is retried.
     let commands = fixture.step(
         10,
         started
@@ -242,7 +244,7 @@
         (records[1].ejected_since_ms, records[0].ejected_since_ms),
         (Some(START_MS + 10), None)
     );
-    // The clock of one of the next incarnations was set back by an hour.
+    // One of the two next incarnations runs with a clock that was set back by an hour.
     for (name, shift_ms) in [("later", 0), ("set-back", -3_600_000)] {
         let mut next = Fixture::start(name, 10);
         let now = Timestamp {
--- a/crates/delivery/tests/journal.rs
+++ b/crates/delivery/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of a message store: its limits, and disks that leave torn or unwritable segments.
+//! Tests of a message store's journal: its size limit, and disks that leave torn or unwritable segments.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -30,7 +30,7 @@
         );
         assert!(
             store.has_capacity_for(&message),
-            "after {n} messages that finished"
+            "no capacity after {n} finished messages"
         );
         let id = store.allocate_id();
         store.accept(id, Rc::new(message), None).unwrap();
@@ -76,14 +76,14 @@
             live.push_back(id);
         } else {
             rejections += 1;
-            // A final outcome is always written, however full the folder is.
+            // A final outcome can always be written, even if the journal has reached its limit.
             let id = live.pop_front().unwrap();
             assert!(store
                 .finish(id, FinalOutcome::Failed, NoticeState::Pending, 0)
                 .unwrap());
             store.remove(id).unwrap();
         }
-        assert!(used() <= disk, "{} bytes after {n}", used());
+        assert!(used() <= disk, "{} bytes after {n} submissions", used());
     }
     assert!(rejections > 100 && live.len() > 5);
     let reopened = MessageStore::open(&folder, disk, classes()).unwrap();
@@ -136,7 +136,7 @@
             None,
         )
         .unwrap();
-    // The next segment cannot be created, so the first record that does not fit into this one is not written.
+    // The next segment cannot be created, so the first record that does not fit into the current one is not written.
     fs::create_dir(segment_path(&folder, 1)).unwrap();
     let started = |n| AttemptRecord {
         started_ms: START_MS + n,
--- a/crates/delivery/tests/journal_replay.rs
+++ b/crates/delivery/tests/journal_replay.rs
@@ -1,4 +1,4 @@
-//! A restart restores the messages that the process had, however often the journal was compacted.
+//! Tests that a restart restores all messages, regardless of how often the journal was compacted.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The maximum size of the journal, in bytes. It is compacted every few thousand records, while messages are open.
+/// The maximum size of the journal, in bytes. At this size, it is compacted every few thousand records, with messages open.
 const DISK: u64 = 800_000;
 const STEPS: usize = 60_000;
 const STEPS_BETWEEN_CHECKS: usize = 1500;
@@ -38,7 +38,7 @@
     }
 }
 
-/// The store of a process that is started now.
+/// Opens the store as a process does that is started now, on a copy of the folder.
 fn restart(folder: &Path) -> MessageStore {
     let copy = folder.with_extension("copy");
     let _ = std::fs::remove_dir_all(&copy);
@@ -50,8 +50,8 @@
     MessageStore::open(&copy, DISK, vec!["status".to_owned()]).unwrap()
 }
 
-/// A compaction while an attempt is journalled must not count the attempt twice: the first would be recorded as possibly
-/// executed, and its message would never be retried.
+/// Guards against an attempt that counts twice because the journal is compacted while the attempt is journalled. The first
+/// of the two would be recorded as possibly executed, and the message would never be retried.
 #[test]
 fn replay_restores_the_messages_in_memory() {
     let folder = temporary_folder("replay");
--- a/crates/delivery/tests/snapshot_store.rs
+++ b/crates/delivery/tests/snapshot_store.rs
@@ -1,4 +1,4 @@
-//! The snapshot of destinations on a disk that fails at each of its operations.
+//! Tests of the snapshot of destinations on a disk on which each operation fails in turn.
 
 use marblefall_atomic_file::faulty_disk::{Fault, FaultyDisk, Unsynced};
 use marblefall_atomic_file::Disk;
@@ -29,7 +29,7 @@
         ]
     });
     for fault in faults {
-        // The first operations are those of the first snapshot, before which there is none.
+        // The first two operations write the first snapshot. If they fail, there may be no snapshot.
         for after in 0..4 {
             let disk = FaultyDisk::new();
             disk.inject_fault(after, fault);
@@ -49,15 +49,15 @@
                 } = SnapshotStore::open(after_crash, folder);
                 assert!(
                     restored.is_empty() || restored == old || restored == new,
-                    "{fault:?} at {after}, {unsynced:?}: {restored:?}"
+                    "{fault:?} after {after} operations, {unsynced:?}: {restored:?}"
                 );
                 if unsynced == Unsynced::Survives && after >= 2 {
                     assert!(
                         restored == old || restored == new,
-                        "a process that exits leaves a snapshot: {restored:?}"
+                        "no snapshot after the process exited: {restored:?}"
                     );
                 }
-                // The next incarnation replaces whatever is there.
+                // The next incarnation replaces the file regardless of its content.
                 reopened.write(&records(3));
                 assert_eq!(read(reopened.disk(), folder).unwrap(), records(3));
             }
@@ -77,7 +77,7 @@
     bytes[4..6].copy_from_slice(&(VERSION + 1).to_le_bytes());
     disk.write(&folder.join("destinations.bin"), &bytes)
         .expect("no fault");
-    let cause = read(&disk, folder).expect_err("another version");
+    let cause = read(&disk, folder).expect_err("the version is unsupported");
     assert!(
         cause
             .to_string()
--- a/crates/delivery/tests/stored_data.rs
+++ b/crates/delivery/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! This version of the program reads the data that an earlier one stored: a journal of two generations, the marks of two
-//! incarnations, and a snapshot of destinations. They are in `tests/fixtures`, and are never written again.
+//! Tests that this version of the program reads data stored by an earlier version: a journal of two generations, the marks
+//! of two incarnations, and a snapshot of destinations. The data is in `tests/fixtures` and is never regenerated.
 
 #![allow(clippy::too_many_lines, reason = "a test is one sequence of events")]
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
@@ -19,12 +19,12 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// When the fixtures' messages were accepted, as Unix time in milliseconds.
+/// Time at which the messages in the fixtures were accepted, as Unix time in milliseconds.
 const STORED_AT_MS: i64 = 1_800_000_000_000;
 /// The maximum size of the journal, in bytes.
 const DISK: u64 = 3_000_000;
 
-/// A copy of a fixture that may be written to.
+/// Copies a fixture to a folder that a test may write to, and returns the folder.
 fn copy_of(fixture: &str, test: &str) -> PathBuf {
     let from = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
@@ -46,7 +46,7 @@
 fn message<'a>(store: &'a MessageStore, identity: &str) -> &'a MessageRecord {
     let id = store
         .by_identity(identity.as_bytes())
-        .unwrap_or_else(|| panic!("{identity} is stored"));
+        .unwrap_or_else(|| panic!("{identity} is not stored"));
     store.get(id).unwrap()
 }
 
@@ -78,7 +78,7 @@
     assert_eq!(accepted.message.attributes, b"attributes of accepted");
     assert_eq!(accepted.message.body, b"body of accepted");
 
-    // The process ended with the attempt in flight, which may have been executed.
+    // The process exited during the attempt, which may therefore have been executed.
     let in_flight = message(&store, "in-flight");
     assert_eq!(
         (in_flight.attempts, &in_flight.state),
@@ -133,7 +133,7 @@
 
     assert_eq!(store.by_identity(b"forgotten"), None);
 
-    // The results of two attempts were reported after the handover: a rejection and a delivery.
+    // After the handover, the results of two attempts were reported: a rejection and a delivery.
     let handed_over = message(&store, "handed-over");
     assert_eq!(
         (handed_over.attempts, &handed_over.state),
@@ -201,7 +201,7 @@
 #[test]
 fn marks_of_earlier_incarnations_are_read() {
     let folder = copy_of("marks", "marks");
-    // The first incarnation is running and has handed over. The second has exited.
+    // The first incarnation has handed over and is still running. The second one has exited.
     let running = fs::OpenOptions::new()
         .read(true)
         .append(true)
--- a/crates/delivery/tests/unreadable_journal.rs
+++ b/crates/delivery/tests/unreadable_journal.rs
@@ -1,4 +1,4 @@
-//! Hot restarts while a segment of the journal cannot be read, for a moment or for good.
+//! Tests of hot restarts while a segment of the journal cannot be read, temporarily or permanently.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -12,15 +12,15 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A segment of the journal that cannot be read for a while.
+/// A segment of the journal that cannot be read until it is restored.
 struct UnreadableSegment {
     path: PathBuf,
-    /// Where its file is meanwhile.
+    /// Path of the segment's file while the segment is unreadable.
     moved_to: PathBuf,
 }
 
 impl UnreadableSegment {
-    /// Makes the first segment of a generation unreadable: reading what stands in its place fails with EIO.
+    /// Replaces the first segment of a generation by a link that cannot be read: reads fail with EIO.
     fn of(folder: &Path, generation: Generation) -> UnreadableSegment {
         let all = segment_numbers(folder).unwrap();
         let number = all
@@ -55,7 +55,7 @@
         .iter()
         .find(|number| Generation::of(**number) == predecessor.generation)
         .unwrap();
-    // A folder in the place of a segment cannot be read.
+    // A folder with the name of a segment makes that segment unreadable.
     fs::create_dir(folder.join(format!("journal-{:010}", first + 7))).unwrap();
     let mut commands = successor.take_over(60, &[], predecessor.generation);
     assert!(
@@ -102,7 +102,7 @@
     );
     assert!(
         is_accepted(&successor.submit(80, "c", IDEMPOTENT_CLASS)),
-        "it still accepts messages"
+        "the successor still accepts messages"
     );
     assert!(
         successor.engine.next_wake().is_some(),
@@ -113,7 +113,7 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// The exit of a standby is reported only once, so that the engine itself must retry the adoption.
+/// The exit of a standby is reported only once, so the engine must retry the adoption by itself.
 #[test]
 fn adoption_of_exited_standby_is_retried_after_read_error() {
     let folder = temporary_folder("retried-adoption");
