--- a/crates/delivery/src/clock.rs
+++ b/crates/delivery/src/clock.rs
@@ -21,7 +21,7 @@
 const NANOS_PER_MS: i64 = 1_000_000;
 
 /// Name of the clock file in the state folder.
-const FILE: &str = "clock";
+const FILE_NAME: &str = "clock";
 /// System file that identifies the last boot of the machine, from which the monotonic clock counts.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
@@ -68,9 +68,9 @@
             unix_ms_at_boot: clock.unix_ms_at_boot,
         };
         let text = serde_json::to_vec(&record)?;
-        let temporary = folder.join(format!("{FILE}.{}", std::process::id()));
-        let written =
-            fs::write(&temporary, text).and_then(|()| fs::rename(&temporary, folder.join(FILE)));
+        let temporary = folder.join(format!("{FILE_NAME}.{}", std::process::id()));
+        let written = fs::write(&temporary, text)
+            .and_then(|()| fs::rename(&temporary, folder.join(FILE_NAME)));
         if let Err(error) = written {
             let _ = fs::remove_file(&temporary);
             return Err(error);
@@ -93,7 +93,7 @@
 
 /// Reads the clock of a folder, if it was written since the last boot of the machine.
 fn read(folder: &Path, boot_id: &str) -> io::Result<Option<SteadyClock>> {
-    let bytes = match fs::read(folder.join(FILE)) {
+    let bytes = match fs::read(folder.join(FILE_NAME)) {
         Ok(bytes) => bytes,
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(error),
--- a/crates/delivery/src/clock/tests.rs
+++ b/crates/delivery/src/clock/tests.rs
@@ -14,7 +14,7 @@
         boot_id: boot_id.to_owned(),
         unix_ms_at_boot,
     };
-    fs::write(folder.join(FILE), serde_json::to_vec(&record).unwrap()).unwrap();
+    fs::write(folder.join(FILE_NAME), serde_json::to_vec(&record).unwrap()).unwrap();
 }
 
 #[test]
@@ -46,7 +46,7 @@
     write(&folder, "another boot", 12);
     let behind_ms = wall_unix_ms() - SteadyClock::open(&folder).unwrap().unix_ms();
     assert!(behind_ms.abs() < 1000, "{behind_ms} ms behind");
-    fs::write(folder.join(FILE), b"{\"boot_id\":").unwrap();
+    fs::write(folder.join(FILE_NAME), b"{\"boot_id\":").unwrap();
     assert_eq!(read(&folder, &boot_id()).unwrap(), None);
     SteadyClock::open(&folder).unwrap();
     assert!(read(&folder, &boot_id()).unwrap().is_some());
--- a/crates/delivery/src/core/journal/adoption.rs
+++ b/crates/delivery/src/core/journal/adoption.rs
@@ -41,10 +41,10 @@
         running: &[Generation],
         mut replay: impl FnMut(u64, &[u8]),
     ) -> io::Result<Vec<Tail>> {
-        let own = self.generation();
+        let own_generation = self.generation();
         let numbers: Vec<u64> = segment_numbers(&self.folder)?
             .into_iter()
-            .filter(|number| Generation::of(*number) < own)
+            .filter(|number| Generation::of(*number) < own_generation)
             .collect();
         // All segments are read before any is replayed, as a state without the middle of the log would be useless.
         let UnadoptedSegments {
@@ -74,21 +74,21 @@
 
     /// Reads the segments that have not been taken over yet, up to the first with a permanent error.
     fn read_unadopted(&self, numbers: &[u64]) -> io::Result<UnadoptedSegments> {
-        let mut read = UnadoptedSegments::default();
+        let mut unadopted = UnadoptedSegments::default();
         let is_adopted = |number: u64| self.closed.iter().any(|own| own.number == number);
         for &number in numbers.iter().filter(|number| !is_adopted(**number)) {
             match fs::read(path_of(&self.folder, number)) {
-                Ok(bytes) => read.segments.push(SegmentContent { number, bytes }),
+                Ok(bytes) => unadopted.segments.push(SegmentContent { number, bytes }),
                 // A running incarnation may have removed the segment by compaction meanwhile.
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 Err(error) if is_transient(&error) => return Err(error),
                 Err(error) => {
-                    read.unreadable = Some(error);
+                    unadopted.unreadable = Some(error);
                     break;
                 }
             }
         }
-        Ok(read)
+        Ok(unadopted)
     }
 
     /// Reads the records that a running incarnation has written since the last call.
--- a/crates/delivery/src/core/journal/segment.rs
+++ b/crates/delivery/src/core/journal/segment.rs
@@ -74,11 +74,11 @@
     record
 }
 
-/// Passes all records up to the first incomplete or corrupt one to `each`. Returns their total length in bytes.
-pub(super) fn read_records(bytes: &[u8], mut each: impl FnMut(&[u8])) -> usize {
+/// Passes all records up to the first incomplete or corrupt one to `visit`. Returns their total length in bytes.
+pub(super) fn read_records(bytes: &[u8], mut visit: impl FnMut(&[u8])) -> usize {
     let mut at = 0;
     while let Some(record) = record_at(&bytes[at..]) {
-        each(record);
+        visit(record);
         at += HEADER_BYTES + record.len();
     }
     at
--- a/crates/delivery/src/core/journal_record/codec.rs
+++ b/crates/delivery/src/core/journal_record/codec.rs
@@ -44,8 +44,8 @@
         self
     }
 
-    pub(super) fn real(&mut self, real: f64) -> &mut Encoder {
-        self.number(real.to_bits() as i64)
+    pub(super) fn float(&mut self, float: f64) -> &mut Encoder {
+        self.number(float.to_bits() as i64)
     }
 
     pub(super) fn option<T>(
@@ -117,9 +117,9 @@
         self.take(len as usize).map(<[u8]>::to_vec)
     }
 
-    pub(super) fn real(&mut self) -> Option<f64> {
+    pub(super) fn float(&mut self) -> Option<f64> {
         let bits = self.number()?;
-        Some(f64::from_bits(bits as u64)).filter(|real| real.is_finite())
+        Some(f64::from_bits(bits as u64)).filter(|float| float.is_finite())
     }
 
     pub(super) fn text(&mut self) -> Option<String> {
--- a/crates/delivery/src/core/journal_record/report.rs
+++ b/crates/delivery/src/core/journal_record/report.rs
@@ -70,7 +70,7 @@
     let result = &report.result;
     let (outcome, retry_after) = match result.outcome {
         Outcome::Rejected { retry_after } => (REJECTED, retry_after),
-        other => (position(&OUTCOMES, other), None),
+        other => (index_of(&OUTCOMES, other), None),
     };
     encoder
         .byte(variant::ATTEMPT_REPORTED)
@@ -79,10 +79,10 @@
         .byte(outcome)
         .option(retry_after, |encoder, span| encoder.number(span.0));
     encoder.number(result.duration.0);
-    encoder.byte(position(&DISPOSITIONS, result.disposition));
+    encoder.byte(index_of(&DISPOSITIONS, result.disposition));
     encoder.number(report.retain_until_ms);
-    encoder.option(result.rate_limit.remaining, Encoder::real);
-    encoder.option(result.rate_limit.limit, Encoder::real);
+    encoder.option(result.rate_limit.remaining, Encoder::float);
+    encoder.option(result.rate_limit.limit, Encoder::float);
 }
 
 /// Decodes the report on an attempt of a message.
@@ -101,8 +101,8 @@
     let disposition = *DISPOSITIONS.get(usize::from(decoder.byte()?))?;
     let retain_until_ms = decoder.number()?;
     let rate_limit = RateLimitReport {
-        remaining: decoder.option(Decoder::real)?,
-        limit: decoder.option(Decoder::real)?,
+        remaining: decoder.option(Decoder::float)?,
+        limit: decoder.option(Decoder::float)?,
     };
     Some(AttemptReport {
         result: AttemptResult {
@@ -118,6 +118,6 @@
 }
 
 /// Returns the number of a value: its index in the list of all values.
-fn position<T: PartialEq>(all: &[T], value: T) -> u8 {
+fn index_of<T: PartialEq>(all: &[T], value: T) -> u8 {
     all.iter().position(|known| *known == value).unwrap_or(0) as u8
 }
--- a/crates/delivery/src/core/journal_record/route.rs
+++ b/crates/delivery/src/core/journal_record/route.rs
@@ -62,8 +62,8 @@
         encoder.option(at, |encoder, at| encoder.number(at.0));
     }
     encoder
-        .option(state.mean_latency_ms, Encoder::real)
-        .real(state.baseline_rate);
+        .option(state.mean_latency_ms, Encoder::float)
+        .float(state.baseline_rate);
 }
 
 /// Decodes the state of a route.
@@ -75,8 +75,8 @@
         backoff_until: time()?,
         ejected_since: time()?,
         recovering_since: time()?,
-        mean_latency_ms: decoder.option(Decoder::real)?,
-        baseline_rate: decoder.real()?,
+        mean_latency_ms: decoder.option(Decoder::float)?,
+        baseline_rate: decoder.float()?,
     };
     Some(RouteRecord {
         destination,
--- a/crates/delivery/src/core/message_store.rs
+++ b/crates/delivery/src/core/message_store.rs
@@ -64,7 +64,7 @@
     /// Whether this incarnation has handed over, so that a successor follows its journal.
     handed_over: bool,
     /// Maximum size of this incarnation's part of the journal after its takeover, in bytes.
-    exclusive_limit: u64,
+    active_limit: u64,
 }
 
 impl MessageStore {
--- a/crates/delivery/src/core/message_store/following.rs
+++ b/crates/delivery/src/core/message_store/following.rs
@@ -18,24 +18,24 @@
 }
 
 impl MessageStore {
-    /// Reads the records that running predecessors have journalled since the last call, and adds their events to `found`.
+    /// Reads the records that running predecessors have journalled since the last call, and adds the events to `events`.
     /// Messages that a predecessor accepted are also stored as messages of this incarnation. Results of its attempts are
     /// not applied.
     ///
     /// # Errors
-    /// The journal cannot be read. Events that precede the error have been added to `found`.
-    pub fn follow(&mut self, found: &mut Vec<PredecessorEvent>) -> io::Result<()> {
+    /// The journal cannot be read. Events that precede the error have been added to `events`.
+    pub fn follow(&mut self, events: &mut Vec<PredecessorEvent>) -> io::Result<()> {
         let mut tails = std::mem::take(&mut self.tails);
-        let followed = tails.iter_mut().try_for_each(|tail| {
-            let mut read = Vec::new();
-            let done = self.journal.follow(tail, |segment, payload| {
-                read.push((segment, payload.to_vec()))
+        let followed_all = tails.iter_mut().try_for_each(|tail| {
+            let mut records = Vec::new();
+            let result = self.journal.follow(tail, |segment, payload| {
+                records.push((segment, payload.to_vec()))
             });
-            self.absorb(read, found);
-            done
+            self.apply_followed(records, events);
+            result
         });
         self.tails = tails;
-        followed
+        followed_all
     }
 
     /// Reads the remaining records of a predecessor that has exited.
@@ -45,7 +45,7 @@
     pub fn finish_following(
         &mut self,
         generation: Generation,
-        found: &mut Vec<PredecessorEvent>,
+        events: &mut Vec<PredecessorEvent>,
     ) -> io::Result<()> {
         while let Some(at) = self
             .tails
@@ -53,25 +53,25 @@
             .position(|tail| tail.generation == generation)
         {
             let mut tail = self.tails.remove(at);
-            let mut read = Vec::new();
-            let done = self
+            let mut records = Vec::new();
+            let result = self
                 .journal
                 .finish_following(&mut tail, |segment, payload| {
-                    read.push((segment, payload.to_vec()));
+                    records.push((segment, payload.to_vec()));
                 });
-            self.absorb(read, found);
-            if done.as_ref().is_err_and(is_transient) {
+            self.apply_followed(records, events);
+            if result.as_ref().is_err_and(is_transient) {
                 self.tails.insert(at, tail);
             }
-            done?;
+            result?;
         }
         Ok(())
     }
 
     /// Stores the messages among records that a predecessor journalled after it handed over, and adds the events to
-    /// `found`.
-    fn absorb(&mut self, read: Vec<(u64, Vec<u8>)>, found: &mut Vec<PredecessorEvent>) {
-        for (segment, payload) in read {
+    /// `events`.
+    fn apply_followed(&mut self, records: Vec<(u64, Vec<u8>)>, events: &mut Vec<PredecessorEvent>) {
+        for (segment, payload) in records {
             match JournalRecord::decode(&payload, &self.class_names) {
                 Some((id, record @ JournalRecord::Message(_)))
                     if !self.messages.contains_key(&id) =>
@@ -79,10 +79,10 @@
                     record.apply(id, &mut self.messages);
                     self.segments.insert(id, segment);
                     self.index(id);
-                    found.push(PredecessorEvent::Accepted(id));
+                    events.push(PredecessorEvent::Accepted(id));
                 }
                 Some((_, JournalRecord::AttemptReported(report))) => {
-                    found.push(PredecessorEvent::AttemptFinished(report.result));
+                    events.push(PredecessorEvent::AttemptFinished(report.result));
                 }
                 _ => {}
             }
--- a/crates/delivery/src/core/message_store/takeover.rs
+++ b/crates/delivery/src/core/message_store/takeover.rs
@@ -52,16 +52,18 @@
         class_names: Vec<String>,
         generation: Generation,
     ) -> io::Result<MessageStore> {
-        let usable = max_bytes.saturating_sub(RESERVED_BYTES);
-        let for_successor = (max_bytes / SUCCESSOR_DIVISOR).min(MAX_SUCCESSOR_BYTES);
-        let mut used = 0;
+        let usable_bytes = max_bytes.saturating_sub(RESERVED_BYTES);
+        let successor_bytes = (max_bytes / SUCCESSOR_DIVISOR).min(MAX_SUCCESSOR_BYTES);
+        let mut used_bytes = 0;
         for file in std::fs::read_dir(folder)? {
-            used += file?.metadata().map_or(0, |file| file.len());
+            used_bytes += file?.metadata().map_or(0, |file| file.len());
         }
         let journal = Journal::begin(folder, SEGMENT_BYTES, generation)?;
-        let for_compaction = COMPACTION_SEGMENTS * SEGMENT_BYTES;
-        let unused = usable.saturating_sub(used + AFTER_HANDOVER_BYTES);
-        let standby_limit = for_successor.saturating_sub(for_compaction).min(unused);
+        let compaction_bytes = COMPACTION_SEGMENTS * SEGMENT_BYTES;
+        let unused_bytes = usable_bytes.saturating_sub(used_bytes + AFTER_HANDOVER_BYTES);
+        let standby_limit = successor_bytes
+            .saturating_sub(compaction_bytes)
+            .min(unused_bytes);
         Ok(MessageStore {
             journal,
             hard_limit: standby_limit,
@@ -80,7 +82,7 @@
             tails: Vec::new(),
             unwritten: BTreeSet::new(),
             handed_over: false,
-            exclusive_limit: usable.saturating_sub(for_successor),
+            active_limit: usable_bytes.saturating_sub(successor_bytes),
         })
     }
 
@@ -100,44 +102,46 @@
         running: &[Generation],
         first_concurrent: Option<Generation>,
     ) -> io::Result<Recovered> {
-        let own: Vec<MessageId> = self.messages.keys().copied().collect();
+        let own_ids: Vec<MessageId> = self.messages.keys().copied().collect();
         let mut replayed = Replayed::default();
         let replay = self.replay(running, first_concurrent, &mut replayed);
         // After a permanent error, the records that precede it are recovered, and all their attempts in flight are ended.
-        let (tails, read) = match replay {
+        let (tails, replay_result) = match replay {
             Ok(tails) => (tails, Ok(())),
             Err(error) if is_transient(&error) => return Err(error),
             Err(error) => (Vec::new(), Err(error)),
         };
-        let some_are_running = !tails.is_empty();
+        let has_running_predecessors = !tails.is_empty();
         self.tails.extend(tails);
-        self.use_exclusive_limit();
+        self.use_active_limit();
         replayed
             .segments
             .retain(|id, _| self.messages.contains_key(id));
         self.segments.extend(replayed.segments);
-        let all = self.messages.keys().copied();
-        let found: Vec<MessageId> = all.filter(|id| own.binary_search(id).is_err()).collect();
-        for &id in &found {
+        let all_ids = self.messages.keys().copied();
+        let recovered_ids: Vec<MessageId> = all_ids
+            .filter(|id| own_ids.binary_search(id).is_err())
+            .collect();
+        for &id in &recovered_ids {
             self.index(id);
         }
-        let in_flight = self.settle_in_flight(found, some_are_running);
-        self.record_backoffs_again(replayed.backoffs);
+        let in_flight = self.resolve_in_flight(recovered_ids, has_running_predecessors);
+        self.rejournal_backoffs(replayed.backoffs);
         let routes = replayed.routes;
-        read.map(|()| Recovered { routes, in_flight })
+        replay_result.map(|()| Recovered { routes, in_flight })
     }
 
     /// Sets the size limits of an incarnation that has taken over.
-    fn use_exclusive_limit(&mut self) {
-        self.hard_limit = self.exclusive_limit;
+    fn use_active_limit(&mut self) {
+        self.hard_limit = self.active_limit;
         self.compact_above = self
-            .exclusive_limit
+            .active_limit
             .saturating_sub(COMPACTION_SEGMENTS * SEGMENT_BYTES);
     }
 
     /// Journals the backoffs of predecessors as backoffs of this incarnation. Its successor then does not need to know when
     /// this incarnation started.
-    fn record_backoffs_again(&mut self, backoffs: BTreeMap<(DestinationId, String), i64>) {
+    fn rejournal_backoffs(&mut self, backoffs: BTreeMap<(DestinationId, String), i64>) {
         for ((destination, endpoint), until_ms) in backoffs {
             // The error is ignored: without its record, the backoff is still in force in this incarnation, and a restart
             // ends a backoff anyway.
@@ -180,17 +184,17 @@
 
     /// Ends the attempts in flight as possibly executed, as their incarnations have exited. If some incarnations are still
     /// running, ends none, and returns the messages with an attempt in flight instead.
-    fn settle_in_flight(
+    fn resolve_in_flight(
         &mut self,
-        found: Vec<MessageId>,
-        some_are_running: bool,
+        recovered_ids: Vec<MessageId>,
+        has_running_predecessors: bool,
     ) -> Vec<MessageId> {
         let mut in_flight = Vec::new();
-        for id in found {
+        for id in recovered_ids {
             if self.messages[&id].in_flight().is_none() {
                 continue;
             }
-            if some_are_running {
+            if has_running_predecessors {
                 in_flight.push(id);
             } else {
                 // The error is ignored: the next incarnation then finds the attempt in flight and ends it.
--- a/crates/delivery/src/counters.rs
+++ b/crates/delivery/src/counters.rs
@@ -81,9 +81,13 @@
 
 impl Counters {
     /// Counts and logs an invariant that an action violated, or would have violated.
-    pub fn violated(&self, rule: Rule, what: &dyn fmt::Display) {
+    pub fn violated(&self, rule: Rule, description: &dyn fmt::Display) {
         add(&self.violations);
-        log_line!(code = "invariant-violated", rule = rule.name(), "{what}");
+        log_line!(
+            code = "invariant-violated",
+            rule = rule.name(),
+            "{description}"
+        );
     }
 }
 
--- a/crates/delivery/src/log.rs
+++ b/crates/delivery/src/log.rs
@@ -27,15 +27,15 @@
 
 /// The count of lines in the current window of a rate limit.
 #[derive(Clone, Copy)]
-struct FloodWindow {
+struct LineWindow {
     started_at: Option<Instant>,
     lines: u32,
     /// Number of dropped lines since the last written line.
     dropped: u64,
 }
 
-impl FloodWindow {
-    const EMPTY: FloodWindow = FloodWindow {
+impl LineWindow {
+    const EMPTY: LineWindow = LineWindow {
         started_at: None,
         lines: 0,
         dropped: 0,
@@ -62,9 +62,9 @@
 
 thread_local! {
     /// Window of the instance. It is thread-local, as each instance has its own thread.
-    static WINDOW: Cell<FloodWindow> = const { Cell::new(FloodWindow::EMPTY) };
+    static WINDOW: Cell<LineWindow> = const { Cell::new(LineWindow::EMPTY) };
     /// Window of the instance for lines about single messages.
-    static MESSAGE_WINDOW: Cell<FloodWindow> = const { Cell::new(FloodWindow::EMPTY) };
+    static MESSAGE_WINDOW: Cell<LineWindow> = const { Cell::new(LineWindow::EMPTY) };
 }
 
 /// The format of log lines.
@@ -104,9 +104,9 @@
 }
 
 /// A filter that drops lines above the limits. Spans are not counted.
-struct FloodLimit;
+struct LineLimit;
 
-impl<S> Filter<S> for FloodLimit {
+impl<S> Filter<S> for LineLimit {
     fn enabled(&self, metadata: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         *metadata.level() <= Level::INFO
             || *metadata.level() == Level::DEBUG && metadata.target().starts_with("marblefall")
@@ -159,17 +159,17 @@
         .with_ansi(false);
     match format {
         Format::Text => {
-            let counted = WithDropCount::<Full> { layout, format };
-            let layer = layer.event_format(counted).with_filter(FloodLimit);
+            let with_drop_count = WithDropCount::<Full> { layout, format };
+            let layer = layer.event_format(with_drop_count).with_filter(LineLimit);
             let _ = tracing::subscriber::set_global_default(Registry::default().with(layer));
         }
         Format::Json => {
             let layout = layout.json().with_current_span(false);
-            let counted = WithDropCount::<Json> { layout, format };
+            let with_drop_count = WithDropCount::<Json> { layout, format };
             let layer = layer
                 .fmt_fields(JsonFields::new())
-                .event_format(counted)
-                .with_filter(FloodLimit);
+                .event_format(with_drop_count)
+                .with_filter(LineLimit);
             let _ = tracing::subscriber::set_global_default(Registry::default().with(layer));
         }
     }
--- a/crates/delivery/src/rules/tests.rs
+++ b/crates/delivery/src/rules/tests.rs
@@ -58,27 +58,27 @@
 }
 
 #[test]
-fn refused_start_names_the_broken_rule() {
+fn refused_start_returns_the_violated_rule() {
     let non_idempotent = class(Idempotency::NonIdempotent);
     let idempotent = class(Idempotency::Idempotent);
-    let started = |record: &MessageRecord, class: &MessageClass, ms| {
+    let check_start = |record: &MessageRecord, class: &MessageClass, ms| {
         may_start(record, Some(class), after_ms(ms))
     };
-    assert_eq!(started(&record(false), &non_idempotent, 9), Ok(()));
+    assert_eq!(check_start(&record(false), &non_idempotent, 9), Ok(()));
     assert_eq!(
-        started(&record(true), &non_idempotent, 9),
+        check_start(&record(true), &non_idempotent, 9),
         Err(Rule::NoRepeat)
     );
-    assert_eq!(started(&record(true), &idempotent, 60_000), Ok(()));
-    assert_eq!(started(&record(true), &keyed(), 5_999), Ok(()));
+    assert_eq!(check_start(&record(true), &idempotent, 60_000), Ok(()));
+    assert_eq!(check_start(&record(true), &keyed(), 5_999), Ok(()));
     assert_eq!(
-        started(&record(true), &keyed(), 6_000),
+        check_start(&record(true), &keyed(), 6_000),
         Err(Rule::RepeatWithinWindow)
     );
     let mut in_flight = record(false);
     in_flight.state = MessageState::InFlight(attempt());
     assert_eq!(
-        started(&in_flight, &idempotent, 9),
+        check_start(&in_flight, &idempotent, 9),
         Err(Rule::OneAttemptInFlight)
     );
 }
--- a/crates/delivery/src/snapshot_store.rs
+++ b/crates/delivery/src/snapshot_store.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 /// Name of the snapshot file in the state folder.
-const FILE: &str = "destinations.bin";
+const FILE_NAME: &str = "destinations.bin";
 
 /// An error that prevents a snapshot from being read.
 #[derive(Debug, thiserror::Error)]
@@ -43,7 +43,7 @@
 impl<D: Disk> SnapshotStore<D> {
     /// Opens the snapshot in a state folder, and reads its records. A snapshot that cannot be used is logged and ignored.
     pub fn open(disk: D, folder: &Path) -> OpenedSnapshot<D> {
-        let path = folder.join(FILE);
+        let path = folder.join(FILE_NAME);
         let (last_written, records) = match read(&disk, folder) {
             Ok(records) => (encode(&records), records),
             Err(cause) => {
@@ -96,7 +96,7 @@
 /// # Errors
 /// The file cannot be read, or is not a usable snapshot.
 pub fn read(disk: &impl Disk, folder: &Path) -> Result<Vec<DestinationRecord>, ReadError> {
-    match disk.read(&folder.join(FILE)) {
+    match disk.read(&folder.join(FILE_NAME)) {
         Ok(bytes) => Ok(decode(&bytes)?),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
         Err(error) => Err(error.into()),
--- a/crates/delivery/tests/idle_destinations/main.rs
+++ b/crates/delivery/tests/idle_destinations/main.rs
@@ -245,11 +245,11 @@
         (Some(START_MS + 10), None)
     );
     // One of the two next incarnations runs with a clock that was set back by an hour.
-    for (name, shift_ms) in [("later", 0), ("set-back", -3_600_000)] {
+    for (name, clock_offset_ms) in [("later", 0), ("set-back", -3_600_000)] {
         let mut next = Fixture::start(name, 10);
         let now = Timestamp {
             monotonic: Time(0),
-            unix_ms: START_MS + shift_ms,
+            unix_ms: START_MS + clock_offset_ms,
         };
         next.engine.restore_destinations(now, &records);
         let submissions: Vec<EngineEvent> = (0..6).map(|_| next.submission(100, 4)).collect();
--- a/crates/delivery/tests/journal.rs
+++ b/crates/delivery/tests/journal.rs
@@ -50,9 +50,9 @@
 #[test]
 fn journal_stays_within_limit_and_preserves_open_messages() {
     let folder = temporary_folder("disk");
-    let disk = 1_000_000;
-    let mut store = MessageStore::open(&folder, disk, classes()).unwrap();
-    let used = || -> u64 {
+    let max_bytes = 1_000_000;
+    let mut store = MessageStore::open(&folder, max_bytes, classes()).unwrap();
+    let used_bytes = || -> u64 {
         let files = fs::read_dir(&folder).unwrap();
         files
             .map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512)
@@ -83,10 +83,14 @@
                 .unwrap());
             store.remove(id).unwrap();
         }
-        assert!(used() <= disk, "{} bytes after {n} submissions", used());
+        assert!(
+            used_bytes() <= max_bytes,
+            "{} bytes after {n} submissions",
+            used_bytes()
+        );
     }
     assert!(rejections > 100 && live.len() > 5);
-    let reopened = MessageStore::open(&folder, disk, classes()).unwrap();
+    let reopened = MessageStore::open(&folder, max_bytes, classes()).unwrap();
     assert_eq!(
         reopened.messages().keys().copied().collect::<Vec<_>>(),
         Vec::from(live)
@@ -106,7 +110,7 @@
     drop(journal);
     let path = segment_path(&folder, 0);
     let valid_len = fs::metadata(&path).unwrap().len();
-    for torn in [
+    for torn_tail in [
         &b"\x06\0"[..],
         b"\x06\0\0\0\xff\xff\xff\xffsecond",
         b"\xff\xff\xff\xff",
@@ -115,7 +119,7 @@
             .append(true)
             .open(&path)
             .unwrap()
-            .write_all(torn)
+            .write_all(torn_tail)
             .unwrap();
         let mut found = Vec::new();
         Journal::open(&folder, 1000, |_, record| found.push(record.to_vec())).unwrap();
--- a/crates/delivery/tests/journal_replay.rs
+++ b/crates/delivery/tests/journal_replay.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 /// The maximum size of the journal, in bytes. At this size, it is compacted every few thousand records, with messages open.
-const DISK: u64 = 800_000;
+const MAX_BYTES: u64 = 800_000;
 const STEPS: usize = 60_000;
 const STEPS_BETWEEN_CHECKS: usize = 1500;
 const MAX_OPEN: usize = 30;
@@ -47,7 +47,7 @@
         let file = file.unwrap();
         std::fs::copy(file.path(), copy.join(file.file_name())).unwrap();
     }
-    MessageStore::open(&copy, DISK, vec!["status".to_owned()]).unwrap()
+    MessageStore::open(&copy, MAX_BYTES, vec!["status".to_owned()]).unwrap()
 }
 
 /// Guards against an attempt that counts twice because the journal is compacted while the attempt is journalled. The first
@@ -55,7 +55,7 @@
 #[test]
 fn replay_restores_the_messages_in_memory() {
     let folder = temporary_folder("replay");
-    let mut store = MessageStore::open(&folder, DISK, vec!["status".to_owned()]).unwrap();
+    let mut store = MessageStore::open(&folder, MAX_BYTES, vec!["status".to_owned()]).unwrap();
     let mut random = fastrand::Rng::with_seed(11);
     let mut open: Vec<MessageId> = Vec::new();
     for step in 0..STEPS {
--- a/crates/delivery/tests/stored_data.rs
+++ b/crates/delivery/tests/stored_data.rs
@@ -22,10 +22,10 @@
 /// Time at which the messages in the fixtures were accepted, as Unix time in milliseconds.
 const STORED_AT_MS: i64 = 1_800_000_000_000;
 /// The maximum size of the journal, in bytes.
-const DISK: u64 = 3_000_000;
+const MAX_BYTES: u64 = 3_000_000;
 
 /// Copies a fixture to a folder that a test may write to, and returns the folder.
-fn copy_of(fixture: &str, test: &str) -> PathBuf {
+fn copy_fixture(fixture: &str, test: &str) -> PathBuf {
     let from = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(fixture);
@@ -59,8 +59,8 @@
 
 #[test]
 fn journal_of_two_generations_restores_every_message_state() {
-    let folder = copy_of("journal", "states");
-    let store = MessageStore::open(&folder, DISK, classes()).unwrap();
+    let folder = copy_fixture("journal", "states");
+    let store = MessageStore::open(&folder, MAX_BYTES, classes()).unwrap();
 
     let accepted = message(&store, "accepted");
     assert_eq!(
@@ -159,8 +159,8 @@
 
 #[test]
 fn journal_restores_backoffs_and_routes_of_concurrent_incarnations() {
-    let folder = copy_of("journal", "concurrent");
-    let mut store = MessageStore::begin(&folder, DISK, classes(), Generation(3)).unwrap();
+    let folder = copy_fixture("journal", "concurrent");
+    let mut store = MessageStore::begin(&folder, MAX_BYTES, classes(), Generation(3)).unwrap();
     let recovered = store.take_over(&[], Some(Generation(1))).unwrap();
     let backoffs: BTreeMap<_, _> = [("bole-1", 4_000), ("bole-2", 9_000)]
         .map(|(name, after)| ((DestinationId(7), name.to_owned()), STORED_AT_MS + after))
@@ -200,7 +200,7 @@
 
 #[test]
 fn marks_of_earlier_incarnations_are_read() {
-    let folder = copy_of("marks", "marks");
+    let folder = copy_fixture("marks", "marks");
     // The first incarnation has handed over and is still running. The second one has exited.
     let running = fs::OpenOptions::new()
         .read(true)
@@ -225,7 +225,7 @@
 
 #[test]
 fn snapshot_restores_every_destination_field() {
-    let folder = copy_of("snapshot", "snapshot");
+    let folder = copy_fixture("snapshot", "snapshot");
     let records = snapshot_store::read(&LocalDisk, &folder).unwrap();
     let expected = [1, 2, 3].map(|number: u64| DestinationRecord {
         destination: number << 40,
