--- a/crates/delivery/src/core.rs
+++ b/crates/delivery/src/core.rs
@@ -117,7 +117,7 @@
     Delivered,
     /// The message was not delivered and may be submitted again.
     Returned {
-        /// Minimum time before the next submission, in milliseconds from now.
+        /// Minimum time until the next submission, in milliseconds.
         retry_after_ms: u64,
     },
     /// The message failed permanently.
@@ -144,7 +144,7 @@
     Accepted,
     /// The message is not accepted.
     Rejected {
-        /// Minimum time before the next submission, in milliseconds from now.
+        /// Minimum time until the next submission, in milliseconds.
         retry_after_ms: u64,
     },
     /// An earlier submission of the message, with another idempotency key, was accepted.
--- a/crates/delivery/src/core/message_record.rs
+++ b/crates/delivery/src/core/message_record.rs
@@ -83,7 +83,7 @@
     pub message: Rc<Message>,
     /// Number of started attempts.
     pub attempts: u32,
-    /// The first attempt that may have been executed.
+    /// The first ended attempt that may have been executed, if any.
     pub first_possible_execution: Option<AttemptRecord>,
     /// State of the message.
     pub state: MessageState,
--- a/crates/delivery/src/core/message_store.rs
+++ b/crates/delivery/src/core/message_store.rs
@@ -33,7 +33,7 @@
 const MAX_LIVE_PERCENT: u64 = 80;
 const PERCENT: u64 = 100;
 
-/// All messages of one instance.
+/// The messages of one instance, with their journal and indexes.
 pub struct MessageStore {
     journal: Journal,
     /// Maximum size of this incarnation's part of the journal, in bytes.
@@ -43,6 +43,7 @@
     messages: BTreeMap<MessageId, MessageRecord>,
     /// Number of the segment with each message's latest full record.
     segments: BTreeMap<MessageId, u64>,
+    /// Messages by identity, including aliases.
     identities: HashMap<Vec<u8>, MessageId>,
     idempotency_keys: HashMap<(DestinationId, Vec<u8>), MessageId>,
     /// Estimated size of all live records in the journal, in bytes.
@@ -86,12 +87,12 @@
         Ok(store)
     }
 
-    /// Returns the names of the classes, in their order.
+    /// Returns the names of the classes, in the order of their ids.
     pub fn class_names(&self) -> &[String] {
         &self.class_names
     }
 
-    /// Replaces the names of the classes. Known classes must keep their positions, as messages refer to them by position.
+    /// Replaces the names of the classes. Known classes must keep their positions, as messages refer to classes by position.
     pub fn set_class_names(&mut self, class_names: Vec<String>) {
         self.class_names = class_names;
     }
@@ -168,7 +169,7 @@
         Ok(())
     }
 
-    /// Adds another identity to a message, by which repeats of it are also recognised.
+    /// Adds a further identity to a message, by which its repeats are also recognised.
     ///
     /// # Errors
     /// The journal is full or cannot be written. The alias is still in force in this incarnation.
@@ -256,9 +257,9 @@
         self.update(id, JournalRecord::Removed)
     }
 
-    /// Removes the finished messages whose retention has ended. It also removes the oldest ones while there are more than
-    /// `max_retained`, or while they use more than half of the space for live records: retained messages must not displace
-    /// new ones.
+    /// Removes backoffs and retained messages whose time has ended. Also removes the oldest retained messages while there
+    /// are more than `max_retained`, or while they use more than half of the space for live records: retained messages must
+    /// not displace new ones.
     ///
     /// # Errors
     /// The journal cannot be written.
--- a/crates/delivery/src/core/message_store/takeover.rs
+++ b/crates/delivery/src/core/message_store/takeover.rs
@@ -26,7 +26,7 @@
 /// The data recovered from earlier incarnations besides their messages.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// States of the routes.
+    /// States of the routes that predecessors journalled at their handover.
     pub routes: Vec<RouteRecord>,
     /// Messages whose attempt is still in flight in a running incarnation.
     pub in_flight: Vec<MessageId>,
@@ -92,7 +92,7 @@
     /// Incarnations from `first_concurrent` on were running when this one started. Only their backoffs remain in force,
     /// and only their states of routes are returned, as a restart ends a backoff.
     ///
-    /// Records that cannot be journalled meanwhile are journalled later by [`MessageStore::retry_unwritten`].
+    /// Records that cannot be journalled during the takeover are journalled later by [`MessageStore::retry_unwritten`].
     ///
     /// # Errors
     /// The journal cannot be read. After a transient error nothing is recovered; otherwise the records that precede the
--- a/crates/delivery/src/lease_guard.rs
+++ b/crates/delivery/src/lease_guard.rs
@@ -65,9 +65,9 @@
 }
 
 impl LeaseGuard {
-    /// Creates a closed guard. If there is a `history`, each change of the guard and each act under a permit is written to
-    /// it as a line: the system's monotonic clock in microseconds, the instance or `-` for the guard itself, the act, and
-    /// the revision.
+    /// Creates a closed guard. If there is a `history`, each change of the guard and each action under a permit is written
+    /// to it as a line: the system's monotonic clock in microseconds, the instance or `-` for the guard itself, the action,
+    /// and the revision.
     pub fn new(history: Option<File>) -> LeaseGuard {
         let lease = Lease {
             revision: 0,
@@ -82,7 +82,7 @@
     /// Sets the state of the guard for a revision of the policy. Blocks until no earlier permit is held.
     pub fn set(&self, revision: u64, state: GuardState) {
         *self.lease.write().unwrap_or_else(PoisonError::into_inner) = Lease { revision, state };
-        // These words are read by tools that check histories.
+        // Tools that check histories read these words.
         let change = match state {
             GuardState::Open(_) => "acts",
             GuardState::Suspended => "still",
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Writes an act to the history, if there is one.
+    /// Writes an action to the history, if there is one.
     pub fn record(&self, instance: &str, act: &str, revision: u64) {
         let Some(history) = &self.history else { return };
         let at = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
         let micros = at.tv_sec * MICROS_PER_SECOND + at.tv_nsec / NANOS_PER_MICRO;
         let line = format!("{micros} {instance} {act} {revision}\n");
-        // A history with gaps is useless, but the instance does not depend on it.
+        // Write errors are ignored: a history with gaps is useless, but the instance does not depend on it.
         let _ = history
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
