--- a/crates/delivery/src/lease_guard.rs
+++ b/crates/delivery/src/lease_guard.rs
@@ -110,11 +110,11 @@
     }
 
     /// Writes an action to the history, if there is one.
-    pub fn record(&self, instance: &str, act: &str, revision: u64) {
+    pub fn record(&self, instance: &str, action: &str, revision: u64) {
         let Some(history) = &self.history else { return };
         let at = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
         let micros = at.tv_sec * MICROS_PER_SECOND + at.tv_nsec / NANOS_PER_MICRO;
-        let line = format!("{micros} {instance} {act} {revision}\n");
+        let line = format!("{micros} {instance} {action} {revision}\n");
         // Write errors are ignored: a history with gaps is useless, but the instance does not depend on it.
         let _ = history
             .lock()
