--- a/crates/delivery/src/core/journal_record/report.rs
+++ b/crates/delivery/src/core/journal_record/report.rs
@@ -13,7 +13,7 @@
 pub struct AttemptReport {
     /// Result of the attempt.
     pub result: AttemptResult,
-    /// Unix time in milliseconds until which the message is retained if the attempt gave it its final outcome.
+    /// Unix time in milliseconds until which the message is retained if the attempt leads to its final outcome.
     pub retain_until_ms: i64,
 }
 
--- a/crates/delivery/src/log.rs
+++ b/crates/delivery/src/log.rs
@@ -25,7 +25,7 @@
 /// Length of the window in which lines are counted.
 const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
-/// The count of lines in the current window of a rate limit.
+/// The number of lines in the current window of a rate limit, and of lines dropped by it.
 #[derive(Clone, Copy)]
 struct LineWindow {
     started_at: Option<Instant>,
--- a/crates/delivery/src/snapshot_store.rs
+++ b/crates/delivery/src/snapshot_store.rs
@@ -66,8 +66,8 @@
     }
 
     /// Writes the records if they have changed. The instance works without a snapshot, so a failure is only logged, and
-    /// only once until a write succeeds again. The file is not synced: a power failure may lose or truncate it, and the
-    /// checksum then detects a truncated file.
+    /// only once until a write succeeds again. The file is not synced: a power failure may lose it or leave it
+    /// torn, and the checksum detects a torn file.
     pub fn write(&mut self, records: &[DestinationRecord]) {
         let bytes = encode(records);
         if bytes == self.last_written {
--- a/crates/delivery/tests/common/mod.rs
+++ b/crates/delivery/tests/common/mod.rs
@@ -23,7 +23,7 @@
 pub const START_MS: i64 = 1_800_000_000_000;
 /// The destination in tests with a single destination.
 pub const DESTINATION: DestinationId = DestinationId(7);
-/// The idempotency of messages whose repeats are discarded by the endpoints by their idempotency key for 6 s.
+/// The idempotency of messages whose repeats endpoints discard by idempotency key for 6 s.
 pub const KEYED: Idempotency = Idempotency::IdempotencyKey {
     scope: DeduplicationScope::All,
     window: Span(6_000_000),
--- a/crates/delivery/tests/common/restarting_engine.rs
+++ b/crates/delivery/tests/common/restarting_engine.rs
@@ -12,7 +12,7 @@
 
 /// Maximum size of the journal, in bytes.
 pub const MAX_BYTES: u64 = 3_000_000;
-/// Index of the class whose repeats are discarded by the endpoints by their idempotency key.
+/// Index of the class whose repeats endpoints discard by idempotency key.
 pub const KEYED_CLASS: usize = 0;
 /// Index of the class whose messages are idempotent.
 pub const IDEMPOTENT_CLASS: usize = 1;
--- a/crates/delivery/tests/idle_destinations/fixture.rs
+++ b/crates/delivery/tests/idle_destinations/fixture.rs
@@ -10,7 +10,7 @@
 use marblefall_scheduler::{DestinationId, Idempotency, Limits, Outcome, RateHints, Rules, Span};
 use std::path::PathBuf;
 
-/// The maximum size of the journal, in bytes.
+/// Maximum size of the journal, in bytes.
 const MAX_BYTES: u64 = 64_000_000;
 
 /// Returns a table of this many destinations, all at one port.
@@ -51,7 +51,7 @@
 pub struct Fixture {
     pub engine: Engine,
     folder: PathBuf,
-    /// The number of the last submission.
+    /// Number of the last submission.
     last_number: u64,
 }
 
--- a/crates/delivery/tests/journal_replay.rs
+++ b/crates/delivery/tests/journal_replay.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The maximum size of the journal, in bytes. At this size, it is compacted every few thousand records, with messages open.
+/// Maximum size of the journal, in bytes. At this size, it is compacted every few thousand records, with messages open.
 const MAX_BYTES: u64 = 800_000;
 const STEPS: usize = 60_000;
 const STEPS_BETWEEN_CHECKS: usize = 1500;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Opens the store as a process does that is started now, on a copy of the folder.
+/// Opens a copy of the folder, as a newly started process would.
 fn restart(folder: &Path) -> MessageStore {
     let copy = folder.with_extension("copy");
     let _ = std::fs::remove_dir_all(&copy);
--- a/crates/delivery/tests/stored_data.rs
+++ b/crates/delivery/tests/stored_data.rs
@@ -21,7 +21,7 @@
 
 /// Time at which the messages in the fixtures were accepted, as Unix time in milliseconds.
 const STORED_AT_MS: i64 = 1_800_000_000_000;
-/// The maximum size of the journal, in bytes.
+/// Maximum size of the journal, in bytes.
 const MAX_BYTES: u64 = 3_000_000;
 
 /// Copies a fixture to a folder that a test may write to, and returns the folder.
