--- a/crates/delivery/src/core/journal/adoption.rs
+++ b/crates/delivery/src/core/journal/adoption.rs
@@ -75,7 +75,7 @@
     /// Reads the segments that have not been taken over yet, up to the first with a permanent error.
     fn read_unadopted(&self, numbers: &[u64]) -> io::Result<UnadoptedSegments> {
         let mut unadopted = UnadoptedSegments::default();
-        let is_adopted = |number: u64| self.closed.iter().any(|own| own.number == number);
+        let is_adopted = |number: u64| self.closed.iter().any(|segment| segment.number == number);
         for &number in numbers.iter().filter(|number| !is_adopted(**number)) {
             match fs::read(path_of(&self.folder, number)) {
                 Ok(bytes) => unadopted.segments.push(SegmentContent { number, bytes }),
@@ -139,7 +139,9 @@
         let keeps_invalid_end =
             valid_len < len && truncate(&self.folder, number, valid_len).is_err();
         let len = if keeps_invalid_end { len } else { valid_len };
-        let index = self.closed.partition_point(|own| own.number < number);
+        let index = self
+            .closed
+            .partition_point(|segment| segment.number < number);
         self.closed.insert(index, Segment { number, len });
     }
 }
--- a/crates/delivery/src/core/journal/segment.rs
+++ b/crates/delivery/src/core/journal/segment.rs
@@ -76,21 +76,21 @@
 
 /// Passes all records up to the first incomplete or corrupt one to `visit`. Returns their total length in bytes.
 pub(super) fn read_records(bytes: &[u8], mut visit: impl FnMut(&[u8])) -> usize {
-    let mut at = 0;
-    while let Some(record) = record_at(&bytes[at..]) {
+    let mut offset = 0;
+    while let Some(record) = first_record(&bytes[offset..]) {
         visit(record);
-        at += HEADER_BYTES + record.len();
+        offset += HEADER_BYTES + record.len();
     }
-    at
+    offset
 }
 
 /// Returns the record at the start of `bytes`, if it is complete and its checksum matches.
-fn record_at(bytes: &[u8]) -> Option<&[u8]> {
-    let number = |at: usize| {
-        let bytes = bytes.get(at..at + NUMBER_BYTES)?;
+fn first_record(bytes: &[u8]) -> Option<&[u8]> {
+    let read_number = |offset: usize| {
+        let bytes = bytes.get(offset..offset + NUMBER_BYTES)?;
         Some(u32::from_le_bytes(bytes.try_into().ok()?))
     };
-    let (len, checksum) = (number(0)? as usize, number(NUMBER_BYTES)?);
+    let (len, checksum) = (read_number(0)? as usize, read_number(NUMBER_BYTES)?);
     let payload = bytes
         .get(HEADER_BYTES..HEADER_BYTES + len)
         .filter(|_| len > 0 && len <= MAX_RECORD_BYTES)?;
--- a/crates/delivery/src/core/message_record.rs
+++ b/crates/delivery/src/core/message_record.rs
@@ -196,19 +196,23 @@
     }
 
     /// Returns the estimated size of this record in the journal, in bytes.
-    pub(super) fn journal_cost(&self) -> u64 {
-        let aliases: u64 = self.aliases.iter().map(|alias| alias_cost(alias)).sum();
-        message_cost(&self.message) + aliases
+    pub(super) fn estimated_journal_bytes(&self) -> u64 {
+        let aliases: u64 = self
+            .aliases
+            .iter()
+            .map(|alias| estimated_alias_bytes(alias))
+            .sum();
+        estimated_message_bytes(&self.message) + aliases
     }
 }
 
 /// Returns the estimated size of an alias in the journal, in bytes.
-pub(super) fn alias_cost(alias: &[u8]) -> u64 {
+pub(super) fn estimated_alias_bytes(alias: &[u8]) -> u64 {
     alias.len() as u64 + ALIAS_OVERHEAD_BYTES
 }
 
 /// Returns the estimated size of an accepted message in the journal, in bytes.
-pub(super) fn message_cost(message: &Message) -> u64 {
+pub(super) fn estimated_message_bytes(message: &Message) -> u64 {
     let content = message.identity.len() + message.attributes.len() + message.body.len();
     content as u64 + RECORD_OVERHEAD_BYTES
 }
--- a/crates/delivery/src/core/message_store.rs
+++ b/crates/delivery/src/core/message_store.rs
@@ -16,7 +16,8 @@
 use super::journal::{self, Journal, Tail};
 use super::journal_record::JournalRecord;
 use super::message_record::{
-    alias_cost, message_cost, AttemptRecord, Execution, MessageRecord, NoticeState,
+    estimated_alias_bytes, estimated_message_bytes, AttemptRecord, Execution, MessageRecord,
+    NoticeState,
 };
 use super::{FinalOutcome, Message, MessageId};
 use marblefall_scheduler::DestinationId;
@@ -47,14 +48,14 @@
     identities: HashMap<Vec<u8>, MessageId>,
     idempotency_keys: HashMap<(DestinationId, Vec<u8>), MessageId>,
     /// Estimated size of all live records in the journal, in bytes.
-    live_cost: u64,
+    live_bytes: u64,
     /// Number of messages without a final outcome.
     open_count: usize,
     next_id: MessageId,
     /// Finished messages without a pending notice, ordered by the Unix time in milliseconds until which they are retained.
     retained: BTreeSet<(i64, MessageId)>,
     /// Estimated size of the retained messages' records in the journal, in bytes.
-    retained_cost: u64,
+    retained_bytes: u64,
     class_names: Vec<String>,
     /// End of the backoff that each endpoint requested, as Unix time in milliseconds.
     backoffs: BTreeMap<(DestinationId, String), i64>,
@@ -132,10 +133,10 @@
 
     /// Returns whether the journal has space for a message. Space for final outcomes and for compaction stays reserved.
     pub fn has_capacity_for(&self, message: &Message) -> bool {
-        self.live_cost + message_cost(message) <= self.max_live_cost()
+        self.live_bytes + estimated_message_bytes(message) <= self.max_live_bytes()
     }
 
-    fn max_live_cost(&self) -> u64 {
+    fn max_live_bytes(&self) -> u64 {
         self.compact_above * MAX_LIVE_PERCENT / PERCENT
     }
 
@@ -178,10 +179,10 @@
             return Ok(());
         }
         self.identities.insert(identity.to_vec(), id);
-        let cost = alias_cost(identity);
-        self.live_cost += cost;
+        let bytes = estimated_alias_bytes(identity);
+        self.live_bytes += bytes;
         if !self.messages[&id].is_open() {
-            self.retained_cost += cost;
+            self.retained_bytes += bytes;
         }
         self.update(id, JournalRecord::Alias(identity.to_vec()))
     }
@@ -227,9 +228,9 @@
         let Some(record) = self.messages.get(&id).filter(|record| record.is_open()) else {
             return Ok(false);
         };
-        let cost_before = record.journal_cost();
+        let bytes_before = record.estimated_journal_bytes();
         self.open_count -= 1;
-        let written = self.update(
+        let result = self.update(
             id,
             JournalRecord::Finished {
                 outcome,
@@ -237,12 +238,12 @@
                 retain_until_ms,
             },
         );
-        let cost_after = self.messages[&id].journal_cost();
-        self.live_cost = self.live_cost.saturating_sub(cost_before) + cost_after;
+        let bytes_after = self.messages[&id].estimated_journal_bytes();
+        self.live_bytes = self.live_bytes.saturating_sub(bytes_before) + bytes_after;
         if notice == NoticeState::NotRequired {
             self.retain(id);
         }
-        written.map(|()| true)
+        result.map(|()| true)
     }
 
     /// Removes a message.
@@ -267,7 +268,7 @@
         self.backoffs.retain(|_, until| *until > now_ms);
         while let Some(&(retain_until_ms, id)) = self.retained.first() {
             let too_many = self.retained.len() > max_retained;
-            let too_large = self.retained_cost > self.max_live_cost() / 2;
+            let too_large = self.retained_bytes > self.max_live_bytes() / 2;
             if retain_until_ms > now_ms && !too_many && !too_large {
                 break;
             }
--- a/crates/delivery/src/core/message_store/index.rs
+++ b/crates/delivery/src/core/message_store/index.rs
@@ -8,7 +8,7 @@
     pub(super) fn index(&mut self, id: MessageId) {
         let record = &self.messages[&id];
         let message = record.message.clone();
-        self.live_cost += record.journal_cost();
+        self.live_bytes += record.estimated_journal_bytes();
         self.open_count += usize::from(record.is_open());
         self.identities.insert(message.identity.clone(), id);
         for alias in &record.aliases {
@@ -27,15 +27,15 @@
     pub(super) fn unindex(&mut self, id: MessageId) {
         let record = &self.messages[&id];
         let message = record.message.clone();
-        let cost = record.journal_cost();
+        let bytes = record.estimated_journal_bytes();
         let retain_until_ms = record
             .completion()
             .map_or(0, |completion| completion.retain_until_ms);
         self.open_count -= usize::from(record.is_open());
         if self.retained.remove(&(retain_until_ms, id)) {
-            self.retained_cost = self.retained_cost.saturating_sub(cost);
+            self.retained_bytes = self.retained_bytes.saturating_sub(bytes);
         }
-        self.live_cost = self.live_cost.saturating_sub(cost);
+        self.live_bytes = self.live_bytes.saturating_sub(bytes);
         for identity in record.aliases.iter().chain([&message.identity]) {
             if self.identities.get(identity) == Some(&id) {
                 self.identities.remove(identity);
@@ -58,7 +58,7 @@
             return;
         };
         if self.retained.insert((completion.retain_until_ms, id)) {
-            self.retained_cost += record.journal_cost();
+            self.retained_bytes += record.estimated_journal_bytes();
         }
     }
 }
--- a/crates/delivery/src/core/message_store/journalling.rs
+++ b/crates/delivery/src/core/message_store/journalling.rs
@@ -21,11 +21,11 @@
             // An earlier record of this message is missing, so a replay would apply this record to the wrong state.
             return self.journal_full_record(id);
         }
-        let written = self.write(&bytes);
-        if written.is_err() {
+        let result = self.write(&bytes);
+        if result.is_err() {
             self.unwritten.insert(id);
         }
-        written.map(|_| ())
+        result.map(|_| ())
     }
 
     /// Returns whether some records could not be journalled.
