--- a/crates/delivery/src/core/destination_table.rs
+++ b/crates/delivery/src/core/destination_table.rs
@@ -60,7 +60,7 @@
 pub struct DestinationTable {
     /// All names of destinations and endpoints, concatenated.
     names: String,
-    /// Sorted by id once the table is built.
+    /// All destinations, sorted by id once the table is built.
     destinations: Vec<PackedDestination>,
     /// All endpoints. The endpoints of one destination are adjacent.
     endpoints: Vec<PackedEndpoint>,
@@ -91,7 +91,7 @@
     port: u16,
     /// The IPv4 address, or the index of the IPv6 address in [`DestinationTable::ipv6_addresses`].
     ip: u32,
-    /// NaN where no weight is given.
+    /// Weight of the endpoint; NaN where none is given.
     weight: f32,
     is_ipv6: bool,
     active: bool,
--- a/crates/delivery/src/core/journal_record.rs
+++ b/crates/delivery/src/core/journal_record.rs
@@ -40,11 +40,11 @@
     Removed,
     /// The message has a further identity.
     Alias(Vec<u8>),
-    /// An endpoint requested a backoff. Does not concern a message.
+    /// An endpoint requested a backoff. The record does not concern a message.
     Backoff(BackoffRecord),
     /// The result of an attempt whose incarnation has handed over.
     AttemptReported(Box<AttemptReport>),
-    /// The state of a route. Does not concern a message.
+    /// The state of a route. The record does not concern a message.
     Route(RouteRecord),
 }
 
--- a/crates/delivery/src/log.rs
+++ b/crates/delivery/src/log.rs
@@ -137,11 +137,11 @@
     ) -> fmt::Result {
         match (take_dropped(), self.format) {
             (0, _) => {}
-            (lines, Format::Text) => writeln!(writer, "log lines left out: {lines}")?,
+            (lines, Format::Text) => writeln!(writer, "log lines dropped: {lines}")?,
             (lines, Format::Json) => {
                 writeln!(
                     writer,
-                    r#"{{"level":"INFO","fields":{{"message":"log lines left out","lines":{lines}}}}}"#
+                    r#"{{"level":"INFO","fields":{{"message":"log lines dropped","lines":{lines}}}}}"#
                 )?;
             }
         }
