--- a/crates/delivery/src/clock/tests.rs
+++ b/crates/delivery/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! The steady clock and its file.
+//! Tests of the steady clock and its file.
 
 use super::*;
 
@@ -14,7 +14,7 @@
         boot_id: boot_id.to_owned(),
         unix_ms_at_boot,
     };
-    fs::write(folder.join(FILE), serde_json::to_vec(&record).unwrap()).unwrap();
+    fs::write(folder.join(FILE_NAME), serde_json::to_vec(&record).unwrap()).unwrap();
 }
 
 #[test]
@@ -43,10 +43,10 @@
 #[test]
 fn clock_is_reset_after_a_reboot_or_torn_write() {
     let folder = folder("reboot");
-    write(&folder, "another start", 12);
+    write(&folder, "another boot", 12);
     let behind_ms = wall_unix_ms() - SteadyClock::open(&folder).unwrap().unix_ms();
     assert!(behind_ms.abs() < 1000, "{behind_ms} ms behind");
-    fs::write(folder.join(FILE), b"{\"boot_id\":").unwrap();
+    fs::write(folder.join(FILE_NAME), b"{\"boot_id\":").unwrap();
     assert_eq!(read(&folder, &boot_id()).unwrap(), None);
     SteadyClock::open(&folder).unwrap();
     assert!(read(&folder, &boot_id()).unwrap().is_some());
--- a/crates/delivery/src/core/journal_record/codec.rs
+++ b/crates/delivery/src/core/journal_record/codec.rs
@@ -1,5 +1,5 @@
-//! The fields of journal records: little-endian numbers, byte strings with their length in front, options with a byte in
-//! front.
+//! The encoding of the fields of journal records: numbers are little-endian, byte strings are preceded by their length,
+//! and an optional field is preceded by a byte that states whether it is present.
 
 use crate::core::message_record::{AttemptRecord, Execution, NoticeState};
 use crate::core::{FinalOutcome, MessageId};
@@ -44,8 +44,8 @@
         self
     }
 
-    pub(super) fn real(&mut self, real: f64) -> &mut Encoder {
-        self.number(real.to_bits() as i64)
+    pub(super) fn float(&mut self, float: f64) -> &mut Encoder {
+        self.number(float.to_bits() as i64)
     }
 
     pub(super) fn option<T>(
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads the fields of one record; each call returns `None` where the rest does not start with that field.
+/// Reads the fields of one record. Each call returns `None` if the remaining bytes do not start with a valid field.
 pub(super) struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
@@ -117,9 +117,9 @@
         self.take(len as usize).map(<[u8]>::to_vec)
     }
 
-    pub(super) fn real(&mut self) -> Option<f64> {
+    pub(super) fn float(&mut self) -> Option<f64> {
         let bits = self.number()?;
-        Some(f64::from_bits(bits as u64)).filter(|real| real.is_finite())
+        Some(f64::from_bits(bits as u64)).filter(|float| float.is_finite())
     }
 
     pub(super) fn text(&mut self) -> Option<String> {
--- a/crates/delivery/src/core/journal_record/report.rs
+++ b/crates/delivery/src/core/journal_record/report.rs
@@ -1,4 +1,4 @@
-//! Results of attempts that the incarnation which started them reports to the one that is active now.
+//! Reports on attempts: an incarnation that has handed over journals the results of its attempts for the active one.
 
 use super::codec::{Decoder, Encoder};
 use super::variant;
@@ -8,12 +8,12 @@
 use marblefall_scheduler::{Outcome, RateLimitReport, Span};
 use std::collections::BTreeMap;
 
-/// The result of an attempt, reported by the incarnation that started it to the one that is active now.
+/// The result of an attempt, as reported to the active incarnation by the incarnation that started the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptReport {
-    /// The result.
+    /// Result of the attempt.
     pub result: AttemptResult,
-    /// Unix time in milliseconds until which the message is retained if the attempt ended it.
+    /// Unix time in milliseconds until which the message is retained if the attempt leads to its final outcome.
     pub retain_until_ms: i64,
 }
 
@@ -29,7 +29,7 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
-/// The number of [`Outcome::Rejected`].
+/// Number of [`Outcome::Rejected`] in the journal.
 const REJECTED: u8 = 2;
 /// Dispositions in the order of their numbers in the journal.
 const DISPOSITIONS: [Disposition; 3] = [
@@ -38,8 +38,8 @@
     Disposition::Failed,
 ];
 
-/// Applies a report that a later incarnation reads again. The incarnation that was active may have handled it, or may have
-/// exited before.
+/// Applies a report that a later incarnation replays. The incarnation that was active at the time may already have handled
+/// it, or may have exited first.
 pub(super) fn apply_report(
     report: &AttemptReport,
     messages: &mut BTreeMap<MessageId, MessageRecord>,
@@ -70,7 +70,7 @@
     let result = &report.result;
     let (outcome, retry_after) = match result.outcome {
         Outcome::Rejected { retry_after } => (REJECTED, retry_after),
-        other => (position(&OUTCOMES, other), None),
+        other => (index_of(&OUTCOMES, other), None),
     };
     encoder
         .byte(variant::ATTEMPT_REPORTED)
@@ -79,13 +79,13 @@
         .byte(outcome)
         .option(retry_after, |encoder, span| encoder.number(span.0));
     encoder.number(result.duration.0);
-    encoder.byte(position(&DISPOSITIONS, result.disposition));
+    encoder.byte(index_of(&DISPOSITIONS, result.disposition));
     encoder.number(report.retain_until_ms);
-    encoder.option(result.rate_limit.remaining, Encoder::real);
-    encoder.option(result.rate_limit.limit, Encoder::real);
+    encoder.option(result.rate_limit.remaining, Encoder::float);
+    encoder.option(result.rate_limit.limit, Encoder::float);
 }
 
-/// Reads the report on an attempt of a message back.
+/// Decodes the report on an attempt of a message.
 pub(super) fn decode_report(
     decoder: &mut Decoder<'_>,
     message_id: MessageId,
@@ -101,8 +101,8 @@
     let disposition = *DISPOSITIONS.get(usize::from(decoder.byte()?))?;
     let retain_until_ms = decoder.number()?;
     let rate_limit = RateLimitReport {
-        remaining: decoder.option(Decoder::real)?,
-        limit: decoder.option(Decoder::real)?,
+        remaining: decoder.option(Decoder::float)?,
+        limit: decoder.option(Decoder::float)?,
     };
     Some(AttemptReport {
         result: AttemptResult {
@@ -117,7 +117,7 @@
     })
 }
 
-/// The number of a value in the list of all values.
-fn position<T: PartialEq>(all: &[T], value: T) -> u8 {
+/// Returns the number of a value: its index in the list of all values.
+fn index_of<T: PartialEq>(all: &[T], value: T) -> u8 {
     all.iter().position(|known| *known == value).unwrap_or(0) as u8
 }
--- a/crates/delivery/src/core/message_store/following.rs
+++ b/crates/delivery/src/core/message_store/following.rs
@@ -1,4 +1,4 @@
-//! Follows the journals of predecessors that have handed over and are still running.
+//! Reads the journals of predecessors that have handed over and are still running.
 
 use super::MessageStore;
 use crate::core::attempt_result::AttemptResult;
@@ -8,43 +8,44 @@
 use crate::system_error::is_transient;
 use std::io;
 
-/// What a running predecessor has journalled.
+/// An event that a predecessor journalled after it handed over.
 #[derive(Debug, PartialEq)]
 pub enum PredecessorEvent {
-    /// It accepted a message.
+    /// The predecessor accepted a message.
     Accepted(MessageId),
-    /// It reported the result of an attempt.
+    /// The predecessor reported the result of an attempt.
     AttemptFinished(AttemptResult),
 }
 
 impl MessageStore {
-    /// Reads what running predecessors have journalled since the last call. The messages that they accepted are stored as
-    /// this incarnation's. The results of their attempts are only added to `found`.
+    /// Reads the records that running predecessors have journalled since the last call, and adds the events to `events`.
+    /// Messages that a predecessor accepted are also stored as messages of this incarnation. Results of its attempts are
+    /// not applied.
     ///
     /// # Errors
-    /// The journal cannot be read. What was read before the error has been added to `found`.
-    pub fn follow(&mut self, found: &mut Vec<PredecessorEvent>) -> io::Result<()> {
+    /// The journal cannot be read. Events that precede the error have been added to `events`.
+    pub fn follow(&mut self, events: &mut Vec<PredecessorEvent>) -> io::Result<()> {
         let mut tails = std::mem::take(&mut self.tails);
-        let followed = tails.iter_mut().try_for_each(|tail| {
-            let mut read = Vec::new();
-            let done = self.journal.follow(tail, |segment, payload| {
-                read.push((segment, payload.to_vec()))
+        let followed_all = tails.iter_mut().try_for_each(|tail| {
+            let mut records = Vec::new();
+            let result = self.journal.follow(tail, |segment, payload| {
+                records.push((segment, payload.to_vec()))
             });
-            self.absorb(read, found);
-            done
+            self.apply_followed(records, events);
+            result
         });
         self.tails = tails;
-        followed
+        followed_all
     }
 
-    /// Reads the rest of what a predecessor has journalled that has exited.
+    /// Reads the remaining records of a predecessor that has exited.
     ///
     /// # Errors
-    /// The journal cannot be read. After a transient error the next call reads on.
+    /// The journal cannot be read. After a transient error the next call continues.
     pub fn finish_following(
         &mut self,
         generation: Generation,
-        found: &mut Vec<PredecessorEvent>,
+        events: &mut Vec<PredecessorEvent>,
     ) -> io::Result<()> {
         while let Some(at) = self
             .tails
@@ -52,24 +53,25 @@
             .position(|tail| tail.generation == generation)
         {
             let mut tail = self.tails.remove(at);
-            let mut read = Vec::new();
-            let done = self
+            let mut records = Vec::new();
+            let result = self
                 .journal
                 .finish_following(&mut tail, |segment, payload| {
-                    read.push((segment, payload.to_vec()));
+                    records.push((segment, payload.to_vec()));
                 });
-            self.absorb(read, found);
-            if done.as_ref().is_err_and(is_transient) {
+            self.apply_followed(records, events);
+            if result.as_ref().is_err_and(is_transient) {
                 self.tails.insert(at, tail);
             }
-            done?;
+            result?;
         }
         Ok(())
     }
 
-    /// Handles the records that a predecessor journalled after it had handed over.
-    fn absorb(&mut self, read: Vec<(u64, Vec<u8>)>, found: &mut Vec<PredecessorEvent>) {
-        for (segment, payload) in read {
+    /// Stores the messages among records that a predecessor journalled after it handed over, and adds the events to
+    /// `events`.
+    fn apply_followed(&mut self, records: Vec<(u64, Vec<u8>)>, events: &mut Vec<PredecessorEvent>) {
+        for (segment, payload) in records {
             match JournalRecord::decode(&payload, &self.class_names) {
                 Some((id, record @ JournalRecord::Message(_)))
                     if !self.messages.contains_key(&id) =>
@@ -77,17 +79,17 @@
                     record.apply(id, &mut self.messages);
                     self.segments.insert(id, segment);
                     self.index(id);
-                    found.push(PredecessorEvent::Accepted(id));
+                    events.push(PredecessorEvent::Accepted(id));
                 }
                 Some((_, JournalRecord::AttemptReported(report))) => {
-                    found.push(PredecessorEvent::AttemptFinished(report.result));
+                    events.push(PredecessorEvent::AttemptFinished(report.result));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Whether predecessors are still running.
+    /// Returns whether the journal of any predecessor is still followed.
     pub fn is_following(&self) -> bool {
         !self.tails.is_empty()
     }
--- a/crates/delivery/tests/journal.rs
+++ b/crates/delivery/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of a message store: its limits, and disks that leave torn or unwritable segments.
+//! Tests of a message store's journal: its size limit, and disks that leave torn or unwritable segments.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -30,7 +30,7 @@
         );
         assert!(
             store.has_capacity_for(&message),
-            "after {n} messages that finished"
+            "no capacity after {n} finished messages"
         );
         let id = store.allocate_id();
         store.accept(id, Rc::new(message), None).unwrap();
@@ -50,9 +50,9 @@
 #[test]
 fn journal_stays_within_limit_and_preserves_open_messages() {
     let folder = temporary_folder("disk");
-    let disk = 1_000_000;
-    let mut store = MessageStore::open(&folder, disk, classes()).unwrap();
-    let used = || -> u64 {
+    let max_bytes = 1_000_000;
+    let mut store = MessageStore::open(&folder, max_bytes, classes()).unwrap();
+    let used_bytes = || -> u64 {
         let files = fs::read_dir(&folder).unwrap();
         files
             .map(|file| file.unwrap().metadata().unwrap().len().div_ceil(512) * 512)
@@ -76,17 +76,21 @@
             live.push_back(id);
         } else {
             rejections += 1;
-            // A final outcome is always written, however full the folder is.
+            // A final outcome can always be written, even if the journal has reached its limit.
             let id = live.pop_front().unwrap();
             assert!(store
                 .finish(id, FinalOutcome::Failed, NoticeState::Pending, 0)
                 .unwrap());
             store.remove(id).unwrap();
         }
-        assert!(used() <= disk, "{} bytes after {n}", used());
+        assert!(
+            used_bytes() <= max_bytes,
+            "{} bytes after {n} submissions",
+            used_bytes()
+        );
     }
     assert!(rejections > 100 && live.len() > 5);
-    let reopened = MessageStore::open(&folder, disk, classes()).unwrap();
+    let reopened = MessageStore::open(&folder, max_bytes, classes()).unwrap();
     assert_eq!(
         reopened.messages().keys().copied().collect::<Vec<_>>(),
         Vec::from(live)
@@ -106,7 +110,7 @@
     drop(journal);
     let path = segment_path(&folder, 0);
     let valid_len = fs::metadata(&path).unwrap().len();
-    for torn in [
+    for torn_tail in [
         &b"\x06\0"[..],
         b"\x06\0\0\0\xff\xff\xff\xffsecond",
         b"\xff\xff\xff\xff",
@@ -115,7 +119,7 @@
             .append(true)
             .open(&path)
             .unwrap()
-            .write_all(torn)
+            .write_all(torn_tail)
             .unwrap();
         let mut found = Vec::new();
         Journal::open(&folder, 1000, |_, record| found.push(record.to_vec())).unwrap();
@@ -136,7 +140,7 @@
             None,
         )
         .unwrap();
-    // The next segment cannot be created, so the first record that does not fit into this one is not written.
+    // The next segment cannot be created, so the first record that does not fit into the current one is not written.
     fs::create_dir(segment_path(&folder, 1)).unwrap();
     let started = |n| AttemptRecord {
         started_ms: START_MS + n,
