--- a/crates/delivery/src/frontend/cloudevents.rs
+++ b/crates/delivery/src/frontend/cloudevents.rs
@@ -4,7 +4,7 @@
 mod attempt;
 pub mod event;
 
-pub use attempt::judge;
+pub use attempt::classify_response;
 
 use crate::clock::ReceivedAt;
 use crate::core::destination_table::DestinationTable;
--- a/crates/delivery/src/frontend/cloudevents/attempt.rs
+++ b/crates/delivery/src/frontend/cloudevents/attempt.rs
@@ -32,7 +32,7 @@
 /// after the endpoint has executed the event. Other statuses from 400 on are about the event itself, so a retry would
 /// fail in the same way. Exceptions are those that depend on the moment (408, 423, 425), and those about the caller
 /// (401, 403, 407), which an operator may correct before the event expires.
-pub fn judge(response: &ResponseHead<'_>) -> AttemptOutcome {
+pub fn classify_response(response: &ResponseHead<'_>) -> AttemptOutcome {
     let (outcome, disposition) = match response.status {
         200..=299 => (Outcome::Delivered, Disposition::Undecided),
         status::TOO_MANY_REQUESTS | status::SERVICE_UNAVAILABLE => {
--- a/crates/delivery/src/frontend/platform.rs
+++ b/crates/delivery/src/frontend/platform.rs
@@ -6,7 +6,7 @@
 mod load_report;
 mod notice;
 
-pub use attempt::{encode_attempt, judge};
+pub use attempt::{classify_response, encode_attempt};
 pub use load_report::parse_load_report;
 pub use notice::encode_notice;
 
--- a/crates/delivery/src/frontend/platform/attempt.rs
+++ b/crates/delivery/src/frontend/platform/attempt.rs
@@ -31,7 +31,7 @@
 }
 
 /// Derives the outcome of an attempt from its response, by the protocol's table.
-pub fn judge(response: &ResponseHead<'_>) -> AttemptOutcome {
+pub fn classify_response(response: &ResponseHead<'_>) -> AttemptOutcome {
     let has_no_slot = response.fields.get(headers::NO_SLOT).is_some();
     let (outcome, disposition) = match response.status {
         status::OK => (Outcome::Delivered, Disposition::Undecided),
--- a/crates/delivery/src/instance/executor/attempt_execution.rs
+++ b/crates/delivery/src/instance/executor/attempt_execution.rs
@@ -42,9 +42,9 @@
                 Origin::CloudEvents => self.cloudevents.get().encode_attempt(&message, &address),
             }
         };
-        let judge = match message.origin {
-            Origin::Platform => platform::judge,
-            Origin::CloudEvents => cloudevents::judge,
+        let classify_response = match message.origin {
+            Origin::Platform => platform::classify_response,
+            Origin::CloudEvents => cloudevents::classify_response,
         };
         let attempt = Attempt {
             message_id: request.message_id,
@@ -53,7 +53,7 @@
             timeout_at: self.clock.instant(request.timeout_at),
             write_by: self.clock.instant(request.write_by),
             encode: &encode,
-            judge,
+            judge: classify_response,
             permit: &|| self.attempt_permit(),
         };
         let ended = self.pool.run_attempt(attempt).await;
--- a/crates/delivery/src/net/pool/tests.rs
+++ b/crates/delivery/src/net/pool/tests.rs
@@ -73,7 +73,7 @@
         timeout_at: test_deadline(),
         write_by: test_deadline(),
         encode: &encode,
-        judge: platform::judge,
+        judge: platform::classify_response,
         permit: &|| Some(LeasePermit::unconditional()),
     };
     pool.run_attempt(attempt).await.outcome
@@ -88,7 +88,7 @@
         timeout_at: test_deadline(),
         write_by,
         encode: &encode,
-        judge: platform::judge,
+        judge: platform::classify_response,
         permit: &|| Some(LeasePermit::unconditional()),
     };
     pool.run_attempt(attempt).await.outcome
--- a/crates/delivery/src/net/pool/tests/fencing.rs
+++ b/crates/delivery/src/net/pool/tests/fencing.rs
@@ -28,7 +28,7 @@
             timeout_at: test_deadline(),
             write_by: test_deadline(),
             encode: &encode,
-            judge: platform::judge,
+            judge: platform::classify_response,
             permit: &permit,
         })
     };
--- a/crates/delivery/src/net/pool/tests/responses.rs
+++ b/crates/delivery/src/net/pool/tests/responses.rs
@@ -27,7 +27,7 @@
 }
 
 fn assert_read(bytes: &[u8], expected: Expected) {
-    for judge in [platform::judge, cloudevents::judge] {
+    for judge in [platform::classify_response, cloudevents::classify_response] {
         let start = String::from_utf8_lossy(&bytes[..bytes.len().min(70)]);
         assert_eq!(read(bytes, judge), expected, "{start}");
     }
