--- a/crates/cli/src/group/propose.rs
+++ b/crates/cli/src/group/propose.rs
@@ -29,7 +29,7 @@
 fn end_on_signal(home: &Path) {
     let home = home.to_owned();
     thread::spawn(move || {
-        let Ok(mut signals) = instance::signals() else {
+        let Ok(mut signals) = instance::register_signals() else {
             return;
         };
         if block_on(signals.next()).is_some() {
--- a/crates/control-plane/src/supervisor.rs
+++ b/crates/control-plane/src/supervisor.rs
@@ -89,7 +89,7 @@
     history: Option<&Path>,
     link: Option<SocketAddr>,
 ) -> Result<(), SupervisorError> {
-    let signals = instance::signals()?;
+    let signals = instance::register_signals()?;
     let (command_sender, commands) = async_channel::unbounded();
     let tasks = Rc::new(LocalExecutor::new());
     let _signal_task = tasks.spawn(instance::watch_signals(signals, command_sender));
--- a/crates/delivery/src/instance.rs
+++ b/crates/delivery/src/instance.rs
@@ -27,7 +27,7 @@
 pub use error::InstanceError;
 pub use platform::run_on_platform;
 pub use shutdown::SHUTDOWN_TIMEOUT;
-pub use signals::{signals, watch_signals};
+pub use signals::{register_signals, watch_signals};
 
 use crate::log_line;
 use crate::net::spawner::Spawner;
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -2,7 +2,7 @@
 
 use super::platform_config::{ConfigError, PlatformConfig};
 use super::{
-    instance_span, run_instance, signals, watch_signals, InstanceCommand, InstanceConfig,
+    instance_span, register_signals, run_instance, watch_signals, InstanceCommand, InstanceConfig,
     InstanceError, PlatformFrontendConfig, StateFolder,
 };
 use crate::core::engine::{EngineEvent, EngineSettings};
@@ -42,7 +42,7 @@
 /// # Errors
 /// The configuration, the state folder or a listener cannot be used.
 pub fn run_on_platform() -> Result<(), InstanceError> {
-    let signals = signals()?;
+    let signals = register_signals()?;
     let config = read_config()?;
     let config = instance_config(config)?;
     let (signal_sender, signalled) = async_channel::unbounded();
--- a/crates/delivery/src/instance/signals.rs
+++ b/crates/delivery/src/instance/signals.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 /// The signals cannot be registered.
-pub fn signals() -> Result<Signals, InstanceError> {
+pub fn register_signals() -> Result<Signals, InstanceError> {
     Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])
         .map_err(InstanceError::Signals)
 }
