--- a/crates/delivery/src/hot_restart/driver.rs
+++ b/crates/delivery/src/hot_restart/driver.rs
@@ -114,13 +114,13 @@
                 }
             };
             self.report_exited(&mut followed);
-            let seen = view(&predecessors);
-            if self.instance.is_shutting_down() && seen.active > 0 {
+            let view = summarize(&predecessors);
+            if self.instance.is_shutting_down() && view.active > 0 {
                 // The active incarnation stays in charge, and adopts the messages of this one.
                 continue;
             }
             let mut next = takeover;
-            let step = next.next_step(self.clock.now().monotonic, seen);
+            let step = next.next_step(self.clock.now().monotonic, view);
             // A step that fails is chosen again.
             match self.execute(step, &predecessors, &mut followed) {
                 Ok(()) => takeover = next,
@@ -161,12 +161,14 @@
         match step {
             TakeoverStep::Wait => {}
             TakeoverStep::RequestHandover => {
-                self.mark_active(predecessors, "handover-requested", |own, generation| {
-                    own.request_handover(generation)
-                });
+                self.mark_active_predecessors(
+                    predecessors,
+                    "handover-requested",
+                    |own, generation| own.request_handover(generation),
+                );
             }
             TakeoverStep::Fence => {
-                self.mark_active(predecessors, "fenced-off", |own, generation| {
+                self.mark_active_predecessors(predecessors, "fenced-off", |own, generation| {
                     own.fence(generation)
                 });
             }
@@ -177,7 +179,7 @@
     }
 
     /// Writes a mark for each active predecessor, and logs it under a reason code.
-    fn mark_active(
+    fn mark_active_predecessors(
         &self,
         predecessors: &[Predecessor],
         code: &str,
@@ -226,7 +228,7 @@
     }
 }
 
-fn view(predecessors: &[Predecessor]) -> PredecessorView {
+fn summarize(predecessors: &[Predecessor]) -> PredecessorView {
     let active = predecessors
         .iter()
         .filter(|predecessor| predecessor.state == PredecessorState::Active)
--- a/crates/delivery/src/hot_restart/incarnation.rs
+++ b/crates/delivery/src/hot_restart/incarnation.rs
@@ -174,16 +174,16 @@
         let _ = self.read_new_marks();
         SuccessorRequests {
             standby_started: self.marks.contains(&STANDBY_STARTED),
-            hand_over: self.is_replaced(),
+            hand_over: self.must_hand_over(),
         }
     }
 
     /// Whether this incarnation surely has not been asked to hand over. A mark that cannot be read may be a fence.
     pub fn may_act(&mut self) -> bool {
-        self.read_new_marks().is_ok() && !self.is_replaced()
+        self.read_new_marks().is_ok() && !self.must_hand_over()
     }
 
-    fn is_replaced(&self) -> bool {
+    fn must_hand_over(&self) -> bool {
         let mut marks = self.marks.iter();
         marks.any(|mark| [HANDOVER_REQUESTED, FENCED].contains(mark))
     }
--- a/crates/delivery/src/hot_restart/incarnation/lock_file.rs
+++ b/crates/delivery/src/hot_restart/incarnation/lock_file.rs
@@ -52,7 +52,7 @@
         };
         match file.try_lock() {
             Ok(()) => return Ok(LockedGeneration { generation, file }),
-            Err(TryLockError::Error(error)) if has_no_locks(&error) => {
+            Err(TryLockError::Error(error)) if is_locking_unsupported(&error) => {
                 return Ok(LockedGeneration { generation, file })
             }
             Err(TryLockError::Error(error)) => {
@@ -80,14 +80,16 @@
     match file.try_lock() {
         Ok(()) => Ok(LockAttempt::Acquired(file)),
         Err(TryLockError::WouldBlock) => Ok(LockAttempt::HeldByOther(file)),
-        Err(TryLockError::Error(error)) if has_no_locks(&error) => Ok(LockAttempt::Acquired(file)),
+        Err(TryLockError::Error(error)) if is_locking_unsupported(&error) => {
+            Ok(LockAttempt::Acquired(file))
+        }
         // Whether its owner is running is unknown.
         Err(TryLockError::Error(error)) => Err(error),
     }
 }
 
 /// Whether a lock failed because the system does not support such locks. The platform then runs one incarnation at a time.
-fn has_no_locks(error: &io::Error) -> bool {
+fn is_locking_unsupported(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Unsupported
 }
 
--- a/crates/delivery/src/hot_restart/takeover/tests.rs
+++ b/crates/delivery/src/hot_restart/takeover/tests.rs
@@ -10,8 +10,8 @@
     let mut takeover = Takeover::new(Time(0));
     let mut steps = Vec::<(i64, TakeoverStep)>::new();
     for ms in (0..4000).step_by(10) {
-        let so_far: Vec<TakeoverStep> = steps.iter().map(|(_, step)| *step).collect();
-        let step = takeover.next_step(Time(ms * 1000), view(ms, &so_far));
+        let previous: Vec<TakeoverStep> = steps.iter().map(|(_, step)| *step).collect();
+        let step = takeover.next_step(Time(ms * 1000), view(ms, &previous));
         let is_new = steps.last().is_none_or(|(_, last)| *last != step);
         if is_new && step != TakeoverStep::Wait {
             steps.push((ms, step));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn predecessor_without_shutdown_is_requested_to_hand_over() {
+fn handover_is_requested_from_predecessor_that_is_not_shut_down() {
     let steps = takeover_steps(|_, steps| {
         if steps.contains(&TakeoverStep::RequestHandover) {
             HANDED_OVER
--- a/crates/delivery/tests/unwritten_reports.rs
+++ b/crates/delivery/tests/unwritten_reports.rs
@@ -14,7 +14,7 @@
 
 /// Regression: the successor never learned of a delivery whose record was not written, and sent the message again.
 #[test]
-fn delivery_that_is_not_journalled_is_reported_to_the_successor_later() {
+fn unjournalled_delivery_is_reported_to_the_successor_later() {
     for is_handed_over_before in [false, true] {
         let folder = temporary_folder(&format!("unwritten-{is_handed_over_before}"));
         let (mut predecessor, _) = TestIncarnation::start_alone(&folder, 0);
@@ -50,10 +50,10 @@
         for ms in 150..400 {
             commands.extend(successor.step(ms, Vec::new()));
         }
-        let again = started_attempts(&commands);
+        let restarted = started_attempts(&commands);
         assert!(
-            again.iter().all(|(started, _, _)| *started != id),
-            "{again:?}"
+            restarted.iter().all(|(started, _, _)| *started != id),
+            "{restarted:?}"
         );
         let _ = fs::remove_dir_all(&folder);
     }
