--- a/crates/delivery/src/hot_restart/driver.rs
+++ b/crates/delivery/src/hot_restart/driver.rs
@@ -16,36 +16,37 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a standby polls its predecessors. The results of their last attempts are delayed by up to this.
+/// Interval at which a standby polls its predecessors. The results of their last attempts are delayed by up to this time.
 const PREDECESSOR_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How often an incarnation polls for marks of successors, even when it is idle.
+/// Interval at which an incarnation polls for marks of successors, even when it is idle.
 const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The incarnations that were running when this one was claimed.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningPredecessors {
-    /// The earliest of them.
+    /// Generation of the earliest running predecessor.
     pub first: Generation,
-    /// How many were running.
+    /// Number of running predecessors.
     pub count: usize,
 }
 
-/// The instance as the driver uses it.
+/// The operations of an instance that the driver uses.
 pub trait HotRestartInstance {
     /// Reads the state that operators have set and sends it to the engine. Called immediately before the takeover.
     ///
     /// # Errors
-    /// It cannot be read because of a transient error.
+    /// The state cannot be read because of a transient error.
     fn load_operator_state(&self) -> io::Result<()>;
 
-    /// Whether the engine is active.
+    /// Returns whether the engine is active.
     fn is_active(&self) -> bool;
 
-    /// Whether the instance is being shut down.
+    /// Returns whether the instance is being shut down.
     fn is_shutting_down(&self) -> bool;
 }
 
-/// Announces an incarnation to the predecessors that are running, if any. It may be announced more than once.
+/// Announces an incarnation to its running predecessors. Returns a summary of them, or `None` if there are none. An
+/// incarnation may be announced more than once.
 ///
 /// # Errors
 /// The folder cannot be read, or a mark cannot be written because of a transient error.
@@ -60,7 +61,7 @@
             Err(error) if is_transient(&error) => return Err(error),
             Err(error) => log_line!(
                 code = "not-announced",
-                "predecessor {}: {error}",
+                "cannot announce this standby to predecessor {}: {error}",
                 generation.0
             ),
         }
@@ -75,12 +76,13 @@
     }))
 }
 
-/// Whether a successor requires this incarnation to hand over, and to decide nothing any more.
+/// Returns whether a successor has requested this incarnation to hand over, or has fenced it. The incarnation must not
+/// decide anything from then on.
 pub fn must_hand_over(incarnation: &RefCell<Incarnation>) -> bool {
     incarnation.borrow_mut().successor_requests().hand_over
 }
 
-/// Whether an attempt of this incarnation may be started at this moment. The successor sends the message otherwise.
+/// Returns whether this incarnation may start an attempt at this moment. If not, the successor sends the message.
 pub fn may_start_attempt(incarnation: &RefCell<Incarnation>) -> bool {
     incarnation.borrow_mut().may_act()
 }
@@ -89,13 +91,13 @@
 pub struct StandbyDriver<I> {
     /// The standby's own incarnation.
     pub incarnation: Rc<RefCell<Incarnation>>,
-    /// The earliest predecessor that was running when it was claimed.
+    /// The earliest predecessor that was running when this incarnation was claimed.
     pub first_concurrent: Generation,
     /// The engine's clock.
     pub clock: Clock,
-    /// The instance.
+    /// The instance that runs the standby.
     pub instance: Rc<I>,
-    /// Where the engine receives events.
+    /// Sends events to the engine.
     pub engine: Sender<EngineEvent>,
 }
 
@@ -109,22 +111,28 @@
             let predecessors = match self.incarnation.borrow_mut().running_predecessors() {
                 Ok(predecessors) => predecessors,
                 Err(error) => {
-                    log_line!(code = "state-folder-unreadable", "{error}");
+                    log_line!(
+                        code = "state-folder-unreadable",
+                        "cannot find the running predecessors: {error}"
+                    );
                     continue;
                 }
             };
             self.report_exited(&mut followed);
             let view = summarize(&predecessors);
             if self.instance.is_shutting_down() && view.active > 0 {
-                // The active incarnation stays in charge, and adopts the messages of this one.
+                // The active incarnation remains active, and adopts the messages of this one.
                 continue;
             }
             let mut next = takeover;
             let step = next.next_step(self.clock.now().monotonic, view);
-            // A step that fails is chosen again.
+            // After a failed step the stage does not advance, so the next poll chooses the step again.
             match self.execute(step, &predecessors, &mut followed) {
                 Ok(()) => takeover = next,
-                Err(error) => log_line!(code = "state-folder-unreadable", "{error}"),
+                Err(error) => log_line!(
+                    code = "state-folder-unreadable",
+                    "cannot read the operators' state for the takeover: {error}"
+                ),
             }
             if takeover.is_active() {
                 self.incarnation.borrow_mut().release_exited();
@@ -147,7 +155,8 @@
             self.send(EngineEvent::PredecessorExited(generation));
             log_line!(
                 code = "predecessor-exited",
-                "the previous process has exited"
+                "predecessor {} has exited",
+                generation.0
             );
         }
     }
@@ -178,7 +187,7 @@
         Ok(())
     }
 
-    /// Writes a mark for each active predecessor, and logs it under a reason code.
+    /// Writes a mark for each active predecessor, and logs the predecessor under a reason code.
     fn mark_active_predecessors(
         &self,
         predecessors: &[Predecessor],
@@ -194,7 +203,11 @@
             let cause = marked
                 .err()
                 .map_or_else(String::new, |error| format!(": {error}"));
-            log_line!(code, "the previous process{cause}");
+            log_line!(
+                code,
+                "active predecessor {}{cause}",
+                predecessor.generation.0
+            );
         }
     }
 
@@ -203,7 +216,7 @@
         predecessors: &[Predecessor],
         followed: &mut BTreeSet<Generation>,
     ) -> io::Result<()> {
-        // The engine must have the disabled endpoints before it decides anything.
+        // The engine must receive the disabled endpoints before it decides anything.
         self.instance.load_operator_state()?;
         let running: Vec<_> = predecessors
             .iter()
@@ -212,7 +225,7 @@
         followed.extend(&running);
         log_line!(
             code = "takes-over",
-            "takes over, {} previous processes still running",
+            "takes over; predecessors still running: {}",
             followed.len()
         );
         self.send(EngineEvent::TakeOver {
@@ -228,6 +241,7 @@
     }
 }
 
+/// Counts the running and the active predecessors.
 fn summarize(predecessors: &[Predecessor]) -> PredecessorView {
     let active = predecessors
         .iter()
@@ -239,8 +253,8 @@
     }
 }
 
-/// Polls for marks of successors until its task is dropped. The messages of a standby that exits before it has taken over
-/// are adopted.
+/// Polls for marks of successors until its task is dropped. Adopts the messages of a standby that exits before it has taken
+/// over.
 pub async fn watch_successors(
     incarnation: Rc<RefCell<Incarnation>>,
     instance: Rc<impl HotRestartInstance>,
@@ -250,7 +264,7 @@
         Timer::after(SUCCESSOR_POLL_INTERVAL).await;
         let requests = incarnation.borrow_mut().successor_requests();
         if requests.hand_over {
-            // Causes a step of the engine, whose loop checks for the request first.
+            // Causes a step of the engine, before which its loop checks for the request.
             let _ = engine.try_send(EngineEvent::FollowPredecessors);
         } else if requests.standby_started && instance.is_active() {
             adopt_exited_standbys(&mut incarnation.borrow_mut(), &engine);
--- a/crates/delivery/src/hot_restart/incarnation.rs
+++ b/crates/delivery/src/hot_restart/incarnation.rs
@@ -1,8 +1,8 @@
 //! The lock files and marks by which incarnations of a process find each other.
 //!
-//! Each incarnation holds an advisory lock on a file of its own in the state folder while it is running. The system
-//! releases the lock however the process ends, SIGKILL included. The file has the marks that the incarnation and its
-//! successors write, one byte each. Marks are only ever appended.
+//! Each incarnation holds an advisory lock on a file of its own in the state folder while it is running. The operating
+//! system releases the lock however the process ends, also after SIGKILL. The file contains the marks that the incarnation
+//! and its successors write, one byte each. Marks are only ever appended.
 
 mod lock_file;
 mod marks;
@@ -19,41 +19,41 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The marks that successors have written for this incarnation.
+/// The requests that successors have marked for this incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SuccessorRequests {
-    /// A successor has started as a standby; it may have exited since.
+    /// Whether a successor has started as a standby; it may have exited since.
     pub standby_started: bool,
-    /// This incarnation is to hand over.
+    /// Whether this incarnation must hand over, because a successor requested it or fenced this incarnation.
     pub hand_over: bool,
 }
 
-/// Whether a predecessor may still decide.
+/// The state of a predecessor, as derived from the marks in its lock file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorState {
-    /// It may still decide.
+    /// The predecessor may still decide.
     Active,
-    /// It has handed over or is fenced.
+    /// The predecessor has handed over or is fenced.
     Inactive,
 }
 
 /// An earlier incarnation that is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Predecessor {
-    /// Its generation.
+    /// Generation of the predecessor.
     pub generation: Generation,
-    /// Whether it may still decide.
+    /// Whether the predecessor may still decide.
     pub state: PredecessorState,
 }
 
-/// This process's generation in the state folder, which is locked for as long as the value exists.
+/// This process's claim to a generation in the state folder. The generation stays locked until the value is dropped.
 #[derive(Debug)]
 pub struct Incarnation {
     folder: PathBuf,
     own: LockedGeneration,
-    /// The marks in the own file, as it was last read.
+    /// The marks in this incarnation's lock file when it was last read.
     marks: Vec<u8>,
-    /// The generations of incarnations that have exited, which are locked until this one has their messages.
+    /// Generations of incarnations that have exited. They stay locked until this incarnation has adopted their messages.
     exited: Vec<LockedGeneration>,
 }
 
@@ -72,13 +72,13 @@
         })
     }
 
-    /// The generation of this incarnation.
+    /// Returns the generation of this incarnation.
     pub fn generation(&self) -> Generation {
         self.own.generation
     }
 
-    /// The earlier incarnations that are running, the latest first. The locks of those that have exited are held until
-    /// [`Incarnation::release_exited`].
+    /// Returns the earlier incarnations that are running, the latest first. Locks the generations of those that have exited
+    /// until [`Incarnation::release_exited`] is called.
     ///
     /// # Errors
     /// The folder or a lock file cannot be read.
@@ -106,7 +106,7 @@
         Ok(running)
     }
 
-    /// Whether a predecessor is running that may still decide.
+    /// Returns whether a predecessor is running that may still decide.
     pub fn has_active_predecessor(&mut self) -> bool {
         let running = self.running_predecessors().unwrap_or_default();
         running
@@ -114,17 +114,18 @@
             .any(|predecessor| predecessor.state == PredecessorState::Active)
     }
 
-    /// Whether a predecessor has exited.
+    /// Returns whether a predecessor was found to have exited and has not been released yet.
     pub fn has_exited(&self, generation: Generation) -> bool {
         self.exited
             .iter()
             .any(|exited| exited.generation == generation)
     }
 
-    /// Removes the lock files of exited incarnations and releases their locks, once this one has their messages.
+    /// Removes the lock files of exited incarnations and releases their locks. Called once this incarnation has adopted
+    /// their messages.
     pub fn release_exited(&mut self) {
         for exited in self.exited.drain(..) {
-            // The file is removed while it is locked. If it remains, the next incarnation finds it unlocked.
+            // The file is removed while it is locked. If the removal fails, the next incarnation finds the file unlocked.
             let _ = std::fs::remove_file(lock_path(&self.folder, exited.generation));
             if exited.generation == UNNUMBERED {
                 let _ = std::fs::remove_file(self.folder.join(UNNUMBERED_SUCCESSOR));
@@ -151,8 +152,8 @@
         self.append_mark(predecessor, HANDOVER_REQUESTED)
     }
 
-    /// Keeps a predecessor from deciding anything any more. Program versions without generations are not fenced, as they do
-    /// not read marks.
+    /// Fences a predecessor: it must not decide anything from then on. Program versions without generations are not fenced,
+    /// as they do not read marks.
     ///
     /// # Errors
     /// The mark cannot be written.
@@ -168,9 +169,9 @@
         self.own.file.write_all(&[HANDED_OVER])
     }
 
-    /// The marks of successors, as far as they can be read.
+    /// Returns the requests that successors have marked, as far as the marks can be read.
     pub fn successor_requests(&mut self) -> SuccessorRequests {
-        // If it fails, those that were read before still hold, as marks are only appended.
+        // If the read fails, the marks that were read before still hold, as marks are only appended.
         let _ = self.read_new_marks();
         SuccessorRequests {
             standby_started: self.marks.contains(&STANDBY_STARTED),
@@ -178,7 +179,8 @@
         }
     }
 
-    /// Whether this incarnation surely has not been asked to hand over. A mark that cannot be read may be a fence.
+    /// Returns whether it is certain that no successor has requested this incarnation to hand over or has fenced it. A mark
+    /// that cannot be read may be a fence.
     pub fn may_act(&mut self) -> bool {
         self.read_new_marks().is_ok() && !self.must_hand_over()
     }
@@ -188,7 +190,7 @@
         marks.any(|mark| [HANDOVER_REQUESTED, FENCED].contains(mark))
     }
 
-    /// Reads the own file if it has grown: where there is no successor, only its length.
+    /// Reads the marks in this incarnation's lock file if the file has grown. Without a successor, only its length is read.
     fn read_new_marks(&mut self) -> io::Result<()> {
         let len = self.own.file.metadata()?.len();
         if len != self.marks.len() as u64 {
@@ -197,7 +199,7 @@
         Ok(())
     }
 
-    /// Whether a later incarnation is running.
+    /// Returns whether a later incarnation is running.
     pub fn has_successor(&self) -> bool {
         lock_generations(&self.folder)
             .unwrap_or_default()
@@ -205,7 +207,7 @@
             .filter(|found| *found > self.own.generation)
             .rev()
             .any(|later| {
-                // If its lock cannot be tested, it may be running.
+                // An incarnation whose lock cannot be tested may be running.
                 matches!(
                     try_lock(&self.folder, later),
                     Ok(LockAttempt::HeldByOther(_)) | Err(_)
@@ -213,7 +215,8 @@
             })
     }
 
-    /// Claims the generation after standbys that have all exited. `None` where there was none or one is running.
+    /// Claims a generation after those of standbys that have all exited. Returns `None` if there was no standby, or if one
+    /// is running.
     ///
     /// # Errors
     /// The folder or a lock file cannot be read or created.
--- a/crates/delivery/src/hot_restart/incarnation/lock_file.rs
+++ b/crates/delivery/src/hot_restart/incarnation/lock_file.rs
@@ -5,22 +5,22 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What the name of a lock file begins with, before the generation.
+/// Prefix of the name of a lock file, before the generation.
 const LOCK_PREFIX: &str = "life-";
 /// The lock file of program versions without generations, which count as generation 0.
 pub(super) const UNNUMBERED_LOCK: &str = "life.lock";
-/// The file by which those versions find that a successor is running when they are shut down.
+/// The file that a successor of those versions creates. They check for it when they are shut down.
 pub(super) const UNNUMBERED_SUCCESSOR: &str = "life.next";
-/// The generation of program versions without generations.
+/// The generation that stands for program versions without generations.
 pub(super) const UNNUMBERED: Generation = Generation(0);
 
 /// The result of testing the lock of an incarnation.
 pub(super) enum LockAttempt {
-    /// Its owner has exited.
+    /// The lock was free: its owner has exited.
     Acquired(File),
-    /// Its owner is running.
+    /// The lock is held: its owner is running.
     HeldByOther(File),
-    /// There is no lock file.
+    /// The lock file does not exist.
     NoFile,
 }
 
@@ -56,11 +56,11 @@
                 return Ok(LockedGeneration { generation, file })
             }
             Err(TryLockError::Error(error)) => {
-                // An unlocked file would mean that the incarnation has exited.
+                // To other incarnations, an unlocked file means that its incarnation has exited.
                 let _ = std::fs::remove_file(lock_path(folder, generation));
                 return Err(error);
             }
-            // Another incarnation locked the file first, and considers this one as exited.
+            // Another incarnation locked the file first, and considers its owner to have exited.
             Err(TryLockError::WouldBlock) => continue,
         }
     }
@@ -83,17 +83,18 @@
         Err(TryLockError::Error(error)) if is_locking_unsupported(&error) => {
             Ok(LockAttempt::Acquired(file))
         }
-        // Whether its owner is running is unknown.
+        // It is unknown whether the owner is running.
         Err(TryLockError::Error(error)) => Err(error),
     }
 }
 
-/// Whether a lock failed because the system does not support such locks. The platform then runs one incarnation at a time.
+/// Returns whether a lock failed because the system does not support advisory locks. In that case the platform runs one
+/// incarnation at a time.
 fn is_locking_unsupported(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Unsupported
 }
 
-/// The generations of the lock files in a folder, in ascending order.
+/// Returns the generations of the lock files in a folder, in ascending order.
 pub(super) fn lock_generations(folder: &Path) -> io::Result<Vec<Generation>> {
     let mut found = Vec::new();
     for file in std::fs::read_dir(folder)? {
@@ -112,7 +113,7 @@
     Ok(found)
 }
 
-/// The lock file of a generation.
+/// Returns the path of the lock file of a generation.
 pub(super) fn lock_path(folder: &Path, generation: Generation) -> PathBuf {
     match generation {
         UNNUMBERED => folder.join(UNNUMBERED_LOCK),
--- a/crates/delivery/src/hot_restart/incarnation/marks.rs
+++ b/crates/delivery/src/hot_restart/incarnation/marks.rs
@@ -4,13 +4,13 @@
 use std::fs::File;
 use std::io::{self, Read, Seek};
 
-/// Mark of the incarnation itself: it has handed over.
+/// Written by the incarnation itself: it has handed over.
 pub(super) const HANDED_OVER: u8 = b'o';
-/// Mark of a successor: it has started as a standby.
+/// Written by a successor: it has started as a standby.
 pub(super) const STANDBY_STARTED: u8 = b'b';
-/// Mark of a successor: the incarnation is to hand over.
+/// Written by a successor: the incarnation must hand over.
 pub(super) const HANDOVER_REQUESTED: u8 = b'a';
-/// Mark of a successor: the incarnation must not decide anything any more.
+/// Written by a successor: the incarnation must not decide anything from then on.
 pub(super) const FENCED: u8 = b'f';
 
 /// Reads all marks in a lock file.
@@ -21,7 +21,7 @@
     Ok(marks)
 }
 
-/// The state of a predecessor with these marks.
+/// Returns the state of a predecessor whose lock file contains these marks.
 pub(super) fn predecessor_state(marks: &[u8]) -> PredecessorState {
     if marks
         .iter()
--- a/crates/delivery/src/hot_restart/incarnation/tests.rs
+++ b/crates/delivery/src/hot_restart/incarnation/tests.rs
@@ -112,7 +112,7 @@
     assert_eq!(
         incarnation.running_predecessors().unwrap()[0].state,
         PredecessorState::Active,
-        "it does not read marks"
+        "an unnumbered predecessor does not read marks"
     );
     drop(unnumbered);
     assert_eq!(incarnation.running_predecessors().unwrap(), []);
@@ -122,26 +122,29 @@
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Regression: marks that could not be read counted as none, and a fenced incarnation started attempts.
+/// Regression: unreadable marks were treated as no marks, so a fenced incarnation started attempts.
 #[test]
 fn incarnation_whose_new_marks_cannot_be_read_does_not_act() {
     let folder = folder("unreadable-marks");
     let mut first = Incarnation::claim(&folder).unwrap();
     let second = Incarnation::claim(&folder).unwrap();
     second.announce(first.generation()).unwrap();
-    assert!(first.may_act(), "an announcement is no request");
-    // A file that is open for appending alone cannot be read.
+    assert!(
+        first.may_act(),
+        "an announcement does not request a handover"
+    );
+    // A file that is open only for appending cannot be read.
     let unreadable = OpenOptions::new()
         .append(true)
         .open(lock_path(&folder, first.generation()))
         .unwrap();
     let readable = std::mem::replace(&mut first.own.file, unreadable);
-    assert!(first.may_act(), "no mark is new");
+    assert!(first.may_act(), "there is no new mark to read");
     second.fence(first.generation()).unwrap();
     assert!(!first.may_act());
     assert!(
         first.successor_requests().standby_started,
-        "what was read before still holds"
+        "marks that were read before still hold"
     );
     first.own.file = readable;
     assert!(!first.may_act());
--- a/crates/delivery/src/hot_restart/takeover.rs
+++ b/crates/delivery/src/hot_restart/takeover.rs
@@ -1,31 +1,30 @@
-//! When a standby takes over from the incarnations that are running.
+//! The decision of a standby when to take over from the running incarnations.
 //!
-//! A state machine without I/O: [`Takeover::next_step`] is given the time and a view of the predecessors, and returns the
+//! A state machine without I/O: [`Takeover::next_step`] receives the time and a view of the predecessors, and returns the
 //! next step. The stages are standby, handover requested, predecessors fenced, and active.
 //!
-//! A standby waits until every predecessor has handed over, which predecessors do when they are shut down. If they are
-//! not shut down, the standby requests the handover, as the messages that it accepts are pending until then. A
-//! predecessor that does not respond is fenced: if its process was stopped, it finds the fence before it decides
-//! anything again.
+//! A standby waits until every predecessor has handed over. Predecessors hand over when they are shut down. If they are not
+//! shut down, the standby requests the handover, as the messages that it accepts are pending until then. A predecessor that
+//! does not respond is fenced. If its process was stopped, it reads the fence before it decides anything again.
 
 use marblefall_scheduler::{Span, Time};
 
-/// How long a standby waits for its predecessors to be shut down before it requests the handover. They are usually shut
-/// down as soon as the standby is ready, and the shortest deadlines of messages are about a second.
+/// Time for which a standby waits for its predecessors to be shut down before it requests the handover. They are usually
+/// shut down as soon as the standby is ready, and the shortest deadlines of messages are about a second.
 pub const REQUEST_HANDOVER_AFTER: Span = Span(800_000);
-/// How long after the request an active predecessor is fenced. A predecessor polls for marks four times a second, so its
-/// process is stopped or starved if it is still active.
+/// Time from the request until a predecessor that is still active is fenced. A predecessor polls for marks four times a
+/// second, so the process of one that is still active is stopped or starved.
 pub const FENCE_AFTER: Span = Span(700_000);
 
-/// How long after a fence a predecessor that is still active is fenced again, as the mark may not have been written.
+/// Time from a fence until a predecessor that is still active is fenced again, as the mark may not have been written.
 pub const FENCE_AGAIN_AFTER: Span = Span(100_000);
 
 /// The predecessors as a standby sees them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PredecessorView {
-    /// How many are running.
+    /// Number of running predecessors.
     pub running: usize,
-    /// How many of them have neither handed over nor been fenced, and may still decide.
+    /// Number of running predecessors that have neither handed over nor been fenced, and may still decide.
     pub active: usize,
 }
 
@@ -40,7 +39,7 @@
     Fence,
     /// Recover all messages and become active.
     TakeOver,
-    /// Read what running predecessors have journalled.
+    /// Read the records that running predecessors have journalled.
     Follow,
 }
 
@@ -59,19 +58,19 @@
 }
 
 impl Takeover {
-    /// The takeover of a standby that started at this time.
+    /// Creates the takeover of a standby that starts at `now`.
     pub fn new(now: Time) -> Takeover {
         Takeover {
             stage: TakeoverStage::Standby { since: now },
         }
     }
 
-    /// Whether this incarnation has taken over.
+    /// Returns whether this incarnation has taken over.
     pub fn is_active(&self) -> bool {
         self.stage == TakeoverStage::Active
     }
 
-    /// The next step, given what is seen of the predecessors.
+    /// Returns the next step and advances to its stage, given the present view of the predecessors.
     pub fn next_step(&mut self, now: Time, predecessors: PredecessorView) -> TakeoverStep {
         let step = self.choose_step(now, predecessors);
         self.stage = match step {
--- a/crates/delivery/src/hot_restart/takeover/tests.rs
+++ b/crates/delivery/src/hot_restart/takeover/tests.rs
@@ -1,9 +1,9 @@
-//! The steps of a takeover, with a clock set by the tests.
+//! The steps of a takeover. The tests set the clock.
 
 use super::*;
 
-/// The distinct steps of a standby that polls every 10 ms, with their times in milliseconds. `view` is given the time and
-/// the steps before.
+/// Returns the distinct steps of a standby that polls every 10 ms, with their times in milliseconds. `view` receives the
+/// time and the previous steps.
 fn takeover_steps(
     view: impl Fn(i64, &[TakeoverStep]) -> PredecessorView,
 ) -> Vec<(i64, TakeoverStep)> {
@@ -98,7 +98,7 @@
     );
 }
 
-/// A fence whose mark could not be written is written again. Otherwise the standby would never deliver a message while the
+/// A fence whose mark could not be written must be repeated. Otherwise the standby would not deliver any message while the
 /// process of its predecessor is stopped.
 #[test]
 fn fence_is_repeated_while_a_predecessor_is_active() {
@@ -112,5 +112,5 @@
             _ => {}
         }
     }
-    panic!("never taken over, {fences} fences");
+    panic!("the standby has not taken over after {fences} fences");
 }
--- a/crates/delivery/tests/hot_restart.rs
+++ b/crates/delivery/tests/hot_restart.rs
@@ -1,5 +1,4 @@
-//! Hot restarts of the engine: what an incarnation takes over from one that is running beside it. With a clock set by the
-//! tests.
+//! Hot restarts of the engine: an incarnation takes over from one that is running beside it. The tests set the clock.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -18,7 +17,7 @@
 fn takeover_delivers_pending_messages_and_follows_attempts_in_flight() {
     let folder = temporary_folder("takeover");
     let (mut predecessor, _) = TestIncarnation::start_alone(&folder, 0);
-    // A route that has not responded yet receives two attempts: the third message is pending.
+    // A route that has not responded yet receives at most two attempts, so the third message is pending.
     let in_flight: Vec<_> = ["a", "b", "c"]
         .iter()
         .flat_map(|name| started_attempts(&predecessor.submit(10, name, IDEMPOTENT_CLASS)))
@@ -83,7 +82,7 @@
             predecessor.step(100, vec![attempt_finished(id, attempt, rejection)]);
             commands.extend(successor.take_over(110, &[], predecessor.generation));
         } else {
-            // The rejection follows after the handover.
+            // The rejection is received after the handover.
             predecessor.hand_over(60);
             commands.extend(successor.take_over(
                 70,
@@ -107,7 +106,7 @@
         }
         assert!(
             started_ms.is_some_and(|started_ms| started_ms >= 4100),
-            "sent during the backoff, or never: {started_ms:?}"
+            "the first attempt is started during the backoff, or never: {started_ms:?}"
         );
         // A restart without a standby ends the backoff.
         let _ = fs::remove_dir_all(&folder);
@@ -152,7 +151,7 @@
     assert_eq!(
         started_attempts(&commands).len(),
         1,
-        "it is retried once the attempt has ended"
+        "the message is retried once the attempt has ended"
     );
     let _ = fs::remove_dir_all(&folder);
 }
@@ -184,12 +183,12 @@
     };
     assert!(
         fill_journal(&mut predecessor, "predecessor", 10) > 60,
-        "the predecessor uses its part of the folder"
+        "the predecessor uses its part of the disk limit"
     );
     let mut successor = TestIncarnation::standby(&folder, 100);
     assert!(
         fill_journal(&mut successor, "successor", 110) > 5,
-        "there is space for a standby"
+        "the disk limit leaves space for a standby"
     );
     predecessor.hand_over(120);
     fill_journal(&mut predecessor, "late", 130);
@@ -247,7 +246,7 @@
             .count();
         assert!(
             !predecessor.engine.has_backlog(),
-            "the engine must not be stepped at once"
+            "the engine must not require a step at once"
         );
         assert_eq!(predecessor.engine.next_wake(), None);
     }
--- a/crates/delivery/tests/unwritten_reports.rs
+++ b/crates/delivery/tests/unwritten_reports.rs
@@ -1,4 +1,4 @@
-//! Results of attempts that the journal does not accept while one incarnation hands over to another.
+//! Results of attempts that cannot be journalled while one incarnation hands over to another.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -12,7 +12,7 @@
 use marblefall_scheduler::Outcome;
 use std::fs;
 
-/// Regression: the successor never learned of a delivery whose record was not written, and sent the message again.
+/// Regression: a delivery whose record was not written was never reported to the successor, which sent the message again.
 #[test]
 fn unjournalled_delivery_is_reported_to_the_successor_later() {
     for is_handed_over_before in [false, true] {
@@ -41,7 +41,7 @@
         let generation = predecessor.generation;
         let mut commands = successor.take_over(80, &[generation], generation);
         let retry_at = predecessor.engine.next_wake();
-        assert!(retry_at.is_some(), "the report is to be tried again");
+        assert!(retry_at.is_some(), "a retry of the report is scheduled");
         predecessor.step(120, Vec::new());
         assert!(!predecessor.engine.has_unwritten_reports());
         commands.extend(successor.step(130, vec![EngineEvent::FollowPredecessors]));
@@ -53,7 +53,7 @@
         let restarted = started_attempts(&commands);
         assert!(
             restarted.iter().all(|(started, _, _)| *started != id),
-            "{restarted:?}"
+            "attempts after the takeover: {restarted:?}"
         );
         let _ = fs::remove_dir_all(&folder);
     }
