--- a/crates/delivery/src/instance/admin.rs
+++ b/crates/delivery/src/instance/admin.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 
 /// The name of the file in the state folder, with one endpoint name a line.
-const FILE: &str = "held-out.txt";
+const DISABLED_ENDPOINTS_FILE: &str = "held-out.txt";
 
 /// The state that operators have set on one instance.
 pub struct AdminState {
@@ -112,7 +112,7 @@
             log_line!(
                 code = "disabled-endpoints-not-written",
                 "{}: {error}",
-                self.folder.join(FILE).display()
+                self.folder.join(DISABLED_ENDPOINTS_FILE).display()
             );
             self.undo(name, switch);
             return SERVICE_UNAVAILABLE;
@@ -134,7 +134,7 @@
         let text: String = disabled.iter().map(|name| format!("{name}\n")).collect();
         replace(
             &LocalDisk,
-            &self.folder.join(FILE),
+            &self.folder.join(DISABLED_ENDPOINTS_FILE),
             text.as_bytes(),
             Durability::ProcessDeath,
         )
@@ -159,12 +159,12 @@
 /// # Errors
 /// The file cannot be read because of a transient error.
 pub(super) fn read_disabled(folder: &Path) -> io::Result<BTreeSet<String>> {
-    let path = folder.join(FILE);
+    let path = folder.join(DISABLED_ENDPOINTS_FILE);
     match std::fs::read_to_string(&path) {
         Ok(text) => Ok(text
             .lines()
             .map(str::trim)
-            .filter(|id| !id.is_empty())
+            .filter(|name| !name.is_empty())
             .map(String::from)
             .collect()),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(BTreeSet::new()),
--- a/crates/delivery/src/instance/assembly.rs
+++ b/crates/delivery/src/instance/assembly.rs
@@ -295,7 +295,7 @@
             tasks: self.tasks,
             admin: self.admin,
             incarnation: self.incarnation,
-            withheld: RefCell::default(),
+            withheld_acceptances: RefCell::default(),
         }
     }
 }
--- a/crates/delivery/src/instance/command.rs
+++ b/crates/delivery/src/instance/command.rs
@@ -87,8 +87,9 @@
                 self.replace_destinations(table, targets).await;
             }
             InstanceCommand::UpdatePolicy(make_update) => self.update_policy(make_update()).await,
-            InstanceCommand::CheckPolicy(proposed, answer) => {
-                self.send(EngineEvent::CheckPolicy(proposed, answer)).await;
+            InstanceCommand::CheckPolicy(proposed, verdict_sender) => {
+                self.send(EngineEvent::CheckPolicy(proposed, verdict_sender))
+                    .await;
             }
             InstanceCommand::LeaseChanged => self.send(EngineEvent::LeaseChanged).await,
             // An instance without a configuration file of its own has nothing to reload.
--- a/crates/delivery/src/instance/engine_loop.rs
+++ b/crates/delivery/src/instance/engine_loop.rs
@@ -160,8 +160,8 @@
         let until = Instant::now() + LAST_WRITES_TIMEOUT;
         loop {
             Timer::after(LAST_WRITES_POLL_INTERVAL).await;
-            let is_over = Instant::now() >= until;
-            if is_over || !self.executor.clients.has_open_requests() {
+            let has_timed_out = Instant::now() >= until;
+            if has_timed_out || !self.executor.clients.has_open_requests() {
                 return;
             }
         }
--- a/crates/delivery/src/instance/executor.rs
+++ b/crates/delivery/src/instance/executor.rs
@@ -50,7 +50,7 @@
     pub(super) admin: Rc<AdminState>,
     pub(super) incarnation: Rc<RefCell<Incarnation>>,
     /// Acceptances whose lease ended within their step. They are reported under the next lease.
-    pub(super) withheld: RefCell<Vec<EngineCommand>>,
+    pub(super) withheld_acceptances: RefCell<Vec<EngineCommand>>,
 }
 
 impl Executor {
@@ -65,7 +65,7 @@
         let permit = self.lease.acquire();
         if permit.is_some() {
             engine.set_lease(LeaseState::Held);
-            commands.extend(self.withheld.borrow_mut().drain(..));
+            commands.extend(self.withheld_acceptances.borrow_mut().drain(..));
         } else {
             engine.set_lease(self.lease.state_without_permit());
         }
@@ -96,7 +96,7 @@
         let is_acceptance = matches!(command, EngineCommand::Respond(_, SubmitResponse::Accepted));
         if let (Some(permit), true) = (permit, is_acceptance) {
             if !permit.is_valid() {
-                self.withheld.borrow_mut().push(command);
+                self.withheld_acceptances.borrow_mut().push(command);
                 return;
             }
             self.lease.record(HISTORY_ACCEPTED);
@@ -128,8 +128,8 @@
             EngineCommand::HandedOver => self.handed_over(),
             EngineCommand::PolicyInForce(revision) => self.policy_in_force(revision),
             EngineCommand::RuleViolated(rule, id) => {
-                let what = format!("message {}: attempt refused", id.0);
-                self.counters.violated(rule, &what);
+                let context = format!("message {}: attempt refused", id.0);
+                self.counters.violated(rule, &context);
             }
             EngineCommand::Log(text) => log_line!("{text}"),
         }
--- a/crates/delivery/src/instance/executor/attempt_execution.rs
+++ b/crates/delivery/src/instance/executor/attempt_execution.rs
@@ -56,14 +56,14 @@
             judge: classify_response,
             permit: &|| self.attempt_permit(),
         };
-        let ended = self.pool.run_attempt(attempt).await;
+        let attempt_outcome = self.pool.run_attempt(attempt).await;
         let result = AttemptResult {
             message_id: request.message_id,
             attempt: request.attempt,
-            outcome: ended.outcome,
+            outcome: attempt_outcome.outcome,
             duration: self.clock.now().monotonic - started_at,
-            disposition: ended.disposition,
-            rate_limit: ended.rate_limit,
+            disposition: attempt_outcome.disposition,
+            rate_limit: attempt_outcome.rate_limit,
         };
         self.count_attempt(&result.outcome);
         log_unless_delivered(&result, request.endpoint);
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -29,13 +29,13 @@
 /// The time-out of idle connections where the platform sets none, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 10_000.0;
 /// How long a shortage of descriptors or memory at the start is waited out.
-const MAX_SHORTAGE: Duration = Duration::from_secs(25);
+const SHORTAGE_TIMEOUT: Duration = Duration::from_secs(25);
 /// Delay before an operation is retried during a shortage.
 const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const BYTES_PER_MB: f64 = 1e6;
 const MS_PER_SECOND: f64 = 1000.0;
 /// The base of the seed's digits.
-const HEXADECIMAL: u32 = 16;
+const SEED_RADIX: u32 = 16;
 
 /// Runs an instance on the platform until it is shut down.
 ///
@@ -45,19 +45,19 @@
     let signals = register_signals()?;
     let config = read_config()?;
     let config = instance_config(config)?;
-    let (signal_sender, signalled) = async_channel::unbounded();
+    let (signal_sender, signal_commands) = async_channel::unbounded();
     let (command_sender, commands) = async_channel::unbounded();
     let _span = instance_span(&config.name).entered();
     let executor = Rc::new(LocalExecutor::new());
     let tasks = Spawner::new(&executor);
     tasks.spawn(watch_signals(signals, signal_sender));
-    tasks.spawn(reload_configuration(signalled, command_sender));
+    tasks.spawn(reload_configuration(signal_commands, command_sender));
     async_io::block_on(executor.run(run_instance(config, commands, tasks)))
 }
 
 /// Reads the configuration, and retries while the system is short of a resource.
 fn read_config() -> Result<PlatformConfig, ConfigError> {
-    let deadline = Instant::now() + MAX_SHORTAGE;
+    let deadline = Instant::now() + SHORTAGE_TIMEOUT;
     loop {
         match PlatformConfig::from_env() {
             Err(error) if error.is_transient() && Instant::now() < deadline => {
@@ -140,7 +140,7 @@
         retention_ms: vec![0; scheduler.classes.len()],
         max_retained: 0,
         scheduler,
-        seed: u64::from_str_radix(seed, HEXADECIMAL).unwrap_or_default(),
+        seed: u64::from_str_radix(seed, SEED_RADIX).unwrap_or_default(),
     }
 }
 
@@ -165,10 +165,10 @@
 }
 
 /// Retries an operation while the system is short of a resource, so that a process that starts just then does not fail.
-fn retry_while_short<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let deadline = Instant::now() + MAX_SHORTAGE;
+fn retry_during_shortage<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let deadline = Instant::now() + SHORTAGE_TIMEOUT;
     loop {
-        match attempt() {
+        match operation() {
             Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 log_line!(code = "listener-deferred", "{error}; tried again");
                 std::thread::sleep(SHORTAGE_RETRY_INTERVAL);
@@ -179,7 +179,7 @@
 }
 
 fn bind_clients(address: SocketAddr) -> Result<TcpListener, InstanceError> {
-    retry_while_short(|| listener::bind_shared(address)).map_err(|source| InstanceError::Bind {
+    retry_during_shortage(|| listener::bind_shared(address)).map_err(|source| InstanceError::Bind {
         address: address.to_string(),
         source,
     })
@@ -190,7 +190,7 @@
         return Ok(None);
     };
     let address = parse_address(text)?;
-    let listener = retry_while_short(|| listener::bind_exclusive(address));
+    let listener = retry_during_shortage(|| listener::bind_exclusive(address));
     listener.map(Some).map_err(|source| InstanceError::Bind {
         address: text.to_owned(),
         source,
@@ -207,28 +207,28 @@
 /// Forwards commands. A reload of the configuration is replaced by the new address of discovery. A configuration that
 /// cannot be read changes nothing; if that may pass by itself, it is read again until it succeeds.
 async fn reload_configuration(
-    signalled: Receiver<InstanceCommand>,
+    signal_commands: Receiver<InstanceCommand>,
     commands: Sender<InstanceCommand>,
 ) {
-    let mut reload_is_due = false;
+    let mut retry_is_due = false;
     loop {
-        let received = if reload_is_due {
+        let received = if retry_is_due {
             let retry = async {
                 Timer::after(SHORTAGE_RETRY_INTERVAL).await;
                 Ok(InstanceCommand::ReloadConfig)
             };
-            future::or(signalled.recv(), retry).await
+            future::or(signal_commands.recv(), retry).await
         } else {
-            signalled.recv().await
+            signal_commands.recv().await
         };
         let Ok(command) = received else { return };
         let command = match command {
             InstanceCommand::ReloadConfig => {
                 let reload = reload();
-                reload_is_due = matches!(reload, Reload::TryAgain);
+                retry_is_due = matches!(reload, Reload::Retry);
                 match reload {
                     Reload::DiscoveryAt(address) => InstanceCommand::DiscoveryMoved(address),
-                    Reload::Unchanged | Reload::TryAgain => continue,
+                    Reload::Unchanged | Reload::Retry => continue,
                 }
             }
             other => other,
@@ -246,7 +246,7 @@
     /// The configuration cannot be used.
     Unchanged,
     /// It cannot be read at the moment.
-    TryAgain,
+    Retry,
 }
 
 fn reload() -> Reload {
@@ -260,7 +260,7 @@
     let cause = Report::new(&error);
     if error.is_transient() {
         log_line!(code = "configuration-fails", "{cause}; tried again");
-        return Reload::TryAgain;
+        return Reload::Retry;
     }
     log_line!("configuration kept as it was, {cause}");
     Reload::Unchanged
--- a/crates/delivery/src/instance/shutdown.rs
+++ b/crates/delivery/src/instance/shutdown.rs
@@ -22,14 +22,14 @@
 /// Without a successor, idle connections are closed after this time, when no new ones are expected.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(500);
 /// After that, connections are closed once they have been idle for this long.
-const IDLE_FOR: Duration = Duration::from_millis(150);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(150);
 /// How often idle connections are looked for.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_micros(37_500);
 /// With a running successor, idle connections are closed only after this time. Until then each client has one more response
 /// on its connection, after which it connects to the successor.
 const SUCCESSOR_CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2200);
 /// With a running successor, connections are then closed once they have been idle for this long.
-const SUCCESSOR_IDLE_FOR: Duration = Duration::from_millis(400);
+const SUCCESSOR_MIN_IDLE_TIME: Duration = Duration::from_millis(400);
 /// Delay after which the remaining idle connections are closed, with a running successor.
 const SUCCESSOR_CLOSE_ALL_AFTER: Duration = Duration::from_millis(3100);
 /// How long before its end a process closes its listeners. Connections in the system's queue are served until then, as the
@@ -141,7 +141,7 @@
             && self
                 .clients
                 .clients_notified_at()
-                .is_some_and(|from| from <= now);
+                .is_some_and(|notified_at| notified_at <= now);
         if is_done {
             self.clients.stop_accepting();
         }
@@ -160,13 +160,13 @@
 impl ClientClosing {
     async fn run(self) {
         self.await_first_close().await;
-        let (idle_for, end) = match self.successor {
+        let (min_idle_time, end) = match self.successor {
             Successor::Running => (
-                SUCCESSOR_IDLE_FOR,
+                SUCCESSOR_MIN_IDLE_TIME,
                 self.begun_at + SUCCESSOR_CLOSE_ALL_AFTER,
             ),
             Successor::None | Successor::Restart | Successor::ActivePredecessor => {
-                (IDLE_FOR, self.begun_at + self.timeout)
+                (MIN_IDLE_TIME, self.begun_at + self.timeout)
             }
         };
         let stop_accepting_at = end
@@ -176,7 +176,7 @@
             if Instant::now() >= stop_accepting_at {
                 self.clients.stop_accepting();
             }
-            self.clients.close_idle_for(idle_for);
+            self.clients.close_idle_for(min_idle_time);
             Timer::after(IDLE_CHECK_INTERVAL).await;
         }
         self.clients.close_idle();
--- a/crates/delivery/src/instance/state_folder.rs
+++ b/crates/delivery/src/instance/state_folder.rs
@@ -91,10 +91,10 @@
     /// Retries an operation until it succeeds.
     async fn retry<T>(
         &mut self,
-        mut attempt: impl FnMut() -> io::Result<T>,
+        mut operation: impl FnMut() -> io::Result<T>,
     ) -> Result<T, ClaimInterrupt> {
         loop {
-            let error = match attempt() {
+            let error = match operation() {
                 Ok(value) => return Ok(value),
                 Err(error) => error,
             };
