--- a/crates/delivery/src/frontend/cloudevents/event/structured.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/structured.rs
@@ -35,8 +35,8 @@
             })?;
         context.insert(name, value)?;
     }
-    let given = |name: &str| members.get(name).filter(|raw| raw.get() != NULL);
-    let data = match (given(DATA), given(DATA_BASE64)) {
+    let non_null_member = |name: &str| members.get(name).filter(|raw| raw.get() != NULL);
+    let data = match (non_null_member(DATA), non_null_member(DATA_BASE64)) {
         (Some(_), Some(_)) => return Err(EventError::DataGivenTwice),
         (None, None) => Vec::new(),
         (None, Some(raw)) => {
@@ -104,14 +104,14 @@
     let content_type = context
         .text(attribute::DATA_CONTENT_TYPE)
         .unwrap_or_default();
-    let declares = |is_declared: fn(&str) -> bool| {
-        context.data_format == DataFormat::Bytes && is_declared(&content_type)
+    let is_declared_as = |matches: fn(&str) -> bool| {
+        context.data_format == DataFormat::Bytes && matches(&content_type)
     };
     let as_json = text
-        .filter(|_| context.data_format == DataFormat::Json || declares(is_json))
+        .filter(|_| context.data_format == DataFormat::Json || is_declared_as(is_json))
         .and_then(|text| raw_value(text.trim().to_owned()));
     let as_text =
-        text.filter(|_| context.data_format == DataFormat::Text || declares(is_utf8_text));
+        text.filter(|_| context.data_format == DataFormat::Text || is_declared_as(is_utf8_text));
     match (context.data_format, as_json, as_text) {
         (DataFormat::Absent, ..) => None,
         (_, Some(json), _) => Some((DATA, json)),
--- a/crates/delivery/src/frontend/cloudevents/event/tests.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/tests.rs
@@ -66,9 +66,9 @@
         ("application/octet-stream", b"\x00\xff\x01"),
         ("application/octet-stream", b""),
     ];
-    for (media, data) in cases {
+    for (content_type, data) in cases {
         let head = format!(
-            "ce-specversion: 1.0\r\nce-id: 1\r\nce-source: s\r\nce-type: t\r\nContent-Type: {media}"
+            "ce-specversion: 1.0\r\nce-id: 1\r\nce-source: s\r\nce-type: t\r\nContent-Type: {content_type}"
         );
         let (context, received) = parse(&head, data).unwrap();
         let (structured, structured_data) =
@@ -77,7 +77,7 @@
         assert_eq!(
             (back.attributes, back_data.as_slice()),
             (context.attributes, data),
-            "{media}"
+            "{content_type}"
         );
     }
     let body = r#"{"specversion":"1.0","id":"1","source":"s","type":"t","datacontenttype":"image/png","data_base64":"AP8B"}"#;
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn invalid_event_has_its_status() {
+fn invalid_event_is_rejected_with_status_400_or_415() {
     let complete = "ce-specversion: 1.0\r\nce-id: 1\r\nce-source: s\r\nce-type: t";
     assert!(parse(complete, b"").is_ok());
     for (head, body, status) in [
--- a/crates/delivery/src/frontend/platform.rs
+++ b/crates/delivery/src/frontend/platform.rs
@@ -125,7 +125,8 @@
         body: &[u8],
         now_ms: i64,
     ) -> Result<Message, RequestError> {
-        let identity = printable(fields, headers::MESSAGE_ID).ok_or(RequestError::MissingId)?;
+        let identity =
+            printable_value(fields, headers::MESSAGE_ID).ok_or(RequestError::MissingId)?;
         let class = self.class(fields)?;
         let time_to_live_ms = time_to_live_ms(fields)?;
         let idempotency_key = self.idempotency_key(fields, class)?;
@@ -159,7 +160,7 @@
         class: ClassId,
     ) -> Result<Option<Vec<u8>>, RequestError> {
         if fields.get(header::IDEMPOTENCY_KEY).is_some() {
-            return printable(fields, header::IDEMPOTENCY_KEY)
+            return printable_value(fields, header::IDEMPOTENCY_KEY)
                 .map(|key| Some(key.to_vec()))
                 .ok_or(RequestError::InvalidKey);
         }
@@ -210,7 +211,7 @@
 }
 
 /// The value of a field that can be written unchanged into the head of an attempt and the line of a notice.
-fn printable<'a>(fields: &Fields<'a>, name: &str) -> Option<&'a [u8]> {
+fn printable_value<'a>(fields: &Fields<'a>, name: &str) -> Option<&'a [u8]> {
     fields.get(name).filter(|text| {
         !text.is_empty() && text.len() <= MAX_NAME_LEN && text.iter().all(u8::is_ascii_graphic)
     })
--- a/crates/delivery/src/frontend/platform/tests.rs
+++ b/crates/delivery/src/frontend/platform/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn attempt_has_the_platforms_headers() {
+fn attempt_request_has_the_platform_header_fields() {
     let message = Message {
         origin: Origin::Platform,
         identity: b"m-1".to_vec(),
