--- a/crates/delivery/src/instance.rs
+++ b/crates/delivery/src/instance.rs
@@ -35,11 +35,11 @@
 use state_folder::{Claim, ClaimInterrupt};
 use std::time::{Duration, Instant};
 
-/// How long after the start of the process its configured endpoint list may be used. It counts as received from discovery
-/// at the start, and an endpoint that is draining may be called for 250 ms after that.
+/// Maximum age of the configured endpoint list, counted from the start of the instance. The list counts as received from
+/// discovery at that time, and an endpoint that is draining may be called for only 250 ms after it.
 const MAX_CONFIGURED_LIST_AGE: Duration = Duration::from_millis(150);
 
-/// The span of all log lines of an instance, which its thread enters once.
+/// Returns the tracing span of all log lines of an instance. The instance's thread enters it once.
 pub fn instance_span(name: &str) -> tracing::Span {
     tracing::info_span!("instance", name)
 }
@@ -47,7 +47,7 @@
 /// Runs one instance until it has shut down.
 ///
 /// # Errors
-/// Its state folder or a listener cannot be used.
+/// The state folder or a listener of the instance cannot be used.
 pub async fn run_instance(
     mut config: InstanceConfig,
     commands: Receiver<InstanceCommand>,
--- a/crates/delivery/src/instance/admin.rs
+++ b/crates/delivery/src/instance/admin.rs
@@ -1,6 +1,6 @@
 //! The state that operators' calls change: whether clients are drained, and which endpoints are disabled.
 //!
-//! The disabled endpoints are stored in the state folder, so that they are disabled in the next incarnation from its start.
+//! The disabled endpoints are stored in the state folder, so they are disabled in the next incarnation from its start.
 
 use crate::core::engine::EngineEvent;
 use crate::hot_restart::driver::HotRestartInstance;
@@ -18,23 +18,23 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The name of the file in the state folder, with one endpoint name a line.
+/// Name of the file of disabled endpoints in the state folder. It has one endpoint name per line.
 const DISABLED_ENDPOINTS_FILE: &str = "held-out.txt";
 
 /// The state that operators have set on one instance.
 pub struct AdminState {
     clients: Rc<ClientConnections>,
-    /// Sends the engine the disabled endpoints, ahead of other events.
+    /// Sends the disabled endpoints to the engine, which receives them before other events.
     engine: Sender<EngineEvent>,
     folder: PathBuf,
     disabled: RefCell<BTreeSet<String>>,
-    /// The names of the listed endpoints.
+    /// Names of the listed endpoints.
     listed: RefCell<BTreeMap<EndpointId, String>>,
-    /// Whether the engine is active. Before that the endpoints are unknown, and after it another process decides.
+    /// Whether the engine is active. Before that, the endpoints are unknown; after that, another process decides.
     is_active: Cell<bool>,
 }
 
-/// How an operator changes an endpoint.
+/// An operator's change of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndpointSwitch {
     Disable,
@@ -42,8 +42,8 @@
 }
 
 impl AdminState {
-    /// The initial state of an instance with a state folder. The endpoints that are disabled there are set by
-    /// [`AdminState::set_disabled`] once the engine is active, as another incarnation may change them until then.
+    /// Creates the initial state of an instance with a state folder. The endpoints that are disabled in the folder are
+    /// set by [`AdminState::set_disabled`] once the engine is active, as another incarnation may change them until then.
     pub fn new(
         clients: Rc<ClientConnections>,
         engine: Sender<EngineEvent>,
@@ -73,27 +73,27 @@
             .try_send(EngineEvent::EndpointsDisabled(disabled));
     }
 
-    /// Notes that an endpoint is listed.
+    /// Records that an endpoint is listed.
     pub fn endpoint_listed(&self, id: EndpointId, name: &str) {
         self.listed.borrow_mut().insert(id, name.to_owned());
     }
 
-    /// Notes that an endpoint was removed from the list.
+    /// Records that an endpoint was removed from the list.
     pub fn endpoint_removed(&self, id: EndpointId) {
         self.listed.borrow_mut().remove(&id);
     }
 
-    /// Notes that the engine is active from now on.
+    /// Records that the engine is active from now on.
     pub fn activate(&self) {
         self.is_active.set(true);
     }
 
-    /// Notes that another process decides from now on.
+    /// Records that another process decides from now on.
     pub fn deactivate(&self) {
         self.is_active.set(false);
     }
 
-    /// Disables or enables an endpoint; returns the HTTP status of the response.
+    /// Disables or enables an endpoint, and returns the HTTP status of the response.
     fn switch_endpoint(&self, name: &str, switch: EndpointSwitch) -> u16 {
         if !self.is_active.get() {
             return SERVICE_UNAVAILABLE;
@@ -140,7 +140,7 @@
         )
     }
 
-    /// Undoes a change that could not be written, so that the state in force and the stored one are the same.
+    /// Reverts a change that could not be written. The state in force then equals the stored one.
     fn undo(&self, name: &str, switch: EndpointSwitch) {
         let mut disabled = self.disabled.borrow_mut();
         match switch {
@@ -154,7 +154,8 @@
     }
 }
 
-/// Reads the endpoints that are disabled in a state folder. A file that can never be read disables none.
+/// Reads the endpoints that are disabled in a state folder. If the file cannot be read because of a permanent error, no
+/// endpoint is disabled.
 ///
 /// # Errors
 /// The file cannot be read because of a transient error.
@@ -172,7 +173,7 @@
         Err(error) => {
             log_line!(
                 code = "disabled-endpoints-unreadable",
-                "{}: {error}; none disabled",
+                "{}: {error}; no endpoint is disabled",
                 path.display()
             );
             Ok(BTreeSet::new())
@@ -198,7 +199,7 @@
 impl AdminHandler for AdminState {
     fn handle(&self, call: AdminCall<'_>) -> u16 {
         match call {
-            // Clients are served by now, as the operators' listener is started after the clients'.
+            // Clients are already served, as the operators' listener is opened after theirs.
             AdminCall::Ready if self.clients.is_draining() => SERVICE_UNAVAILABLE,
             AdminCall::Ready => OK,
             AdminCall::Disable(name) => self.switch_endpoint(name, EndpointSwitch::Disable),
--- a/crates/delivery/src/instance/assembly.rs
+++ b/crates/delivery/src/instance/assembly.rs
@@ -1,7 +1,7 @@
 //! Assembles an instance, in the order in which its parts depend on each other.
 //!
-//! The incarnation has been claimed before, as operators may call as soon as there is a listener. Frontends are started
-//! before the engine, and clients' requests wait in its queue meanwhile.
+//! The incarnation is claimed before that, as operators may call as soon as there is a listener. Frontends are started
+//! before the engine. Until the engine runs, clients' requests wait in its queue.
 
 mod frontends;
 
@@ -37,19 +37,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How many events may wait for the engine. Beyond that, sessions and attempts wait.
+/// Maximum number of queued events for the engine. While the queue is full, sessions and attempts wait.
 const MAX_QUEUED_EVENTS: usize = 1024;
-/// File descriptors reserved for the journal, discovery, notices and the runtime.
+/// Number of file descriptors that are reserved for the journal, discovery, notices and the runtime.
 const RESERVED_SOCKETS: usize = 24;
-/// Connections of clients use at most one in this many file descriptors; the rest is for connections to endpoints.
+/// Connections of clients use at most one in this many file descriptors. The others are for connections to endpoints.
 const CLIENT_SOCKETS_DIVISOR: usize = 3;
 /// Idle connections are closed after this fraction of the endpoints' own time-out, as a request that is sent while the
-/// endpoint closes its connection is lost.
+/// endpoint closes the connection is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.85;
-/// How often expired connections are closed.
+/// Interval at which expired connections are closed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// An assembled instance.
+/// An assembled instance, whose two loops are not running yet.
 pub(super) struct Instance {
     pub(super) counters: Rc<Counters>,
     pub(super) command_loop: CommandLoop,
@@ -68,7 +68,8 @@
     if let StartMode::Standby(predecessors) = claimed.start_mode {
         assembly.predecessors = Some(predecessors);
     }
-    // Without a destination table, the platform provides a complete list, and its disk is small.
+    // Snapshots are written only with a destination table. Without one, the platform provides a complete endpoint list, and
+    // its disk is small.
     let writes_snapshots = matches!(config.endpoints, EngineEvent::DestinationTableReplaced(_));
     assembly.send_priority(config.endpoints);
     assembly.start_connection_expiry();
@@ -80,7 +81,7 @@
         notices: receivers.notices,
     })?;
     if let StartMode::Alone { disabled_endpoints } = claimed.start_mode {
-        // A standby reads them once its predecessors can no longer change them.
+        // A standby reads the disabled endpoints once its predecessors can no longer change them.
         assembly.admin.set_disabled(disabled_endpoints);
     }
     let (mut engine, commands) = assembly.start_engine(config.engine, claimed.store);
@@ -109,7 +110,7 @@
 struct Senders {
     /// Events of clients and attempts.
     queue: Sender<EngineEvent>,
-    /// Events that go ahead of those.
+    /// Events that the engine receives before those of the queue.
     priority: Sender<EngineEvent>,
     notices: Sender<PendingNotice>,
 }
@@ -206,7 +207,7 @@
     }
 
     fn send_priority(&self, event: EngineEvent) {
-        // The queue has no bound, and its receiver is not dropped before the engine has ended.
+        // Fails only once the engine has ended, as the channel is unbounded.
         let _ = self.senders.priority.try_send(event);
     }
 
@@ -220,7 +221,8 @@
         });
     }
 
-    /// The engine and its first commands. It is active at once, or a standby beside predecessors.
+    /// Creates the engine and returns it with its first commands. The engine is a standby if predecessors are running, and
+    /// active at once otherwise.
     fn start_engine(
         &self,
         settings: EngineSettings,
--- a/crates/delivery/src/instance/assembly/frontends.rs
+++ b/crates/delivery/src/instance/assembly/frontends.rs
@@ -1,4 +1,4 @@
-//! Starts the frontends of an instance, with the tasks that each of them needs.
+//! Starts the frontends of an instance and the tasks that each of them needs.
 
 use super::Assembly;
 use crate::frontend::platform;
@@ -17,24 +17,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a request may take to be received from a client of the platform, which is nearby.
+/// Time-out for receiving a request from a client of the platform, which is nearby.
 const PLATFORM_READ_TIMEOUT: ReadTimeout = ReadTimeout(Duration::from_millis(2500));
-/// How long a request may take to be received from a client that sends events, which may be far away.
+/// Time-out for receiving a request from a client that sends events, which may be far away.
 const CLOUDEVENTS_READ_TIMEOUT: ReadTimeout = ReadTimeout(Duration::from_secs(10));
 
-/// The frontends of an instance, as far as they are enabled.
+/// The configuration of the frontends that are enabled, and what their tasks need.
 pub(super) struct Frontends {
     pub(super) platform: Option<PlatformFrontendConfig>,
     pub(super) cloudevents: Option<CloudEventsFrontendConfig>,
     pub(super) admin_listener: Option<TcpListener>,
-    /// When discovery is polled.
+    /// The schedule for polling discovery.
     pub(super) poll_schedule: PollSchedule,
     /// The notices to be delivered to the platform.
     pub(super) notices: Receiver<PendingNotice>,
 }
 
 impl Assembly {
-    /// Starts the frontends. Operators' calls are accepted after the platform's clients.
+    /// Starts the frontends. The listener for operators' calls is opened after that for the platform's clients.
     pub(super) fn start_frontends(&mut self, frontends: Frontends) -> Result<(), InstanceError> {
         if let Some(platform) = frontends.platform {
             self.start_platform(platform, frontends.poll_schedule, frontends.notices)?;
@@ -78,14 +78,14 @@
         Ok(())
     }
 
-    /// Discovery at an address, with a channel for changes of the address.
+    /// Returns discovery at an address, with a new channel for changes of the address.
     fn discovery_endpoint(&mut self, address: SocketAddr) -> DiscoveryEndpoint {
         let (sender, changes) = async_channel::unbounded();
         self.discovery_changes.push(sender);
         DiscoveryEndpoint { address, changes }
     }
 
-    /// Has the system give new connections to this process rather than to its predecessors.
+    /// Makes the operating system give new connections to this process rather than to its predecessors.
     fn prefer_over_predecessors(&self, listener: &TcpListener) {
         let Some(predecessors) = self.predecessors else {
             return;
@@ -93,7 +93,7 @@
         if let Err(error) = listener::prefer(listener, predecessors.count) {
             log_line!(
                 code = "not-preferred",
-                "the previous process still gets new connections: {error}"
+                "predecessors still receive new connections: {error}"
             );
         }
     }
@@ -101,7 +101,10 @@
     fn start_admin(&self, listener: TcpListener) -> Result<(), InstanceError> {
         listen(&listener)?;
         let listener = open_listener(listener)?;
-        log_line!("operators call at {}", address_of(listener.get_ref()));
+        log_line!(
+            "accepts operators' calls at {}",
+            address_of(listener.get_ref())
+        );
         let handler = self.admin.clone();
         self.tasks
             .spawn(admin_calls::serve(listener, handler, self.tasks.clone()));
@@ -134,7 +137,7 @@
     }
 }
 
-/// Starts to listen, which is not done before the instance can serve: until then connections are refused.
+/// Starts to listen. It is called only once the instance can serve, so that connections are refused until then.
 fn listen(listener: &TcpListener) -> Result<(), InstanceError> {
     listener::listen(listener).map_err(|source| InstanceError::Bind {
         address: address_of(listener),
--- a/crates/delivery/src/instance/command.rs
+++ b/crates/delivery/src/instance/command.rs
@@ -25,29 +25,29 @@
     ReloadConfig,
     /// Use discovery at another address from now on.
     DiscoveryMoved(SocketAddr),
-    /// Replace the destinations, and how events are sent to them.
+    /// Replace the destinations and the targets that define how events are sent to them.
     ReplaceDestinations(Arc<DestinationTable>, Arc<Vec<Target>>),
     /// Put another policy in force in the frontends and the engine. The update is created on the instance's own thread.
     UpdatePolicy(Arc<dyn Fn() -> PolicyUpdate + Send + Sync>),
-    /// Check whether a proposed policy covers the open messages.
+    /// Check whether a proposed policy covers the open messages, and send the verdict.
     CheckPolicy(ProposedPolicy, Sender<Result<(), PolicyMismatch>>),
-    /// Note that the state of the lease has changed.
+    /// Check the lease again, as its state has changed.
     LeaseChanged,
     /// Shut down.
     Shutdown {
-        /// How long the shutdown may take.
+        /// Maximum duration of the shutdown.
         timeout: Duration,
-        /// Why the instance is shut down.
+        /// The reason for the shutdown.
         reason: ShutdownReason,
     },
 }
 
-/// Why an instance is shut down.
+/// The reason for a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownReason {
-    /// It is stopped: messages are still delivered as far as the time permits.
+    /// The instance is stopped. Open messages are still delivered as far as the time permits.
     Stop,
-    /// Another incarnation is started once this one has ended: no further attempt is started.
+    /// Another incarnation is started once this one has ended. No further attempt is started.
     Restart,
 }
 
@@ -57,15 +57,15 @@
     pub(super) clients: Rc<ClientConnections>,
     pub(super) platform: Option<Rc<SwappableFrontend<PlatformFrontend>>>,
     pub(super) cloudevents: Rc<SwappableFrontend<CloudEventsFrontend>>,
-    /// Sends the engine events that go ahead of clients' requests.
+    /// Sends events to the engine that it receives before clients' requests.
     pub(super) priority_events: Sender<EngineEvent>,
-    /// Sends the tasks that call discovery its new address.
+    /// Send a new address of discovery to the tasks that call it.
     pub(super) discovery_changes: Vec<Sender<SocketAddr>>,
     pub(super) shutdown: Rc<Shutdown>,
 }
 
 impl CommandLoop {
-    /// Runs until the channel of commands is closed. Commands that were received before go first.
+    /// Handles commands until their channel is closed, beginning with those that were received while the instance started.
     pub(super) async fn run(
         self,
         early_commands: Vec<InstanceCommand>,
--- a/crates/delivery/src/instance/config.rs
+++ b/crates/delivery/src/instance/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of an instance, from whatever source.
+//! The configuration of an instance, independent of its source.
 
 use crate::core::engine::{EngineEvent, EngineSettings, PolicyChange};
 use crate::frontend::cloudevents::CloudEventsFrontend;
@@ -12,34 +12,34 @@
 
 /// The configuration of an instance.
 pub struct InstanceConfig {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its state folder.
+    /// State folder of the instance.
     pub state_folder: StateFolder,
-    /// How many file descriptors it may use.
+    /// Maximum number of file descriptors that the instance may use.
     pub max_sockets: usize,
-    /// The engine's settings.
+    /// Settings of the engine.
     pub engine: EngineSettings,
-    /// The names of the classes, in their order.
+    /// Names of the classes, by index.
     pub class_names: Vec<String>,
-    /// How long a connection to an endpoint may take to be established.
+    /// Time-out for establishing a connection to an endpoint.
     pub connect_timeout: Duration,
-    /// How long a connection may be idle before an endpoint closes it.
+    /// Idle time after which an endpoint closes a connection.
     pub idle_timeout: Duration,
-    /// The event with the endpoints that are known at the start.
+    /// Event that gives the engine the endpoints that are known at the start.
     pub endpoints: EngineEvent,
-    /// The platform's frontend, if it is enabled.
+    /// The platform's frontend; `None` if it is disabled.
     pub platform: Option<PlatformFrontendConfig>,
-    /// The CloudEvents frontend, if it is enabled.
+    /// The CloudEvents frontend; `None` if it is disabled.
     pub cloudevents: Option<CloudEventsFrontendConfig>,
-    /// The listener for operators' calls, if there is one.
+    /// The listener for operators' calls; `None` if they are not accepted.
     pub admin_listener: Option<TcpListener>,
-    /// The lease that it needs, where a group decides on the policy.
+    /// The lease under which the instance acts; `None` unless a group decides on the policy.
     pub lease: Option<LeaseConfig>,
 }
 
 impl InstanceConfig {
-    /// Replaces the configured endpoint list by that of discovery, if it responds.
+    /// Replaces the configured endpoint list by the present list of discovery, if discovery responds.
     pub(super) async fn refresh_configured_list(&mut self) {
         let Some(platform) = &mut self.platform else {
             return;
@@ -56,7 +56,7 @@
 
 /// The folder in which an instance stores its state.
 pub struct StateFolder {
-    /// Its path.
+    /// Path of the folder.
     pub path: PathBuf,
     /// The maximum size of the journal, in bytes.
     pub max_bytes: u64,
@@ -66,36 +66,37 @@
 pub struct LeaseConfig {
     /// The guard that the instances of a process share.
     pub guard: Arc<LeaseGuard>,
-    /// The revision of the policy in the configuration.
+    /// Revision of the policy in the configuration.
     pub revision: u64,
 }
 
-/// The platform's frontend of an instance.
+/// The configuration of an instance's platform frontend.
 pub struct PlatformFrontendConfig {
     /// The listener for clients.
     pub listener: TcpListener,
-    /// The parser of their requests.
+    /// The frontend that parses clients' requests.
     pub frontend: PlatformFrontend,
     /// The address of discovery, which also receives notices of final outcomes.
     pub discovery: SocketAddr,
-    /// The endpoint list to watch there; without it, the configured endpoints remain in force.
+    /// The watch of the endpoint list; `None` if the configured endpoints remain in force.
     pub watch: Option<ListWatch>,
 }
 
-/// The CloudEvents frontend of an instance.
+/// The configuration of an instance's CloudEvents frontend.
 pub struct CloudEventsFrontendConfig {
     /// The listener for clients.
     pub listener: TcpListener,
-    /// The parser of their requests.
+    /// The frontend that parses clients' requests.
     pub frontend: CloudEventsFrontend,
 }
 
-/// Another policy for a running instance. Its listeners, its folder and its network do not change.
+/// The changes by which another policy is put in force in a running instance. The listeners, the state folder and the
+/// network settings do not change.
 pub struct PolicyUpdate {
-    /// The engine's part.
+    /// The change of the engine's policy.
     pub change: PolicyChange,
-    /// The platform's frontend, if it is enabled.
+    /// The platform's new frontend; `None` if it is disabled.
     pub platform: Option<PlatformFrontend>,
-    /// The CloudEvents frontend, if it is enabled.
+    /// The new CloudEvents frontend; `None` if it is disabled.
     pub cloudevents: Option<CloudEventsFrontend>,
 }
--- a/crates/delivery/src/instance/engine_loop.rs
+++ b/crates/delivery/src/instance/engine_loop.rs
@@ -1,4 +1,4 @@
-//! The engine's loop: receives events, steps the engine, executes its commands, and sleeps until the next event.
+//! The engine's loop: receives events, steps the engine, executes its commands, and waits for the next event.
 
 use super::executor::Executor;
 use super::shutdown::Shutdown;
@@ -12,22 +12,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often the snapshot of destinations is written at most.
+/// Minimum interval between two snapshots of the destinations.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often it is checked whether a shutdown is complete.
+/// Interval at which it is checked whether a shutdown is complete.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// When clients that still wait at the end of the shutdown may retry, in milliseconds.
+/// Time after which clients that still wait at the end of the shutdown may retry, in milliseconds.
 const RETRY_AFTER_SHUTDOWN_MS: u64 = 1000;
-/// How long the last responses may take to be written.
+/// Time-out for writing the last responses.
 const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(150);
-/// How often it is checked whether they are written.
+/// Interval at which it is checked whether the last responses are written.
 const LAST_WRITES_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The sources of the engine's events.
 pub(super) struct EventReceivers {
     /// Events of clients and attempts.
     pub(super) queue: Receiver<EngineEvent>,
-    /// Events that go ahead of those.
+    /// Events that the engine receives before those of the queue.
     pub(super) priority: Receiver<EngineEvent>,
 }
 
@@ -55,14 +55,14 @@
     pub(super) events: EventReceivers,
     pub(super) shutdown: Rc<Shutdown>,
     pub(super) snapshots: Option<SnapshotWriter>,
-    /// Whether the first step is over.
+    /// Whether the engine has made its first step.
     pub(super) has_stepped: bool,
 }
 
 /// A summary of one step.
 struct StepSummary {
     had_events: bool,
-    /// Whether the engine held its lease, or needs none.
+    /// Whether the engine held its lease, or needed none.
     held_lease: bool,
 }
 
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Checks for the request before anything is decided, as another incarnation may be active already.
+    /// Adds the event of a handover if a successor has requested one. This is checked before the engine decides anything, as
+    /// another incarnation may be active already.
     fn hand_over_if_requested(&self, batch: &mut Vec<EngineEvent>) {
         if !self.engine.has_handed_over() && driver::must_hand_over(&self.executor.incarnation) {
             batch.push(self.shutdown.hand_over());
@@ -120,7 +121,7 @@
         let held_lease = self
             .executor
             .step(&mut self.engine, batch, &mut self.commands);
-        // The first step recovers messages before any client is served, and is not counted.
+        // The first step recovers messages before any client is served, so its duration is not counted.
         if std::mem::replace(&mut self.has_stepped, true) {
             let longest = &self.executor.counters.longest_step_us;
             let elapsed_us = started_at.elapsed().as_micros() as u64;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Sleeps until the next event, or until something is due.
+    /// Waits for the next event. Returns `None` if the engine, the shutdown or the snapshot is due first.
     async fn next_event(&self, step: &StepSummary) -> Option<EngineEvent> {
         let sleep = async {
             match self.wake_at(step) {
@@ -193,7 +194,7 @@
             .shutdown
             .has_begun()
             .then(|| Instant::now() + SHUTDOWN_POLL_INTERVAL);
-        // Changes of this step are written even if there is no further event.
+        // Changes of this step are written to a snapshot even if there is no further event.
         let snapshot = self
             .snapshots
             .as_ref()
--- a/crates/delivery/src/instance/error.rs
+++ b/crates/delivery/src/instance/error.rs
@@ -1,47 +1,47 @@
-//! Why an instance cannot run.
+//! Errors that prevent an instance from running.
 
 use super::platform_config::ConfigError;
 use std::io;
 use std::net::AddrParseError;
 use std::path::PathBuf;
 
-/// Why an instance cannot run.
+/// An error that prevents an instance from running.
 #[derive(Debug, thiserror::Error)]
 pub enum InstanceError {
     /// The platform's configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// An address in the configuration cannot be parsed.
-    #[error("{text}")]
+    #[error("invalid address {text:?}")]
     Address {
-        /// The text.
+        /// Text of the address.
         text: String,
-        /// Why it cannot be parsed.
+        /// The parser's error.
         #[source]
         source: AddrParseError,
     },
     /// A listener cannot be opened.
-    #[error("{address}")]
+    #[error("cannot listen at {address}")]
     Bind {
-        /// The address.
+        /// Address of the listener.
         address: String,
         /// The system's error.
         #[source]
         source: io::Error,
     },
     /// A listener cannot be used.
-    #[error("a listener cannot be used")]
+    #[error("cannot use a listener")]
     Listener(#[source] io::Error),
     /// The state folder cannot be used.
-    #[error("{}", path.display())]
+    #[error("cannot use the state folder {}", path.display())]
     StateFolder {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
         /// The system's error.
         #[source]
         source: io::Error,
     },
     /// Signals cannot be registered.
-    #[error("signals cannot be watched")]
+    #[error("cannot register the signals")]
     Signals(#[source] io::Error),
 }
--- a/crates/delivery/src/instance/executor.rs
+++ b/crates/delivery/src/instance/executor.rs
@@ -29,7 +29,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The act of an accepted message in the history of the lease guard. Tools that check histories read it.
+/// Name of an acceptance in the history of the lease guard, which is read by tools that check histories.
 const HISTORY_ACCEPTED: &str = "takes";
 
 /// Executes the engine's commands.
@@ -38,9 +38,9 @@
     pub(super) pool: Rc<Pool>,
     pub(super) cloudevents: Rc<SwappableFrontend<CloudEventsFrontend>>,
     pub(super) notices: Sender<PendingNotice>,
-    /// Sends the engine the results of attempts.
+    /// Sends the results of attempts to the engine.
     pub(super) events: Sender<EngineEvent>,
-    /// Sends the engine events that go ahead of those.
+    /// Sends events to the engine that it receives before the results of attempts.
     pub(super) priority_events: Sender<EngineEvent>,
     pub(super) clock: Clock,
     pub(super) counters: Rc<Counters>,
@@ -54,14 +54,14 @@
 }
 
 impl Executor {
-    /// Steps the engine, and executes its commands. Returns whether the lease was held.
+    /// Steps the engine and executes its commands. Returns whether the lease was held, or none is needed.
     pub(super) fn step(
         self: &Rc<Self>,
         engine: &mut Engine,
         batch: Vec<EngineEvent>,
         commands: &mut Vec<EngineCommand>,
     ) -> bool {
-        // Held until all commands are executed: the guard closes only between two steps.
+        // The permit is held until all commands are executed, so the guard closes only between two steps.
         let permit = self.lease.acquire();
         if permit.is_some() {
             engine.set_lease(LeaseState::Held);
@@ -77,10 +77,11 @@
         let is_fenced = !engine.has_handed_over() && driver::must_hand_over(&self.incarnation);
         for command in commands.drain(..) {
             if is_fenced && matches!(command, EngineCommand::SendNotice { .. }) {
-                // The notice is in the journal, but the process that took over may have read the journal before.
+                // The outcome is in the journal, but the process that took over may have read the journal before the
+                // outcome was written.
                 log_line!(
                     code = "fenced-off",
-                    "a notice is left to the process that took over"
+                    "notice not sent: left to the process that took over"
                 );
                 continue;
             }
@@ -89,9 +90,9 @@
         permit.is_some()
     }
 
-    /// Executes a command under a lease permit, if there is one. An acceptance is withheld if the lease has ended since
-    /// the permit was given, as the process may have been stopped: its message continues under the next lease. Without
-    /// a permit, only messages that were accepted before are reported as accepted.
+    /// Executes a command, under a lease permit if there is one. The lease may have ended since the permit was given, if the
+    /// process was stopped in between. An acceptance is then withheld, and its message continues under the next lease.
+    /// Without a permit, only messages that were accepted before are reported as accepted.
     fn execute_under(self: &Rc<Self>, permit: Option<&LeasePermit<'_>>, command: EngineCommand) {
         let is_acceptance = matches!(command, EngineCommand::Respond(_, SubmitResponse::Accepted));
         if let (Some(permit), true) = (permit, is_acceptance) {
@@ -181,7 +182,7 @@
             identity: message.identity.clone(),
             outcome,
         };
-        // Fails only where the platform's frontend is disabled.
+        // Fails only if the platform's frontend is disabled.
         let _ = self.notices.try_send(notice);
     }
 
@@ -204,7 +205,7 @@
         if let Err(error) = self.incarnation.borrow_mut().mark_handed_over() {
             log_line!(
                 code = "not-marked",
-                "the next process does not see that this one has handed over: {error}"
+                "successors cannot see that this process has handed over: {error}"
             );
         }
         self.admin.deactivate();
@@ -214,8 +215,11 @@
 
     fn policy_in_force(&self, revision: u64) {
         self.lease.set_revision(revision);
-        log_line!(code = "policy-in-force", "decides by revision {revision}");
-        // Deferred events are handled in a step under a permit of its own.
+        log_line!(
+            code = "policy-in-force",
+            "policy revision {revision} is in force"
+        );
+        // Causes another step, which handles the deferred events under a permit of its own.
         let _ = self.priority_events.try_send(EngineEvent::LeaseChanged);
     }
 }
--- a/crates/delivery/src/instance/executor/attempt_execution.rs
+++ b/crates/delivery/src/instance/executor/attempt_execution.rs
@@ -1,4 +1,4 @@
-//! Runs the attempts that the engine orders.
+//! Runs the attempts that the engine requests.
 
 use super::Executor;
 use crate::core::engine::{AttemptRequest, AttemptResult, EngineEvent};
@@ -12,7 +12,7 @@
 use marblefall_scheduler::{EndpointId, Outcome};
 use std::rc::Rc;
 
-/// The act of a started attempt in the history of the lease guard. Tools that check histories read it.
+/// Name of a started attempt in the history of the lease guard, which is read by tools that check histories.
 const HISTORY_ATTEMPT: &str = "leg";
 
 impl Executor {
@@ -75,8 +75,8 @@
         addresses.get(&id).cloned().unwrap_or_else(|| "".into())
     }
 
-    /// A permit to start an attempt. It is acquired immediately before the first byte, as the process may have been stopped
-    /// and fenced since the attempt was chosen.
+    /// Returns a permit to start an attempt, if this incarnation may start it. The permit is acquired immediately before the
+    /// first byte is sent, as the process may have been stopped and fenced since the attempt was chosen.
     fn attempt_permit(&self) -> Option<LeasePermit<'_>> {
         if !driver::may_start_attempt(&self.incarnation) {
             return None;
--- a/crates/delivery/src/instance/lease.rs
+++ b/crates/delivery/src/instance/lease.rs
@@ -8,16 +8,16 @@
 
 /// The lease under which an instance acts.
 pub(super) struct Lease {
-    /// The guard, if a lease is needed.
+    /// The guard; `None` if no lease is needed.
     guard: Option<Arc<LeaseGuard>>,
-    /// The revision of the policy that the engine decides by.
+    /// Revision of the policy by which the engine decides.
     revision: Cell<u64>,
-    /// The instance's name in the history.
+    /// Name of the instance in the history.
     instance: String,
 }
 
 impl Lease {
-    /// The lease of an instance. Without a configuration no lease is needed.
+    /// Creates the lease of an instance. Without a configuration, no lease is needed.
     pub(super) fn new(instance: String, config: Option<LeaseConfig>) -> Lease {
         let (guard, revision) = match config {
             Some(LeaseConfig { guard, revision }) => (Some(guard), revision),
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Sets the revision of the policy that the engine decides by from now on.
+    /// Sets the revision of the policy by which the engine decides from now on.
     pub(super) fn set_revision(&self, revision: u64) {
         self.revision.set(revision);
     }
 
-    /// A permit to act by the policy, if there is one at this moment.
+    /// Returns a permit to act by the policy, if the lease permits it at this moment.
     pub(super) fn acquire(&self) -> Option<LeasePermit<'_>> {
         match &self.guard {
             None => Some(LeasePermit::unconditional()),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The state of the lease when there is no permit.
+    /// Returns the state of the lease when no permit is given.
     pub(super) fn state_without_permit(&self) -> LeaseState {
         let Some(guard) = &self.guard else {
             return LeaseState::Held;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Writes an act to the history, if there is one.
+    /// Records an act in the history, if one is kept.
     pub(super) fn record(&self, act: &str) {
         if let Some(guard) = &self.guard {
             guard.record(&self.instance, act, self.revision.get());
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -1,4 +1,4 @@
-//! The instance that the platform configures, and its start.
+//! Starts the instance that the platform configures.
 
 use super::platform_config::{ConfigError, PlatformConfig};
 use super::{
@@ -24,17 +24,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The connect time-out where the platform sets none, in milliseconds.
+/// Time-out for connecting if the platform sets none, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1500.0;
-/// The time-out of idle connections where the platform sets none, in milliseconds.
+/// Time-out of idle connections if the platform sets none, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 10_000.0;
-/// How long a shortage of descriptors or memory at the start is waited out.
+/// Maximum time for which an operation at the start is retried during a shortage of file descriptors or memory.
 const SHORTAGE_TIMEOUT: Duration = Duration::from_secs(25);
 /// Delay before an operation is retried during a shortage.
 const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const BYTES_PER_MB: f64 = 1e6;
 const MS_PER_SECOND: f64 = 1000.0;
-/// The base of the seed's digits.
+/// Radix of the seed's digits.
 const SEED_RADIX: u32 = 16;
 
 /// Runs an instance on the platform until it is shut down.
@@ -55,13 +55,13 @@
     async_io::block_on(executor.run(run_instance(config, commands, tasks)))
 }
 
-/// Reads the configuration, and retries while the system is short of a resource.
+/// Reads the configuration. Retries while the system is short of file descriptors or memory.
 fn read_config() -> Result<PlatformConfig, ConfigError> {
     let deadline = Instant::now() + SHORTAGE_TIMEOUT;
     loop {
         match PlatformConfig::from_env() {
             Err(error) if error.is_transient() && Instant::now() < deadline => {
-                log_line!(code = "configuration-fails", "{error}; tried again");
+                log_line!(code = "configuration-fails", "{error}; retrying");
                 std::thread::sleep(SHORTAGE_RETRY_INTERVAL);
             }
             result => return result,
@@ -114,7 +114,7 @@
     })
 }
 
-/// The watch of the endpoint list, from the last list on.
+/// Returns the watch of the endpoint list. It starts after the revision of the last known list.
 fn list_watch(settings: &InstanceSettings, last_list: Option<&EndpointList>) -> ListWatch {
     ListWatch {
         names: NameIndex {
@@ -125,7 +125,7 @@
     }
 }
 
-/// The event with the endpoints of the last list.
+/// Returns the event with the endpoints of the last known list.
 fn configured_endpoints(last_list: Option<EndpointList>, names: &NameIndex) -> EngineEvent {
     match last_list {
         Some(list) => list.into_event(names),
@@ -133,7 +133,7 @@
     }
 }
 
-/// The engine's settings. The platform's messages are not retained once they have finished.
+/// Returns the engine's settings. The platform's messages are not retained once they have finished.
 fn engine_settings(settings: InstanceSettings, seed: &str) -> EngineSettings {
     let scheduler = settings.scheduler_settings();
     EngineSettings {
@@ -164,13 +164,17 @@
     Duration::from_secs_f64(ms / MS_PER_SECOND)
 }
 
-/// Retries an operation while the system is short of a resource, so that a process that starts just then does not fail.
+/// Retries an operation while the system is short of file descriptors or memory, as a process that starts during the
+/// shortage would fail otherwise.
 fn retry_during_shortage<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let deadline = Instant::now() + SHORTAGE_TIMEOUT;
     loop {
         match operation() {
             Err(error) if is_transient(&error) && Instant::now() < deadline => {
-                log_line!(code = "listener-deferred", "{error}; tried again");
+                log_line!(
+                    code = "listener-deferred",
+                    "cannot open a listener: {error}; retrying"
+                );
                 std::thread::sleep(SHORTAGE_RETRY_INTERVAL);
             }
             result => return result,
@@ -204,8 +208,9 @@
     })
 }
 
-/// Forwards commands. A reload of the configuration is replaced by the new address of discovery. A configuration that
-/// cannot be read changes nothing; if that may pass by itself, it is read again until it succeeds.
+/// Forwards commands to the instance. A command to reload the configuration is replaced by one with the new address of
+/// discovery. A configuration that cannot be read changes nothing. After a transient error it is read again until that
+/// succeeds.
 async fn reload_configuration(
     signal_commands: Receiver<InstanceCommand>,
     commands: Sender<InstanceCommand>,
@@ -239,27 +244,27 @@
     }
 }
 
-/// What came of reading the configuration again.
+/// The result of reloading the configuration.
 enum Reload {
-    /// Discovery is at this address.
+    /// The configuration was read. Discovery is at this address.
     DiscoveryAt(SocketAddr),
-    /// The configuration cannot be used.
+    /// The configuration cannot be used, so nothing changes.
     Unchanged,
-    /// It cannot be read at the moment.
+    /// The configuration cannot be read because of a transient error.
     Retry,
 }
 
 fn reload() -> Reload {
     let error = match PlatformConfig::from_env().and_then(|config| config.discovery_address()) {
         Ok(address) => {
-            log_line!("configuration read again: discovery is at {address}");
+            log_line!("configuration reloaded: discovery is at {address}");
             return Reload::DiscoveryAt(address);
         }
         Err(error) => error,
     };
     let cause = Report::new(&error);
     if error.is_transient() {
-        log_line!(code = "configuration-fails", "{cause}; tried again");
+        log_line!(code = "configuration-fails", "{cause}; retrying");
         return Reload::Retry;
     }
     log_line!("configuration kept as it was, {cause}");
--- a/crates/delivery/src/instance/platform_config.rs
+++ b/crates/delivery/src/instance/platform_config.rs
@@ -7,52 +7,52 @@
 use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
 
-/// Names the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Names the state folder.
+/// Environment variable with the path of the state folder.
 const STATE_FOLDER_VARIABLE: &str = "RELAY_STATE";
-/// Overrides the address for clients.
+/// Environment variable that overrides the address for clients.
 const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
-/// Overrides the address for operators' calls.
+/// Environment variable that overrides the address for operators' calls.
 const ADMIN_LISTEN_VARIABLE: &str = "RELAY_MGMT";
 
-/// Why the configuration cannot be used.
+/// The reason for which the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// An environment variable is missing.
     #[error("{0} is not set")]
     MissingVariable(&'static str),
     /// The file cannot be read.
-    #[error("{path}")]
+    #[error("cannot read {path}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The system's error.
         #[source]
         source: std::io::Error,
     },
     /// The file cannot be parsed.
-    #[error("{path}")]
+    #[error("cannot parse {path}")]
     Unparsable {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The parser's error, with its position.
         #[source]
         source: serde_json::Error,
     },
     /// The address of discovery cannot be parsed.
-    #[error("{text}")]
+    #[error("invalid address of discovery {text:?}")]
     DiscoveryAddress {
-        /// The text.
+        /// Text of the address.
         text: String,
-        /// Why it cannot be parsed.
+        /// The parser's error.
         #[source]
         source: AddrParseError,
     },
 }
 
 impl ConfigError {
-    /// Whether the cause may pass by itself.
+    /// Returns whether the error may pass without a change of the configuration.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable { source, .. } if is_transient(source))
     }
@@ -61,7 +61,7 @@
 /// The limits that the platform sets.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PlatformLimits {
-    /// How many file descriptors the process may use.
+    /// Maximum number of file descriptors that the process may use.
     pub sockets: usize,
     /// Maximum size of the state folder, in megabytes.
     pub disk_mb: f64,
@@ -70,25 +70,25 @@
 /// The platform's configuration file, with the platform's keys.
 #[derive(Debug, Deserialize)]
 pub struct PlatformConfig {
-    /// The instance's name.
+    /// Name of the instance.
     pub name: String,
-    /// The address for clients.
+    /// Address for clients.
     pub listen: String,
-    /// The address of discovery.
+    /// Address of discovery.
     pub discovery: String,
-    /// The address for operators' calls, if there is one. `RELAY_MGMT` overrides it.
+    /// Address for operators' calls, if they are accepted. `RELAY_MGMT` overrides it.
     #[serde(default, rename = "mgmt")]
     pub admin_listen: Option<String>,
     /// The seed of random numbers, in hexadecimal.
     pub seed: String,
-    /// The limits of its resources.
+    /// Limits of the instance's resources.
     pub limits: PlatformLimits,
-    /// The last endpoint list.
+    /// The last known endpoint list; `None` if there is none.
     #[serde(rename = "known")]
     pub last_list: Option<EndpointList>,
     /// The scheduler's settings.
     pub settings: InstanceSettings,
-    /// The state folder, which is set by the environment only.
+    /// Path of the state folder, which is set only by the environment.
     #[serde(skip)]
     pub state_folder: PathBuf,
 }
@@ -102,8 +102,8 @@
         let path = variable(CONFIG_VARIABLE)?;
         let mut config = PlatformConfig::from_file(path)?;
         config.state_folder = variable(STATE_FOLDER_VARIABLE)?.into();
-        // The address of discovery is read from the file alone, as the file may be replaced while the process is running,
-        // and the environment cannot.
+        // No variable overrides the address of discovery: the file may be replaced while the process is running, and the
+        // environment cannot.
         if let Ok(listen) = variable(LISTEN_VARIABLE) {
             config.listen = listen;
         }
@@ -121,7 +121,7 @@
         serde_json::from_slice(&text).map_err(|source| ConfigError::Unparsable { path, source })
     }
 
-    /// The address of discovery.
+    /// Parses the address of discovery.
     ///
     /// # Errors
     /// The address cannot be parsed.
--- a/crates/delivery/src/instance/shutdown.rs
+++ b/crates/delivery/src/instance/shutdown.rs
@@ -1,7 +1,7 @@
-//! Graceful shutdown of an instance, which a command or a successor requests.
+//! Graceful shutdown of an instance, at the request of a command or a successor.
 //!
-//! Client connections are closed first, in a task of its own: each after its next response, then the idle ones, then all.
-//! The engine continues until no message is open, or until the deadline. How fast connections are closed depends on the
+//! A task of its own closes client connections first: each after its next response, then the idle ones, then all. The
+//! engine continues until no message is open, or until the deadline. The times at which connections are closed depend on the
 //! [`Successor`].
 
 use crate::clock::Clock;
@@ -17,40 +17,41 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a process may take to shut down after SIGTERM.
+/// Maximum duration of a shutdown after SIGTERM.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3400);
-/// Without a successor, idle connections are closed after this time, when no new ones are expected.
+/// Without a successor, idle connections are closed after this time. No new connections are expected by then.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(500);
-/// After that, connections are closed once they have been idle for this long.
+/// Minimum idle time of connections that are closed after that.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(150);
-/// How often idle connections are looked for.
+/// Interval at which idle connections are closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_micros(37_500);
-/// With a running successor, idle connections are closed only after this time. Until then each client has one more response
-/// on its connection, after which it connects to the successor.
+/// With a running successor, idle connections are closed only after this time. Until then each client receives one more
+/// response on its connection, after which it connects to the successor.
 const SUCCESSOR_CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2200);
-/// With a running successor, connections are then closed once they have been idle for this long.
+/// Minimum idle time of connections that are closed after that, with a running successor.
 const SUCCESSOR_MIN_IDLE_TIME: Duration = Duration::from_millis(400);
-/// Delay after which the remaining idle connections are closed, with a running successor.
+/// With a running successor, all remaining idle connections are closed after this time.
 const SUCCESSOR_CLOSE_ALL_AFTER: Duration = Duration::from_millis(3100);
-/// How long before its end a process closes its listeners. Connections in the system's queue are served until then, as the
-/// end of the process would reset them.
+/// Time before its end at which a process closes its listeners. Until then it serves the connections in the operating
+/// system's queue, as the end of the process would reset them.
 const STOP_ACCEPTING_BEFORE_END: Duration = Duration::from_millis(400);
 
 /// The incarnation that serves clients after this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Successor {
-    /// None is known.
+    /// No successor is known.
     None,
     /// An incarnation that is started once this one has ended.
     Restart,
     /// An incarnation that is running.
     Running,
-    /// The active incarnation beside which this one is a standby. It adopts the messages of this one once that has ended.
+    /// The active incarnation beside which this one is a standby. It adopts the messages of this one once this one has
+    /// ended.
     ActivePredecessor,
 }
 
 impl Successor {
-    /// Whether it delivers the messages that are still open.
+    /// Returns whether the successor delivers the messages that are still open.
     fn takes_over(self) -> bool {
         match self {
             Successor::None => false,
@@ -65,7 +66,7 @@
     pub(super) incarnation: Rc<RefCell<Incarnation>>,
     pub(super) clock: Clock,
     pub(super) tasks: Spawner,
-    /// When the instance ends at the latest; set once the shutdown has begun.
+    /// Latest time at which the instance ends; `None` until the shutdown begins.
     pub(super) deadline: Cell<Option<Instant>>,
 }
 
@@ -74,8 +75,8 @@
         self.deadline.get().is_some()
     }
 
-    /// Begins the shutdown, which takes at most `timeout`. If a successor is running, it is used in place of the given one.
-    /// Returns the event for the engine.
+    /// Begins the shutdown, which takes at most `timeout`, and returns the event for the engine. If another incarnation is
+    /// running, it replaces the given successor.
     pub(super) fn begin(&self, timeout: Duration, successor: Successor) -> EngineEvent {
         let now = Instant::now();
         let has_running_successor =
@@ -89,7 +90,7 @@
         };
         self.deadline.set(Some(now + timeout));
         if successor.takes_over() {
-            // New connections are the successor's from now on.
+            // The successor serves new connections from now on.
             self.clients.begin_closing(now);
             self.clients.stop_accepting();
         } else {
@@ -105,7 +106,7 @@
         self.engine_event(timeout, successor)
     }
 
-    /// Hands over to the successor that requests it. Returns the event for the engine.
+    /// Hands over to the successor that requested it, and returns the event for the engine.
     pub(super) fn hand_over(&self) -> EngineEvent {
         if self.has_begun() {
             return self.engine_event(SHUTDOWN_TIMEOUT, Successor::Running);
@@ -123,15 +124,16 @@
         }
     }
 
-    /// Whether the instance may end now. Once nothing is open, the listeners are closed, and connections in the system's
-    /// queue are still served.
+    /// Returns whether the instance may end now. Once nothing is open, it closes the listeners; connections in the operating
+    /// system's queue are still served.
     pub(super) fn is_complete(&self, engine: &Engine) -> bool {
         let Some(deadline) = self.deadline.get() else {
             return false;
         };
         let load = engine.load();
         let now = Instant::now();
-        // After a handover, open messages are the successor's, and only attempts and connections are waited for.
+        // After a handover the successor delivers the open messages, so this instance waits only for its attempts, the
+        // reports of their results, and its connections.
         let is_idle = load.in_flight == 0
             && (load.open_messages == 0 || engine.has_handed_over())
             && !engine.has_unwritten_reports()
--- a/crates/delivery/src/instance/signals.rs
+++ b/crates/delivery/src/instance/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the process as commands to its instance.
+//! Translates signals of the process to commands of its instance.
 
 use super::{InstanceCommand, InstanceError, ShutdownReason, SHUTDOWN_TIMEOUT};
 use crate::log_line;
@@ -11,7 +11,7 @@
 /// Delay before signals are read again after an error.
 const ERROR_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Registers the signals that are commands. Until it is called, they kill the process.
+/// Registers the signals that are translated to commands. Before this call, they kill the process.
 ///
 /// # Errors
 /// The signals cannot be registered.
@@ -20,14 +20,17 @@
         .map_err(InstanceError::Signals)
 }
 
-/// Sends signals as commands until the channel is closed.
+/// Sends a command for each signal until the channel of commands is closed.
 pub async fn watch_signals(mut signals: Signals, commands: Sender<InstanceCommand>) {
     while let Some(signal) = signals.next().await {
         let signal = match signal {
             Ok(signal) => signal,
             Err(error) => {
-                // A process that receives no signals could only be killed.
-                log_line!(code = "signal-not-read", "{error}; tried again");
+                // A process that no longer received signals could only be killed.
+                log_line!(
+                    code = "signal-not-read",
+                    "cannot read signals: {error}; retrying"
+                );
                 Timer::after(ERROR_RETRY_DELAY).await;
                 continue;
             }
--- a/crates/delivery/src/instance/state_folder.rs
+++ b/crates/delivery/src/instance/state_folder.rs
@@ -1,7 +1,7 @@
-//! Claims the state folder, and retries for as long as its disk fails.
+//! Claims the state folder, and retries while its disk fails.
 //!
 //! A process that exited on a transient error would leave the messages of earlier incarnations undelivered. It retries
-//! instead, accepts nothing meanwhile, and can be shut down.
+//! instead. Meanwhile it accepts no messages, and can be shut down.
 
 use super::admin::read_disabled;
 use super::{InstanceCommand, InstanceError, StateFolder};
@@ -20,14 +20,14 @@
 /// Delay before a failed operation is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How an incarnation starts.
+/// The mode in which an incarnation starts.
 pub(super) enum StartMode {
-    /// No other incarnation is running: it is active at once, with the messages of earlier ones.
+    /// No other incarnation is running. This one is active at once, with the messages of earlier ones.
     Alone {
         /// The endpoints that operators have disabled.
         disabled_endpoints: BTreeSet<String>,
     },
-    /// As a standby beside predecessors, which may still change messages and disabled endpoints.
+    /// The incarnation is a standby beside predecessors, which may still change messages and disabled endpoints.
     Standby(RunningPredecessors),
 }
 
@@ -39,19 +39,19 @@
     pub(super) start_mode: StartMode,
 }
 
-/// Why the folder is not claimed.
+/// The reason for which the folder was not claimed.
 pub(super) enum ClaimInterrupt {
-    /// The process was shut down before the disk worked.
+    /// The process was shut down while the disk still failed.
     ShutDown,
     /// The folder cannot be used.
     Failed(InstanceError),
 }
 
-/// Claims the folder, and queues the commands that are received meanwhile.
+/// A claim of the state folder. It queues the commands that are received until the folder is claimed.
 pub(super) struct Claim<'a> {
     pub(super) folder: &'a StateFolder,
     pub(super) commands: &'a Receiver<InstanceCommand>,
-    /// The queued commands, to be handled once the instance is running.
+    /// The queued commands. They are handled once the instance is running.
     pub(super) early_commands: Vec<InstanceCommand>,
 }
 
@@ -59,7 +59,7 @@
     /// Claims the folder.
     ///
     /// # Errors
-    /// The process is shut down, or an error is not transient, such as missing permissions.
+    /// The process is shut down, or an operation fails with an error that is not transient, such as missing permissions.
     pub(super) async fn run(
         &mut self,
         class_names: &[String],
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Retries an operation until it succeeds.
+    /// Retries an operation while it fails with transient errors.
     async fn retry<T>(
         &mut self,
         mut operation: impl FnMut() -> io::Result<T>,
@@ -106,18 +106,18 @@
             }
             log_line!(
                 code = "state-folder-fails",
-                "{}: {error}; tried again",
+                "{}: {error}; retrying",
                 self.folder.path.display()
             );
             Timer::after(RETRY_INTERVAL).await;
             if self.is_shut_down() {
-                log_line!("shut down before its state folder works");
+                log_line!("shut down before the state folder was claimed");
                 return Err(ClaimInterrupt::ShutDown);
             }
         }
     }
 
-    /// Whether the process is shut down. Other commands are queued.
+    /// Returns whether a command to shut down was received. Queues other commands.
     fn is_shut_down(&mut self) -> bool {
         while let Ok(command) = self.commands.try_recv() {
             if matches!(command, InstanceCommand::Shutdown { .. }) {
