--- a/crates/delivery/src/frontend.rs
+++ b/crates/delivery/src/frontend.rs
@@ -1,6 +1,6 @@
-//! The frontends: translations between a protocol and the core. They make no decisions, and do not depend on each other.
+//! Frontends translate between a protocol and the core. They make no decisions, and do not depend on each other.
 //!
-//! They implement [`crate::net::frontend::Frontend`], by which the network uses them.
+//! They implement [`crate::net::frontend::Frontend`], through which the network uses them.
 
 pub mod cloudevents;
 pub mod platform;
@@ -19,19 +19,19 @@
 }
 
 impl<F> SwappableFrontend<F> {
-    /// Starts with a frontend.
+    /// Creates the replaceable frontend with its first frontend.
     pub fn new(frontend: F) -> SwappableFrontend<F> {
         SwappableFrontend {
             current: RefCell::new(Rc::new(frontend)),
         }
     }
 
-    /// The current frontend.
+    /// Returns the current frontend.
     pub fn get(&self) -> Rc<F> {
         self.current.borrow().clone()
     }
 
-    /// Replaces the frontend.
+    /// Replaces the current frontend.
     pub fn set(&self, frontend: F) {
         self.current.replace(Rc::new(frontend));
     }
--- a/crates/delivery/src/frontend/cloudevents.rs
+++ b/crates/delivery/src/frontend/cloudevents.rs
@@ -1,5 +1,5 @@
-//! CloudEvents over HTTP: clients submit events and receive the final outcome as the response; each event is forwarded to
-//! its destination as an event again. [`event`] decodes and encodes the events themselves.
+//! CloudEvents over HTTP. Clients submit events and receive the final outcome as the response. Each event is forwarded to
+//! its destination, also as a CloudEvent. [`event`] decodes and encodes the events themselves.
 
 mod attempt;
 pub mod event;
@@ -18,51 +18,51 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A longer time to live is reduced to this.
+/// Maximum time to live, in milliseconds. A longer one is reduced to this value.
 const MAX_TIME_TO_LIVE_MS: i64 = 7 * 24 * 3600 * 1000;
 const MS_PER_S: u64 = 1000;
 
-/// How the events of a class are handled.
+/// The requirements and defaults for events of a class.
 #[derive(Clone, Debug)]
 pub struct EventClass {
-    /// The time to live of an event without an expiry time, in milliseconds.
+    /// Time to live of an event without an expiry time, in milliseconds.
     pub default_time_to_live_ms: i64,
-    /// Whether its endpoints drop repeated attempts by key, so that events must have one.
+    /// Whether events must have an idempotency key, as endpoints of the class recognize repeated attempts by it.
     pub requires_key: bool,
 }
 
-/// How events are sent to a destination.
+/// The form in which events are sent to a destination.
 #[derive(Clone, Debug, Default)]
 pub struct Target {
     /// The content mode that its endpoints support.
     pub mode: ContentMode,
-    /// The path at its endpoints.
+    /// Path at its endpoints.
     pub path: String,
 }
 
-/// The destinations, and how events are sent to each.
+/// The destinations and the form in which events are sent to each.
 #[derive(Clone, Debug, Default)]
 pub struct Destinations {
-    /// The destinations; each refers to one of the `targets` by its encoding.
+    /// The destinations. Each refers to one of the `targets` by its `encoding`.
     pub table: Arc<DestinationTable>,
-    /// How events are sent, by the index that the table calls encoding.
+    /// The forms in which events are sent. The table's `encoding` is the index of one of them.
     pub targets: Arc<Vec<Target>>,
 }
 
-/// The client side of CloudEvents, and the encoding of their attempts.
+/// The client side of CloudEvents, and the encoding of attempts to forward them.
 #[derive(Clone, Debug, Default)]
 pub struct CloudEventsFrontend {
-    /// The path where events are submitted.
+    /// Path at which clients submit events.
     pub path: String,
-    /// The attribute that names an event's destination.
+    /// Name of the attribute that names an event's destination.
     pub destination_attribute: String,
-    /// The class of each type of event.
+    /// Class of each type of event.
     pub class_by_type: BTreeMap<String, ClassId>,
     /// The classes by index.
     pub classes: Vec<EventClass>,
     /// The destinations, which may be replaced while the frontend is in use.
     pub destinations: RefCell<Destinations>,
-    /// The core's id for a destination's name; `None` where there are no destinations.
+    /// Function that computes the core's id of a destination from its name; `None` if there are no destinations.
     pub destination_number: Option<fn(&str) -> u64>,
 }
 
@@ -170,7 +170,7 @@
     fn find_destination(&self, name: &str) -> Option<DestinationId> {
         let id = DestinationId(self.destination_number?(name));
         let destinations = self.destinations.borrow();
-        // The id is a hash, which another name may share.
+        // The id is a hash of the name, and another name may have the same hash.
         destinations
             .table
             .entry(id)
@@ -197,7 +197,7 @@
             .get(class.0)
             .is_some_and(|class| class.requires_key);
         if key.is_none() && requires_key {
-            // Without a key endpoints could not recognise a repeated attempt, so a reset could not be retried.
+            // Without a key, endpoints could not recognize a repeated attempt, so a reset could not be retried.
             return Err(EventError::MissingKey {
                 event_type: event_type.to_owned(),
             });
@@ -205,7 +205,7 @@
         Ok(key)
     }
 
-    /// When the event expires, as Unix time in milliseconds on the steady clock.
+    /// Returns the time at which the event expires, as Unix time in milliseconds on the steady clock.
     fn expiry(&self, context: &Context, class: ClassId, at: ReceivedAt) -> Result<i64, EventError> {
         match context.text(attribute::EXPIRY_TIME) {
             Some(text) => {
@@ -239,7 +239,8 @@
     }
 }
 
-/// The identity of an event: its source and its id. The length of the source keeps different pairs apart.
+/// Returns the identity of an event: its source and its id. The length of the source comes first, so that different pairs
+/// have different identities.
 fn identity(source: &str, id: &str) -> Vec<u8> {
     format!("{}:{source}{id}", source.len()).into_bytes()
 }
--- a/crates/delivery/src/frontend/cloudevents/attempt.rs
+++ b/crates/delivery/src/frontend/cloudevents/attempt.rs
@@ -1,4 +1,4 @@
-//! The requests that endpoints receive, and the meaning of their responses.
+//! The requests that endpoints receive, and the interpretation of their responses.
 
 use super::event::{self, Context, EncodedEvent};
 use super::Target;
@@ -29,9 +29,9 @@
 /// Derives the outcome of an attempt from its response.
 ///
 /// Only a rejection proves that the event was not executed: a gateway in front of the endpoint may respond in its place
-/// after the endpoint has executed the event. Other statuses from 400 on are about the event itself, so a retry would
-/// fail in the same way. Exceptions are those that depend on the moment (408, 423, 425), and those about the caller
-/// (401, 403, 407), which an operator may correct before the event expires.
+/// after the endpoint has executed the event. Other statuses from 400 to 499 are about the event itself, so a retry would
+/// fail in the same way. Exceptions are statuses with a temporary cause (408, 423, 425), and statuses about the caller
+/// (401, 403, 407), whose cause an operator may correct before the event expires.
 pub fn classify_response(response: &ResponseHead<'_>) -> AttemptOutcome {
     let (outcome, disposition) = match response.status {
         200..=299 => (Outcome::Delivered, Disposition::Undecided),
--- a/crates/delivery/src/frontend/cloudevents/event.rs
+++ b/crates/delivery/src/frontend/cloudevents/event.rs
@@ -1,4 +1,4 @@
-//! A CloudEvent 1.0, and the content modes in which HTTP transfers it.
+//! Events of CloudEvents 1.0, and the content modes in which HTTP transfers them.
 //!
 //! Attributes, extensions and data keep their meaning if an event is received in one mode and sent in the other.
 
@@ -18,23 +18,23 @@
 
 /// The media type of an event in structured mode.
 const STRUCTURED_MEDIA_TYPE: &str = "application/cloudevents+json";
-/// The start of the media types of events, most of which are not supported.
+/// Prefix of the media types of events, most of which are not supported.
 const EVENT_MEDIA_TYPE_PREFIX: &str = "application/cloudevents";
 
 /// The supported version of the specification.
 const SPEC_VERSION: &str = "1.0";
-/// The attributes that every event has beside the version.
+/// The attributes that every event must have besides the version.
 const REQUIRED_ATTRIBUTES: [&str; 3] = [attribute::ID, attribute::SOURCE, attribute::TYPE];
 
-/// Names of the attributes of the specification.
+/// Names of attributes.
 pub mod attribute {
     /// The media type of the data.
     pub const DATA_CONTENT_TYPE: &str = "datacontenttype";
-    /// When the event expires, as an RFC 3339 time. An extension.
+    /// The time at which the event expires, as an RFC 3339 time. This attribute is an extension.
     pub const EXPIRY_TIME: &str = "expirytime";
     /// The event's id, unique to its source.
     pub const ID: &str = "id";
-    /// Where the event happened.
+    /// The context in which the event happened.
     pub const SOURCE: &str = "source";
     /// The version of the specification.
     pub const SPEC_VERSION: &str = "specversion";
@@ -42,7 +42,7 @@
     pub const TYPE: &str = "type";
 }
 
-/// The format of the data as it was received, as far as the mode defines it.
+/// The format in which the data was received, as far as the content mode defines it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DataFormat {
     /// There is no data.
@@ -52,18 +52,18 @@
     Json,
     /// A JSON string whose text is the data.
     Text,
-    /// Bytes. In binary mode only the content type says more.
+    /// Bytes. In binary mode, only the content type describes them.
     Bytes,
 }
 
-/// How HTTP transfers an event.
+/// The content mode in which HTTP transfers an event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ContentMode {
-    /// Attributes as header fields, the data as the body.
+    /// Attributes are header fields, and the data is the body.
     #[default]
     Binary,
-    /// Attributes and data as one JSON body.
+    /// Attributes and data are one JSON body.
     Structured,
 }
 
@@ -80,9 +80,9 @@
 /// An event that was received.
 #[derive(Debug, PartialEq)]
 pub struct DecodedEvent<'a> {
-    /// The event's attributes.
+    /// Attributes of the event, and the format of its data.
     pub context: Context,
-    /// The event's data.
+    /// Data of the event.
     pub data: Cow<'a, [u8]>,
 }
 
@@ -91,12 +91,12 @@
 pub struct EncodedEvent<'a> {
     /// Names and values of the header fields.
     pub fields: Vec<(String, String)>,
-    /// The body.
+    /// Body of the request.
     pub body: Cow<'a, [u8]>,
 }
 
 impl Context {
-    /// The text of an attribute, as in binary mode.
+    /// Returns the text of an attribute, as it is written in binary mode.
     pub fn text(&self, name: &str) -> Option<Cow<'_, str>> {
         self.attributes.get(name).map(|value| match value {
             Value::String(text) => Cow::Borrowed(text.as_str()),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Adds an attribute; one with the value null is absent.
+    /// Adds an attribute. An attribute with the value null counts as absent.
     fn insert(&mut self, name: &str, value: Value) -> Result<(), EventError> {
         let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit();
         if name.is_empty() || !name.bytes().all(is_allowed) {
@@ -142,7 +142,7 @@
 /// Decodes an event from a request.
 ///
 /// # Errors
-/// The request is not an event that can be accepted.
+/// The request does not contain an acceptable event.
 pub fn decode<'a>(fields: &Fields<'_>, body: &'a [u8]) -> Result<DecodedEvent<'a>, EventError> {
     let content_type = fields.text(header::CONTENT_TYPE).unwrap_or_default();
     match media_type(content_type).as_str() {
--- a/crates/delivery/src/frontend/cloudevents/event/binary.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/binary.rs
@@ -7,9 +7,10 @@
 use serde_json::Value;
 use std::borrow::Cow;
 
-/// What the HTTP binding percent-encodes in a header value: these, and all but printable ASCII.
+/// ASCII characters that the HTTP binding percent-encodes in a header value. Non-ASCII characters are always
+/// encoded.
 const PERCENT_ENCODED: &AsciiSet = &CONTROLS.add(b' ').add(b'"').add(b'%').add(0x7f);
-/// The prefix of header fields that hold attributes.
+/// Prefix of header fields that hold attributes.
 const FIELD_PREFIX: &str = "ce-";
 /// The content type of data that was a JSON value in structured mode and has no declared type.
 const IMPLIED_JSON_TYPE: &str = "application/json";
@@ -46,7 +47,7 @@
     })
 }
 
-/// Decodes the percent-encoded value of a header field, which some senders put between quotation marks.
+/// Decodes the percent-encoded value of a header field. Some senders put the value between quotation marks.
 fn decode_value(name: &str, value: &[u8]) -> Result<String, EventError> {
     let value =
         std::str::from_utf8(value).map_err(|_| EventError::FieldNotText(name.to_owned()))?;
@@ -93,7 +94,7 @@
     let implied =
         (context.data_format == DataFormat::Json).then_some(Cow::Borrowed(IMPLIED_JSON_TYPE));
     let content_type = context.text(attribute::DATA_CONTENT_TYPE).or(implied)?;
-    // In JSON it may contain any character; in a header field it must not end the line.
+    // In JSON, the content type may contain any character. In a header field, it must not end the line.
     let content_type = content_type.chars().filter(|c| !c.is_control()).collect();
     Some((header::CONTENT_TYPE.to_owned(), content_type))
 }
--- a/crates/delivery/src/frontend/cloudevents/event/error.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/error.rs
@@ -1,8 +1,8 @@
-//! Why a request is not an event that can be accepted.
+//! Errors of requests that do not contain an acceptable event.
 
 use crate::net::http::{header, status};
 
-/// Why a request is not an event that can be accepted. The text is the body of the response.
+/// The reason for which a request does not contain an acceptable event. Its text is the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
     /// The event has a media type that is not supported, such as that of a batch.
@@ -17,7 +17,7 @@
     /// An attribute has an invalid name.
     #[error("{0:?} cannot name an attribute")]
     InvalidAttributeName(String),
-    /// An attribute has a value of another type.
+    /// An attribute has a value that is not a string, a boolean or an integer.
     #[error("attribute {0} is no string, boolean or whole number")]
     InvalidAttributeType(String),
     /// An attribute is given twice.
@@ -40,7 +40,7 @@
     InvalidMember {
         /// The member's name.
         name: String,
-        /// Why it cannot be parsed.
+        /// The parser's error.
         source: serde_json::Error,
     },
     /// The event has data both as JSON and as base64.
@@ -61,7 +61,7 @@
         /// The event's type.
         event_type: String,
     },
-    /// The time of expiry cannot be parsed.
+    /// The expiry time cannot be parsed.
     #[error("expirytime is no RFC 3339 time")]
     InvalidExpiryTime(#[source] jiff::Error),
     /// The attributes cannot be stored.
@@ -73,17 +73,17 @@
         /// The attribute's name.
         attribute: String,
     },
-    /// The settings have no class for the type.
+    /// The settings have no class for the event's type.
     #[error("unknown type {0:?}")]
     UnknownType(String),
-    /// The settings have no such destination.
+    /// The settings have no destination of this name.
     #[error("unknown destination {0:?}")]
     UnknownDestination(String),
 }
 
 impl EventError {
-    /// The status of the response: 422 for an event that the settings do not provide for, 415 for a media type, 400 for a
-    /// malformed event.
+    /// Returns the status of the response: 422 for an event whose type or destination is not in the settings, 415 for an
+    /// unsupported media type, and 400 for a malformed event.
     pub fn status(&self) -> u16 {
         match self {
             EventError::UnsupportedMediaType(_) => status::UNSUPPORTED_MEDIA_TYPE,
--- a/crates/delivery/src/frontend/cloudevents/event/media_type.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/media_type.rs
@@ -1,6 +1,6 @@
-//! Media types of events' data.
+//! Media types of events and their data.
 
-/// A content type without its parameters, in lower case.
+/// Returns a content type without its parameters, in lower case.
 pub(super) fn media_type(content_type: &str) -> String {
     content_type
         .split(';')
@@ -10,13 +10,13 @@
         .to_ascii_lowercase()
 }
 
-/// Whether data of a content type is JSON.
+/// Returns whether data of a content type is JSON.
 pub(super) fn is_json(content_type: &str) -> bool {
     let media_type = media_type(content_type);
     media_type.ends_with("/json") || media_type.ends_with("+json")
 }
 
-/// Whether data of a content type is text in UTF-8.
+/// Returns whether data of a content type is text in UTF-8.
 pub(super) fn is_utf8_text(content_type: &str) -> bool {
     let content_type = content_type.to_ascii_lowercase();
     let has_other_charset = content_type.contains("charset") && !content_type.contains("utf-8");
--- a/crates/delivery/src/frontend/cloudevents/event/structured.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/structured.rs
@@ -11,13 +11,13 @@
 
 /// The content type of an event in structured mode.
 const CONTENT_TYPE: &str = "application/cloudevents+json; charset=utf-8";
-/// The member that holds data as a JSON value.
+/// Name of the member that holds data as a JSON value.
 const DATA: &str = "data";
-/// The member that holds data as base64.
+/// Name of the member that holds data as base64.
 const DATA_BASE64: &str = "data_base64";
 const NULL: &str = "null";
 
-/// Whether a member of the JSON object holds data rather than an attribute.
+/// Returns whether a member of the JSON object holds data rather than an attribute.
 pub(super) fn is_data_member(name: &str) -> bool {
     name == DATA || name == DATA_BASE64
 }
@@ -58,7 +58,7 @@
         .map_err(EventError::InvalidBase64)
 }
 
-/// Decodes the data member. A string is text where another type than JSON is declared; everything else is JSON.
+/// Decodes the data member. A string is text if a content type other than JSON is declared; everything else is JSON.
 fn decode_data(raw: &RawValue, context: &mut Context) -> Vec<u8> {
     let is_declared_json = context
         .text(attribute::DATA_CONTENT_TYPE)
@@ -97,8 +97,8 @@
     serde_json::to_vec(&members).unwrap_or_default()
 }
 
-/// The member that holds the data. For data that was received in binary mode the content type decides: JSON and UTF-8 text
-/// are encoded as such if they are valid, everything else as base64.
+/// Returns the member that holds the data. Data that was received in binary mode is encoded by its content type: JSON and
+/// UTF-8 text as such if they are valid, and everything else as base64.
 fn data_member(context: &Context, data: &[u8]) -> Option<(&'static str, Box<RawValue>)> {
     let text = std::str::from_utf8(data).ok();
     let content_type = context
@@ -123,7 +123,7 @@
     }
 }
 
-/// A JSON text as a raw value; `None` if it is malformed.
+/// Returns a JSON text as a raw value, or `None` if the text is malformed.
 fn raw_value(json: String) -> Option<Box<RawValue>> {
     RawValue::from_string(json).ok()
 }
--- a/crates/delivery/src/frontend/cloudevents/event/tests.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/tests.rs
@@ -7,7 +7,7 @@
     decode(&request.fields, body).map(|event| (event.context, event.data.into_owned()))
 }
 
-/// Encodes an event in a mode and decodes it again.
+/// Encodes an event in a content mode and decodes it again.
 fn round_trip(context: &Context, data: &[u8], mode: ContentMode) -> (Context, Vec<u8>) {
     let EncodedEvent { fields, body } = encode(context, data, mode);
     let lines: Vec<String> = fields
@@ -26,7 +26,7 @@
     let (context, data) = parse(JSON, body.as_bytes()).unwrap();
     assert_eq!(
         data, br#"{"n":1.50,"big":12345678901234567890123}"#,
-        "JSON is unchanged"
+        "JSON data is unchanged"
     );
     let fields = encode(&context, &data, ContentMode::Binary).fields;
     let field = |name: &str| {
@@ -137,7 +137,7 @@
     }
     assert!(
         parse(&format!("{complete}\r\nce-id: 2"), b"").is_err(),
-        "an attribute given twice"
+        "an attribute that is given twice must be an error"
     );
 }
 
--- a/crates/delivery/src/frontend/platform.rs
+++ b/crates/delivery/src/frontend/platform.rs
@@ -17,20 +17,20 @@
 use marblefall_scheduler::{ClassId, DestinationId};
 use std::collections::BTreeMap;
 
-/// The path where clients submit messages.
+/// Path at which clients submit messages.
 const SUBMIT_PATH: &str = "/api";
-/// A longer time to live is reduced to this, so that sums with it do not overflow.
+/// Maximum time to live, in milliseconds. A longer one is reduced to this value, so that sums with it do not overflow.
 const MAX_TIME_TO_LIVE_MS: i64 = 24 * 3600 * 1000;
-/// How much of the time to live is reserved for delays of the process. The time counts from when the client sent the
-/// message, and a notice counts as late 300 ms after its end; but the process may be suspended for 150 ms before it reads
-/// the message, and again before it writes the notice.
+/// Maximum part of the time to live that is reserved for delays of the process, in milliseconds. The time to live counts
+/// from when the client sent the message, and a notice counts as late 300 ms after its end. However, the process may be
+/// suspended for 150 ms before it reads the message, and again before it writes the notice.
 const MAX_READ_DELAY_MS: i64 = 30;
-/// The reserve is at most one in this many parts of the time to live.
+/// The reserved part is at most the time to live divided by this.
 const READ_DELAY_DIVISOR: i64 = 40;
-/// The longest identity or idempotency key, in bytes.
+/// Maximum length of an identity or an idempotency key, in bytes.
 const MAX_NAME_LEN: usize = 256;
 
-/// Why a request is not a message. The text is the body of the response.
+/// The reason for which a request is not a valid message. Its text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum RequestError {
     /// The id is missing or not printable.
@@ -39,7 +39,7 @@
     /// The class is missing.
     #[error("no {}", headers::CLASS)]
     MissingClass,
-    /// The settings have no such class.
+    /// The settings have no class of this name.
     #[error("unknown class")]
     UnknownClass,
     /// The time to live is missing or not a number.
@@ -57,17 +57,17 @@
     /// The envelope names no destination.
     #[error("no {} in {}", headers::ENVELOPE_DESTINATION, headers::ENVELOPE)]
     MissingDestination,
-    /// The settings have no such destination.
+    /// The settings have no destination of this number.
     #[error("unknown {}", headers::ENVELOPE_DESTINATION)]
     UnknownDestination,
 }
 
-/// A class of messages.
+/// A class of messages, as the platform's clients select it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformClass {
-    /// The name by which clients select the class; `None` for one that no new message may have.
+    /// Name by which clients select the class; `None` for a class that no new message may have.
     pub name: Option<String>,
-    /// Whether its endpoints drop repeated attempts by key, so that messages must have one.
+    /// Whether messages must have an idempotency key, as endpoints of the class recognize repeated attempts by it.
     pub requires_key: bool,
 }
 
@@ -75,7 +75,7 @@
 pub struct PlatformFrontend {
     /// The classes by index.
     pub classes: Vec<PlatformClass>,
-    /// The destination that each number of the clients stands for; `None` where the numbers are the destinations' ids.
+    /// Destinations by the numbers that clients use for them; `None` if these numbers are the ids of the destinations.
     pub destinations_by_number: Option<BTreeMap<u64, DestinationId>>,
 }
 
@@ -195,7 +195,7 @@
     }
 }
 
-/// The time to live of a message, in milliseconds.
+/// Parses the time to live of a message, in milliseconds.
 fn time_to_live_ms(fields: &Fields<'_>) -> Result<i64, RequestError> {
     let time_to_live_ms = fields
         .text(headers::TIME_TO_LIVE_MS)
@@ -205,19 +205,19 @@
         .map_or(MAX_TIME_TO_LIVE_MS, |time| time.min(MAX_TIME_TO_LIVE_MS)))
 }
 
-/// How much of a time to live may have passed before the message was read, in milliseconds.
+/// Returns the part of a time to live that may have passed before the message was read, in milliseconds.
 fn read_delay_ms(time_to_live_ms: i64) -> i64 {
     (time_to_live_ms / READ_DELAY_DIVISOR).min(MAX_READ_DELAY_MS)
 }
 
-/// The value of a field that can be written unchanged into the head of an attempt and the line of a notice.
+/// Returns the value of a field if it can be written unchanged into the head of an attempt and the line of a notice.
 fn printable_value<'a>(fields: &Fields<'a>, name: &str) -> Option<&'a [u8]> {
     fields.get(name).filter(|text| {
         !text.is_empty() && text.len() <= MAX_NAME_LEN && text.iter().all(u8::is_ascii_graphic)
     })
 }
 
-/// A number of decimal digits alone, where Rust would accept a sign as well.
+/// Parses a number that consists of decimal digits only. Rust's parser would also accept a sign.
 fn parse_digits(text: &str) -> Option<u64> {
     text.bytes()
         .all(|byte| byte.is_ascii_digit())
--- a/crates/delivery/src/frontend/platform/attempt.rs
+++ b/crates/delivery/src/frontend/platform/attempt.rs
@@ -1,4 +1,4 @@
-//! The requests that endpoints receive, and the meaning of their responses.
+//! The requests that endpoints receive, and the interpretation of their responses.
 
 use super::headers;
 use super::load_report::parse_load_report;
@@ -8,7 +8,7 @@
 use marblefall_scheduler::Outcome;
 use std::borrow::Cow;
 
-/// The path at endpoints.
+/// Path at which endpoints receive attempts.
 const PATH: &str = "/receive";
 
 /// Encodes the request of an attempt whose response is awaited for `response_timeout_ms`.
@@ -30,7 +30,7 @@
     }
 }
 
-/// Derives the outcome of an attempt from its response, by the protocol's table.
+/// Derives the outcome of an attempt from its response, as the platform's protocol defines it.
 pub fn classify_response(response: &ResponseHead<'_>) -> AttemptOutcome {
     let has_no_slot = response.fields.get(headers::NO_SLOT).is_some();
     let (outcome, disposition) = match response.status {
--- a/crates/delivery/src/frontend/platform/load_report.rs
+++ b/crates/delivery/src/frontend/platform/load_report.rs
@@ -3,14 +3,14 @@
 use crate::net::discovery::MAX_RATE_PER_S;
 use marblefall_scheduler::RateLimitReport;
 
-/// The start of a report in the text format.
+/// Prefix of a report in the text format.
 const TEXT_FORMAT: &str = "TEXT";
-/// The key of the remaining part of the limit, 0 to 1.
+/// Key of the fraction of the limit that remains, from 0 to 1.
 const REMAINING_KEY: &str = "x0";
-/// The key of the limit in calls per second.
+/// Key of the limit, in calls per second.
 const LIMIT_KEY: &str = "x1";
 
-/// Parses a report such as `TEXT x0=0.4, x1=25`. A malformed report is ignored as a whole, since its other values may be
+/// Parses a report such as `TEXT x0=0.4, x1=25`. A malformed report is ignored entirely, since its other values may be
 /// wrong too.
 pub fn parse_load_report(text: &str) -> RateLimitReport {
     parse(text).unwrap_or_default()
--- a/crates/delivery/src/frontend/platform/notice.rs
+++ b/crates/delivery/src/frontend/platform/notice.rs
@@ -1,4 +1,4 @@
-//! Notices of final outcomes, as the platform receives them. The keys and states are the platform's.
+//! Notices of final outcomes, as the platform receives them. The platform defines the keys and states.
 
 use crate::core::FinalOutcome;
 use serde::Serialize;
--- a/crates/delivery/src/frontend/platform/tests.rs
+++ b/crates/delivery/src/frontend/platform/tests.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// How long a message may take from when it was read, given its time to live, in milliseconds.
+/// Returns the time from when a message is read until it expires, in milliseconds, given its time to live.
 fn remaining_ms(time_to_live_ms: i64) -> i64 {
     let head = format!(
         "POST /api HTTP/1.1\r\nX-Call-Id: m\r\nX-Call-Class: status\r\nX-Budget-Ms: {time_to_live_ms}\r\n\
@@ -28,15 +28,15 @@
     message.expires_ms - at.steady_ms
 }
 
-/// The time to live counts from when the client sent the message. The process may be suspended for 0.15 s before it reads
-/// the message, and again before it writes the notice, which is late 0.3 s after the time to live.
+/// The time to live counts from when the client sent the message. The process may be suspended for 150 ms before it reads
+/// the message, and again before it writes the notice, which is late 300 ms after the end of the time to live.
 #[test]
 fn time_to_live_allows_for_delayed_reading() {
     for (time_to_live_ms, expected_ms) in [(20_000, 19_970), (1000, 975), (40, 39), (0, 0)] {
         assert_eq!(
             remaining_ms(time_to_live_ms),
             expected_ms,
-            "of {time_to_live_ms} ms"
+            "time to live of {time_to_live_ms} ms"
         );
     }
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Regression: a class that was removed had an empty name, which a request could give.
+/// Regression: a removed class was stored with an empty name, by which a request could select it.
 #[test]
 fn removed_class_is_not_selected_by_an_empty_name() {
     let mut frontend = frontend();
