--- a/crates/delivery/tests/unwritten_reports.rs
+++ b/crates/delivery/tests/unwritten_reports.rs
@@ -15,8 +15,8 @@
 /// Regression: a delivery whose record was not written was never reported to the successor, which sent the message again.
 #[test]
 fn unjournalled_delivery_is_reported_to_the_successor_later() {
-    for is_handed_over_before in [false, true] {
-        let folder = temporary_folder(&format!("unwritten-{is_handed_over_before}"));
+    for hands_over_before_result in [false, true] {
+        let folder = temporary_folder(&format!("unwritten-{hands_over_before_result}"));
         let (mut predecessor, _) = TestIncarnation::start_alone(&folder, 0);
         let started = started_attempts(&predecessor.submit(10, "a", IDEMPOTENT_CLASS));
         let (id, attempt, _) = started[0].clone();
@@ -29,7 +29,7 @@
         });
         let delivered = attempt_finished(id, attempt, Outcome::Delivered);
         let mut successor = TestIncarnation::standby(&folder, 50);
-        if is_handed_over_before {
+        if hands_over_before_result {
             predecessor.hand_over(60);
             predecessor.step(70, vec![delivered]);
         } else {
