--- a/crates/delivery/src/frontend/cloudevents.rs
+++ b/crates/delivery/src/frontend/cloudevents.rs
@@ -27,16 +27,16 @@
 pub struct EventClass {
     /// Time to live of an event without an expiry time, in milliseconds.
     pub default_time_to_live_ms: i64,
-    /// Whether events must have an idempotency key, as endpoints of the class recognize repeated attempts by it.
+    /// Whether events must have an idempotency key, as endpoints of the class drop repeated attempts by it.
     pub requires_key: bool,
 }
 
 /// The form in which events are sent to a destination.
 #[derive(Clone, Debug, Default)]
 pub struct Target {
-    /// The content mode that its endpoints support.
+    /// Content mode that the endpoints of the destination support.
     pub mode: ContentMode,
-    /// Path at its endpoints.
+    /// Path at the endpoints of the destination.
     pub path: String,
 }
 
@@ -115,7 +115,7 @@
     }
 }
 
-/// A response with a `Retry-After` in full seconds, rounded up: many clients do not read decimals.
+/// Creates a response with a `Retry-After` in full seconds, rounded up, as many clients do not read decimals.
 fn retry_in_full_seconds(status: u16, retry_after_ms: u64) -> Response {
     let seconds = retry_after_ms.div_ceil(MS_PER_S).max(1).to_string();
     Response {
--- a/crates/delivery/src/frontend/cloudevents/event/tests.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/tests.rs
@@ -1,3 +1,5 @@
+//! Decoding and encoding of events in both content modes.
+
 use super::*;
 use crate::net::http;
 
--- a/crates/delivery/src/frontend/platform.rs
+++ b/crates/delivery/src/frontend/platform.rs
@@ -54,7 +54,7 @@
     /// The envelope is missing.
     #[error("no {}", headers::ENVELOPE)]
     MissingEnvelope,
-    /// The envelope names no destination.
+    /// The envelope does not name a destination.
     #[error("no {} in {}", headers::ENVELOPE_DESTINATION, headers::ENVELOPE)]
     MissingDestination,
     /// The settings have no destination of this number.
@@ -67,7 +67,7 @@
 pub struct PlatformClass {
     /// Name by which clients select the class; `None` for a class that no new message may have.
     pub name: Option<String>,
-    /// Whether messages must have an idempotency key, as endpoints of the class recognize repeated attempts by it.
+    /// Whether messages must have an idempotency key, as endpoints of the class drop repeated attempts by it.
     pub requires_key: bool,
 }
 
@@ -169,7 +169,7 @@
             .get(class.0)
             .is_some_and(|class| class.requires_key);
         if requires_key {
-            // Without a key, endpoints could not recognise a repeated attempt.
+            // Without a key, endpoints could not recognize a repeated attempt.
             return Err(RequestError::MissingKey);
         }
         Ok(None)
--- a/crates/delivery/src/frontend/platform/load_report/tests.rs
+++ b/crates/delivery/src/frontend/platform/load_report/tests.rs
@@ -1,3 +1,5 @@
+//! Parsing of load reports.
+
 use super::*;
 
 #[test]
--- a/crates/delivery/src/frontend/platform/notice.rs
+++ b/crates/delivery/src/frontend/platform/notice.rs
@@ -18,7 +18,7 @@
 enum State {
     /// The client may submit the message again.
     Returned,
-    /// The message was not delivered, or may have been.
+    /// The message was not delivered, or it is unknown whether it was.
     Failed,
 }
 
--- a/crates/delivery/src/frontend/platform/tests.rs
+++ b/crates/delivery/src/frontend/platform/tests.rs
@@ -1,3 +1,5 @@
+//! Parsing of clients' requests, and encoding of attempts and notices.
+
 use super::*;
 use crate::net::http;
 
--- a/crates/delivery/src/hot_restart/driver.rs
+++ b/crates/delivery/src/hot_restart/driver.rs
@@ -283,6 +283,9 @@
             incarnation.release_exited();
         }
         Ok(None) => {}
-        Err(error) => log_line!(code = "standby-not-adopted", "{error}"),
+        Err(error) => log_line!(
+            code = "standby-not-adopted",
+            "cannot adopt the messages of exited standbys: {error}"
+        ),
     }
 }
--- a/crates/delivery/src/hot_restart/incarnation/lock_file.rs
+++ b/crates/delivery/src/hot_restart/incarnation/lock_file.rs
@@ -16,9 +16,9 @@
 
 /// The result of testing the lock of an incarnation.
 pub(super) enum LockAttempt {
-    /// The lock was free: its owner has exited.
+    /// The lock was free, so its owner has exited.
     Acquired(File),
-    /// The lock is held: its owner is running.
+    /// The lock is held, so its owner is running.
     HeldByOther(File),
     /// The lock file does not exist.
     NoFile,
--- a/crates/delivery/src/hot_restart/takeover.rs
+++ b/crates/delivery/src/hot_restart/takeover.rs
@@ -1,7 +1,7 @@
-//! The decision of a standby when to take over from the running incarnations.
+//! Decides when a standby takes over from the running incarnations.
 //!
-//! A state machine without I/O: [`Takeover::next_step`] receives the time and a view of the predecessors, and returns the
-//! next step. The stages are standby, handover requested, predecessors fenced, and active.
+//! [`Takeover`] is a state machine without I/O: [`Takeover::next_step`] receives the time and a view of the predecessors,
+//! and returns the next step. The stages are standby, handover requested, predecessors fenced, and active.
 //!
 //! A standby waits until every predecessor has handed over. Predecessors hand over when they are shut down. If they are not
 //! shut down, the standby requests the handover, as the messages that it accepts are pending until then. A predecessor that
--- a/crates/delivery/src/instance/assembly.rs
+++ b/crates/delivery/src/instance/assembly.rs
@@ -1,6 +1,6 @@
 //! Assembles an instance, in the order in which its parts depend on each other.
 //!
-//! The incarnation is claimed before that, as operators may call as soon as there is a listener. Frontends are started
+//! The incarnation has been claimed before, as operators may call as soon as there is a listener. Frontends are started
 //! before the engine. Until the engine runs, clients' requests wait in its queue.
 
 mod frontends;
--- a/crates/delivery/src/instance/lease.rs
+++ b/crates/delivery/src/instance/lease.rs
@@ -35,7 +35,7 @@
         self.revision.set(revision);
     }
 
-    /// Returns a permit to act by the policy, if the lease permits it at this moment.
+    /// Returns a permit to act by the policy, if one is available at this moment.
     pub(super) fn acquire(&self) -> Option<LeasePermit<'_>> {
         match &self.guard {
             None => Some(LeasePermit::unconditional()),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns the state of the lease when no permit is given.
+    /// Returns the state of the lease when no permit is available.
     pub(super) fn state_without_permit(&self) -> LeaseState {
         let Some(guard) = &self.guard else {
             return LeaseState::Held;
--- a/crates/delivery/src/instance/platform_config.rs
+++ b/crates/delivery/src/instance/platform_config.rs
@@ -52,7 +52,7 @@
 }
 
 impl ConfigError {
-    /// Returns whether the error may pass without a change of the configuration.
+    /// Returns whether the error may disappear without a change of the configuration.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable { source, .. } if is_transient(source))
     }
--- a/crates/delivery/src/instance/shutdown.rs
+++ b/crates/delivery/src/instance/shutdown.rs
@@ -21,14 +21,14 @@
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3400);
 /// Without a successor, idle connections are closed after this time. No new connections are expected by then.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(500);
-/// Minimum idle time of connections that are closed after that.
+/// Minimum idle time of connections that are closed from then on.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(150);
 /// Interval at which idle connections are closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_micros(37_500);
 /// With a running successor, idle connections are closed only after this time. Until then each client receives one more
 /// response on its connection, after which it connects to the successor.
 const SUCCESSOR_CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2200);
-/// Minimum idle time of connections that are closed after that, with a running successor.
+/// Minimum idle time of connections that are closed from then on, with a running successor.
 const SUCCESSOR_MIN_IDLE_TIME: Duration = Duration::from_millis(400);
 /// With a running successor, all remaining idle connections are closed after this time.
 const SUCCESSOR_CLOSE_ALL_AFTER: Duration = Duration::from_millis(3100);
