--- a/crates/delivery/src/frontend/cloudevents/event/structured.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/structured.rs
@@ -11,13 +11,13 @@
 
 /// The content type of an event in structured mode.
 const CONTENT_TYPE: &str = "application/cloudevents+json; charset=utf-8";
-/// The member that holds data as a JSON value.
+/// Name of the member that holds data as a JSON value.
 const DATA: &str = "data";
-/// The member that holds data as base64.
+/// Name of the member that holds data as base64.
 const DATA_BASE64: &str = "data_base64";
 const NULL: &str = "null";
 
-/// Whether a member of the JSON object holds data rather than an attribute.
+/// Returns whether a member of the JSON object holds data rather than an attribute.
 pub(super) fn is_data_member(name: &str) -> bool {
     name == DATA || name == DATA_BASE64
 }
@@ -35,8 +35,8 @@
             })?;
         context.insert(name, value)?;
     }
-    let given = |name: &str| members.get(name).filter(|raw| raw.get() != NULL);
-    let data = match (given(DATA), given(DATA_BASE64)) {
+    let non_null_member = |name: &str| members.get(name).filter(|raw| raw.get() != NULL);
+    let data = match (non_null_member(DATA), non_null_member(DATA_BASE64)) {
         (Some(_), Some(_)) => return Err(EventError::DataGivenTwice),
         (None, None) => Vec::new(),
         (None, Some(raw)) => {
@@ -58,7 +58,7 @@
         .map_err(EventError::InvalidBase64)
 }
 
-/// Decodes the data member. A string is text where another type than JSON is declared; everything else is JSON.
+/// Decodes the data member. A string is text if a content type other than JSON is declared; everything else is JSON.
 fn decode_data(raw: &RawValue, context: &mut Context) -> Vec<u8> {
     let is_declared_json = context
         .text(attribute::DATA_CONTENT_TYPE)
@@ -97,21 +97,21 @@
     serde_json::to_vec(&members).unwrap_or_default()
 }
 
-/// The member that holds the data. For data that was received in binary mode the content type decides: JSON and UTF-8 text
-/// are encoded as such if they are valid, everything else as base64.
+/// Returns the member that holds the data. Data that was received in binary mode is encoded by its content type: JSON and
+/// UTF-8 text as such if they are valid, and everything else as base64.
 fn data_member(context: &Context, data: &[u8]) -> Option<(&'static str, Box<RawValue>)> {
     let text = std::str::from_utf8(data).ok();
     let content_type = context
         .text(attribute::DATA_CONTENT_TYPE)
         .unwrap_or_default();
-    let declares = |is_declared: fn(&str) -> bool| {
-        context.data_format == DataFormat::Bytes && is_declared(&content_type)
+    let is_declared_as = |matches: fn(&str) -> bool| {
+        context.data_format == DataFormat::Bytes && matches(&content_type)
     };
     let as_json = text
-        .filter(|_| context.data_format == DataFormat::Json || declares(is_json))
+        .filter(|_| context.data_format == DataFormat::Json || is_declared_as(is_json))
         .and_then(|text| raw_value(text.trim().to_owned()));
     let as_text =
-        text.filter(|_| context.data_format == DataFormat::Text || declares(is_utf8_text));
+        text.filter(|_| context.data_format == DataFormat::Text || is_declared_as(is_utf8_text));
     match (context.data_format, as_json, as_text) {
         (DataFormat::Absent, ..) => None,
         (_, Some(json), _) => Some((DATA, json)),
@@ -123,7 +123,7 @@
     }
 }
 
-/// A JSON text as a raw value; `None` if it is malformed.
+/// Returns a JSON text as a raw value, or `None` if the text is malformed.
 fn raw_value(json: String) -> Option<Box<RawValue>> {
     RawValue::from_string(json).ok()
 }
--- a/crates/delivery/src/frontend/cloudevents/event/tests.rs
+++ b/crates/delivery/src/frontend/cloudevents/event/tests.rs
@@ -1,3 +1,5 @@
+//! Decoding and encoding of events in both content modes.
+
 use super::*;
 use crate::net::http;
 
@@ -7,7 +9,7 @@
     decode(&request.fields, body).map(|event| (event.context, event.data.into_owned()))
 }
 
-/// Encodes an event in a mode and decodes it again.
+/// Encodes an event in a content mode and decodes it again.
 fn round_trip(context: &Context, data: &[u8], mode: ContentMode) -> (Context, Vec<u8>) {
     let EncodedEvent { fields, body } = encode(context, data, mode);
     let lines: Vec<String> = fields
@@ -26,7 +28,7 @@
     let (context, data) = parse(JSON, body.as_bytes()).unwrap();
     assert_eq!(
         data, br#"{"n":1.50,"big":12345678901234567890123}"#,
-        "JSON is unchanged"
+        "JSON data is unchanged"
     );
     let fields = encode(&context, &data, ContentMode::Binary).fields;
     let field = |name: &str| {
@@ -66,9 +68,9 @@
         ("application/octet-stream", b"\x00\xff\x01"),
         ("application/octet-stream", b""),
     ];
-    for (media, data) in cases {
+    for (content_type, data) in cases {
         let head = format!(
-            "ce-specversion: 1.0\r\nce-id: 1\r\nce-source: s\r\nce-type: t\r\nContent-Type: {media}"
+            "ce-specversion: 1.0\r\nce-id: 1\r\nce-source: s\r\nce-type: t\r\nContent-Type: {content_type}"
         );
         let (context, received) = parse(&head, data).unwrap();
         let (structured, structured_data) =
@@ -77,7 +79,7 @@
         assert_eq!(
             (back.attributes, back_data.as_slice()),
             (context.attributes, data),
-            "{media}"
+            "{content_type}"
         );
     }
     let body = r#"{"specversion":"1.0","id":"1","source":"s","type":"t","datacontenttype":"image/png","data_base64":"AP8B"}"#;
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn invalid_event_has_its_status() {
+fn invalid_event_is_rejected_with_status_400_or_415() {
     let complete = "ce-specversion: 1.0\r\nce-id: 1\r\nce-source: s\r\nce-type: t";
     assert!(parse(complete, b"").is_ok());
     for (head, body, status) in [
@@ -137,7 +139,7 @@
     }
     assert!(
         parse(&format!("{complete}\r\nce-id: 2"), b"").is_err(),
-        "an attribute given twice"
+        "an attribute that is given twice must be an error"
     );
 }
 
--- a/crates/delivery/src/frontend/platform/notice.rs
+++ b/crates/delivery/src/frontend/platform/notice.rs
@@ -1,4 +1,4 @@
-//! Notices of final outcomes, as the platform receives them. The keys and states are the platform's.
+//! Notices of final outcomes, as the platform receives them. The platform defines the keys and states.
 
 use crate::core::FinalOutcome;
 use serde::Serialize;
@@ -18,7 +18,7 @@
 enum State {
     /// The client may submit the message again.
     Returned,
-    /// The message was not delivered, or may have been.
+    /// The message was not delivered, or it is unknown whether it was.
     Failed,
 }
 
--- a/crates/delivery/src/hot_restart/takeover/tests.rs
+++ b/crates/delivery/src/hot_restart/takeover/tests.rs
@@ -1,17 +1,17 @@
-//! The steps of a takeover, with a clock set by the tests.
+//! The steps of a takeover. The tests set the clock.
 
 use super::*;
 
-/// The distinct steps of a standby that polls every 10 ms, with their times in milliseconds. `view` is given the time and
-/// the steps before.
+/// Returns the distinct steps of a standby that polls every 10 ms, with their times in milliseconds. `view` receives the
+/// time and the previous steps.
 fn takeover_steps(
     view: impl Fn(i64, &[TakeoverStep]) -> PredecessorView,
 ) -> Vec<(i64, TakeoverStep)> {
     let mut takeover = Takeover::new(Time(0));
     let mut steps = Vec::<(i64, TakeoverStep)>::new();
     for ms in (0..4000).step_by(10) {
-        let so_far: Vec<TakeoverStep> = steps.iter().map(|(_, step)| *step).collect();
-        let step = takeover.next_step(Time(ms * 1000), view(ms, &so_far));
+        let previous: Vec<TakeoverStep> = steps.iter().map(|(_, step)| *step).collect();
+        let step = takeover.next_step(Time(ms * 1000), view(ms, &previous));
         let is_new = steps.last().is_none_or(|(_, last)| *last != step);
         if is_new && step != TakeoverStep::Wait {
             steps.push((ms, step));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn predecessor_without_shutdown_is_requested_to_hand_over() {
+fn handover_is_requested_from_predecessor_that_is_not_shut_down() {
     let steps = takeover_steps(|_, steps| {
         if steps.contains(&TakeoverStep::RequestHandover) {
             HANDED_OVER
@@ -98,7 +98,7 @@
     );
 }
 
-/// A fence whose mark could not be written is written again. Otherwise the standby would never deliver a message while the
+/// A fence whose mark could not be written must be repeated. Otherwise the standby would not deliver any message while the
 /// process of its predecessor is stopped.
 #[test]
 fn fence_is_repeated_while_a_predecessor_is_active() {
@@ -112,5 +112,5 @@
             _ => {}
         }
     }
-    panic!("never taken over, {fences} fences");
+    panic!("the standby has not taken over after {fences} fences");
 }
--- a/crates/delivery/src/instance/platform.rs
+++ b/crates/delivery/src/instance/platform.rs
@@ -1,8 +1,8 @@
-//! The instance that the platform configures, and its start.
+//! Starts the instance that the platform configures.
 
 use super::platform_config::{ConfigError, PlatformConfig};
 use super::{
-    instance_span, run_instance, signals, watch_signals, InstanceCommand, InstanceConfig,
+    instance_span, register_signals, run_instance, watch_signals, InstanceCommand, InstanceConfig,
     InstanceError, PlatformFrontendConfig, StateFolder,
 };
 use crate::core::engine::{EngineEvent, EngineSettings};
@@ -24,44 +24,44 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The connect time-out where the platform sets none, in milliseconds.
+/// Time-out for connecting if the platform sets none, in milliseconds.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 1500.0;
-/// The time-out of idle connections where the platform sets none, in milliseconds.
+/// Time-out of idle connections if the platform sets none, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 10_000.0;
-/// How long a shortage of descriptors or memory at the start is waited out.
-const MAX_SHORTAGE: Duration = Duration::from_secs(25);
+/// Maximum time for which an operation at the start is retried during a shortage of file descriptors or memory.
+const SHORTAGE_TIMEOUT: Duration = Duration::from_secs(25);
 /// Delay before an operation is retried during a shortage.
 const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const BYTES_PER_MB: f64 = 1e6;
 const MS_PER_SECOND: f64 = 1000.0;
-/// The base of the seed's digits.
-const HEXADECIMAL: u32 = 16;
+/// Radix of the seed's digits.
+const SEED_RADIX: u32 = 16;
 
 /// Runs an instance on the platform until it is shut down.
 ///
 /// # Errors
 /// The configuration, the state folder or a listener cannot be used.
 pub fn run_on_platform() -> Result<(), InstanceError> {
-    let signals = signals()?;
+    let signals = register_signals()?;
     let config = read_config()?;
     let config = instance_config(config)?;
-    let (signal_sender, signalled) = async_channel::unbounded();
+    let (signal_sender, signal_commands) = async_channel::unbounded();
     let (command_sender, commands) = async_channel::unbounded();
     let _span = instance_span(&config.name).entered();
     let executor = Rc::new(LocalExecutor::new());
     let tasks = Spawner::new(&executor);
     tasks.spawn(watch_signals(signals, signal_sender));
-    tasks.spawn(reload_configuration(signalled, command_sender));
+    tasks.spawn(reload_configuration(signal_commands, command_sender));
     async_io::block_on(executor.run(run_instance(config, commands, tasks)))
 }
 
-/// Reads the configuration, and retries while the system is short of a resource.
+/// Reads the configuration. Retries while the system is short of file descriptors or memory.
 fn read_config() -> Result<PlatformConfig, ConfigError> {
-    let deadline = Instant::now() + MAX_SHORTAGE;
+    let deadline = Instant::now() + SHORTAGE_TIMEOUT;
     loop {
         match PlatformConfig::from_env() {
             Err(error) if error.is_transient() && Instant::now() < deadline => {
-                log_line!(code = "configuration-fails", "{error}; tried again");
+                log_line!(code = "configuration-fails", "{error}; retrying");
                 std::thread::sleep(SHORTAGE_RETRY_INTERVAL);
             }
             result => return result,
@@ -114,7 +114,7 @@
     })
 }
 
-/// The watch of the endpoint list, from the last list on.
+/// Returns the watch of the endpoint list. It starts after the revision of the last known list.
 fn list_watch(settings: &InstanceSettings, last_list: Option<&EndpointList>) -> ListWatch {
     ListWatch {
         names: NameIndex {
@@ -125,7 +125,7 @@
     }
 }
 
-/// The event with the endpoints of the last list.
+/// Returns the event with the endpoints of the last known list.
 fn configured_endpoints(last_list: Option<EndpointList>, names: &NameIndex) -> EngineEvent {
     match last_list {
         Some(list) => list.into_event(names),
@@ -133,14 +133,14 @@
     }
 }
 
-/// The engine's settings. The platform's messages are not retained once they have finished.
+/// Returns the engine's settings. The platform's messages are not retained once they have finished.
 fn engine_settings(settings: InstanceSettings, seed: &str) -> EngineSettings {
     let scheduler = settings.scheduler_settings();
     EngineSettings {
         retention_ms: vec![0; scheduler.classes.len()],
         max_retained: 0,
         scheduler,
-        seed: u64::from_str_radix(seed, HEXADECIMAL).unwrap_or_default(),
+        seed: u64::from_str_radix(seed, SEED_RADIX).unwrap_or_default(),
     }
 }
 
@@ -164,13 +164,17 @@
     Duration::from_secs_f64(ms / MS_PER_SECOND)
 }
 
-/// Retries an operation while the system is short of a resource, so that a process that starts just then does not fail.
-fn retry_while_short<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let deadline = Instant::now() + MAX_SHORTAGE;
+/// Retries an operation while the system is short of file descriptors or memory, as a process that starts during the
+/// shortage would fail otherwise.
+fn retry_during_shortage<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let deadline = Instant::now() + SHORTAGE_TIMEOUT;
     loop {
-        match attempt() {
+        match operation() {
             Err(error) if is_transient(&error) && Instant::now() < deadline => {
-                log_line!(code = "listener-deferred", "{error}; tried again");
+                log_line!(
+                    code = "listener-deferred",
+                    "cannot open a listener: {error}; retrying"
+                );
                 std::thread::sleep(SHORTAGE_RETRY_INTERVAL);
             }
             result => return result,
@@ -179,7 +183,7 @@
 }
 
 fn bind_clients(address: SocketAddr) -> Result<TcpListener, InstanceError> {
-    retry_while_short(|| listener::bind_shared(address)).map_err(|source| InstanceError::Bind {
+    retry_during_shortage(|| listener::bind_shared(address)).map_err(|source| InstanceError::Bind {
         address: address.to_string(),
         source,
     })
@@ -190,7 +194,7 @@
         return Ok(None);
     };
     let address = parse_address(text)?;
-    let listener = retry_while_short(|| listener::bind_exclusive(address));
+    let listener = retry_during_shortage(|| listener::bind_exclusive(address));
     listener.map(Some).map_err(|source| InstanceError::Bind {
         address: text.to_owned(),
         source,
@@ -204,31 +208,32 @@
     })
 }
 
-/// Forwards commands. A reload of the configuration is replaced by the new address of discovery. A configuration that
-/// cannot be read changes nothing; if that may pass by itself, it is read again until it succeeds.
+/// Forwards commands to the instance. A command to reload the configuration is replaced by one with the new address of
+/// discovery. A configuration that cannot be read changes nothing. After a transient error it is read again until that
+/// succeeds.
 async fn reload_configuration(
-    signalled: Receiver<InstanceCommand>,
+    signal_commands: Receiver<InstanceCommand>,
     commands: Sender<InstanceCommand>,
 ) {
-    let mut reload_is_due = false;
+    let mut retry_is_due = false;
     loop {
-        let received = if reload_is_due {
+        let received = if retry_is_due {
             let retry = async {
                 Timer::after(SHORTAGE_RETRY_INTERVAL).await;
                 Ok(InstanceCommand::ReloadConfig)
             };
-            future::or(signalled.recv(), retry).await
+            future::or(signal_commands.recv(), retry).await
         } else {
-            signalled.recv().await
+            signal_commands.recv().await
         };
         let Ok(command) = received else { return };
         let command = match command {
             InstanceCommand::ReloadConfig => {
                 let reload = reload();
-                reload_is_due = matches!(reload, Reload::TryAgain);
+                retry_is_due = matches!(reload, Reload::Retry);
                 match reload {
                     Reload::DiscoveryAt(address) => InstanceCommand::DiscoveryMoved(address),
-                    Reload::Unchanged | Reload::TryAgain => continue,
+                    Reload::Unchanged | Reload::Retry => continue,
                 }
             }
             other => other,
@@ -239,28 +244,28 @@
     }
 }
 
-/// What came of reading the configuration again.
+/// The result of reloading the configuration.
 enum Reload {
-    /// Discovery is at this address.
+    /// The configuration was read. Discovery is at this address.
     DiscoveryAt(SocketAddr),
-    /// The configuration cannot be used.
+    /// The configuration cannot be used, so nothing changes.
     Unchanged,
-    /// It cannot be read at the moment.
-    TryAgain,
+    /// The configuration cannot be read because of a transient error.
+    Retry,
 }
 
 fn reload() -> Reload {
     let error = match PlatformConfig::from_env().and_then(|config| config.discovery_address()) {
         Ok(address) => {
-            log_line!("configuration read again: discovery is at {address}");
+            log_line!("configuration reloaded: discovery is at {address}");
             return Reload::DiscoveryAt(address);
         }
         Err(error) => error,
     };
     let cause = Report::new(&error);
     if error.is_transient() {
-        log_line!(code = "configuration-fails", "{cause}; tried again");
-        return Reload::TryAgain;
+        log_line!(code = "configuration-fails", "{cause}; retrying");
+        return Reload::Retry;
     }
     log_line!("configuration kept as it was, {cause}");
     Reload::Unchanged
--- a/crates/delivery/src/net/pool/tests/fencing.rs
+++ b/crates/delivery/src/net/pool/tests/fencing.rs
@@ -28,7 +28,7 @@
             timeout_at: test_deadline(),
             write_by: test_deadline(),
             encode: &encode,
-            classify_response: platform::judge,
+            classify_response: platform::classify_response,
             permit: &permit,
         })
     };
--- a/crates/delivery/src/net/pool/tests/responses.rs
+++ b/crates/delivery/src/net/pool/tests/responses.rs
@@ -27,7 +27,7 @@
 }
 
 fn assert_read(bytes: &[u8], expected: Expected) {
-    for classify_response in [platform::judge, cloudevents::judge] {
+    for classify_response in [platform::classify_response, cloudevents::classify_response] {
         let start = String::from_utf8_lossy(&bytes[..bytes.len().min(70)]);
         assert_eq!(read(bytes, classify_response), expected, "{start}");
     }
--- a/crates/delivery/tests/unwritten_reports.rs
+++ b/crates/delivery/tests/unwritten_reports.rs
@@ -1,4 +1,4 @@
-//! Results of attempts that the journal does not accept while one incarnation hands over to another.
+//! Results of attempts that cannot be journalled while one incarnation hands over to another.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -12,11 +12,11 @@
 use marblefall_scheduler::Outcome;
 use std::fs;
 
-/// Regression: the successor never learned of a delivery whose record was not written, and sent the message again.
+/// Regression: a delivery whose record was not written was never reported to the successor, which sent the message again.
 #[test]
-fn delivery_that_is_not_journalled_is_reported_to_the_successor_later() {
-    for is_handed_over_before in [false, true] {
-        let folder = temporary_folder(&format!("unwritten-{is_handed_over_before}"));
+fn unjournalled_delivery_is_reported_to_the_successor_later() {
+    for hands_over_before_result in [false, true] {
+        let folder = temporary_folder(&format!("unwritten-{hands_over_before_result}"));
         let (mut predecessor, _) = TestIncarnation::start_alone(&folder, 0);
         let started = started_attempts(&predecessor.submit(10, "a", IDEMPOTENT_CLASS));
         let (id, attempt, _) = started[0].clone();
@@ -29,7 +29,7 @@
         });
         let delivered = attempt_finished(id, attempt, Outcome::Delivered);
         let mut successor = TestIncarnation::standby(&folder, 50);
-        if is_handed_over_before {
+        if hands_over_before_result {
             predecessor.hand_over(60);
             predecessor.step(70, vec![delivered]);
         } else {
@@ -41,7 +41,7 @@
         let generation = predecessor.generation;
         let mut commands = successor.take_over(80, &[generation], generation);
         let retry_at = predecessor.engine.next_wake();
-        assert!(retry_at.is_some(), "the report is to be tried again");
+        assert!(retry_at.is_some(), "a retry of the report is scheduled");
         predecessor.step(120, Vec::new());
         assert!(!predecessor.engine.has_unwritten_reports());
         commands.extend(successor.step(130, vec![EngineEvent::FollowPredecessors]));
@@ -50,10 +50,10 @@
         for ms in 150..400 {
             commands.extend(successor.step(ms, Vec::new()));
         }
-        let again = started_attempts(&commands);
+        let restarted = started_attempts(&commands);
         assert!(
-            again.iter().all(|(started, _, _)| *started != id),
-            "{again:?}"
+            restarted.iter().all(|(started, _, _)| *started != id),
+            "attempts after the takeover: {restarted:?}"
         );
         let _ = fs::remove_dir_all(&folder);
     }
