--- a/crates/delivery/src/instance/assembly/frontends.rs
+++ b/crates/delivery/src/instance/assembly/frontends.rs
@@ -101,10 +101,7 @@
     fn start_admin(&self, listener: TcpListener) -> Result<(), InstanceError> {
         listen(&listener)?;
         let listener = open_listener(listener)?;
-        log_line!(
-            "accepts operators' calls at {}",
-            address_of(listener.get_ref())
-        );
+        log_line!("operators call at {}", address_of(listener.get_ref()));
         let handler = self.admin.clone();
         self.tasks
             .spawn(admin_calls::serve(listener, handler, self.tasks.clone()));
