--- a/crates/delivery/src/core/snapshot.rs
+++ b/crates/delivery/src/core/snapshot.rs
@@ -47,7 +47,7 @@
     #[error("unsupported snapshot version {0}; this program reads version {VERSION}")]
     Version(u16),
     /// The snapshot is incomplete or corrupt.
-    #[error("incomplete or corrupt snapshot: the checksum does not match")]
+    #[error("torn snapshot: the checksum does not match")]
     Torn,
 }
 
