--- a/crates/coordination/src/leader.rs
+++ b/crates/coordination/src/leader.rs
@@ -1,9 +1,12 @@
 //! The leader: grants leases, and takes a proposed policy through the two-phase change.
 //!
-//! A pending change has three phases: *checking*, in which every member sends its verdict on the policy; *quiescing*, in
-//! which every member stops acting; *deciding*, in which the outcome is appended to the log and not committed yet. The
-//! leader decides for the policy only once every member has confirmed that it is quiesced, or has surely stopped acting
-//! because its lease has expired. A rejection, a timeout or an operator withdraws the change.
+//! A pending change has three phases:
+//! - *Checking*: every member sends its verdict on the policy.
+//! - *Quiescing*: every member stops acting.
+//! - *Deciding*: the outcome is appended to the log and not committed yet.
+//!
+//! The leader puts the policy in force only once every member has confirmed that it is quiesced, or has certainly stopped
+//! acting because its lease has expired. A rejection, a timeout or an operator's request withdraws the change.
 
 mod leases;
 mod pending_change;
@@ -33,18 +36,20 @@
 pub struct Leader {
     settings: CoordinationSettings,
     epoch: Epoch,
-    /// The end of its own lease. Until then no other leader exists.
+    /// End of the leader's own lease. Until then no other leader exists.
     lease_end: Time,
     members: BTreeMap<MemberId, MemberProgress>,
+    /// The revision in force.
     committed: Revision,
     policy: Policy,
+    /// The last proposal with an outcome.
     resolved: ProposalId,
     pending: Option<PendingChange>,
 }
 
 impl Leader {
-    /// A newly elected leader, with the state of the log. It assumes that an earlier leader granted every member a lease at
-    /// this moment.
+    /// Creates a newly elected leader from the replicated state. Every member is assumed to have been granted a lease by an
+    /// earlier leader at `now`.
     pub fn elected(
         settings: CoordinationSettings,
         epoch: Epoch,
@@ -78,44 +83,44 @@
         }
     }
 
-    /// The leader's epoch.
+    /// Returns the leader's epoch.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn committed_revision(&self) -> Revision {
         self.committed
     }
 
-    /// The proposal without an outcome, if there is one.
+    /// Returns the proposal that has no outcome yet, if there is one.
     pub fn pending_proposal(&self) -> Option<ProposalId> {
         self.pending.as_ref().map(|change| change.proposal)
     }
 
-    /// Whether there is a pending change that has completed its checking phase.
+    /// Returns whether a change is pending and has completed its checking phase.
     pub fn is_past_checking(&self) -> bool {
         self.pending
             .as_ref()
             .is_some_and(|change| change.phase != Phase::Checking)
     }
 
-    /// Members that the pending change waits for.
+    /// Returns the members that the pending change waits for.
     pub fn awaited_members(&self, now: Time) -> Vec<MemberId> {
         self.awaited(now).collect()
     }
 
-    /// Whether it is certain at this moment that no other leader exists.
+    /// Returns whether the leader's own lease is valid, so that no other leader can exist.
     pub fn holds_lease(&self, now: Time) -> bool {
         now < self.lease_end
     }
 
-    /// Extends the leader's own lease: no other leader exists before `until`.
+    /// Extends the leader's own lease to `until`. The caller guarantees that no other leader exists before then.
     pub fn extend_lease(&mut self, until: Time) {
         self.lease_end = self.lease_end.max(until);
     }
 
-    /// The number of a change that is proposed now; `None` while another change is pending.
+    /// Returns the number for the next proposal, or `None` while a change is pending.
     pub fn next_proposal(&self) -> Option<ProposalId> {
         match &self.pending {
             Some(_) => None,
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Applies a committed entry of the log. The first outcome of a proposal is final; later ones are ignored.
+    /// Applies a committed entry of the log. The first outcome of a proposal is final, and later outcomes are ignored.
     pub fn handle_committed(
         &mut self,
         now: Time,
@@ -163,7 +168,7 @@
         self.tick(now, actions);
     }
 
-    /// Handles a message of a member.
+    /// Handles a message from a member.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -176,7 +181,7 @@
         };
         match message {
             ToLeader::LeaseRequest(_) if progress.excluded => {
-                // Readmitted by the log, so that the next leader knows too.
+                // The readmission is appended to the log so that later leaders apply it too.
                 return actions.push(LeaderAction::Append(LeaderEntry::Readmitted(from)));
             }
             ToLeader::LeaseRequest(request) => {
@@ -185,8 +190,8 @@
             ToLeader::PolicyChecked(proposal, verdict) => {
                 self.handle_verdict(from, proposal, verdict, actions);
             }
-            // From the first request to quiesce until the outcome this leader grants no lease. Whichever process of the
-            // member confirms, neither that process nor a later one holds a lease.
+            // This leader grants no lease between its first request to quiesce and the outcome. Whichever process of the
+            // member sends the confirmation, neither that process nor a later one holds a lease.
             ToLeader::Quiesced(proposal, epoch) if epoch == self.epoch => {
                 progress.quiesced = Some(proposal);
             }
@@ -195,12 +200,12 @@
         self.tick(now, actions);
     }
 
-    /// Withdraws the pending change for an operator.
+    /// Withdraws the pending change at an operator's request.
     pub fn withdraw_by_operator(&mut self, actions: &mut Vec<LeaderAction>) {
         self.withdraw("withdrawn by an operator".to_owned(), actions);
     }
 
-    /// Advances the pending change, and repeats messages without a response.
+    /// Advances the pending change, and resends messages that have not been answered.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<LeaderAction>) {
         if self.is_phase_complete(now) {
             self.begin_quiescing(now);
--- a/crates/coordination/src/leader/leases.rs
+++ b/crates/coordination/src/leader/leases.rs
@@ -1,4 +1,4 @@
-//! Leases that the leader grants to members.
+//! Granting of leases to members.
 
 use super::pending_change::Phase;
 use super::{Leader, LeaderAction};
@@ -7,11 +7,11 @@
 use crate::settings::{CoordinationSettings, PartitionPolicy};
 use marblefall_time::{Span, Time};
 
-/// Number of resend intervals after which a member without a verdict is granted no further lease.
+/// Number of resend intervals without a verdict after which a member's lease is no longer renewed.
 const MAX_RESENDS_BEFORE_NO_LEASE: i64 = 3;
 
 impl Leader {
-    /// Grants a lease, unless the pending change forbids it.
+    /// Grants the requested lease, unless the pending change forbids it.
     pub(super) fn handle_lease_request(
         &mut self,
         now: Time,
@@ -20,14 +20,14 @@
         actions: &mut Vec<LeaderAction>,
     ) {
         if self.change_forbids_lease(now, from) {
-            // Repeats the message of the phase: the member may not have received it, or may have restarted.
+            // Resend the message of the phase: the member may not have received it, or may have restarted.
             if let Some(progress) = self.members.get_mut(&from) {
                 progress.last_sent = None;
             }
             let resolved = ToMember::Resolved(self.resolved);
             return actions.push(LeaderAction::Send(from, resolved));
         }
-        // After the end of this leader's own lease another leader may exist.
+        // Another leader may exist after this leader's own lease has ended.
         if !self.holds_lease(now) {
             return;
         }
@@ -45,16 +45,17 @@
         actions.push(LeaderAction::Send(from, granted));
     }
 
-    /// Whether a member is granted no lease before the pending change is resolved, or before the member's verdict on it.
+    /// Returns whether the pending change forbids granting the member a lease. Depending on the phase, the member must first
+    /// send its verdict or wait for the outcome.
     fn change_forbids_lease(&self, now: Time, member: MemberId) -> bool {
         let (Some(change), Some(progress)) = (&self.pending, self.members.get(&member)) else {
             return false;
         };
         match change.phase {
-            // A quiesced member that requests a lease may have restarted. Only the outcome releases it.
+            // A member that requests a lease now may have restarted since it was quiesced. Only the outcome releases it.
             Phase::Quiescing | Phase::Deciding => true,
             Phase::Checking => {
-                // A member that sends requests and no verdict may be unable to receive messages: its lease must not be
+                // A member that sends requests but no verdict may be unable to receive messages. Its lease must not be
                 // renewed forever.
                 let resend_interval = self.settings.resend_interval.0;
                 let overdue = self.settings.partition_policy == PartitionPolicy::Stop
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Grants a lease that ends with the leader's own at the latest. Returns its duration; `None` is without end.
+    /// Grants a lease that ends no later than the leader's own. Returns its duration, or `None` for a lease without end.
     fn grant_lease(&mut self, now: Time, to: MemberId) -> Option<Span> {
         let duration = match self.settings.partition_policy {
             PartitionPolicy::Serve => None,
@@ -73,7 +74,7 @@
                 Some(self.settings.lease_duration.min(remaining))
             }
         };
-        // The lease counts from the request, which was sent before now.
+        // The member counts the duration from its request, which was sent before `now`.
         let expires = duration.map(|duration| now + self.settings.max_elapsed(duration));
         if let Some(progress) = self.members.get_mut(&to) {
             progress.lease_expires = match expires {
@@ -85,8 +86,10 @@
     }
 }
 
-/// When every lease that any leader has granted up to now has expired; `None` is never. A lease ends with its leader's own,
-/// so that a new leader finds all leases expired, as long as leaders' leases do not overlap. The expiry computed here does not depend on that.
+/// Returns the time by which every lease granted by any leader up to `now` has expired, or `None` if leases do not expire.
+///
+/// A member's lease ends no later than the lease of the leader that granted it. While leaders' leases do not overlap, a new
+/// leader therefore finds all members' leases expired, but this bound does not rely on that.
 pub(super) fn latest_lease_expiry(settings: &CoordinationSettings, now: Time) -> Option<Time> {
     match settings.partition_policy {
         PartitionPolicy::Stop => Some(now + settings.max_elapsed(settings.lease_duration)),
--- a/crates/coordination/src/leader/pending_change.rs
+++ b/crates/coordination/src/leader/pending_change.rs
@@ -1,4 +1,4 @@
-//! The phases of a pending change.
+//! Transitions of a pending change between its phases.
 
 use super::{Leader, LeaderAction};
 use crate::identifiers::{MemberId, Policy, ProposalId};
@@ -23,12 +23,12 @@
     pub proposal: ProposalId,
     pub policy: Policy,
     pub phase: Phase,
-    /// When the phase began.
+    /// Time at which the current phase began.
     pub since: Time,
 }
 
 impl PendingChange {
-    /// A change that begins its checking phase.
+    /// Creates a change in its checking phase.
     pub fn new(proposal: ProposalId, policy: Policy, now: Time) -> PendingChange {
         PendingChange {
             proposal,
@@ -40,8 +40,8 @@
 }
 
 impl Leader {
-    /// Records an acceptance, or withdraws the change for a rejection. A rejection counts until the change is decided, also
-    /// from a member that is not awaited.
+    /// Records an acceptance, or withdraws the change on a rejection. A rejection counts at any time before the decision,
+    /// even if it is from a member that the change does not wait for.
     pub(super) fn handle_verdict(
         &mut self,
         from: MemberId,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Decides for the pending change.
+    /// Appends the decision to put the pending policy in force.
     pub(super) fn decide(&mut self, actions: &mut Vec<LeaderAction>) {
         if let Some(change) = &mut self.pending {
             change.phase = Phase::Deciding;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Withdraws the pending change, unless it is decided.
+    /// Appends the withdrawal of the pending change, unless its outcome is already decided.
     pub(super) fn withdraw(&mut self, reason: String, actions: &mut Vec<LeaderAction>) {
         match &mut self.pending {
             Some(change) if change.phase != Phase::Deciding => {
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Removes the pending change, if it is this proposal.
+    /// Removes and returns the pending change, if it is this proposal.
     pub(super) fn take_pending(&mut self, proposal: ProposalId) -> Option<PendingChange> {
         self.pending.take_if(|change| change.proposal == proposal)
     }
 
-    /// Sends all members that a proposal has its outcome.
+    /// Notifies all members that a proposal has its outcome.
     pub(super) fn announce_resolved(
         &mut self,
         proposal: ProposalId,
@@ -118,19 +118,19 @@
         );
     }
 
-    /// Makes the messages of a new phase due at once.
+    /// Makes the messages of the current phase due at the next tick.
     fn send_at_next_tick(&mut self) {
         for progress in self.members.values_mut() {
             progress.last_sent = None;
         }
     }
 
-    /// Whether the pending change waits for no member. Also true without a pending change.
+    /// Returns whether the pending change waits for no member. Also true if no change is pending.
     pub(super) fn is_phase_complete(&self, now: Time) -> bool {
         self.awaited(now).next().is_none()
     }
 
-    /// Members that the pending change waits for: those that have not completed its phase and may still act.
+    /// Returns the members that the pending change waits for. They have not completed its phase and may still act.
     pub(super) fn awaited(&self, now: Time) -> impl Iterator<Item = MemberId> + '_ {
         let members = self.pending.iter().flat_map(move |change| {
             let members = self.members.iter();
@@ -141,7 +141,7 @@
         members.map(|(member, _)| *member)
     }
 
-    /// Sends the message of the phase to each member that has not completed it, once per resend interval.
+    /// Sends the message of the current phase to each member that has not completed it, once per resend interval.
     pub(super) fn send_phase_messages(&mut self, now: Time, actions: &mut Vec<LeaderAction>) {
         let Some(change) = &self.pending else { return };
         for (member, progress) in &mut self.members {
--- a/crates/coordination/src/leader/progress.rs
+++ b/crates/coordination/src/leader/progress.rs
@@ -4,28 +4,29 @@
 use crate::identifiers::ProposalId;
 use marblefall_time::Time;
 
-/// A member's progress, as received by this leader.
+/// The progress of one member, as known to this leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct MemberProgress {
-    /// When the member's last lease has surely expired; `None` is never.
+    /// Time by which the member's last lease has certainly expired; `None` if it does not expire.
     pub lease_expires: Option<Time>,
     /// Whether operators have confirmed that the member is stopped.
     pub excluded: bool,
     /// The last proposal that the member has accepted.
     pub checked: Option<ProposalId>,
-    /// The last proposal that the member is quiesced for.
+    /// The last proposal for which the member has confirmed that it is quiesced.
     pub quiesced: Option<ProposalId>,
-    /// When the message of the current phase was last sent.
+    /// Time at which the message of the current phase was last sent; `None` if it is due.
     pub last_sent: Option<Time>,
 }
 
 impl MemberProgress {
-    /// Whether the member has surely stopped acting without a message from this leader.
+    /// Returns whether the member has certainly stopped acting even without a confirmation, because it is excluded or its
+    /// lease has expired.
     pub fn has_expired(&self, now: Time) -> bool {
         self.excluded || self.lease_expires.is_some_and(|expires| expires <= now)
     }
 
-    /// Whether the member has completed the phase of a change.
+    /// Returns whether the member has completed the current phase of the change.
     pub fn is_done(&self, change: &PendingChange) -> bool {
         match change.phase {
             Phase::Checking => self.checked == Some(change.proposal),
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,20 +1,20 @@
-//! Coordination of a group of daemons: leases, by which members act under a policy, and the change from one policy to the
-//! next, at all members or at none. All parts are state machines that receive events and time and return actions. They use
-//! no clocks, sockets, disks or threads, and do not depend on a policy's content.
+//! Coordination of a group of daemons. Members act under a policy while they hold leases, and a change of the policy takes
+//! effect at all members or at none. All parts are state machines that receive events and the time, and return actions. They
+//! use no clocks, sockets, disks or threads, and do not depend on a policy's content.
 //!
 //! | module | state machine |
 //! | --- | --- |
-//! | [`node`] | one daemon: a member, perhaps a voter, perhaps the leader |
+//! | [`node`] | one daemon, which is a member and may be a voter and the leader |
 //! | [`member`] | requests leases, and may act while it holds one |
 //! | [`leader`] | grants leases, and takes a proposed policy through the two-phase change |
-//! | [`voter`] | the replicated log by the consensus library, leader election, the leader's own lease |
+//! | [`voter`] | replicates the log through the consensus library, elects the leader, maintains the leader's own lease |
 //!
-//! The committed log is an input of [`leader::Leader`]. Its driver guarantees that
+//! The committed log is an input of [`leader::Leader`]. The leader's driver guarantees that
 //!
-//! - entries are committed in one order, which is the same for every leader;
+//! - entries are committed in the same order for every leader;
 //! - a leader is elected only after all committed entries are applied to its state, and no entry of an earlier leader is
 //!   committed after that;
-//! - no other leader exists until the end of the lease that the leader is given.
+//! - no other leader exists before the end of the leader's own lease.
 
 #![forbid(unsafe_code)]
 
--- a/crates/coordination/src/log_storage.rs
+++ b/crates/coordination/src/log_storage.rs
@@ -1,5 +1,5 @@
-//! The consensus library's access to the persistent state. No operation fails: the state is in memory, and messages that
-//! depend on a change of it are sent only after the file is written.
+//! The consensus library's access to a voter's persistent state. No operation fails, because the state is in memory.
+//! Messages that depend on a change of the state are sent only after the file is written.
 
 use crate::persistent_state::PersistentState;
 use crate::replicated_state::LogEntry;
@@ -16,12 +16,12 @@
 #[derive(Clone)]
 pub(crate) struct LogStorage {
     state: Rc<RefCell<PersistentState>>,
-    /// Whether a change must be on disk before messages that depend on it are sent.
+    /// Whether there is a change that must be on disk before messages that depend on it are sent.
     unsaved: Rc<Cell<bool>>,
 }
 
 impl LogStorage {
-    /// The access to this state.
+    /// Creates the shared access to this state.
     pub(crate) fn new(state: PersistentState) -> LogStorage {
         LogStorage {
             state: Rc::new(RefCell::new(state)),
@@ -29,22 +29,22 @@
         }
     }
 
-    /// The state.
+    /// Borrows the state.
     pub(crate) fn state(&self) -> Ref<'_, PersistentState> {
         self.state.borrow()
     }
 
-    /// The state, for changes. Those that must be on disk are followed by [`LogStorage::mark_unsaved`].
+    /// Borrows the state mutably. After a change that must be on disk, [`LogStorage::mark_unsaved`] must be called.
     pub(crate) fn state_mut(&self) -> RefMut<'_, PersistentState> {
         self.state.borrow_mut()
     }
 
-    /// Whether a change must be on disk before messages that depend on it are sent.
+    /// Returns whether there is a change that must be on disk before messages that depend on it are sent.
     pub(crate) fn is_unsaved(&self) -> bool {
         self.unsaved.get()
     }
 
-    /// Records that a change must be written.
+    /// Records that there is a change that must be written.
     pub(crate) fn mark_unsaved(&self) {
         self.unsaved.set(true);
     }
@@ -54,7 +54,7 @@
         self.unsaved.set(false);
     }
 
-    /// Appends an entry without the library, for a group with a single voter.
+    /// Appends an entry without the consensus library, in a group with a single voter.
     pub(crate) fn append_as_only_voter(&self, entry: LogEntry) {
         self.state_mut().log.push(entry);
         self.mark_unsaved();
@@ -77,8 +77,8 @@
                 StorageOp::SetPromise(ballot) => self.set_promise(ballot)?,
                 StorageOp::SetDecidedIndex(decided) => self.set_decided_idx(decided)?,
                 StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
-                // A configuration ends by an entry of this crate, which also truncates the log. The library's own stop
-                // sign miscounts if the leader changes before it is decided.
+                // A configuration ends with an entry of this crate, which also truncates the log. The library's own stop
+                // sign is not used, because the library miscounts it if the leader changes before it is decided.
                 StorageOp::SetStopsign(_) => {}
                 StorageOp::SetCompactedIdx(_) | StorageOp::Trim(_) | StorageOp::SetSnapshot(_) => {}
             }
@@ -113,7 +113,7 @@
     }
 
     fn set_decided_idx(&mut self, decided: usize) -> StorageResult<()> {
-        // Need not be on disk: the other voters send it again.
+        // This index need not be on disk, because the other voters send it again.
         self.state_mut().decided = decided;
         Ok(())
     }
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -1,16 +1,17 @@
-//! A member: whether it may act, and under which policy.
+//! The state machine of a member, which determines whether the member may act and under which policy.
 //!
 //! A process starts without a policy, and acts only while it holds a lease that it requested itself. Once it has confirmed
-//! that it is quiesced for a change, only the outcome of the change releases it.
+//! that it is quiesced for a change, it does not act again before it has received the outcome of the change.
 
 use crate::identifiers::{Epoch, Policy, ProcessIncarnation, ProposalId, Revision};
 use crate::message::{LeaseGrant, LeaseRequest, ToLeader, ToMember};
 use crate::settings::CoordinationSettings;
 use marblefall_time::{Span, Time};
 
-/// Number of requests after which a released member without a lease counts as partitioned from the group.
+/// Number of lease requests after which a member that was released from quiescing and still has no lease counts as
+/// partitioned from the group.
 const MAX_REQUESTS_AFTER_RELEASE: i64 = 4;
-/// Number of requests within one lease, so that two responses may be lost.
+/// Number of requests per lease duration. Two responses in a row may be lost before the lease expires.
 const REQUESTS_PER_LEASE: i64 = 3;
 
 /// An action that the member's driver must take.
@@ -21,32 +22,34 @@
     /// Check a policy that is proposed to follow this revision against the messages that the instances hold, and send the
     /// verdict as [`ToLeader::PolicyChecked`].
     CheckPolicy(ProposalId, Revision, Policy),
-    /// Store the policy and put it in force.
+    /// Store the policy and act under it from now on.
     ApplyPolicy(Revision, Policy),
 }
 
 /// The permission to act under a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// The revision of the policy.
+    /// The revision of the policy that the member acts under.
     pub revision: Revision,
-    /// When the lease ends; never under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve).
+    /// End of the lease; `None` under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve), where leases do
+    /// not end.
     pub until: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LeaseState {
-    /// The policy in force is not known.
+    /// The member has no lease and does not know which policy is in force.
     Unknown {
-        /// When the member was released from being quiesced, if it was.
+        /// Time at which an outcome released the member from quiescing; `None` if it has not been quiesced.
         released_at: Option<Time>,
     },
-    /// The member may act.
+    /// The member holds a lease and may act until its end.
     Held {
-        /// When the lease ends; never under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve).
+        /// End of the lease; `None` under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve), where leases
+        /// do not end.
         until: Option<Time>,
     },
-    /// The member does not act until this proposal has its outcome.
+    /// The member does not act until it receives the outcome of this proposal.
     Quiesced(ProposalId),
 }
 
@@ -56,6 +59,7 @@
     settings: CoordinationSettings,
     incarnation: ProcessIncarnation,
     lease: LeaseState,
+    /// The revision of the policy that was last applied.
     applied: Option<Revision>,
     /// The latest epoch from which a message was received.
     epoch: Epoch,
@@ -65,7 +69,7 @@
 }
 
 impl Member {
-    /// A starting process.
+    /// Creates the member of a starting process, without a lease or a policy.
     pub fn new(settings: CoordinationSettings, incarnation: ProcessIncarnation) -> Member {
         Member {
             settings,
@@ -78,7 +82,7 @@
         }
     }
 
-    /// The lease that the member holds at this moment. Must be called immediately before each act, because the process may
+    /// Returns the lease that the member holds at `now`. Must be called immediately before each act, because the process may
     /// have been suspended since an earlier call.
     pub fn lease(&self, now: Time) -> Option<Lease> {
         match self.lease {
@@ -89,8 +93,8 @@
         }
     }
 
-    /// Whether the member is quiesced for a change, or was just released and requests a lease. Submitted messages then wait
-    /// instead of being rejected.
+    /// Returns whether the member is quiesced for a change, or was recently released and is requesting a lease. Submitted
+    /// messages then wait instead of being rejected.
     pub fn is_quiesced(&self, now: Time) -> bool {
         match self.lease {
             LeaseState::Quiesced(_) => true,
@@ -104,25 +108,26 @@
         }
     }
 
-    /// The revision of the policy that was last applied.
+    /// Returns the revision of the policy that was last applied.
     pub fn applied(&self) -> Option<Revision> {
         self.applied
     }
 
-    /// When [`Member::tick`] must be called next.
+    /// Returns the time at which [`Member::tick`] must be called next.
     pub fn next_wake(&self, now: Time) -> Time {
         self.last_request
             .map_or(now, |sent_at| sent_at + self.request_interval())
     }
 
-    /// Requests a lease if it is time to.
+    /// Requests a lease if the next request is due.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<MemberAction>) {
         if self.next_wake(now) <= now {
             self.request_lease(now, actions);
         }
     }
 
-    /// Handles a message of the leader of this epoch. Messages of a former leader, or for an earlier process, are ignored.
+    /// Handles a message from the leader of `epoch`. Messages from a former leader and leases granted to an earlier process
+    /// are ignored.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -182,11 +187,12 @@
             return;
         }
         if self.applied != Some(grant.committed) {
-            // Without the policy's content the next request reports the old revision, and receives it.
+            // A grant without the policy's content is ignored. The next request reports the old revision, so the leader
+            // sends the content.
             let Some(policy) = grant.policy else { return };
             self.applied = Some(grant.committed);
             actions.push(MemberAction::ApplyPolicy(grant.committed, policy));
-            // Reports the applied revision at once, because operators wait for it.
+            // Report the applied revision at once, because operators wait for it.
             self.request_lease(now, actions);
         }
         self.resolved = grant.resolved;
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between members and the leader.
 //!
-//! They are encoded as `postcard`, also between two versions of the program: the order of variants and fields must not
-//! change.
+//! The messages are encoded as `postcard`, also between daemons of different versions, so the order of variants and fields
+//! must not change.
 
 use crate::identifiers::{Epoch, Micros, Policy, ProcessIncarnation, ProposalId, Revision};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 pub enum PolicyVerdict {
     /// The member can act under the policy.
     Accepted,
-    /// The member cannot act under the policy, for this reason, which operators read.
+    /// The member cannot act under the policy, for this reason, which is displayed to operators.
     Rejected(String),
 }
 
@@ -29,27 +29,27 @@
 pub struct LeaseRequest {
     /// The incarnation of the member's process.
     pub incarnation: ProcessIncarnation,
-    /// The process's monotonic clock at the request, in microseconds.
+    /// Reading of the process's monotonic clock when the request was sent, in microseconds.
     pub sent_at: Micros,
-    /// The revision that the member has applied, whose content is not sent again.
+    /// The revision that the member has applied. The leader does not send its content again.
     pub applied: Option<Revision>,
 }
 
 /// A lease that the leader grants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The incarnation that requested it.
+    /// The incarnation of the process that requested the lease.
     pub incarnation: ProcessIncarnation,
-    /// The process's monotonic clock at the request, in microseconds.
+    /// Copy of [`LeaseRequest::sent_at`].
     pub sent_at: Micros,
-    /// The duration from the request on in microseconds, from which the member subtracts the drift; `None` is without end,
-    /// under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve).
+    /// The duration of the lease, counted from the request, in microseconds. The member subtracts the possible clock drift.
+    /// `None` under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve), where leases do not end.
     pub duration: Option<Micros>,
     /// The revision in force.
     pub committed: Revision,
-    /// The policy in force, unless the member has applied it.
+    /// The policy in force; `None` if the member has already applied it.
     pub policy: Option<Policy>,
-    /// The last proposal with a known outcome.
+    /// The last proposal that has an outcome.
     pub resolved: ProposalId,
 }
 
@@ -60,21 +60,22 @@
     LeaseRequest(LeaseRequest),
     /// The member's verdict on a proposed policy.
     PolicyChecked(ProposalId, PolicyVerdict),
-    /// The member has stopped acting until it receives the outcome of the proposal. Addressed to the leader of this epoch
-    /// alone: a confirmation for an earlier leader may be from an earlier process, while a later process of the member
-    /// holds a lease.
+    /// The member has stopped acting until it receives the outcome of the proposal. Only the leader of this epoch accepts
+    /// the confirmation. A confirmation for an earlier leader may be from an earlier process, while a later process of the
+    /// member holds a lease.
     Quiesced(ProposalId, Epoch),
 }
 
 /// A message from the leader to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ToMember {
-    /// The member may act under the policy in force.
+    /// Grants a lease, with which the member may act under the policy in force.
     LeaseGranted(LeaseGrant),
-    /// Check this policy, which is proposed to follow this revision.
+    /// Requests a verdict on this policy, which is proposed to follow this revision.
     CheckPolicy(ProposalId, Revision, Policy),
-    /// Stop acting until the proposal has its outcome.
+    /// Requests the member to stop acting until the proposal has its outcome.
     Quiesce(ProposalId),
-    /// Proposals up to this one have their outcome, so that a lease can be requested again.
+    /// Reports that all proposals up to this one have their outcome. A member that was quiesced for one of them may request
+    /// a lease again.
     Resolved(ProposalId),
 }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -1,7 +1,7 @@
-//! One daemon of a group: a member, perhaps a voter, perhaps the leader.
+//! The state machine of one daemon of a group. Each daemon is a member, may be a voter, and may be the leader.
 //!
-//! A node receives frames, requests and time, and returns actions: what must be written, sent and done, in this order.
-//! Everything that follows a write depends on it: if the write fails, nothing that follows may be sent.
+//! A node receives frames, requests and the time, and returns actions. The driver executes the actions in order. All
+//! messages that follow a write depend on it: if the write fails, none of them may be sent.
 
 mod actions;
 mod frame;
@@ -23,12 +23,12 @@
 use marblefall_time::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The parts of a node.
+/// The parameters from which a node is created.
 #[derive(Clone, Debug)]
 pub struct NodeSetup {
-    /// The member that the node is.
+    /// The identity of this member.
     pub own_id: MemberId,
-    /// All members.
+    /// All members, including this one.
     pub members: BTreeSet<MemberId>,
     /// The members that vote.
     pub voters: BTreeSet<MemberId>,
@@ -42,37 +42,40 @@
     pub initial_policy: Option<Policy>,
 }
 
-/// The last message that was received from a leader.
+/// The sender and time of the last message from a leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderContact {
-    /// The leader.
+    /// The leader that sent the message.
     pub leader: MemberId,
-    /// When the message was received.
+    /// Time at which the message was received.
     pub received_at: Time,
 }
 
-/// The last report of a member to this leader.
+/// The contents of a member's last lease request.
 struct MemberReport {
     received_at: Time,
     applied: Option<Revision>,
 }
 
-/// One daemon of a group.
+/// The state machine of one daemon of a group.
 pub struct Node {
     setup: NodeSetup,
     member: Member,
+    /// `None` if this member does not vote.
     voter: Option<Voter>,
+    /// `None` while this daemon is not the leader.
     leader: Option<Leader>,
-    /// The author of a proposal that was appended and is not committed yet.
+    /// The author of a proposal that this leader has appended and that is not committed yet.
     proposal_in_flight: Option<Author>,
     last_leader: Option<LeaderContact>,
-    /// While this node leads: the last report of each member.
+    /// The last report of each member since this node was elected.
     reports: BTreeMap<MemberId, MemberReport>,
+    /// Earliest time at which the initial policy may be proposed again.
     next_initial_proposal: Time,
 }
 
 impl Node {
-    /// A node of a starting process.
+    /// Creates the node of a starting process.
     pub fn new(mut setup: NodeSetup, now: Time) -> Node {
         let votes = setup.voters.contains(&setup.own_id);
         let state = setup.state.take().filter(|_| votes);
@@ -95,32 +98,32 @@
         }
     }
 
-    /// The lease that this member holds at this moment.
+    /// Returns the lease that this member holds at `now`.
     pub fn lease(&self, now: Time) -> Option<Lease> {
         self.member.lease(now)
     }
 
-    /// Whether this member is quiesced for a change.
+    /// Returns whether this member is quiesced for a change, or was recently released and is requesting a lease.
     pub fn is_quiesced(&self, now: Time) -> bool {
         self.member.is_quiesced(now)
     }
 
-    /// The revision of the policy that was last applied.
+    /// Returns the revision of the policy that was last applied.
     pub fn applied(&self) -> Option<Revision> {
         self.member.applied()
     }
 
-    /// The last message that was received from a leader.
+    /// Returns the sender and time of the last message from a leader.
     pub fn last_leader(&self) -> Option<LeaderContact> {
         self.last_leader
     }
 
-    /// The status of this member's voter, if it is one.
+    /// Returns the status of this member's voter, or `None` if it does not vote.
     pub fn voting_status(&self) -> Option<VotingStatus> {
         self.voter.as_ref().map(Voter::status)
     }
 
-    /// When [`Node::tick`] must be called next.
+    /// Returns the time at which [`Node::tick`] must be called next.
     pub fn next_wake(&self, now: Time) -> Time {
         let voter = self.voter.iter().map(Voter::next_wake);
         let leader = self
@@ -132,7 +135,7 @@
         voter.chain(leader).fold(member, Time::min)
     }
 
-    /// Executes what has become due.
+    /// Performs all work that is due at `now`.
     pub fn tick(&mut self, now: ClockReading, actions: &mut Vec<NodeAction>) {
         let mut voter_actions = Vec::new();
         if let Some(voter) = &mut self.voter {
@@ -149,7 +152,7 @@
         self.put_write_first(actions);
     }
 
-    /// The connection to another daemon was established, for the first time or again.
+    /// Handles a new connection to another daemon, which may be the first one or replace an earlier one.
     pub fn handle_connected(
         &mut self,
         now: ClockReading,
@@ -164,7 +167,7 @@
         self.put_write_first(actions);
     }
 
-    /// Handles a frame of a daemon, which may be this one. A frame that is not from a member is ignored.
+    /// Handles a frame from a daemon, which may be this one. Frames from daemons that are not members are ignored.
     pub fn handle_frame(
         &mut self,
         now: ClockReading,
@@ -216,8 +219,8 @@
         self.put_write_first(actions);
     }
 
-    /// Forwards an operator's request to the leader. The reply follows as [`NodeAction::Reply`], if a leader receives the
-    /// request.
+    /// Forwards an operator's request to the leader. If a leader receives the request, its reply is returned later as
+    /// [`NodeAction::Reply`].
     pub fn handle_request(
         &mut self,
         now: ClockReading,
@@ -231,7 +234,7 @@
         }
     }
 
-    /// A [`NodeAction::Write`] has failed.
+    /// Handles the failure of a [`NodeAction::Write`].
     pub fn handle_write_failed(&mut self) {
         if let Some(voter) = &mut self.voter {
             voter.handle_write_failed();
@@ -257,7 +260,8 @@
         });
     }
 
-    /// The members that may lead: the recent leader, or else all voters.
+    /// Returns the members that may be the leader. If a leader's message was received recently this is its sender, otherwise
+    /// all voters.
     fn possible_leaders(&self, now: Time) -> Vec<MemberId> {
         let settings = &self.setup.settings;
         let half_lease = Span(settings.lease_duration.0 / 2);
@@ -274,7 +278,7 @@
         }
     }
 
-    /// Puts the write of the voter's state before everything that is sent.
+    /// Inserts the write of the voter's state before all other actions, if its state has unsaved changes.
     fn put_write_first(&mut self, actions: &mut Vec<NodeAction>) {
         if let Some(bytes) = self.voter.as_mut().and_then(Voter::take_unsaved) {
             actions.insert(0, NodeAction::Write(bytes));
--- a/crates/coordination/src/node/actions.rs
+++ b/crates/coordination/src/node/actions.rs
@@ -1,5 +1,5 @@
-//! Executes the actions of a node's member, voter and leader: each turns into actions of the node, or into a call of another
-//! part.
+//! Execution of the actions of a node's member, voter and leader. Each action becomes an action of the node, or a call of
+//! another of its state machines.
 
 use super::{Frame, Node, NodeAction};
 use crate::identifiers::{Author, ClockReading, Epoch, MemberId, Policy, Revision};
@@ -9,9 +9,9 @@
 use crate::voter::VoterAction;
 use marblefall_time::Span;
 
-/// Time after which a leader proposes the initial policy again.
+/// Minimum time between two proposals of the initial policy.
 const INITIAL_PROPOSAL_INTERVAL: Span = Span(3_000_000);
-/// The author of the initial policy, as operators read it.
+/// The author of the initial policy, as displayed to operators.
 const INITIAL_AUTHOR: &str = "founding";
 /// The key of the initial policy's proposal.
 const INITIAL_KEY: u64 = 0;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Calls the leader, if this daemon leads, and executes its actions.
+    /// Calls the leader if this daemon is the leader, and executes the resulting actions.
     pub(super) fn lead(
         &mut self,
         now: ClockReading,
@@ -81,7 +81,7 @@
                 VoterAction::Elected(epoch) => self.become_leader(now, epoch, actions),
                 VoterAction::Deposed => {
                     self.leader = None;
-                    let text = "another daemon leads the group, or none".to_owned();
+                    let text = "this daemon no longer leads the group".to_owned();
                     actions.push(NodeAction::Log("leader-deposed", text));
                 }
                 VoterAction::LeaseExtended(until) => {
@@ -124,7 +124,7 @@
         actions.push(NodeAction::Log("leader-elected", text));
     }
 
-    /// Proposes the initial policy, if this daemon leads and the log is empty.
+    /// Proposes the initial policy, if this daemon is the leader and the log contains no policy.
     pub(super) fn propose_initial_policy(
         &mut self,
         now: ClockReading,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Proposes a policy, if this daemon leads and no change is pending.
+    /// Proposes a policy, if this daemon is the leader and no change is pending.
     pub(super) fn propose(
         &mut self,
         now: ClockReading,
@@ -166,7 +166,7 @@
     }
 }
 
-/// The text of an entry for log lines.
+/// Returns a description of the entry for log lines.
 fn describe(entry: &LeaderEntry) -> String {
     match entry {
         LeaderEntry::Proposed(proposal, _, author) => {
--- a/crates/coordination/src/node/operator.rs
+++ b/crates/coordination/src/node/operator.rs
@@ -1,4 +1,4 @@
-//! The leader's replies to operators' requests.
+//! Handling of operators' requests by the leader.
 
 use super::operator_message::{
     ChangePhase, GroupStatus, MemberStatus, PendingStatus, Reply, Request,
@@ -9,7 +9,7 @@
 use crate::replicated_state::{KnownChange, LeaderEntry, ReplicatedState};
 use marblefall_time::Time;
 
-/// The state of a leader that holds its own lease.
+/// A view of the leader's state, valid because the leader holds its own lease.
 struct LeaderView<'a> {
     leader: &'a Leader,
     state: &'a ReplicatedState,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The outcome or the phase of the change with this key, if it is known.
+    /// Returns the outcome or the phase of the change with this key, if the change is known.
     fn outcome(&self, key: u64) -> Option<Reply> {
         Some(match self.state.find_change(key)? {
             KnownChange::Resolved(change) => Reply::Resolved(change.clone()),
@@ -35,7 +35,8 @@
         })
     }
 
-    /// The reply to a proposal that is not appended to the log: it is known already, or cannot be made now.
+    /// Returns the reply to a proposal that must not be appended to the log, because the change is known already, another
+    /// change is pending, or the base is not the revision in force. Returns `None` if the proposal can be appended.
     fn rejection(&self, base: Revision, author: &Author) -> Option<Reply> {
         if let Some(reply) = self.outcome(author.key) {
             return Some(reply);
@@ -57,7 +58,7 @@
 }
 
 impl Node {
-    /// The reply to an operator's request; `None` if this daemon does not lead.
+    /// Returns the reply to an operator's request, or `None` if this daemon does not lead or its lease has expired.
     pub(super) fn reply(
         &mut self,
         now: ClockReading,
@@ -91,7 +92,8 @@
         })
     }
 
-    /// The leader's state; `None` if another leader may exist, as this one may not know the policy in force.
+    /// Returns a view of the leader's state, or `None` if another leader may exist. This leader may then not know the policy
+    /// in force.
     fn leader_view(&self, now: Time) -> Option<LeaderView<'_>> {
         let leader = self.leader.as_ref()?;
         let state = self.voter.as_ref()?.state();
@@ -108,7 +110,7 @@
         actions: &mut Vec<NodeAction>,
     ) -> Reply {
         match &self.proposal_in_flight {
-            // An operator's command repeats its proposal while it receives no reply.
+            // An operator's command repeats its proposal until it receives a reply.
             Some(in_flight) if in_flight.key == author.key => {}
             Some(in_flight) => return Reply::Busy(in_flight.clone()),
             None => self.propose(now, policy, author, actions),
--- a/crates/coordination/src/node/operator_message.rs
+++ b/crates/coordination/src/node/operator_message.rs
@@ -1,7 +1,7 @@
 //! Operators' requests to a group, and its leader's replies.
 //!
-//! Both are encoded as `postcard`, also between two versions of the program: the order of variants and fields must not
-//! change.
+//! Requests and replies are encoded as `postcard`, also between daemons of different versions, so the order of variants and
+//! fields must not change.
 
 use crate::identifiers::{Author, MemberId, Micros, Policy, Revision};
 use crate::replicated_state::ResolvedChange;
@@ -12,7 +12,7 @@
 pub enum Request {
     /// Change the policy.
     Propose {
-        /// The revision in force when the change was made.
+        /// The revision that the new policy is based on.
         base: Revision,
         /// The new policy.
         policy: Policy,
@@ -23,36 +23,36 @@
     Outcome(u64),
     /// Withdraw the pending change.
     Withdraw,
-    /// Do not wait for this member: the operator confirms that it is stopped.
+    /// Stop waiting for this member, which the operator confirms to be stopped.
     Exclude(MemberId),
     /// Return the state of the group.
     Status,
-    /// Return the outcomes of earlier changes.
+    /// Return the recent changes that have an outcome.
     History,
 }
 
 /// The leader's reply to an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The change is being appended to the log.
+    /// The proposed change is being appended to the log.
     Proposed,
     /// Another change is pending, with this author.
     Busy(Author),
-    /// The change is based on another revision than this one, which is in force.
+    /// The change is not based on the revision in force, which is this one.
     Stale(Revision),
-    /// The change is pending: its phase, and the members that it waits for.
+    /// The change is pending, in this phase, and waits for these members.
     Pending(ChangePhase, Vec<MemberId>),
-    /// The change has its outcome.
+    /// The change has an outcome.
     Resolved(ResolvedChange),
     /// The change or the member is unknown.
     Unknown,
-    /// The request is being appended to the log.
+    /// The withdrawal or exclusion is being appended to the log.
     Accepted,
     /// No change is pending.
     NothingPending,
     /// The state of the group.
     Status(Box<GroupStatus>),
-    /// The outcomes of changes, the latest last.
+    /// Recent changes with an outcome, in order of their outcomes.
     History(Vec<ResolvedChange>),
 }
 
@@ -65,16 +65,16 @@
     Quiescing,
 }
 
-/// The state of the group, as its leader knows it.
+/// The state of the group, as known to its leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// The leader.
+    /// The member that leads the group.
     pub leader: MemberId,
     /// The revision in force.
     pub committed: Revision,
     /// The pending change, if there is one.
     pub pending: Option<PendingStatus>,
-    /// All members.
+    /// The state of each member.
     pub members: Vec<MemberStatus>,
 }
 
@@ -83,23 +83,23 @@
 pub struct PendingStatus {
     /// The author of the change.
     pub author: Author,
-    /// Its phase.
+    /// The phase of the change.
     pub phase: ChangePhase,
-    /// The members that it waits for.
+    /// The members that the change waits for.
     pub awaited: Vec<MemberId>,
 }
 
-/// The state of a member, as the leader knows it.
+/// The state of a member, as known to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The member.
+    /// The identity of the member.
     pub member: MemberId,
     /// The revision that the member last reported as applied.
     pub applied: Option<Revision>,
-    /// Microseconds since the member's last lease request to this leader.
+    /// Time since the member's last lease request to this leader, in microseconds; `None` before the first one.
     pub since_last_request: Option<Micros>,
     /// Whether the member is a voter.
     pub votes: bool,
-    /// Whether operators have confirmed that the member is stopped.
+    /// Whether an operator has confirmed that the member is stopped.
     pub excluded: bool,
 }
--- a/crates/coordination/src/persistent_state.rs
+++ b/crates/coordination/src/persistent_state.rs
@@ -1,7 +1,7 @@
-//! A voter's persistent state: its part of the log, and the storage versions by which a loss of the storage is detected.
+//! A voter's persistent state: its replica of the log, and the storage versions by which a loss of storage is detected.
 //!
-//! It is one file, which is replaced atomically: a magic number, a version, a checksum, and the state as `postcard`, which
-//! depends on the order of fields: that order must not change.
+//! The state is stored in one file, which is replaced atomically. The file contains a magic number, a version, a checksum,
+//! and the state encoded as `postcard`. The encoding depends on the order of fields, which must not change.
 
 use crate::identifiers::{MemberId, StorageId, StorageVersion};
 use crate::replicated_state::{LogEntry, ReplicatedState};
@@ -14,29 +14,30 @@
 /// The first bytes of the file.
 const MAGIC: &[u8; 7] = b"mfgroup";
 
-/// Why a file cannot be decoded as the state of this voter.
+/// The reason why a file cannot be decoded as the state of this voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It does not begin with the magic number.
-    #[error("it is no file of a group")]
+    /// The file does not begin with the magic number.
+    #[error("the file is not the state of a group's voter")]
     UnknownFormat,
-    /// A later version of the program wrote it.
-    #[error("a later version of the program wrote it")]
+    /// The file was written by a later version of the program.
+    #[error("the file was written by a later version of the program")]
     NewerVersion,
-    /// Its checksum does not match, or its content cannot be decoded.
-    #[error("it is damaged")]
+    /// The checksum does not match, or the content cannot be decoded.
+    #[error("the file is damaged")]
     Corrupt,
-    /// It belongs to another group or member.
-    #[error("it is of another group or another member")]
+    /// The file belongs to another group or member.
+    #[error("the file belongs to another group or another member")]
     OtherOwner,
 }
 
 /// A voter's persistent state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistentState {
-    /// A hash of the group's and the member's name.
+    /// A hash of the names of the group and the member.
     pub owner: u64,
-    /// The storage and its number of writes. Each message of the voter contains the number of the write that it depends on.
+    /// The identity of the storage, and its number of writes. Each message of the voter contains the number of the write
+    /// that it depends on.
     pub storage: StorageVersion,
     /// The other voters' storage versions, as last received.
     pub peers: BTreeMap<MemberId, StorageVersion>,
@@ -44,14 +45,18 @@
     pub configuration: u32,
     /// The state before the first entry of the log.
     pub base: Option<ReplicatedState>,
+    /// The ballot of the last promise.
     pub(crate) promise: Option<Ballot>,
+    /// The ballot in which entries were last accepted.
     pub(crate) accepted_round: Option<Ballot>,
+    /// The number of decided entries of the log.
     pub(crate) decided: usize,
+    /// The entries of the current configuration's log, decided or not.
     pub(crate) log: Vec<LogEntry>,
 }
 
 impl PersistentState {
-    /// The state of a new storage.
+    /// Creates the state of a new storage.
     pub fn new(owner: u64, id: StorageId) -> PersistentState {
         PersistentState {
             owner,
@@ -66,7 +71,7 @@
         }
     }
 
-    /// Begins another configuration, with an empty log after this state.
+    /// Begins a new configuration with an empty log that follows the state `base`.
     pub fn begin_configuration(&mut self, configuration: u32, base: ReplicatedState) {
         let peer = |(member, id): (&MemberId, &StorageId)| {
             let known = self.peers.get(member).filter(|known| known.id == *id);
@@ -87,26 +92,26 @@
         };
     }
 
-    /// The state before the first entry of the log; an empty state before the first configuration.
+    /// Returns the state before the first entry of the log. It is empty before the first configuration.
     pub fn base_state(&self) -> ReplicatedState {
         self.base
             .clone()
             .unwrap_or_else(|| ReplicatedState::new(BTreeMap::new()))
     }
 
-    /// The number of entries of the log, decided or not.
+    /// Returns the number of entries in the log, decided or not.
     pub fn log_length(&self) -> usize {
         self.log.len()
     }
 
-    /// The entries of the log from this index on.
+    /// Returns the entries of the log from index `first` on.
     pub fn entries_from(&self, first: usize) -> Vec<LogEntry> {
         self.log
             .get(first..)
             .map_or_else(Vec::new, <[LogEntry]>::to_vec)
     }
 
-    /// Whether the log contains the end of this configuration, decided or not.
+    /// Returns whether the log contains an entry that ends this configuration, decided or not.
     pub fn is_configuration_ending(&self) -> bool {
         self.log
             .iter()
@@ -115,7 +120,7 @@
 
     /// Encodes the content of the file.
     pub fn encode(&self) -> Vec<u8> {
-        // Cannot fail: the length of each sequence is known.
+        // Encoding cannot fail, because the length of each sequence is known.
         let body = postcard::to_allocvec(self).unwrap_or_default();
         let mut bytes = MAGIC.to_vec();
         bytes.push(VERSION);
@@ -124,10 +129,10 @@
         bytes
     }
 
-    /// Decodes the content of the file of this owner.
+    /// Decodes the content of this owner's file.
     ///
     /// # Errors
-    /// The content is of another format, damaged, of a later version, or of another owner.
+    /// The content has another format or a later version, is damaged, or belongs to another owner.
     pub fn decode(bytes: &[u8], owner: u64) -> Result<PersistentState, DecodeError> {
         let rest = bytes
             .strip_prefix(&MAGIC[..])
--- a/crates/coordination/src/replicated_state.rs
+++ b/crates/coordination/src/replicated_state.rs
@@ -1,6 +1,6 @@
 //! The state machine that is replicated by the log: the policy in force, the pending change, and the outcomes of earlier
-//! changes. The same entries in the same order lead to the same state at every voter. The log of a new configuration of
-//! voters begins with this state.
+//! changes. Applying the same entries in the same order leads to the same state at every voter. The log of a new
+//! configuration of voters starts from this state.
 //!
 //! Entries and state are stored and sent as `postcard`: the order of variants and fields must not change.
 
@@ -14,9 +14,9 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogEntry {
-    /// A leader's epoch begins. Later entries of earlier leaders are void.
+    /// A leader's epoch begins. Entries of earlier leaders that follow in the log are void.
     EpochStarted(Epoch),
-    /// A leader's entry.
+    /// An entry that a leader has appended.
     Leader {
         /// The leader's epoch.
         epoch: Epoch,
@@ -25,11 +25,11 @@
         /// The entry.
         entry: LeaderEntry,
     },
-    /// The configuration ends, and the next one has these voters. Later entries of this log are void.
+    /// The configuration ends, and these are the voters of the next one. Later entries of this log are void.
     ConfigurationEnded(BTreeMap<MemberId, StorageId>),
 }
 
-/// A leader's entry.
+/// An entry that a leader appends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum LeaderEntry {
     /// A policy is proposed to follow the one in force.
@@ -38,7 +38,7 @@
     InForce(ProposalId),
     /// The proposed policy will never be in force, for this reason.
     Withdrawn(ProposalId, String),
-    /// Operators have confirmed that this member is stopped. Changes do not wait for it.
+    /// An operator has confirmed that this member is stopped. Changes do not wait for it.
     Excluded(MemberId),
     /// An excluded member has requested a lease. Changes wait for it again.
     Readmitted(MemberId),
@@ -53,7 +53,7 @@
     pub policy: Policy,
     /// The author of the change.
     pub author: Author,
-    /// When it was proposed, as Unix time in milliseconds.
+    /// Time of the proposal, as Unix time in milliseconds.
     pub proposed_ms: i64,
 }
 
@@ -62,7 +62,7 @@
 pub enum ChangeOutcome {
     /// The policy came into force as this revision.
     InForce(Revision),
-    /// The change was withdrawn for this reason, which operators read.
+    /// The change was withdrawn for this reason, which is displayed to operators.
     Withdrawn(String),
 }
 
@@ -73,15 +73,15 @@
     pub proposal: ProposalId,
     /// The author of the change.
     pub author: Author,
-    /// When it was proposed, as Unix time in milliseconds.
+    /// Time of the proposal, as Unix time in milliseconds.
     pub proposed_ms: i64,
-    /// When the outcome was appended to the log, as Unix time in milliseconds.
+    /// Time at which the outcome was appended to the log, as Unix time in milliseconds.
     pub resolved_ms: i64,
     /// The outcome.
     pub outcome: ChangeOutcome,
 }
 
-/// The result of looking a change up.
+/// A change found by its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KnownChange<'a> {
     /// The change has no outcome.
@@ -90,10 +90,10 @@
     Resolved(&'a ResolvedChange),
 }
 
-/// The replicated state after a number of entries.
+/// The replicated state after applying a prefix of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The epoch whose entries are valid.
+    /// The current epoch. Leaders' entries of other epochs are void.
     pub epoch: Epoch,
     /// The revision in force; 0 before the first policy.
     pub committed: Revision,
@@ -103,16 +103,16 @@
     pub resolved: ProposalId,
     /// The change without an outcome, if there is one.
     pub pending: Option<PendingChange>,
-    /// Members that are stopped, as operators have confirmed.
+    /// Members that operators have confirmed to be stopped.
     pub excluded: BTreeSet<MemberId>,
-    /// Changes with an outcome, the latest last.
+    /// Recent changes with an outcome, in order of their outcomes.
     pub history: VecDeque<ResolvedChange>,
-    /// The voters, each with the storage with which it was admitted.
+    /// The voters of the current configuration, each with the storage with which it was admitted.
     pub voters: BTreeMap<MemberId, StorageId>,
 }
 
 impl ReplicatedState {
-    /// The state before the first entry of these voters' log. The policy of revision 0 is empty.
+    /// Creates the state before the first entry of these voters' log. The policy of revision 0 is empty.
     pub fn new(voters: BTreeMap<MemberId, StorageId>) -> ReplicatedState {
         ReplicatedState {
             epoch: Epoch::default(),
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Applies the next entry of the log, and returns a leader's entry unless it is void. The first outcome of a change is
-    /// final.
+    /// Applies the next entry of the log. Returns the leader's entry that it contains, unless that entry is void. The first
+    /// outcome of a change is final.
     pub fn apply(&mut self, entry: LogEntry) -> Option<LeaderEntry> {
         match entry {
             LogEntry::EpochStarted(epoch) => {
@@ -156,7 +156,7 @@
             .find(|change| change.author().key == key)
     }
 
-    /// Applies an entry of the current leader; whether it is valid.
+    /// Applies an entry of the current leader. Returns whether the entry is valid.
     fn apply_leader_entry(&mut self, unix_ms: i64, entry: &LeaderEntry) -> bool {
         match entry {
             LeaderEntry::Proposed(proposal, policy, author) => {
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,43 +1,43 @@
-//! The settings of a group: leases, timeouts, and the behaviour in a network partition.
+//! The settings of a group: leases, timeouts, and the behaviour during a network partition.
 
 use marblefall_time::Span;
 
-/// Hundredths in a whole.
+/// Divisor that converts percent to a fraction.
 const PERCENT: i64 = 100;
 
-/// What a member does while it cannot reach the leader.
+/// Behaviour of a member while it cannot reach the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PartitionPolicy {
-    /// It stops acting when its lease expires. Changes then complete without it.
+    /// The member stops acting when its lease expires. Changes then complete without it.
     Stop,
-    /// It continues to act; changes wait for it.
+    /// The member continues to act, and changes wait for it.
     Serve,
 }
 
 /// The settings of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CoordinationSettings {
-    /// What a member does while it cannot reach the leader.
+    /// Behaviour of a member while it cannot reach the leader.
     pub partition_policy: PartitionPolicy,
     /// The duration of a lease, under [`PartitionPolicy::Stop`].
     pub lease_duration: Span,
-    /// Maximum difference in speed between two clocks, in percent.
+    /// Maximum difference in rate between two members' clocks, in percent.
     pub clock_drift_percent: i64,
-    /// Time after which a change without all members' verdicts is withdrawn, under [`PartitionPolicy::Stop`].
+    /// Time after which a change is withdrawn if not all members have sent a verdict, under [`PartitionPolicy::Stop`].
     pub check_timeout: Span,
-    /// Time after which a change is withdrawn, if not all members are quiesced.
+    /// Time after which a change is withdrawn if not all members are quiesced.
     pub quiesce_timeout: Span,
-    /// Time after which a message without a response is sent again.
+    /// Time after which a message without a response is resent.
     pub resend_interval: Span,
 }
 
 impl CoordinationSettings {
-    /// The longest time that can pass on one clock while `span` passes on another.
+    /// Returns the longest time that can pass on one clock while `span` passes on another.
     pub fn max_elapsed(&self, span: Span) -> Span {
         Span(span.0 + self.drift(span) + 1)
     }
 
-    /// The shortest time that can pass on one clock while `span` passes on another.
+    /// Returns the shortest time that can pass on one clock while `span` passes on another.
     pub fn min_elapsed(&self, span: Span) -> Span {
         Span(span.0 - self.drift(span) - 1)
     }
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -1,15 +1,15 @@
-//! A voter: its part of the replicated log by the consensus library, its leadership and the leader's own lease, and the
-//! detection of lost storage. It performs no I/O: the state that must be on disk is returned before the messages that
-//! depend on it.
+//! The state machine of a voter: its replica of the log, which the consensus library maintains, leader election, the
+//! leader's own lease, and the detection of lost storage. It performs no I/O. The state that must be on disk is returned
+//! before the messages that depend on it.
 //!
-//! Three protocols are added to the library's:
-//! - *Leader leases* (`leadership`): a leader requests from the other voters a confirmation that their last promise is to it.
-//!   Once a majority has confirmed, no later leader was elected before the request was sent.
-//! - *Epochs* (`replication`): a leader's first entry marks the start of its epoch, after which entries of earlier leaders
-//!   are void.
-//! - *Amnesia detection* (`amnesia`): the messages of a voter contain the number of writes of its storage, of which the
-//!   other voters store the highest. A starting voter participates only after enough others have confirmed that they know
-//!   of no later write than its storage has.
+//! Three protocols are added to those of the library:
+//! - *Leader leases* (`leadership`): a leader requests confirmations from the other voters that their last promise is to
+//!   this leader. Confirmations by a majority prove that no later leader had been elected when the request was sent.
+//! - *Epochs* (`replication`): a leader's first entry marks the start of its epoch. Entries of earlier leaders that follow
+//!   it are void.
+//! - *Amnesia detection* (`amnesia`): the messages of a voter contain the number of writes to its storage, and the other
+//!   voters store the highest number that they receive. A starting voter participates only after enough others have
+//!   confirmed that they have recorded no later write than its storage contains.
 
 mod amnesia;
 mod leadership;
@@ -28,9 +28,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The interval of the consensus library's ticks.
+/// Interval between ticks of the consensus library.
 const TICK: Span = Span(100_000);
-/// The interval at which a voter that does not participate repeats its requests to the others.
+/// Interval at which a voter that does not participate repeats its requests to the other voters.
 const HELLO_INTERVAL: Span = Span(400_000);
 
 /// An action that the voter's driver must take.
@@ -38,13 +38,13 @@
 pub enum VoterAction {
     /// Send this message to another voter.
     Send(MemberId, VoterMessage),
-    /// A leader's entry is committed, and is not void.
+    /// This leader's entry is committed and is not void.
     Committed(LeaderEntry),
-    /// This voter leads from now on. Its state includes all committed entries.
+    /// This voter is the leader of this epoch. Its state includes all committed entries.
     Elected(Epoch),
-    /// This voter no longer leads.
+    /// This voter is no longer the leader.
     Deposed,
-    /// No other leader exists until this time.
+    /// The leader's own lease now ends at this time. Until then no other leader exists.
     LeaseExtended(Time),
     /// Write a log line with a reason code.
     Log(&'static str, String),
@@ -53,66 +53,71 @@
 /// Whether a voter participates, and in which configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VotingStatus {
-    /// Whether it participates.
+    /// Whether the voter participates.
     pub participates: bool,
     /// The number of the configuration of voters; 0 before the first one.
     pub configuration: u32,
 }
 
-/// The parts of a voter.
+/// The parameters from which a voter is created.
 #[derive(Clone, Debug)]
 pub struct VoterSetup {
-    /// The member that the voter is.
+    /// The identity of this voter.
     pub own_id: MemberId,
-    /// All voters.
+    /// All voters, including this one.
     pub voters: BTreeSet<MemberId>,
     /// The duration of a leader's own lease.
     pub lease_duration: Span,
-    /// The content of its storage.
+    /// The content of the voter's storage.
     pub state: PersistentState,
-    /// A random number of this process, from which the identities of new storages are derived.
+    /// A random number that is unique to this process. The identities of new storages are derived from it.
     pub seed: u64,
 }
 
-/// Whether the voter participates.
+/// Participation of the voter in consensus.
 #[derive(Clone, Debug, PartialEq)]
 enum Participation {
-    /// It requests from the others what they know of its storage. These have confirmed it.
+    /// The voter is checking with the other voters that its storage is current. Contains the voters that have confirmed it.
     Recovering(BTreeSet<MemberId>),
-    /// It participates.
+    /// The voter votes and replicates the log.
     Participating,
-    /// Its storage has lost acknowledged writes. It requests to be admitted as a new voter.
+    /// The voter's storage has lost acknowledged writes. The voter requests admission as a new voter.
     AwaitingAdmission,
 }
 
-/// A voter.
+/// The state machine of one voter.
 pub struct Voter {
     own_id: MemberId,
     voters: BTreeSet<MemberId>,
     lease_duration: Span,
     storage: LogStorage,
     participation: Participation,
-    /// The consensus library; `None` before the voter participates, and if it is the only one.
+    /// The consensus library; `None` before the voter participates, and for an only voter.
     paxos: Option<OmniPaxos<LogEntry, LogStorage>>,
-    /// The only voter commits without the library.
+    /// Whether the group has no other voter. An only voter commits entries without the consensus library.
     is_only_voter: bool,
+    /// The state after all applied entries.
     state: ReplicatedState,
     /// The number of entries of the log that are applied to the state.
     applied: usize,
+    /// Time of the next tick of the consensus library.
     next_tick: Time,
+    /// Time of the next request to the other voters, while this voter does not participate.
     next_hello: Time,
     leadership: Leadership,
+    /// Recent confirmation rounds that a majority has not confirmed.
     lease_rounds: Vec<LeaseRound>,
+    /// The number of the last round.
     last_lease_round: u64,
     next_lease_round: Time,
-    /// When the configuration was last sent to each other voter.
+    /// Time at which the configuration was last sent to each other voter.
     configuration_sent: BTreeMap<MemberId, Time>,
-    /// The identity of the storage that replaces this one, if it has lost writes.
+    /// The identity of the storage that replaces the current one if that has lost writes.
     next_storage_id: StorageId,
 }
 
 impl Voter {
-    /// The voter of a starting process.
+    /// Creates the voter of a starting process.
     pub fn new(setup: VoterSetup, now: Time) -> Voter {
         let is_only_voter = setup.voters.len() == 1;
         let mut voter = Voter {
@@ -142,12 +147,12 @@
         voter
     }
 
-    /// The state after all committed entries.
+    /// Returns the state after all committed entries.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Whether the voter participates, and in which configuration.
+    /// Returns whether the voter participates, and in which configuration.
     pub fn status(&self) -> VotingStatus {
         VotingStatus {
             participates: self.participation == Participation::Participating,
@@ -155,8 +160,8 @@
         }
     }
 
-    /// The content of the file, if it must be written before the messages returned so far are sent. It then counts as
-    /// written, unless [`Voter::handle_write_failed`] is called.
+    /// Returns the content of the voter's file if it must be written before the messages returned so far are sent. The
+    /// content then counts as written, unless [`Voter::handle_write_failed`] is called.
     pub fn take_unsaved(&mut self) -> Option<Vec<u8>> {
         if !self.storage.is_unsaved() {
             return None;
@@ -167,12 +172,12 @@
         Some(state.encode())
     }
 
-    /// The content that [`Voter::take_unsaved`] returned could not be written.
+    /// Records that the content returned by [`Voter::take_unsaved`] could not be written.
     pub fn handle_write_failed(&mut self) {
         self.storage.mark_unsaved();
     }
 
-    /// When [`Voter::tick`] must be called next.
+    /// Returns the time at which [`Voter::tick`] must be called next.
     pub fn next_wake(&self) -> Time {
         match self.participation {
             Participation::Participating if self.is_only_voter => self.next_lease_round,
@@ -181,7 +186,7 @@
         }
     }
 
-    /// The connection to another voter was established again. Messages on the former one may be lost.
+    /// Handles a new connection to another voter. Messages on the previous connection may be lost.
     pub fn handle_connected(&mut self, member: MemberId, actions: &mut Vec<VoterAction>) {
         let node_id = self.paxos_id(member);
         if let (Some(paxos), Some(node_id)) = (&mut self.paxos, node_id) {
@@ -192,7 +197,7 @@
         }
     }
 
-    /// Executes what has become due.
+    /// Performs all work that is due at `now`.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         match &self.participation {
             Participation::Participating => {
@@ -216,7 +221,7 @@
         self.advance(now, actions);
     }
 
-    /// Handles a message of another voter.
+    /// Handles a message from another voter.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -254,7 +259,7 @@
         self.advance(now, actions);
     }
 
-    /// Appends an entry of the leader of this epoch to the log, dated with its wall clock.
+    /// Appends an entry of the leader of `epoch` to the log. `unix_ms` is the time of the leader's wall clock.
     pub fn append(
         &mut self,
         now: Time,
@@ -276,7 +281,7 @@
         voters.filter(|member| *member != self.own_id)
     }
 
-    /// The consensus library's number of a voter, counted from 1.
+    /// Returns the number that identifies a voter in the consensus library. Numbers start at 1.
     fn paxos_id(&self, member: MemberId) -> Option<u64> {
         let mut voters = self.voters.iter();
         let position = voters.position(|voter| *voter == member)?;
--- a/crates/coordination/src/voter/amnesia.rs
+++ b/crates/coordination/src/voter/amnesia.rs
@@ -1,9 +1,9 @@
 //! Detection of storage that has lost acknowledged writes, and the admission of such a voter as a new one.
 //!
-//! A starting voter sends its storage version to the others ([`VoterMessage::Hello`]), and participates once enough of them
-//! have responded that they know of no later version. If one knows of a later version, the storage was lost or restored
-//! from an old copy: the voter takes a new [`StorageId`] and requests admission from the leader, which begins a new
-//! configuration for it.
+//! A starting voter sends its storage version to the others ([`VoterMessage::Hello`]). It participates once enough of them
+//! have responded that they have recorded no later version. If one has recorded a later version, the storage was lost or
+//! restored from an old copy. The voter then takes a new [`StorageId`] and requests admission. The leader admits it by
+//! beginning a new configuration.
 
 use super::{KnownStorage, Participation, Voter, VoterAction, VoterMessage, HELLO_INTERVAL};
 use crate::identifiers::{MemberId, StorageId, StorageVersion};
@@ -15,13 +15,13 @@
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 
-/// Multiplier of the linear congruential generator that derives the identities of further new storages.
+/// Multiplier of the linear congruential generator that derives the identity of each further new storage.
 const ID_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
-/// Increment of that generator.
+/// Increment of the linear congruential generator.
 const ID_INCREMENT: u64 = 1;
 
 impl Voter {
-    /// Records another voter's storage version, and responds with the one that was known.
+    /// Records another voter's storage version, and responds with the latest version that was recorded.
     pub(super) fn handle_hello(
         &mut self,
         now: Time,
@@ -31,7 +31,7 @@
         actions: &mut Vec<VoterAction>,
     ) {
         let mut state = self.storage.state_mut();
-        // Before the first configuration no voter has acknowledged anything, so that a lost storage can be replaced.
+        // Before the first configuration no voter has acknowledged anything, so a lost storage can be replaced.
         let is_replaced = |known: &StorageVersion| known.id != received.id;
         if state.configuration == 0 && state.peers.get(&from).is_some_and(is_replaced) {
             state.peers.remove(&from);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Handles a response to [`VoterMessage::Hello`]: participates once enough voters have responded, or replaces the
-    /// storage if one of them knows of a later version.
+    /// Handles a response to [`VoterMessage::Hello`]. The voter participates once enough voters have responded, or replaces
+    /// its storage if one of them has recorded a later version.
     pub(super) fn handle_known_storage(
         &mut self,
         now: Time,
@@ -92,7 +92,7 @@
         responded.insert(from);
         let required = match has_configuration {
             true => self.voters.len() / 2,
-            // All must respond before the first configuration: a voter without a response may have lost its storage.
+            // Before the first configuration all must respond: a voter that does not respond may have lost its storage.
             false if response.configuration == 0 => self.voters.len() - 1,
             false => return,
         };
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Participates from now on, and begins the first configuration if there is none.
+    /// Starts to participate, and begins the first configuration if there is none yet.
     pub(super) fn participate(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         let mut state = self.storage.state_mut();
         if state.configuration == 0 {
@@ -122,7 +122,7 @@
         ));
     }
 
-    /// Sends the current configuration to a voter that does not know it, at most once per [`HELLO_INTERVAL`].
+    /// Sends the current configuration to a voter with an earlier one, at most once per [`HELLO_INTERVAL`].
     pub(super) fn send_configuration(
         &mut self,
         now: Time,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Begins a configuration that is later than the current one, and whose log begins with this state.
+    /// Handles the configuration of another voter. Begins it if it is later than the current one and contains this voter.
     pub(super) fn handle_configuration(
         &mut self,
         now: Time,
@@ -151,7 +151,7 @@
     ) {
         let state = self.storage.state();
         let is_admitted = base.voters.get(&self.own_id) == Some(&state.storage.id);
-        // Storage that may be an old copy may have participated in that configuration already.
+        // A voter whose storage may be an old copy may already have participated in that configuration.
         let is_current = match &self.participation {
             Participation::Recovering(responded) => {
                 state.configuration == 0 && responded.len() >= self.voters.len() / 2
@@ -169,7 +169,7 @@
         self.begin_configuration(now, configuration, base, actions);
     }
 
-    /// Admits a voter whose storage was replaced, by beginning another configuration.
+    /// Admits a voter whose storage was replaced, by beginning a new configuration.
     pub(super) fn handle_admission_request(
         &mut self,
         now: Time,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Records the number of writes of another voter's storage.
+    /// Records the number of writes to another voter's storage.
     pub(super) fn note_write_count(
         &mut self,
         from: MemberId,
@@ -203,7 +203,7 @@
             return;
         };
         known.write_count = write_count;
-        // Writes on which a majority depends must be known after a restart of this voter, too.
+        // The number of a write on which a majority depends must survive a restart of this voter.
         let acknowledges = match message {
             Message::SequencePaxos(paxos) => {
                 matches!(paxos.msg, PaxosMsg::Accepted(_) | PaxosMsg::Promise(_))
@@ -215,7 +215,8 @@
         }
     }
 
-    /// Begins with a new storage. The voter must not vote before its admission, as its promises and its log are lost.
+    /// Replaces the storage with a new one. The voter must not vote before its admission, because its promises and its log
+    /// are lost.
     fn replace_storage(
         &mut self,
         now: Time,
@@ -241,6 +242,7 @@
     }
 }
 
+/// Returns the identity that follows `id` in the linear congruential generator's sequence.
 fn derived_storage_id(id: StorageId) -> StorageId {
     let next = id.0.wrapping_mul(ID_MULTIPLIER).wrapping_add(ID_INCREMENT);
     StorageId(next)
--- a/crates/coordination/src/voter/leadership.rs
+++ b/crates/coordination/src/voter/leadership.rs
@@ -1,7 +1,7 @@
 //! Leader election by the consensus library, and the leader's own lease.
 //!
-//! A leader sends [`VoterMessage::ConfirmLeader`] several times per lease. Once a majority, including itself, has confirmed
-//! a round, no other leader exists for a lease duration from the time when the round was sent.
+//! A leader sends [`VoterMessage::ConfirmLeader`] in several rounds per lease. Once a majority, including the leader, has
+//! confirmed a round, no other leader exists for one lease duration, counted from the time at which the round was sent.
 
 use super::{Participation, Voter, VoterAction, VoterMessage};
 use crate::identifiers::{Epoch, MemberId};
@@ -10,28 +10,28 @@
 use omnipaxos::ballot_leader_election::Ballot;
 use std::collections::BTreeSet;
 
-/// Number of rounds within one lease.
+/// Number of confirmation rounds per lease duration.
 const ROUNDS_PER_LEASE: i64 = 4;
-/// Bits below the configuration in an epoch.
+/// Position of the configuration's number in an epoch, in bits.
 const CONFIGURATION_SHIFT: u32 = 44;
-/// Bits below the ballot's number in an epoch.
+/// Position of the ballot's number in an epoch, in bits.
 const BALLOT_NUMBER_SHIFT: u32 = 8;
-/// Bits of the voter's number in an epoch.
+/// Mask of the voter's number in an epoch.
 const VOTER_MASK: u64 = 0xff;
 
-/// A voter's leadership.
+/// The role of a voter in leader election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Leadership {
-    /// It does not lead.
+    /// The voter is not the leader.
     Follower,
-    /// It leads in the consensus library, and the entry that starts its epoch is not committed yet.
+    /// The consensus library has elected the voter. The entry that starts its epoch is not committed yet.
     Starting(Epoch),
-    /// It leads.
+    /// The voter is the leader of this epoch.
     Leading(Epoch),
 }
 
 impl Leadership {
-    /// The epoch that the voter leads, or is about to lead.
+    /// Returns the epoch in which the voter leads or is about to lead.
     fn epoch(self) -> Option<Epoch> {
         match self {
             Leadership::Follower => None,
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Whether the voter leads.
+    /// Returns whether the voter is the leader.
     pub(super) fn is_leading(self) -> bool {
         matches!(self, Leadership::Leading(_))
     }
 }
 
-/// One round of a leader's requests for confirmation.
+/// One round in which a leader requests confirmations from the other voters.
 pub(super) struct LeaseRound {
     number: u64,
     sent_at: Time,
@@ -72,7 +72,7 @@
         };
     }
 
-    /// The entry that starts an epoch is committed. This voter leads from now on, if the epoch is its own.
+    /// Handles the committed entry that starts an epoch. This voter is the leader from now on if the epoch is its own.
     pub(super) fn handle_epoch_started(
         &mut self,
         now: Time,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Starts a round of confirmation, if this voter leads and it is time to.
+    /// Starts a confirmation round if this voter is the leader and the next round is due.
     pub(super) fn renew_lease(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         let Leadership::Leading(epoch) = self.leadership else {
             return;
@@ -112,7 +112,7 @@
         self.send_to_others(&request, actions);
     }
 
-    /// Confirms a round, if this voter's last promise is to the leader of this epoch.
+    /// Confirms a round if this voter's last promise is to the leader of `epoch`.
     pub(super) fn handle_confirm_leader(
         &mut self,
         from: MemberId,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Extends the lease, if a majority has confirmed the round.
+    /// Records the confirmation of a round, and extends the lease if a majority has now confirmed it.
     pub(super) fn handle_leader_confirmed(
         &mut self,
         from: MemberId,
@@ -149,7 +149,7 @@
             return;
         };
         round.confirmed_by.insert(from);
-        // A majority, together with the leader itself.
+        // These voters and the leader itself are a majority.
         if round.confirmed_by.len() >= self.voters.len() / 2 {
             let until = round.sent_at + self.lease_duration;
             self.lease_rounds.retain(|round| round.number > number);
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The epoch in which this voter leads in the consensus library. The only voter always leads.
+    /// Returns the epoch for which the consensus library has elected this voter, if it has. An only voter is always elected.
     fn elected_epoch(&self) -> Option<Epoch> {
         let Some(paxos) = &self.paxos else {
             let next = Epoch(self.state.epoch.0 + 1);
@@ -169,8 +169,8 @@
     }
 }
 
-/// The epoch of a ballot: epochs have the order of the library's ballots. The configuration has the highest bits, then the
-/// ballot's number of 32 bits, then the voter's number.
+/// Returns the epoch of a ballot. Epochs have the same order as the library's ballots: the highest bits are the
+/// configuration's number, followed by the ballot's number of 32 bits and the voter's number.
 fn epoch_of(ballot: Ballot) -> Epoch {
     let configuration = u64::from(ballot.config_id) << CONFIGURATION_SHIFT;
     let number = u64::from(ballot.n) << BALLOT_NUMBER_SHIFT;
--- a/crates/coordination/src/voter/replication.rs
+++ b/crates/coordination/src/voter/replication.rs
@@ -1,5 +1,5 @@
-//! The replicated log: entries are appended through the consensus library, and applied to the state once it has decided
-//! them. A long log is truncated by beginning another configuration of the same voters.
+//! The replicated log. Entries are appended through the consensus library, and applied to the state once the library has
+//! decided them. A long log is truncated by beginning a new configuration with the same voters.
 
 use super::leadership::Leadership;
 use super::{Participation, PaxosMessage, Voter, VoterAction, VoterMessage};
@@ -10,27 +10,27 @@
 use omnipaxos::{ClusterConfig, ServerConfig};
 use std::collections::BTreeMap;
 
-/// Number of ticks of one round of the library's heartbeats.
+/// Number of ticks per heartbeat round of the consensus library.
 const HEARTBEAT_TICKS: u64 = 4;
-/// Number of ticks after which the library resends lost messages.
+/// Number of ticks after which the consensus library resends lost messages.
 const RESEND_TICKS: u64 = 8;
-/// Number of entries that the library buffers.
+/// Number of entries that the consensus library buffers.
 const PAXOS_BUFFER: usize = 64;
 /// Number of entries at which the log is truncated.
 const MAX_LOG_LENGTH: usize = 96;
 
 impl Voter {
-    /// Appends an entry to the log. It is lost if this voter does not lead, or the configuration is ending.
+    /// Appends an entry to the log. The entry is lost if this voter is not the leader or the configuration is ending.
     pub(super) fn propose(&mut self, entry: LogEntry) {
         if self.is_only_voter {
             self.storage.append_as_only_voter(entry);
         } else if let Some(paxos) = &mut self.paxos {
-            // Fails while the configuration is ending. Proposals are repeated.
+            // An error while the configuration is ending is ignored, because proposals are repeated.
             let _ = paxos.append(entry);
         }
     }
 
-    /// Ends the current configuration, to be followed by one of these voters. Returns whether this voter may do so.
+    /// Ends the current configuration. The next one has these voters. Returns whether this voter may end it.
     pub(super) fn reconfigure(&mut self, voters: BTreeMap<MemberId, StorageId>) -> bool {
         let is_permitted = self.leadership.is_leading()
             && self.participation == Participation::Participating
@@ -41,7 +41,7 @@
         is_permitted
     }
 
-    /// Passes a message to the consensus library, if it is of the current configuration.
+    /// Passes a message to the consensus library if it belongs to the current configuration.
     pub(super) fn handle_paxos(
         &mut self,
         now: Time,
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Applies the entries that the consensus library has decided, and returns its messages.
+    /// Applies the entries that the consensus library has decided, and sends its outgoing messages.
     pub(super) fn advance(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         if self.participation != Participation::Participating {
             return;
         }
         if self.is_only_voter {
-            // Entries of an earlier process precede this one's epoch.
+            // Apply the entries of earlier processes before this process starts its own epoch.
             self.apply_decided(now, actions);
         }
         self.update_leadership(actions);
@@ -80,7 +80,7 @@
         self.send_paxos_messages(actions);
     }
 
-    /// Begins a configuration, with an empty log after this state.
+    /// Begins a configuration with an empty log that follows the state `base`.
     pub(super) fn begin_configuration(
         &mut self,
         now: Time,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The entries that are decided and not applied.
+    /// Returns the entries that are decided and not applied yet.
     fn decided_entries(&self) -> Vec<LogEntry> {
         let Some(paxos) = &self.paxos else {
             return self.storage.state().entries_from(self.applied);
@@ -165,7 +165,7 @@
             .collect()
     }
 
-    /// Begins the configuration that follows the one that has ended, and sends it to the others.
+    /// Begins the configuration that follows the ended one, and sends it to the other voters.
     fn begin_next_configuration(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         let configuration = self.storage.state().configuration + 1;
         self.begin_configuration(now, configuration, self.state.clone(), actions);
@@ -181,7 +181,7 @@
         let mut messages = Vec::new();
         paxos.take_outgoing_messages(&mut messages);
         let state = self.storage.state();
-        // They depend on the next write, if there is an unsaved change.
+        // If there is an unsaved change, the messages depend on the next write.
         let write_count = state.storage.write_count + u64::from(self.storage.is_unsaved());
         for message in messages {
             let position = message.get_receiver().saturating_sub(1) as usize;
