--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Common parts of the simulated groups: clocks of different speeds, policies that a member rejects, the checker of the
-//! group's invariants, and traces.
+//! Common parts of the simulations: clocks of different speeds, policies that a member rejects, the invariant checker, and
+//! traces.
 
 use marblefall_coordination::identifiers::{MemberId, Policy, Revision};
 use marblefall_coordination::message::PolicyVerdict;
@@ -10,27 +10,27 @@
 use std::fmt::{Debug, Write};
 use std::panic::{catch_unwind, set_hook, take_hook, AssertUnwindSafe};
 
-/// A millisecond of simulated time, which is in microseconds.
+/// One millisecond of simulated time, in microseconds.
 pub const MS: i64 = 1000;
-/// The first bytes of a policy that one member rejects. The member's number follows.
+/// Prefix of a policy that one member rejects. The next byte is that member's number.
 const REJECTED: &[u8; 3] = b"bad";
-/// Number of lines at the end of a trace that a failure prints.
+/// Number of lines of the trace that are printed with a failure.
 const PRINTED_LINES: usize = 70;
 /// Maximum drift of a clock, in hundredths of a percent.
 const MAX_DRIFT: i64 = 45;
-/// Hundredths of a percent in a whole.
+/// Divisor that converts hundredths of a percent to a fraction.
 const DRIFT_UNITS: i64 = 10_000;
 
-/// A member's clock.
+/// The clock of a member's machine.
 pub struct MemberClock {
-    /// The reading at the start of the simulation, in microseconds.
+    /// Reading at the start of the simulation, in microseconds.
     pub offset: i64,
-    /// The difference in speed from simulated time, in hundredths of a percent.
+    /// Difference of the clock's rate from simulated time, in hundredths of a percent.
     drift: i64,
 }
 
 impl MemberClock {
-    /// A clock with a random offset and a random drift.
+    /// Creates a clock with a random offset and a random drift.
     pub fn random(rng: &mut Pcg64, max_offset: i64) -> MemberClock {
         MemberClock {
             offset: rng.random_range(0..max_offset),
@@ -38,13 +38,13 @@
         }
     }
 
-    /// The clock's reading at a simulated time.
+    /// Returns the clock's reading at a simulated time.
     pub fn reading(&self, now: i64) -> Time {
         Time(self.offset + now + now * self.drift / DRIFT_UNITS)
     }
 }
 
-/// The events of a simulation, for failures.
+/// The events of a simulation, printed when a check fails.
 #[derive(Default)]
 pub struct Trace {
     lines: Vec<String>,
@@ -56,15 +56,15 @@
         self.lines.push(format!("{ms:8.1} ms {text}"));
     }
 
-    /// The last lines, as a failure prints them.
+    /// Returns the last lines, to be printed with a failure.
     pub fn tail(&self) -> String {
         let first = self.lines.len().saturating_sub(PRINTED_LINES);
         self.lines[first..].join("\n")
     }
 }
 
-/// Checks that a revision has one policy, and that no member acts under an earlier revision after any member acted under a
-/// later one.
+/// Checks that each revision has one policy, and that no member acts under an earlier revision after any member has acted
+/// under a later one.
 #[derive(Default)]
 pub struct InvariantChecker {
     policies: BTreeMap<Revision, Policy>,
@@ -78,7 +78,10 @@
             .policies
             .entry(revision)
             .or_insert_with(|| policy.clone());
-        assert_eq!(*known, policy, "two policies of {revision:?}");
+        assert_eq!(
+            *known, policy,
+            "members have applied two policies as {revision:?}"
+        );
     }
 
     pub fn check_act(&mut self, member: MemberId, revision: Revision) {
@@ -95,21 +98,21 @@
     }
 }
 
-/// A policy that this member rejects.
+/// Returns a policy that this member rejects.
 pub fn policy_rejected_by(member: u8) -> Policy {
     let mut policy = REJECTED.to_vec();
     policy.push(member);
     Policy::from(policy)
 }
 
-/// Whether this member rejects the policy.
+/// Returns whether this member rejects the policy.
 pub fn rejects(policy: &Policy, member: MemberId) -> bool {
     policy.starts_with(REJECTED) && u32::from(policy[REJECTED.len()]) == member.0
 }
 
 pub fn verdict(rejects: bool) -> PolicyVerdict {
     if rejects {
-        PolicyVerdict::Rejected("it does not fit".to_owned())
+        PolicyVerdict::Rejected("the policy is not acceptable".to_owned())
     } else {
         PolicyVerdict::Accepted
     }
@@ -131,9 +134,9 @@
     }
 }
 
-/// A simulation that ran to its end or to a failed check.
+/// A simulation that has run to its end or to a failed check.
 pub struct Run {
-    /// The number of changes that came into force, or the panic of the failed check.
+    /// Number of changes that came into force, or the panic of the failed check.
     pub changes: std::thread::Result<u64>,
     /// Number of acts of all members.
     pub acts: u64,
@@ -143,7 +146,7 @@
 }
 
 impl Run {
-    /// The result, or the failed check with the end of the trace.
+    /// Returns the result, or the failed check with the end of the trace.
     pub fn finish(self) -> Result<Summary, String> {
         match self.changes {
             Ok(changes) => Ok(Summary {
@@ -175,5 +178,8 @@
         .filter(|mutant| !is_detected(*mutant))
         .collect();
     let _ = take_hook();
-    assert!(undetected.is_empty(), "not detected: {undetected:?}");
+    assert!(
+        undetected.is_empty(),
+        "mutants not detected: {undetected:?}"
+    );
 }
--- a/crates/coordination/tests/model.rs
+++ b/crates/coordination/tests/model.rs
@@ -1,6 +1,6 @@
-//! Leases and the two-phase policy change, checked over all orders of events in a small group and a short time: messages
-//! that arrive late, out of order or never, members that restart, leaders that have not noticed a later one, and clocks of
-//! different speeds.
+//! Model check of leases and the two-phase policy change. All orders of events in a small group and a short time are
+//! explored: messages that arrive late, out of order or never, members that restart, leaders that have not noticed a later
+//! leader, and clocks of different speeds.
 
 #[path = "model/group_model.rs"]
 mod group_model;
@@ -10,14 +10,14 @@
 use group_model::{GroupModel, Mutant, NO_MIXTURE};
 use stateright::{Checker, Model};
 
-/// Number of states after which the exploration ends.
+/// Maximum number of states to explore.
 const MAX_STATES: usize = 12_000_000;
-/// Number of states in which the mutant must be detected.
+/// Maximum number of states to explore until the mutant is detected.
 const MAX_MUTANT_STATES: usize = 3_000_000;
-/// Minimum number of different states for a meaningful result.
+/// Minimum number of unique states for a meaningful result.
 const MIN_UNIQUE_STATES: usize = 20_000;
 
-/// The bounds of the exploration. `MODEL=large` takes minutes.
+/// Returns the bounds of the exploration. With `MODEL=large` it takes minutes.
 fn bounds() -> GroupModel {
     let small = GroupModel {
         members: 2,
@@ -43,7 +43,7 @@
         .spawn_bfs()
         .join();
     println!(
-        "{} states, {} of them different, {} deep",
+        "{} states, {} unique, maximum depth {}",
         checked.state_count(),
         checked.unique_state_count(),
         checked.max_depth()
@@ -51,7 +51,7 @@
     checked.assert_properties();
     assert!(
         checked.unique_state_count() > MIN_UNIQUE_STATES,
-        "too few different states: {}",
+        "too few unique states: {}",
         checked.unique_state_count()
     );
 }
--- a/crates/coordination/tests/model/group_model.rs
+++ b/crates/coordination/tests/model/group_model.rs
@@ -1,4 +1,4 @@
-//! The model: a group, and the events that lead from one state to the next.
+//! The model of a group, with the events that lead from one state to the next.
 
 use super::state::{clock, settings, Message, ModelState, LEADER_LEASE, UNIT};
 use marblefall_coordination::identifiers::{Epoch, MemberId, ProcessIncarnation, Revision};
@@ -10,19 +10,19 @@
 use stateright::{Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The property that no member acts under an earlier revision after any member acted under a later one.
+/// Name of the property that no member acts under an earlier revision after any member has acted under a later one.
 pub const NO_MIXTURE: &str = "no mixture";
 /// Maximum number of simulated leaders, including former ones.
 const MAX_LEADERS: usize = 2;
 
-/// The group that is explored, and the bounds of the exploration.
+/// The group to explore, with the bounds of the exploration.
 #[derive(Clone)]
 pub struct GroupModel {
     /// Number of members.
     pub members: u32,
-    /// Maximum time, in units.
+    /// Maximum simulated time, in multiples of [`UNIT`].
     pub time: i64,
-    /// Maximum number of restarts of members.
+    /// Maximum number of restarts, over all members.
     pub restarts: u8,
     /// Maximum number of elections after the first one.
     pub elections: u8,
@@ -31,7 +31,7 @@
     pub mutant: Mutant,
 }
 
-/// A deliberate fault, which the check must detect.
+/// A deliberate fault of the members, which the check must detect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
     Unmodified,
@@ -52,7 +52,7 @@
 
 impl GroupModel {
     fn send(&self, state: &mut ModelState, message: Message) {
-        // A message beyond the bound is lost.
+        // Messages beyond the bound are lost.
         if state.in_flight.len() < self.max_in_flight {
             state.in_flight.insert(message);
         }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Every member that may act does so at this moment.
+    /// Lets every member act that may act at the current time, and checks the order of the revisions.
     fn act(&self, state: &mut ModelState) {
         for index in 0..state.members.len() {
             let lease = state.members[index]
@@ -172,7 +172,7 @@
 
     fn advance_time(&self, state: &mut ModelState) {
         state.now += UNIT;
-        // The last leader keeps its voters.
+        // The last leader is never deposed: its lease is extended forever.
         if state.elections >= self.elections {
             state.lease_end = state.now + LEADER_LEASE;
             let lease_end = Time(state.lease_end);
--- a/crates/coordination/tests/model/state.rs
+++ b/crates/coordination/tests/model/state.rs
@@ -11,11 +11,11 @@
 
 /// The unit of time, in microseconds.
 pub const UNIT: i64 = 1000;
-/// Duration of a leader's own lease.
+/// Duration of a leader's own lease, in microseconds.
 pub const LEADER_LEASE: i64 = 2 * UNIT;
-/// Speed of a fast clock, in percent.
+/// Rate of a fast clock, in percent of simulated time.
 const FAST_CLOCK_PERCENT: i64 = 104;
-/// Speed of a slow clock, in percent.
+/// Rate of a slow clock, in percent of simulated time.
 const SLOW_CLOCK_PERCENT: i64 = 96;
 
 /// A message in flight.
@@ -30,28 +30,28 @@
 pub struct ModelState {
     pub now: i64,
     pub replicated: ReplicatedState,
-    /// The leaders that have not noticed a later one, the latest last. Only the latest leader's entries are committed.
+    /// The latest leader, preceded by earlier ones that have not noticed it. Only the latest leader's entries are committed.
     pub leaders: Vec<Leader>,
-    /// The end of the latest leader's lease.
+    /// End of the latest leader's own lease, in microseconds.
     pub lease_end: i64,
-    /// Entries that are not committed yet.
+    /// Entries that are appended and not committed yet.
     pub appended: Vec<(Epoch, LeaderEntry)>,
     pub members: Vec<Member>,
-    /// The revision under which each member last acted, for the mutant.
+    /// The revision under which each member last acted. Used by the mutant.
     pub last_acted: Vec<Option<Revision>>,
-    /// Number of processes that were started.
+    /// Number of processes that have been started.
     pub starts: u64,
     pub in_flight: BTreeSet<Message>,
     pub restarts: u8,
     pub elections: u8,
-    /// The latest revision under which any member has acted.
+    /// The highest revision under which any member has acted.
     pub highest: Revision,
-    /// Whether a member has acted under an earlier revision than that.
+    /// Whether a member has acted under a lower revision than the highest one at that time.
     pub is_violated: bool,
     pub is_proposed: bool,
 }
 
-/// The group's settings.
+/// Returns the group's settings.
 pub fn settings() -> CoordinationSettings {
     CoordinationSettings {
         partition_policy: PartitionPolicy::Stop,
@@ -63,7 +63,8 @@
     }
 }
 
-/// A member's clock. Member 1 has a fast clock, member 2 a slow one, both within the permitted drift.
+/// Returns the reading of a member's clock. Member 1 has a fast clock and member 2 a slow one, both within the permitted
+/// drift.
 pub fn clock(member: usize, now: i64) -> Time {
     Time(match member % 3 {
         1 => now * FAST_CLOCK_PERCENT / 100,
@@ -73,7 +74,7 @@
 }
 
 impl ModelState {
-    /// Proposes a change at the latest leader; `None` if it has none.
+    /// Proposes a change at the latest leader. Returns `None` if no change can be proposed.
     pub fn propose(&mut self) -> Option<()> {
         self.is_proposed = true;
         let leader = self.leaders.last()?;
@@ -84,7 +85,7 @@
         Some(())
     }
 
-    /// Whether all members may act under this revision.
+    /// Returns whether all members may act under this revision.
     pub fn all_act_under(&self, revision: Revision) -> bool {
         let mut members = self.members.iter().enumerate();
         members.all(|(index, member)| {
--- a/crates/coordination/tests/nodes.rs
+++ b/crates/coordination/tests/nodes.rs
@@ -1,7 +1,7 @@
-//! Complete nodes of a group in simulated time: the log by the consensus library, leases, policy changes and storage; with
+//! Simulation of the complete nodes of a group: the replicated log, leases, policy changes and storage. Faults are
 //! connections that break or work in one direction only, nodes that are killed or suspended, storage that is lost or
-//! restored from an old copy, and disks that are full. The checks must also detect mutants. A failure names its seed and
-//! ends with its trace.
+//! restored from an old copy, and full disks. The checks must also detect mutants. A failure prints its seed and the end
+//! of its trace.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -28,7 +28,7 @@
 use mutant::Mutant;
 use simulation::{GroupSize, Simulation, OWNER};
 
-/// Number of steps under faults.
+/// Number of steps with injected faults.
 const STEPS: u32 = 8000;
 
 fn run_seed(
@@ -78,7 +78,7 @@
     assert!(acts > 10_000 * seeds, "too few acts: {acts}");
 }
 
-/// Simulated time does not depend on the machine. Frames take 1 to 8 ms one way, writes no time.
+/// The measured time is simulated, so it does not depend on the machine. Frames take 1 to 8 ms one way, and writes no time.
 #[test]
 fn change_of_300_members_takes_under_one_second() {
     let size = GroupSize {
--- a/crates/coordination/tests/nodes/daemon.rs
+++ b/crates/coordination/tests/nodes/daemon.rs
@@ -10,16 +10,16 @@
 pub struct Daemon {
     pub node: Option<Node>,
     pub disk: Option<Vec<u8>>,
-    /// Old copies of the disk.
+    /// Earlier contents of the disk.
     pub backups: Vec<Option<Vec<u8>>>,
-    /// The revision of the policy on the disk.
+    /// The revision of the policy that is stored on the disk.
     pub applied: Option<Revision>,
     pub down_until: i64,
     pub suspended_until: i64,
     pub disk_full_until: i64,
     pub clock: MemberClock,
     pub inbox: Vec<(MemberId, Frame)>,
-    /// The revision under which the node last acted, for mutants.
+    /// The revision under which the node last acted. Used by mutants.
     pub last_acted: Option<Revision>,
 }
 
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Whether the voter participates, or the node has none; `None` while no node runs.
+    /// Returns whether the voter participates, or `true` if the node has no voter. Returns `None` while no node is running.
     pub fn participates(&self) -> Option<bool> {
         let status = self.node.as_ref().map(Node::voting_status);
         status.map(|status| status.is_none_or(|status| status.participates))
     }
 
-    /// The revision under which the node acts at this moment; `None` if it does not act.
+    /// Returns the revision under which the node acts at `now`, or `None` if it does not act.
     pub fn acts_under(&mut self, now: Time, mutant: Mutant) -> Option<Revision> {
         let node = self.node.as_ref()?;
         let lease = node.lease(now).map(|lease| lease.revision);
--- a/crates/coordination/tests/nodes/driver.rs
+++ b/crates/coordination/tests/nodes/driver.rs
@@ -1,4 +1,4 @@
-//! The simulated driver of a node: executes its actions on the simulated disk and links.
+//! The simulated driver of a node, which executes the node's actions on the simulated disk and links.
 
 use super::common::{rejects, verdict, MS};
 use super::mutant::Mutant;
@@ -7,11 +7,11 @@
 use marblefall_coordination::node::{Frame, Node, NodeAction};
 use rand::Rng;
 
-/// Time for which a node is down that crashed in a write.
+/// Time for which a node is down after a crash during a write.
 const CRASH_TIME: i64 = 300 * MS;
-/// Probability that a node of [`Mutant::SendsBeforeWriting`] crashes in a write.
+/// Probability that a node with [`Mutant::SendsBeforeWriting`] crashes during a write.
 const CRASH_PROBABILITY: f64 = 0.05;
-/// Probability of a slow frame, under faults.
+/// Probability that a frame is slow while faults are enabled.
 const SLOW_FRAME_PROBABILITY: f64 = 0.02;
 /// Upper limit of the latency of a frame, in milliseconds.
 const MAX_LATENCY_MS: i64 = 8;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Writes a voter's state; whether messages that depend on it may be sent.
+    /// Writes a voter's state. Returns whether messages that depend on it may be sent.
     fn write(&mut self, member: MemberId, bytes: Vec<u8>) -> bool {
         let now = self.now;
         let daemon = self.daemons.get_mut(&member).unwrap();
--- a/crates/coordination/tests/nodes/faults.rs
+++ b/crates/coordination/tests/nodes/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection in the simulated group of nodes.
+//! Fault injection into the simulated group of nodes.
 
 use super::common::MS;
 use super::daemon::Daemon;
@@ -8,16 +8,16 @@
 use marblefall_coordination::persistent_state::PersistentState;
 use rand::Rng;
 
-/// Number of equally likely choices in a step, of which the first ones are faults.
+/// Number of equally likely choices in a step. The first ones are faults, and the others inject nothing.
 const CHOICES: u32 = 2600;
-/// Maximum time for which a voter is down whose storage is lost or restored.
+/// Maximum time for which a voter is down when its storage is lost or restored.
 const MAX_DOWN_AFTER_STORAGE_FAULT: i64 = 200 * MS;
 
-/// A fault of a voter's storage.
+/// A fault in a voter's storage.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StorageFault {
     Lost,
-    /// Restored from an old copy.
+    /// The storage is restored from an old copy.
     Restored,
 }
 
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Loses or restores the storage of a voter, if all other voters participate: the loss of a majority's storage could not
-    /// be detected.
+    /// Loses or restores the storage of a voter, if all other voters participate. Otherwise the storage of a majority could
+    /// be lost, which cannot be detected.
     fn damage_storage(&mut self, voter: MemberId, down: i64) {
         let is_intact = |(member, daemon): (&MemberId, &Daemon)| {
             let is_other_voter = member.0 < self.voters && *member != voter;
@@ -123,8 +123,8 @@
             StorageFault::Lost => "lost",
             StorageFault::Restored => "restored from an old copy",
         };
-        self.log(&format!("{voter:?} crashes, its storage is {outcome}"));
-        // It starts again while the voters still run that know of its writes.
+        self.log(&format!("{voter:?} crashes and its storage is {outcome}"));
+        // The voter restarts while the voters that have recorded its writes are still running.
         self.kill(voter, down.min(MAX_DOWN_AFTER_STORAGE_FAULT));
     }
 }
@@ -135,7 +135,7 @@
         PersistentState::decode(bytes, OWNER).ok()
     }
 
-    /// For a mutant: storage that has lost acknowledged writes, and whose loss the others cannot detect.
+    /// For a mutant: returns storage that has lost acknowledged writes without the other voters being able to detect it.
     fn trusted_storage(&self, fault: StorageFault, backup: Option<&[u8]>) -> Option<Vec<u8>> {
         let current = self.stored()?;
         let write_count = current.storage.write_count + WRITES_AHEAD;
@@ -155,7 +155,7 @@
         Some(state.encode())
     }
 
-    /// For a mutant: loses a write that others know of, so that the others cannot detect the loss.
+    /// For a mutant: loses a write without the other voters being able to detect it.
     pub fn lose_write(&mut self, written: &[u8]) {
         let Ok(written) = PersistentState::decode(written, OWNER) else {
             return;
--- a/crates/coordination/tests/nodes/mutant.rs
+++ b/crates/coordination/tests/nodes/mutant.rs
@@ -8,12 +8,12 @@
     TrustsLostStorage,
     /// A voter whose storage was restored from an old copy continues as if it were current.
     TrustsRestoredStorage,
-    /// A voter sends messages before its state is on disk, and crashes.
+    /// A voter sends messages before its state is on disk, and then crashes.
     SendsBeforeWriting,
     /// A member continues to act after its lease has expired.
     ActsAfterLease,
     /// A member acts under its stored policy before it holds a lease.
     TrustsStoredPolicy,
-    /// A member confirms that it is quiesced, and continues to act.
+    /// A member confirms that it is quiesced, but continues to act.
     ActsWhileQuiesced,
 }
--- a/crates/coordination/tests/nodes/operators.rs
+++ b/crates/coordination/tests/nodes/operators.rs
@@ -1,4 +1,4 @@
-//! Operators of the simulated group: they propose changes and request outcomes.
+//! Simulated operators, who propose changes and request outcomes.
 
 use super::common::policy_rejected_by;
 use super::simulation::Simulation;
@@ -7,14 +7,14 @@
 use rand::Rng;
 
 impl Simulation {
-    /// Proposes a policy that all members accept, at this member.
+    /// Sends this member a proposal of a policy that all members accept.
     pub fn propose_acceptable(&mut self, at: MemberId) {
         self.last_key += 1;
         let policy = format!("policy {}", self.last_key).into_bytes();
         self.propose(at, Policy::from(policy));
     }
 
-    /// Proposes a policy that a random member rejects, at this member.
+    /// Sends this member a proposal of a policy that a random member rejects.
     pub fn propose_rejected(&mut self, at: MemberId) {
         self.last_key += 1;
         let rejecting = self.random_member();
@@ -37,7 +37,7 @@
         });
     }
 
-    /// Requests the outcome of a random earlier change, at a random member.
+    /// Sends a random member a request for the outcome of a random earlier change.
     pub fn request_outcome(&mut self) {
         let at = self.random_member();
         let key = self.rng.random_range(0..=self.last_key);
--- a/crates/coordination/tests/nodes/simulation.rs
+++ b/crates/coordination/tests/nodes/simulation.rs
@@ -1,4 +1,4 @@
-//! A group of nodes in simulated time.
+//! Simulation of a group of nodes.
 
 use super::common::{InvariantChecker, MemberClock, Trace, MS};
 use super::daemon::Daemon;
@@ -16,13 +16,13 @@
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
 
-/// The duration of a step.
+/// Duration of a step, in microseconds.
 const STEP: i64 = 5 * MS;
-/// Number of steps between two proposals.
+/// Interval between proposals, in steps.
 const STEPS_PER_PROPOSAL: u32 = 60;
-/// Number of steps between two proposals that a member rejects.
+/// Interval between proposals that a member rejects, in steps.
 const STEPS_PER_REJECTED_PROPOSAL: u32 = 360;
-/// Number of steps between two requests for an outcome.
+/// Interval between requests for an outcome, in steps.
 const STEPS_PER_OUTCOME_REQUEST: u32 = 100;
 /// The step of the first request for an outcome.
 const FIRST_OUTCOME_REQUEST: u32 = 50;
@@ -32,21 +32,21 @@
 const MIN_RECOVERY_STEPS: u32 = 1200;
 /// Maximum number of steps without faults in which the group must recover.
 const MAX_RECOVERY_STEPS: u32 = 6000;
-/// Maximum time in which all members must act under an expected revision.
+/// Time within which all members must act under an expected revision.
 const MAX_CHANGE_TIME: i64 = 20_000 * MS;
-/// The interval of the copies of a disk.
+/// Interval between backups of a disk.
 const BACKUP_INTERVAL: i64 = 700 * MS;
-/// Time in which connections are established after a start.
+/// Time from the start of a node until its connections are established.
 const CONNECT_TIME: i64 = 20 * MS;
 /// Maximum reading of a clock at the start of the simulation.
 const MAX_CLOCK_OFFSET: i64 = 1_000_000;
-/// The difference between the incarnations of two processes.
+/// Difference between the incarnations of two successive processes.
 const INCARNATION_STEP: u64 = 1000;
-/// The owner of all voters' storage.
+/// The owner recorded in all voters' storage.
 pub const OWNER: u64 = 7;
-/// Number of times within a step that a node handles the frames that it sends to itself.
+/// Number of times per step that a node handles its inbox, including the frames that it has sent to itself.
 const ROUNDS_PER_STEP: usize = 6;
-/// A number of writes that no voter reaches within a test.
+/// Number of writes that no voter reaches within a test.
 pub const WRITES_AHEAD: u64 = 1_000_000;
 
 /// The size of a group. The first members are the voters.
@@ -65,7 +65,7 @@
     pub daemons: BTreeMap<MemberId, Daemon>,
     pub links: BTreeMap<(MemberId, MemberId), Link>,
     pub invariants: InvariantChecker,
-    /// Outcomes that operators received, by key.
+    /// The first outcome that an operator received for each change, by the key of the change.
     pub outcomes: BTreeMap<u64, ChangeOutcome>,
     pub last_key: u64,
     starts: u64,
@@ -138,7 +138,7 @@
         self.daemons.get_mut(&member).unwrap()
     }
 
-    /// Kills a member's node, which starts again after `down`.
+    /// Kills a member's node, which is restarted after `down` microseconds.
     pub fn kill(&mut self, member: MemberId, down: i64) {
         let down_until = self.now + down;
         let daemon = self.daemon(member);
@@ -147,26 +147,27 @@
         daemon.inbox.clear();
     }
 
-    /// Runs changes under faults, then without; returns the number of changes that came into force.
+    /// Runs changes with faults and then without. Returns the number of changes that came into force.
     pub fn run(&mut self, steps: u32) -> u64 {
         for step in 0..steps {
             self.act_as_operator(step);
             self.step();
         }
         let revision = self.recover();
-        // While all members are present, one rejection is enough. `policy_change.rs` tests rejections that are lost.
+        // While all members are running, one rejection withdraws the change. Lost rejections are tested by
+        // `policy_change.rs`.
         self.propose_rejected(MemberId(0));
         (0..CHANGE_STEPS).for_each(|_| self.step());
         assert_eq!(
             self.common_revision(),
             revision,
-            "in force though one member rejected it"
+            "a change is in force although a member has rejected it"
         );
         self.propose_acceptable(MemberId(0));
         (0..CHANGE_STEPS).for_each(|_| self.step());
         assert!(
             self.common_revision() > revision,
-            "a change does not come into force without faults"
+            "a change has not come into force without faults"
         );
         revision.unwrap_or_default().0
     }
@@ -184,20 +185,20 @@
         }
     }
 
-    /// Runs until all members act under this revision; returns the time that passed.
+    /// Runs until all members act under this revision. Returns the elapsed simulated time, in microseconds.
     pub fn run_until_common(&mut self, revision: Revision) -> i64 {
         let started_at = self.now;
         while self.common_revision() != Some(revision) {
             self.step();
             assert!(
                 self.now - started_at < MAX_CHANGE_TIME,
-                "not all under {revision:?}"
+                "not all members act under {revision:?}"
             );
         }
         self.now - started_at
     }
 
-    /// Runs without faults until all members act under one revision, which is returned.
+    /// Runs without faults until all members act under the same revision. Returns that revision.
     fn recover(&mut self) -> Option<Revision> {
         self.faults_enabled = false;
         let mut steps = 0;
@@ -213,7 +214,7 @@
         let revision = self.common_revision();
         assert!(
             revision.is_some(),
-            "not all act under one policy after {steps} steps without faults: {:?}",
+            "members do not act under the same policy after {steps} steps without faults: {:?}",
             self.describe_nodes()
         );
         revision
@@ -229,7 +230,7 @@
         self.daemons.iter().filter_map(describe).collect()
     }
 
-    /// The revision under which all members act, if there is one.
+    /// Returns the revision under which all members act, if they act under the same one.
     fn common_revision(&self) -> Option<Revision> {
         let lease = |daemon: &Daemon| {
             let node = daemon.node.as_ref()?;
@@ -268,7 +269,7 @@
         } else if now % BACKUP_INTERVAL < STEP {
             daemon.backups.push(daemon.disk.clone());
         }
-        // A node that crashed in a write is stopped here.
+        // A node that has crashed during a write is stopped here.
         let daemon = &self.daemons[&member];
         if daemon.down_until > now && daemon.node.is_some() {
             self.kill(member, daemon.down_until - now);
@@ -343,7 +344,7 @@
         self.call(member, Node::tick);
     }
 
-    /// Every member that may act does so at this moment.
+    /// Lets every member act that may act at the current time, and checks the invariants.
     fn act(&mut self) {
         for (member, daemon) in &mut self.daemons {
             if daemon.suspended_until > self.now {
--- a/crates/coordination/tests/policy_change.rs
+++ b/crates/coordination/tests/policy_change.rs
@@ -1,6 +1,6 @@
-//! Leases and the two-phase policy change in simulated time, without the consensus library: members that are partitioned,
-//! suspended or restarted, leaders that are deposed, messages that are lost or late, clocks of different speeds. The checks
-//! of the invariants in `docs/design/group.md` must also detect mutants.
+//! Simulation of leases and the two-phase policy change, without the consensus library. Faults are members that are
+//! partitioned, suspended or restarted, leaders that are deposed, messages that are lost or late, and clocks of different
+//! speeds. The checks of the invariants in `docs/design/group.md` must also detect mutants.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -47,7 +47,7 @@
         changes: 0,
         acts: 0,
     };
-    // Seeds 47 and 1776 deliver messages of an earlier process to a later one.
+    // With seeds 47 and 1776, messages for an earlier process are delivered to a later one.
     for seed in (0..200).chain([1776]) {
         for partition_policy in [PartitionPolicy::Stop, PartitionPolicy::Serve] {
             let members = 3 + (seed % 3) as u32;
--- a/crates/coordination/tests/policy_change/elections.rs
+++ b/crates/coordination/tests/policy_change/elections.rs
@@ -10,15 +10,15 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Duration of a leader's own lease.
+/// Duration of a leader's own lease, in microseconds.
 const LEADER_LEASE: i64 = 400 * MS;
-/// Probability of an election in each step after the leader's lease has expired.
+/// Probability of an election in each step after the latest leader's lease has expired.
 const ELECTION_PROBABILITY: f64 = 0.02;
 /// Maximum number of simulated leaders, including former ones.
 const MAX_LEADERS: usize = 2;
 
 impl Simulation {
-    /// Elects a new leader after the former one's lease has surely expired, and extends leaders' leases.
+    /// Elects a new leader at some time after the lease of the latest one has expired, and extends leaders' leases.
     pub fn update_leadership(&mut self) {
         let has_expired = self.lease_end <= self.now;
         if has_expired && (self.leaders.is_empty() || self.rng.random_bool(ELECTION_PROBABILITY)) {
@@ -40,9 +40,9 @@
         self.epoch += 1;
         self.is_deposed = false;
         self.log_line(&format!("leader {} is elected", self.epoch));
-        // Entries of an earlier leader are committed before the election, or never.
+        // Entries of an earlier leader are committed either before the election or never.
         self.appended.clear();
-        // The new leader requests verdicts again that only the earlier leader received.
+        // The new leader requests all verdicts again, including those that only the earlier leader has received.
         if self.mutant != Mutant::IgnoresRejection {
             self.rejected.clear();
         }
@@ -57,7 +57,7 @@
         self.lease_end = self.now + LEADER_LEASE;
     }
 
-    /// The state with which a new leader begins.
+    /// Returns the replicated state from which a new leader starts.
     fn replicated_state(&self) -> ReplicatedState {
         let mut state = ReplicatedState::new(BTreeMap::new());
         for entry in &self.log {
--- a/crates/coordination/tests/policy_change/faults.rs
+++ b/crates/coordination/tests/policy_change/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection in the simulated group.
+//! Fault injection into the simulated group.
 
 use super::common::MS;
 use super::mutant::Mutant;
@@ -6,9 +6,9 @@
 use marblefall_coordination::identifiers::MemberId;
 use rand::Rng;
 
-/// Number of equally likely choices in a step, of which the first ones are faults.
+/// Number of equally likely choices in a step. The first ones are faults, and the others inject nothing.
 const CHOICES: u32 = 600;
-/// Probability that a leader loses its voters, where that is chosen.
+/// Probability that the leader is deposed when that fault is chosen.
 const DEPOSITION_PROBABILITY: f64 = 0.4;
 
 impl Simulation {
@@ -41,8 +41,8 @@
                 }
             }
             4 if self.rng.random_bool(DEPOSITION_PROBABILITY) => {
-                // Another leader is elected after its lease has surely expired.
-                self.log_line("the leader loses its voters");
+                // Another leader is elected after the lease of this one has expired.
+                self.log_line("the leader is deposed");
                 self.is_deposed = true;
                 self.appended.clear();
             }
--- a/crates/coordination/tests/policy_change/mutant.rs
+++ b/crates/coordination/tests/policy_change/mutant.rs
@@ -6,9 +6,9 @@
     Unmodified,
     /// A member acts after its lease has expired.
     ActsAfterLease,
-    /// A member confirms that it is quiesced, and continues to act.
+    /// A member confirms that it is quiesced, but continues to act.
     ActsWhileQuiesced,
-    /// A member is restored to its state before it was quiesced.
+    /// A member is restored to the state that it had before it was quiesced.
     RestoresEarlierState,
     /// A member's rejection is sent as an acceptance.
     IgnoresRejection,
--- a/crates/coordination/tests/policy_change/network.rs
+++ b/crates/coordination/tests/policy_change/network.rs
@@ -9,9 +9,9 @@
 use marblefall_coordination::replicated_state::LeaderEntry;
 use rand::Rng;
 
-/// Probability of the loss of a message, under faults.
+/// Probability that a message is lost while faults are enabled.
 const LOSS_PROBABILITY: f64 = 0.05;
-/// Probability of a slow message, under faults.
+/// Probability that a message is slow while faults are enabled.
 const SLOW_PROBABILITY: f64 = 0.05;
 /// Upper limit of the latency of a message, in milliseconds.
 const MAX_LATENCY_MS: i64 = 10;
@@ -25,7 +25,7 @@
 }
 
 impl Simulation {
-    /// Sends a message, which may be lost or slow under faults.
+    /// Sends a message. While faults are enabled, it may be lost or slow.
     pub fn send(&mut self, message: Message) {
         let member = match &message {
             Message::ToLeader(member, _) | Message::ToMember(member, ..) => *member,
@@ -73,7 +73,7 @@
         let now = self.now;
         let member = self.members.get_mut(&id).unwrap();
         if member.suspended_until > now {
-            // Waits in the socket buffer.
+            // The message waits in the socket buffer.
             self.sent += 1;
             let arrives_at = (member.suspended_until, self.sent);
             let message = Message::ToMember(id, epoch, message);
@@ -92,7 +92,7 @@
         });
     }
 
-    /// Records a rejection that the leader receives before it decides, as this rejection must withdraw the change.
+    /// Records a rejection that the leader receives before its decision, because such a rejection must withdraw the change.
     fn record_rejection(&mut self, message: &ToLeader) {
         let ToLeader::PolicyChecked(proposal, PolicyVerdict::Rejected(_)) = message else {
             return;
--- a/crates/coordination/tests/policy_change/simulated_member.rs
+++ b/crates/coordination/tests/policy_change/simulated_member.rs
@@ -1,4 +1,4 @@
-//! A simulated machine with its member and clock.
+//! A simulated machine with a member's process and a clock.
 
 use super::common::MemberClock;
 use super::mutant::Mutant;
@@ -7,11 +7,12 @@
 
 /// A machine with a member's process.
 pub struct SimulatedMember {
+    /// The member's process; `None` while it is stopped.
     pub state: Option<Member>,
     pub clock: MemberClock,
     pub suspended_until: i64,
     pub partitioned_until: i64,
-    /// The process's state before it was last quiesced.
+    /// The process's state before it was last quiesced. Used by a mutant.
     pub earlier: Option<Member>,
     pub applied: Option<Revision>,
 }
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The revision under which the member acts at this moment; `None` if it does not act.
+    /// Returns the revision under which the member acts at `now`, or `None` if it does not act.
     pub fn acts_under(&self, now: i64, mutant: Mutant) -> Option<Revision> {
         let state = self.state.as_ref()?;
         let now = self.clock.reading(now);
--- a/crates/coordination/tests/policy_change/simulation.rs
+++ b/crates/coordination/tests/policy_change/simulation.rs
@@ -1,4 +1,4 @@
-//! Members, leaders and a log that commits entries in one order, in simulated time.
+//! Simulation of members, leaders and a log that commits entries in one order.
 
 use super::common::{
     policy_rejected_by, rejects, verdict, InvariantChecker, MemberClock, Trace, MS,
@@ -21,27 +21,27 @@
 
 /// Maximum reading of a clock at the start of the simulation, in microseconds.
 pub const MAX_CLOCK_OFFSET: i64 = 1_000_000_000;
-/// Number of steps under faults.
+/// Number of steps with injected faults.
 const STEPS: u32 = 12_000;
 /// Number of steps without faults in which the group must recover.
 const RECOVERY_STEPS: u32 = 4000;
-/// Number of steps between two proposals.
+/// Interval between proposals, in steps.
 const STEPS_PER_PROPOSAL: u32 = 20;
-/// Number of steps after which a proposed policy is one that a member rejects.
+/// Interval between steps whose policy a member rejects, in steps.
 const STEPS_PER_REJECTED_POLICY: u32 = 5;
-/// Number of members of which one rejects such a policy.
+/// Number of members that take turns in rejecting such a policy.
 const REJECTING_MEMBERS: u32 = 3;
-/// Time in which a proposal is committed.
+/// Time from the proposal of a change until its entry is committed, in microseconds.
 const PROPOSAL_COMMIT_TIME: i64 = 3 * MS;
 
-/// The latest leader's state of the change.
+/// The revision in force and the pending change, as known to the latest leader.
 #[derive(Debug, PartialEq)]
 pub struct LeaderState {
     pub committed: Revision,
     pub pending: Option<ProposalId>,
 }
 
-/// An entry that is not committed yet.
+/// An entry that is appended and not committed yet.
 pub struct Appended {
     commits_at: i64,
     epoch: Epoch,
@@ -54,9 +54,9 @@
     pub mutant: Mutant,
     pub now: i64,
     pub members: BTreeMap<MemberId, SimulatedMember>,
-    /// The leaders that have not noticed a later one, the latest last. Only the latest leader's entries are committed.
+    /// The latest leader, preceded by earlier ones that have not noticed it. Only the latest leader's entries are committed.
     pub leaders: Vec<Leader>,
-    /// The end of the latest leader's lease.
+    /// End of the latest leader's own lease.
     pub lease_end: i64,
     /// Whether the latest leader can no longer commit entries.
     pub is_deposed: bool,
@@ -64,13 +64,13 @@
     /// The committed entries.
     pub log: Vec<LeaderEntry>,
     pub appended: Vec<Appended>,
-    /// Messages by the time of their arrival, and then in the order in which they were sent.
+    /// Messages in flight, by their time of arrival and then by the order in which they were sent.
     pub in_flight: BTreeMap<(i64, u64), Message>,
-    /// Number of messages that were sent.
+    /// Number of messages sent so far.
     pub sent: u64,
     starts: u64,
     pub invariants: InvariantChecker,
-    /// Proposals that must not come into force, because of a rejection.
+    /// Proposals that must not come into force, because a member has rejected them.
     pub rejected: Vec<ProposalId>,
     pub trace: Trace,
     pub faults_enabled: bool,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Runs changes under faults, then without; returns the number of changes that came into force.
+    /// Runs changes with faults and then without. Returns the number of changes that came into force.
     pub fn run(&mut self) -> u64 {
         self.start_all();
         for step in 0..STEPS {
@@ -136,10 +136,17 @@
         self.faults_enabled = false;
         self.run_steps(RECOVERY_STEPS);
         let LeaderState { committed, pending } = self.leader_state();
-        assert_eq!(pending, None, "a change has no outcome");
+        assert_eq!(
+            pending, None,
+            "a change is still pending after the recovery"
+        );
         for member in self.members.keys() {
             let lease = self.lease_of(*member);
-            assert_eq!(lease, Some(committed), "{member:?} was left behind");
+            assert_eq!(
+                lease,
+                Some(committed),
+                "{member:?} does not act under the revision in force"
+            );
         }
         committed.0
     }
@@ -149,7 +156,7 @@
         (0..steps).for_each(|_| self.step(None));
     }
 
-    /// Runs one millisecond, at whose beginning a policy may be proposed.
+    /// Runs one millisecond of simulated time. The policy, if there is one, is proposed at its beginning.
     pub fn step(&mut self, change: Option<&Policy>) {
         self.now += MS;
         self.update_leadership();
@@ -179,7 +186,7 @@
         members.into_iter().for_each(|member| self.start(member));
     }
 
-    /// Starts a process of the member, which replaces a running one.
+    /// Starts a process of the member. It replaces a running process.
     pub fn start(&mut self, member: MemberId) {
         self.starts += 1;
         let incarnation = ProcessIncarnation(self.starts);
@@ -199,7 +206,7 @@
         }
     }
 
-    /// The revision under which the member may act, if it may.
+    /// Returns the revision under which the member may act, or `None` if it may not act.
     pub fn lease_of(&self, member: MemberId) -> Option<Revision> {
         let member = &self.members[&member];
         let state = member.state.as_ref()?;
@@ -208,7 +215,7 @@
             .map(|lease| lease.revision)
     }
 
-    /// Appends an entry of the latest leader, which is committed in the next step.
+    /// Appends an entry of the latest leader. It is committed in the next step.
     pub fn append_now(&mut self, entry: LeaderEntry) {
         self.appended.push(Appended {
             commits_at: self.now,
@@ -225,7 +232,7 @@
         self.members.get_mut(&member).unwrap()
     }
 
-    /// Calls a leader, and executes its actions.
+    /// Calls a leader and executes the resulting actions.
     pub fn call_leader(
         &mut self,
         index: usize,
@@ -252,7 +259,7 @@
         }
     }
 
-    /// Calls a member's process, and executes its actions.
+    /// Calls a member's process and executes the resulting actions.
     pub fn call_member(
         &mut self,
         id: MemberId,
@@ -324,7 +331,7 @@
             if let LeaderEntry::InForce(proposal) = &entry {
                 assert!(
                     !self.rejected.contains(proposal),
-                    "{proposal:?} is in force though a member rejected it"
+                    "{proposal:?} is in force although a member has rejected it"
                 );
             }
             self.log.push(entry.clone());
@@ -335,7 +342,7 @@
         }
     }
 
-    /// Every member that may act does so at this moment.
+    /// Lets every member act that may act at the current time, and checks the invariants.
     fn act(&mut self) {
         for (id, member) in &self.members {
             if member.suspended_until > self.now {
--- a/crates/coordination/tests/wire_format.rs
+++ b/crates/coordination/tests/wire_format.rs
@@ -1,6 +1,6 @@
-//! Messages between daemons and entries of the log are encoded as by earlier versions of the program, so that daemons of two
-//! versions work in one group, and a voter reads the log of an earlier version. The expected bytes are those of an earlier
-//! version, and must not be changed.
+//! Checks that messages between daemons and entries of the log are encoded as in earlier versions of the program. Daemons
+//! of different versions can then work in one group, and a voter can read the log of an earlier version. The expected bytes
+//! were written by an earlier version and must not be changed.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// The last field is the consensus library's own message.
+/// Only the fields before the consensus library's own message are compared with fixed bytes.
 #[test]
 fn paxos_message_is_encoded_as_before() {
     let message = Message::BLE(BLEMessage {
