--- a/crates/settings/src/discovery.rs
+++ b/crates/settings/src/discovery.rs
@@ -1,15 +1,15 @@
-//! The endpoint list: how it arrives, and what its rates mean.
+//! Settings for the delivery of the endpoint list, and for the meaning of its rates.
 
 use serde::Deserialize;
 
-/// How changes of the endpoint list arrive.
+/// The way in which changes of the endpoint list are delivered.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub enum DiscoveryMode {
-    /// Pushed without a request.
+    /// Changes are pushed without a request.
     #[default]
     #[serde(rename = "automatic")]
     Push,
-    /// Only after a subscription was requested.
+    /// Changes are delivered only after a subscription was requested.
     #[serde(rename = "subscribe")]
     Subscribe,
 }
@@ -17,13 +17,13 @@
 /// Meaning of the rates in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub enum RateHints {
-    /// Calls per second from all instances together.
+    /// A rate is the number of calls per second that a route accepts from all instances together.
     #[serde(rename = "nominal")]
     Exact,
-    /// The same, up to half too high or too low.
+    /// As [`RateHints::Exact`], but a rate may be too high or too low by up to half.
     #[serde(rename = "rough")]
     Approximate,
-    /// None; also the meaning of every unknown word.
+    /// The rates have no meaning. Unknown values are read as this one.
     #[default]
     #[serde(other)]
     Absent,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings of an instance, as the simulator's first message and the platform's configuration both spell them,
+//! The settings of an instance, in the form used by the simulator's first message and by the platform's configuration,
 //! and their conversion to the scheduler's settings.
 //!
-//! The keys of the JSON form are the platform's. They are written in the `rename` attributes here and nowhere else.
-//! Absent keys get a cautious default; unknown keys are ignored.
+//! The platform defines the keys of the JSON form. They appear only in the `rename` attributes of this package. Absent
+//! keys get a cautious default, and unknown keys are ignored.
 
 #![forbid(unsafe_code)]
 
@@ -24,7 +24,7 @@
 /// The settings of one instance.
 #[derive(Debug, Deserialize)]
 pub struct InstanceSettings {
-    /// Classes of messages.
+    /// Message classes.
     pub classes: Vec<ClassSettings>,
     /// Tenants; may be absent.
     #[serde(rename = "customers", default)]
@@ -38,34 +38,34 @@
     /// Limits of the deployment.
     #[serde(rename = "caps")]
     pub limits: LimitSettings,
-    /// Concurrent calls, kinds of destinations, and the value of late deliveries.
+    /// Settings for concurrent calls, kinds of destinations, and the value of late deliveries.
     pub domain: DomainSettings,
     /// Parameters of the delivery rules.
     #[serde(default)]
     pub rules: RuleSettings,
-    /// How the endpoint list arrives.
+    /// The way in which changes of the endpoint list are delivered.
     #[serde(rename = "registry_mode", default)]
     pub discovery: DiscoveryMode,
     /// Meaning of the rates in the endpoint list.
     #[serde(rename = "weights", default)]
     pub rate_hints: RateHints,
-    /// Weight of a message beyond its tenant's quota, as a fraction of its class's weight.
+    /// Priority weight of a message beyond its tenant's quota, as a fraction of the priority weight of its class.
     #[serde(rename = "over_share_worth", default)]
     pub over_quota_weight: f64,
     /// Number of instances.
     #[serde(rename = "peers_total", default)]
     pub instances: f64,
-    /// The least time between two batches of events, in milliseconds.
+    /// Minimum time between two batches of events, in milliseconds.
     #[serde(rename = "tick_ms", default)]
     pub min_batch_interval_ms: f64,
 }
 
-/// A tenant.
+/// The settings of a tenant.
 #[derive(Debug, Deserialize)]
 pub struct TenantSettings {
     /// Name of the tenant.
     pub name: String,
-    /// Messages per second, over all instances, within its quota.
+    /// The tenant's quota, in messages per second over all instances.
     #[serde(default)]
     pub quota_per_s: f64,
 }
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -2,10 +2,10 @@
 
 use serde::Deserialize;
 
-/// Limits of the deployment. Times are in milliseconds; 0 stands for none.
+/// Limits of the deployment. Times are in milliseconds; 0 if there is none.
 #[derive(Debug, Deserialize)]
 pub struct LimitSettings {
-    /// How long an unused connection stays open.
+    /// Time after which an idle connection is closed.
     #[serde(rename = "conn_idle_ms", default)]
     pub idle_timeout_ms: f64,
     /// Time within which a connection must be established.
@@ -28,7 +28,7 @@
     /// Whether rejected clients receive a `Retry-After`.
     #[serde(rename = "retry_after", default)]
     pub sends_retry_after: bool,
-    /// Concurrent calls that one connection carries.
+    /// Maximum number of concurrent calls on one connection.
     #[serde(rename = "streams_per_conn", default)]
     pub streams_per_connection: u64,
 }
--- a/crates/settings/src/rules.rs
+++ b/crates/settings/src/rules.rs
@@ -6,22 +6,22 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct RuleSettings {
-    /// Share of its capacity that a route has when it begins to recover.
+    /// Share of its full capacity that a route has at the start of a recovery.
     #[serde(rename = "cold_from")]
     pub ramp_start: f64,
     /// Time from the start of a recovery to full capacity.
     #[serde(rename = "cold_ms")]
     pub ramp_duration_ms: f64,
-    /// Load, as a multiple of a recovering route's present capacity, that makes it fail again.
+    /// Load at which a recovering route fails again, as a multiple of its current capacity.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// Time over which that load is measured.
+    /// Time over which the load of a recovering route is measured.
     #[serde(rename = "tip_after_ms")]
     pub overload_window_ms: f64,
-    /// How long an ordering key is paused after an attempt that may still be running.
+    /// Time for which an ordering key is paused after an attempt that may still be running.
     #[serde(rename = "order_pause_ms")]
     pub ordering_pause_ms: f64,
-    /// An instance that has not requested the list for this long counts as informed.
+    /// Time after which an instance counts as informed of a change of the endpoint list, if it has not requested the list.
     #[serde(rename = "must_ask_in_ms")]
     pub max_poll_interval_ms: f64,
 }
--- a/crates/settings/src/scheduler.rs
+++ b/crates/settings/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Conversion to the scheduler's settings.
+//! Conversion of the settings to those of the scheduler.
 
 use crate::{
     ClassSettings, Deduplication, DiscoveryMode, Idempotency, InstanceSettings, LimitSettings,
@@ -7,7 +7,7 @@
 use marblefall_scheduler::{self as scheduler, Span};
 
 impl InstanceSettings {
-    /// The scheduler's part of the settings.
+    /// Returns the scheduler's part of the settings.
     pub fn scheduler_settings(&self) -> scheduler::Settings {
         let kinds = (0..self.kinds.len()).map(|index| self.destination_kind(index));
         scheduler::Settings {
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,6 +1,6 @@
-//! Points in time and spans on the embedding program's monotonic clock.
+//! Points in time and spans on the monotonic clock of the embedding program.
 //!
-//! State machines receive the time with their events. This package gives them the types for it, and no clock.
+//! State machines receive the time with their events. This package contains the types for it, but no clock.
 
 #![forbid(unsafe_code)]
 
@@ -10,49 +10,49 @@
 const MICROS_PER_S: f64 = 1e6;
 const MS_PER_S: f64 = 1000.0;
 
-/// A point in time on a monotonic clock, in microseconds. Its zero is arbitrary: only differences are meaningful.
+/// A point in time on a monotonic clock, in microseconds. The clock's zero is arbitrary, so only differences are meaningful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Time(pub i64);
 
-/// A length of time in microseconds; negative where the later of two points was subtracted from the earlier.
+/// A duration in microseconds. Negative if a later point in time was subtracted from an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Span(pub i64);
 
 impl Time {
-    /// The earliest point in time: before any that a clock gives.
+    /// The earliest representable point in time, before any reading of a clock.
     pub const MIN: Time = Time(i64::MIN);
 
-    /// The point in time `ms` milliseconds after the clock's zero, rounded to a microsecond.
+    /// Returns the point in time `ms` milliseconds after the clock's zero, rounded to a microsecond.
     pub const fn from_ms(ms: f64) -> Time {
         Time((ms * MICROS_PER_MS).round() as i64)
     }
 
-    /// Milliseconds since the clock's zero.
+    /// Returns the milliseconds since the clock's zero.
     pub const fn ms(self) -> f64 {
         self.0 as f64 / MICROS_PER_MS
     }
 }
 
 impl Span {
-    /// The empty span.
+    /// The span of length zero.
     pub const ZERO: Span = Span(0);
 
-    /// A span of `ms` milliseconds, rounded to a microsecond.
+    /// Returns a span of `ms` milliseconds, rounded to a microsecond.
     pub const fn from_ms(ms: f64) -> Span {
         Span((ms * MICROS_PER_MS).round() as i64)
     }
 
-    /// A span of `secs` seconds, rounded to a microsecond.
+    /// Returns a span of `secs` seconds, rounded to a microsecond.
     pub const fn from_secs(secs: f64) -> Span {
         Span::from_ms(secs * MS_PER_S)
     }
 
-    /// Length in milliseconds.
+    /// Returns the length in milliseconds.
     pub const fn ms(self) -> f64 {
         self.0 as f64 / MICROS_PER_MS
     }
 
-    /// Length in seconds.
+    /// Returns the length in seconds.
     pub const fn secs(self) -> f64 {
         self.0 as f64 / MICROS_PER_S
     }
