--- a/crates/coordination/src/leader.rs
+++ b/crates/coordination/src/leader.rs
@@ -60,7 +60,7 @@
         let progress = |member: &MemberId| MemberProgress {
             lease_expires: latest_lease_expiry(&settings, now),
             excluded: state.excluded.contains(member),
-            checked: None,
+            accepted: None,
             quiesced: None,
             last_sent: None,
         };
@@ -211,7 +211,7 @@
             self.begin_quiescing(now);
         }
         let Some(change) = &self.pending else { return };
-        let elapsed = now - change.since;
+        let elapsed = now - change.phase_started_at;
         match change.phase {
             Phase::Checking if self.has_check_timed_out(elapsed) => {
                 let reason = "not every member has answered in time".to_owned();
--- a/crates/coordination/src/leader/leases.rs
+++ b/crates/coordination/src/leader/leases.rs
@@ -8,7 +8,7 @@
 use marblefall_time::{Span, Time};
 
 /// Number of resend intervals without a verdict after which a member's lease is no longer renewed.
-const MAX_RESENDS_BEFORE_NO_LEASE: i64 = 3;
+const MAX_RESENDS_WITHOUT_VERDICT: i64 = 3;
 
 impl Leader {
     /// Grants the requested lease, unless the pending change forbids it.
@@ -59,8 +59,10 @@
                 // renewed forever.
                 let resend_interval = self.settings.resend_interval.0;
                 let overdue = self.settings.partition_policy == PartitionPolicy::Stop
-                    && now - change.since >= Span(resend_interval * MAX_RESENDS_BEFORE_NO_LEASE);
-                !progress.is_done(change) && (progress.has_expired(now) || overdue)
+                    && now - change.phase_started_at
+                        >= Span(resend_interval * MAX_RESENDS_WITHOUT_VERDICT);
+                !progress.has_completed_phase(change)
+                    && (progress.has_stopped_acting(now) || overdue)
             }
         }
     }
--- a/crates/coordination/src/leader/pending_change.rs
+++ b/crates/coordination/src/leader/pending_change.rs
@@ -24,7 +24,7 @@
     pub policy: Policy,
     pub phase: Phase,
     /// Time at which the current phase began.
-    pub since: Time,
+    pub phase_started_at: Time,
 }
 
 impl PendingChange {
@@ -34,7 +34,7 @@
             proposal,
             policy,
             phase: Phase::Checking,
-            since: now,
+            phase_started_at: now,
         }
     }
 }
@@ -55,7 +55,7 @@
         match verdict {
             PolicyVerdict::Accepted => {
                 if let Some(progress) = self.members.get_mut(&from) {
-                    progress.checked = Some(proposal);
+                    progress.accepted = Some(proposal);
                 }
             }
             PolicyVerdict::Rejected(reason) => self.withdraw(reason, actions),
@@ -73,7 +73,7 @@
         match &mut self.pending {
             Some(change) if change.phase == Phase::Checking => {
                 change.phase = Phase::Quiescing;
-                change.since = now;
+                change.phase_started_at = now;
                 self.send_at_next_tick();
             }
             Some(_) | None => {}
@@ -135,7 +135,7 @@
         let members = self.pending.iter().flat_map(move |change| {
             let members = self.members.iter();
             members.filter(move |(_, progress)| {
-                !progress.is_done(change) && !progress.has_expired(now)
+                !progress.has_completed_phase(change) && !progress.has_stopped_acting(now)
             })
         });
         members.map(|(member, _)| *member)
@@ -148,7 +148,7 @@
             let due = progress
                 .last_sent
                 .is_none_or(|sent_at| now - sent_at >= self.settings.resend_interval);
-            if !due || progress.is_done(change) {
+            if !due || progress.has_completed_phase(change) {
                 continue;
             }
             let message = match change.phase {
--- a/crates/coordination/src/leader/progress.rs
+++ b/crates/coordination/src/leader/progress.rs
@@ -12,7 +12,7 @@
     /// Whether operators have confirmed that the member is stopped.
     pub excluded: bool,
     /// The last proposal that the member has accepted.
-    pub checked: Option<ProposalId>,
+    pub accepted: Option<ProposalId>,
     /// The last proposal for which the member has confirmed that it is quiesced.
     pub quiesced: Option<ProposalId>,
     /// Time at which the message of the current phase was last sent; `None` if it is due.
@@ -22,14 +22,14 @@
 impl MemberProgress {
     /// Returns whether the member has certainly stopped acting even without a confirmation, because it is excluded or its
     /// lease has expired.
-    pub fn has_expired(&self, now: Time) -> bool {
+    pub fn has_stopped_acting(&self, now: Time) -> bool {
         self.excluded || self.lease_expires.is_some_and(|expires| expires <= now)
     }
 
     /// Returns whether the member has completed the current phase of the change.
-    pub fn is_done(&self, change: &PendingChange) -> bool {
+    pub fn has_completed_phase(&self, change: &PendingChange) -> bool {
         match change.phase {
-            Phase::Checking => self.checked == Some(change.proposal),
+            Phase::Checking => self.accepted == Some(change.proposal),
             Phase::Quiescing => self.quiesced == Some(change.proposal),
             Phase::Deciding => true,
         }
--- a/crates/coordination/src/log_storage.rs
+++ b/crates/coordination/src/log_storage.rs
@@ -60,7 +60,7 @@
         self.mark_unsaved();
     }
 
-    fn change(&self, apply: impl FnOnce(&mut PersistentState)) -> StorageResult<()> {
+    fn update(&self, apply: impl FnOnce(&mut PersistentState)) -> StorageResult<()> {
         apply(&mut self.state_mut());
         self.mark_unsaved();
         Ok(())
@@ -87,18 +87,18 @@
     }
 
     fn append_entry(&mut self, entry: LogEntry) -> StorageResult<()> {
-        self.change(|state| state.log.push(entry))
+        self.update(|state| state.log.push(entry))
     }
 
     fn append_entries(&mut self, entries: Vec<LogEntry>) -> StorageResult<()> {
         if entries.is_empty() {
             return Ok(());
         }
-        self.change(|state| state.log.extend(entries))
+        self.update(|state| state.log.extend(entries))
     }
 
     fn append_on_prefix(&mut self, from: usize, entries: Vec<LogEntry>) -> StorageResult<()> {
-        self.change(|state| {
+        self.update(|state| {
             state.log.truncate(from);
             state.log.extend(entries);
         })
@@ -109,7 +109,7 @@
         if unchanged || promise == Ballot::default() {
             return Ok(());
         }
-        self.change(|state| state.promise = Some(promise))
+        self.update(|state| state.promise = Some(promise))
     }
 
     fn set_decided_idx(&mut self, decided: usize) -> StorageResult<()> {
@@ -126,7 +126,7 @@
         if self.state().accepted_round == Some(round) {
             return Ok(());
         }
-        self.change(|state| state.accepted_round = Some(round))
+        self.update(|state| state.accepted_round = Some(round))
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -142,7 +142,7 @@
             voter.tick(now.monotonic, &mut voter_actions);
         }
         self.execute_voter_actions(now, voter_actions, actions);
-        self.lead(now, actions, |leader, actions| {
+        self.call_leader(now, actions, |leader, actions| {
             leader.tick(now.monotonic, actions)
         });
         let mut member_actions = Vec::new();
@@ -255,7 +255,7 @@
             };
             self.reports.insert(from, report);
         }
-        self.lead(now, actions, |leader, actions| {
+        self.call_leader(now, actions, |leader, actions| {
             leader.handle_message(now.monotonic, from, message, actions)
         });
     }
--- a/crates/coordination/src/node/actions.rs
+++ b/crates/coordination/src/node/actions.rs
@@ -37,7 +37,7 @@
     }
 
     /// Calls the leader if this daemon is the leader, and executes the resulting actions.
-    pub(super) fn lead(
+    pub(super) fn call_leader(
         &mut self,
         now: ClockReading,
         actions: &mut Vec<NodeAction>,
@@ -85,7 +85,7 @@
                     actions.push(NodeAction::Log("leader-deposed", text));
                 }
                 VoterAction::LeaseExtended(until) => {
-                    self.lead(now, actions, |leader, _| leader.extend_lease(until));
+                    self.call_leader(now, actions, |leader, _| leader.extend_lease(until));
                 }
                 VoterAction::Log(code, text) => actions.push(NodeAction::Log(code, text)),
             }
@@ -102,7 +102,7 @@
         if matches!(entry, LeaderEntry::Proposed(..)) {
             self.proposal_in_flight = None;
         }
-        self.lead(now, actions, |leader, actions| {
+        self.call_leader(now, actions, |leader, actions| {
             leader.handle_committed(now.monotonic, entry, actions)
         });
     }
@@ -162,7 +162,7 @@
         };
         self.proposal_in_flight = Some(author.clone());
         let proposed = LeaderAction::Append(LeaderEntry::Proposed(proposal, policy, author));
-        self.lead(now, actions, |_, actions| actions.push(proposed));
+        self.call_leader(now, actions, |_, actions| actions.push(proposed));
     }
 }
 
--- a/crates/coordination/src/node/operator.rs
+++ b/crates/coordination/src/node/operator.rs
@@ -37,7 +37,7 @@
 
     /// Returns the reply to a proposal that must not be appended to the log, because the change is known already, another
     /// change is pending, or the base is not the revision in force. Returns `None` if the proposal can be appended.
-    fn rejection(&self, base: Revision, author: &Author) -> Option<Reply> {
+    fn reply_without_appending(&self, base: Revision, author: &Author) -> Option<Reply> {
         if let Some(reply) = self.outcome(author.key) {
             return Some(reply);
         }
@@ -71,20 +71,20 @@
                 base,
                 policy,
                 author,
-            } => match view.rejection(base, &author) {
+            } => match view.reply_without_appending(base, &author) {
                 Some(reply) => reply,
                 None => self.reply_to_proposal(now, policy, author, actions),
             },
             Request::Outcome(key) => view.outcome(key).unwrap_or(Reply::Unknown),
             Request::Withdraw if view.state.pending.is_none() => Reply::NothingPending,
             Request::Withdraw => {
-                self.lead(now, actions, Leader::withdraw_by_operator);
+                self.call_leader(now, actions, Leader::withdraw_by_operator);
                 Reply::Accepted
             }
             Request::Exclude(member) if !self.setup.members.contains(&member) => Reply::Unknown,
             Request::Exclude(member) => {
                 let excluded = LeaderAction::Append(LeaderEntry::Excluded(member));
-                self.lead(now, actions, |_, actions| actions.push(excluded));
+                self.call_leader(now, actions, |_, actions| actions.push(excluded));
                 Reply::Accepted
             }
             Request::Status => Reply::Status(Box::new(self.group_status(&view))),
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -99,7 +99,7 @@
     /// The state after all applied entries.
     state: ReplicatedState,
     /// The number of entries of the log that are applied to the state.
-    applied: usize,
+    applied_entries: usize,
     /// Time of the next tick of the consensus library.
     next_tick: Time,
     /// Time of the next request to the other voters, while this voter does not participate.
@@ -111,7 +111,7 @@
     last_lease_round: u64,
     next_lease_round: Time,
     /// Time at which the configuration was last sent to each other voter.
-    configuration_sent: BTreeMap<MemberId, Time>,
+    configuration_sent_at: BTreeMap<MemberId, Time>,
     /// The identity of the storage that replaces the current one if that has lost writes.
     next_storage_id: StorageId,
 }
@@ -129,14 +129,14 @@
             participation: Participation::Recovering(BTreeSet::new()),
             paxos: None,
             is_only_voter,
-            applied: 0,
+            applied_entries: 0,
             next_tick: now,
             next_hello: now,
             leadership: Leadership::Follower,
             lease_rounds: Vec::new(),
             last_lease_round: 0,
             next_lease_round: now,
-            configuration_sent: BTreeMap::new(),
+            configuration_sent_at: BTreeMap::new(),
             next_storage_id: StorageId(setup.seed),
         };
         // The identity of the storage must be on disk before anything is sent.
--- a/crates/coordination/src/voter/amnesia.rs
+++ b/crates/coordination/src/voter/amnesia.rs
@@ -129,13 +129,13 @@
         to: MemberId,
         actions: &mut Vec<VoterAction>,
     ) {
-        let last_sent = self.configuration_sent.get(&to);
+        let last_sent = self.configuration_sent_at.get(&to);
         if last_sent.is_some_and(|sent_at| now - *sent_at < HELLO_INTERVAL) {
             return;
         }
         let state = self.storage.state();
         if let Some(base) = state.base.clone() {
-            self.configuration_sent.insert(to, now);
+            self.configuration_sent_at.insert(to, now);
             let message = VoterMessage::Configuration(state.configuration, Box::new(base));
             actions.push(VoterAction::Send(to, message));
         }
@@ -191,7 +191,7 @@
     }
 
     /// Records the number of writes to another voter's storage.
-    pub(super) fn note_write_count(
+    pub(super) fn record_write_count(
         &mut self,
         from: MemberId,
         write_count: u64,
--- a/crates/coordination/src/voter/replication.rs
+++ b/crates/coordination/src/voter/replication.rs
@@ -15,7 +15,7 @@
 /// Number of ticks after which the consensus library resends lost messages.
 const RESEND_TICKS: u64 = 8;
 /// Number of entries that the consensus library buffers.
-const PAXOS_BUFFER: usize = 64;
+const PAXOS_BUFFER_SIZE: usize = 64;
 /// Number of entries at which the log is truncated.
 const MAX_LOG_LENGTH: usize = 96;
 
@@ -58,7 +58,7 @@
             return;
         }
         let message = received.message;
-        self.note_write_count(from, received.write_count, &message);
+        self.record_write_count(from, received.write_count, &message);
         let is_addressed = Some(message.get_sender()) == self.paxos_id(from)
             && Some(message.get_receiver()) == self.paxos_id(self.own_id);
         if let Some(paxos) = self.paxos.as_mut().filter(|_| is_addressed) {
@@ -104,7 +104,7 @@
     pub(super) fn start_log(&mut self, now: Time) {
         let configuration = self.storage.state().configuration;
         self.state = self.storage.state().base_state();
-        self.applied = 0;
+        self.applied_entries = 0;
         self.leadership = Leadership::Follower;
         self.next_tick = now;
         self.next_lease_round = now;
@@ -121,7 +121,7 @@
             pid: self.paxos_id(self.own_id).unwrap_or(1),
             election_tick_timeout: HEARTBEAT_TICKS,
             resend_message_tick_timeout: RESEND_TICKS,
-            buffer_size: PAXOS_BUFFER,
+            buffer_size: PAXOS_BUFFER_SIZE,
             ..ServerConfig::default()
         };
         self.paxos = cluster.build_for_server(server, self.storage.clone()).ok();
@@ -129,7 +129,7 @@
 
     fn apply_decided(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         for entry in self.decided_entries() {
-            self.applied += 1;
+            self.applied_entries += 1;
             let epoch_started = match &entry {
                 LogEntry::EpochStarted(epoch) => Some(*epoch),
                 LogEntry::Leader { .. } | LogEntry::ConfigurationEnded(_) => None,
@@ -152,9 +152,11 @@
     /// Returns the entries that are decided and not applied yet.
     fn decided_entries(&self) -> Vec<LogEntry> {
         let Some(paxos) = &self.paxos else {
-            return self.storage.state().entries_from(self.applied);
+            return self.storage.state().entries_from(self.applied_entries);
         };
-        let decided = paxos.read_decided_suffix(self.applied).unwrap_or_default();
+        let decided = paxos
+            .read_decided_suffix(self.applied_entries)
+            .unwrap_or_default();
         decided
             .into_iter()
             .filter_map(|entry| match entry {
@@ -171,7 +173,7 @@
         self.begin_configuration(now, configuration, self.state.clone(), actions);
         let others: Vec<MemberId> = self.others().collect();
         for other in others {
-            self.configuration_sent.remove(&other);
+            self.configuration_sent_at.remove(&other);
             self.send_configuration(now, other, actions);
         }
     }
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -13,13 +13,13 @@
 /// One millisecond of simulated time, in microseconds.
 pub const MS: i64 = 1000;
 /// Prefix of a policy that one member rejects. The next byte is that member's number.
-const REJECTED: &[u8; 3] = b"bad";
+const REJECTED_POLICY_PREFIX: &[u8; 3] = b"bad";
 /// Number of lines of the trace that are printed with a failure.
-const PRINTED_LINES: usize = 70;
+const PRINTED_TRACE_LINES: usize = 70;
 /// Maximum drift of a clock, in hundredths of a percent.
 const MAX_DRIFT: i64 = 45;
 /// Divisor that converts hundredths of a percent to a fraction.
-const DRIFT_UNITS: i64 = 10_000;
+const BASIS_POINTS_PER_UNIT: i64 = 10_000;
 
 /// The clock of a member's machine.
 pub struct MemberClock {
@@ -40,7 +40,7 @@
 
     /// Returns the clock's reading at a simulated time.
     pub fn reading(&self, now: i64) -> Time {
-        Time(self.offset + now + now * self.drift / DRIFT_UNITS)
+        Time(self.offset + now + now * self.drift / BASIS_POINTS_PER_UNIT)
     }
 }
 
@@ -58,7 +58,7 @@
 
     /// Returns the last lines, to be printed with a failure.
     pub fn tail(&self) -> String {
-        let first = self.lines.len().saturating_sub(PRINTED_LINES);
+        let first = self.lines.len().saturating_sub(PRINTED_TRACE_LINES);
         self.lines[first..].join("\n")
     }
 }
@@ -100,14 +100,15 @@
 
 /// Returns a policy that this member rejects.
 pub fn policy_rejected_by(member: u8) -> Policy {
-    let mut policy = REJECTED.to_vec();
+    let mut policy = REJECTED_POLICY_PREFIX.to_vec();
     policy.push(member);
     Policy::from(policy)
 }
 
 /// Returns whether this member rejects the policy.
 pub fn rejects(policy: &Policy, member: MemberId) -> bool {
-    policy.starts_with(REJECTED) && u32::from(policy[REJECTED.len()]) == member.0
+    policy.starts_with(REJECTED_POLICY_PREFIX)
+        && u32::from(policy[REJECTED_POLICY_PREFIX.len()]) == member.0
 }
 
 pub fn verdict(rejects: bool) -> PolicyVerdict {
--- a/crates/coordination/tests/model.rs
+++ b/crates/coordination/tests/model.rs
@@ -7,7 +7,7 @@
 #[path = "model/state.rs"]
 mod state;
 
-use group_model::{GroupModel, Mutant, NO_MIXTURE};
+use group_model::{GroupModel, Mutant, REVISIONS_DO_NOT_DECREASE};
 use stateright::{Checker, Model};
 
 /// Maximum number of states to explore.
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn no_order_of_events_mixes_two_policies() {
+fn acting_revision_never_decreases_in_any_event_order() {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let checked = bounds()
         .checker()
@@ -68,5 +68,5 @@
         .target_state_count(MAX_MUTANT_STATES)
         .spawn_bfs()
         .join();
-    assert!(checked.discovery(NO_MIXTURE).is_some());
+    assert!(checked.discovery(REVISIONS_DO_NOT_DECREASE).is_some());
 }
--- a/crates/coordination/tests/model/group_model.rs
+++ b/crates/coordination/tests/model/group_model.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Name of the property that no member acts under an earlier revision after any member has acted under a later one.
-pub const NO_MIXTURE: &str = "no mixture";
+pub const REVISIONS_DO_NOT_DECREASE: &str = "no member acts under an earlier revision";
 /// Maximum number of simulated leaders, including former ones.
 const MAX_LEADERS: usize = 2;
 
@@ -117,8 +117,8 @@
                 Mutant::ActsAfterLease => lease.or(state.last_acted[index]),
             };
             let Some(revision) = acts else { continue };
-            state.is_violated |= revision < state.highest;
-            state.highest = state.highest.max(revision);
+            state.is_violated |= revision < state.highest_revision;
+            state.highest_revision = state.highest_revision.max(revision);
         }
     }
 
@@ -215,9 +215,9 @@
             in_flight: BTreeSet::new(),
             restarts: 0,
             elections: 0,
-            highest: Revision(0),
+            highest_revision: Revision(0),
             is_violated: false,
-            is_proposed: false,
+            has_proposed: false,
         };
         self.elect(&mut state);
         for index in 0..state.members.len() {
@@ -234,7 +234,7 @@
         if !state.appended.is_empty() {
             actions.push(Action::Commit);
         }
-        if !state.is_proposed {
+        if !state.has_proposed {
             actions.push(Action::Propose);
         }
         if state.now < self.time * UNIT {
@@ -267,7 +267,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NO_MIXTURE, |_, state: &ModelState| !state.is_violated),
+            Property::always(REVISIONS_DO_NOT_DECREASE, |_, state: &ModelState| {
+                !state.is_violated
+            }),
             Property::sometimes("all act under the new policy", |_, state: &ModelState| {
                 state.all_act_under(Revision(1))
             }),
--- a/crates/coordination/tests/model/state.rs
+++ b/crates/coordination/tests/model/state.rs
@@ -45,10 +45,10 @@
     pub restarts: u8,
     pub elections: u8,
     /// The highest revision under which any member has acted.
-    pub highest: Revision,
+    pub highest_revision: Revision,
     /// Whether a member has acted under a lower revision than the highest one at that time.
     pub is_violated: bool,
-    pub is_proposed: bool,
+    pub has_proposed: bool,
 }
 
 /// Returns the group's settings.
@@ -76,7 +76,7 @@
 impl ModelState {
     /// Proposes a change at the latest leader. Returns `None` if no change can be proposed.
     pub fn propose(&mut self) -> Option<()> {
-        self.is_proposed = true;
+        self.has_proposed = true;
         let leader = self.leaders.last()?;
         let proposal = leader.next_proposal()?;
         let policy = Policy::from(&b"second"[..]);
--- a/crates/coordination/tests/nodes/faults.rs
+++ b/crates/coordination/tests/nodes/faults.rs
@@ -113,7 +113,7 @@
         daemon.disk = match (mutant, fault) {
             (Mutant::TrustsLostStorage, StorageFault::Lost)
             | (Mutant::TrustsRestoredStorage, StorageFault::Restored) => {
-                daemon.trusted_storage(fault, backup.as_deref())
+                daemon.storage_with_undetectable_loss(fault, backup.as_deref())
             }
             (_, StorageFault::Lost) => None,
             (_, StorageFault::Restored) => backup,
@@ -136,7 +136,11 @@
     }
 
     /// For a mutant: returns storage that has lost acknowledged writes without the other voters being able to detect it.
-    fn trusted_storage(&self, fault: StorageFault, backup: Option<&[u8]>) -> Option<Vec<u8>> {
+    fn storage_with_undetectable_loss(
+        &self,
+        fault: StorageFault,
+        backup: Option<&[u8]>,
+    ) -> Option<Vec<u8>> {
         let current = self.stored()?;
         let write_count = current.storage.write_count + WRITES_AHEAD;
         let mut state = match fault {
--- a/crates/coordination/tests/policy_change.rs
+++ b/crates/coordination/tests/policy_change.rs
@@ -70,7 +70,7 @@
         Mutant::RestoresEarlierState,
         Mutant::IgnoresRejection,
         Mutant::LeadsAfterLease,
-        Mutant::TrustsOwnLog,
+        Mutant::IgnoresCommittedOutcomes,
     ];
     assert_all_detected(&mutants, |mutant| {
         (0..40).any(|seed| run_seed(seed, 4, PartitionPolicy::Stop, mutant).is_err())
--- a/crates/coordination/tests/policy_change/elections.rs
+++ b/crates/coordination/tests/policy_change/elections.rs
@@ -62,7 +62,7 @@
         let mut state = ReplicatedState::new(BTreeMap::new());
         for entry in &self.log {
             let is_outcome = matches!(entry, LeaderEntry::InForce(_));
-            if is_outcome && self.mutant == Mutant::TrustsOwnLog {
+            if is_outcome && self.mutant == Mutant::IgnoresCommittedOutcomes {
                 continue;
             }
             state.apply(LogEntry::Leader {
--- a/crates/coordination/tests/policy_change/faults.rs
+++ b/crates/coordination/tests/policy_change/faults.rs
@@ -36,8 +36,8 @@
             }
             3 if self.mutant == Mutant::RestoresEarlierState => {
                 let member = self.member(id);
-                if member.earlier.is_some() {
-                    member.state = member.earlier.take();
+                if member.before_quiesce.is_some() {
+                    member.state = member.before_quiesce.take();
                 }
             }
             4 if self.rng.random_bool(DEPOSITION_PROBABILITY) => {
--- a/crates/coordination/tests/policy_change/mutant.rs
+++ b/crates/coordination/tests/policy_change/mutant.rs
@@ -15,5 +15,5 @@
     /// A leader grants leases after its own has expired.
     LeadsAfterLease,
     /// A new leader does not apply the committed outcomes of changes.
-    TrustsOwnLog,
+    IgnoresCommittedOutcomes,
 }
--- a/crates/coordination/tests/policy_change/network.rs
+++ b/crates/coordination/tests/policy_change/network.rs
@@ -85,7 +85,7 @@
                 let quiesced = ToLeader::Quiesced(*proposal, epoch);
                 return self.send(Message::ToLeader(id, quiesced));
             }
-            member.earlier = member.state.clone();
+            member.before_quiesce = member.state.clone();
         }
         self.call_member(id, |state, now, actions| {
             state.handle_message(now, epoch, message, actions);
--- a/crates/coordination/tests/policy_change/simulated_member.rs
+++ b/crates/coordination/tests/policy_change/simulated_member.rs
@@ -13,7 +13,7 @@
     pub suspended_until: i64,
     pub partitioned_until: i64,
     /// The process's state before it was last quiesced. Used by a mutant.
-    pub earlier: Option<Member>,
+    pub before_quiesce: Option<Member>,
     pub applied: Option<Revision>,
 }
 
@@ -24,7 +24,7 @@
             clock,
             suspended_until: 0,
             partitioned_until: 0,
-            earlier: None,
+            before_quiesce: None,
             applied: None,
         }
     }
