--- a/crates/coordination/src/identifiers.rs
+++ b/crates/coordination/src/identifiers.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StorageId(pub u64);
 
-/// One version of a voter's storage. Each message of the voter depends on one.
+/// One version of a voter's storage. Each message of the voter depends on one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StorageVersion {
     /// The identity of the storage.
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -40,7 +40,7 @@
 pub struct LeaseGrant {
     /// The incarnation of the process that requested the lease.
     pub incarnation: ProcessIncarnation,
-    /// Copy of [`LeaseRequest::sent_at`].
+    /// The [`LeaseRequest::sent_at`] of the request.
     pub sent_at: Micros,
     /// The duration of the lease, counted from the request, in microseconds. The member subtracts the possible clock drift.
     /// `None` under [`PartitionPolicy::Serve`](crate::settings::PartitionPolicy::Serve), where leases do not end.
--- a/crates/coordination/src/node/operator_message.rs
+++ b/crates/coordination/src/node/operator_message.rs
@@ -36,7 +36,7 @@
 pub enum Reply {
     /// The proposed change is being appended to the log.
     Proposed,
-    /// Another change is pending, with this author.
+    /// Another change by this author is already pending.
     Busy(Author),
     /// The change is not based on the revision in force, which is this one.
     Stale(Revision),
--- a/crates/coordination/src/voter/amnesia.rs
+++ b/crates/coordination/src/voter/amnesia.rs
@@ -118,7 +118,10 @@
         self.start_log(now);
         actions.push(VoterAction::Log(
             "voter-participates",
-            format!("in configuration {}", self.status().configuration),
+            format!(
+                "this voter participates in configuration {}",
+                self.status().configuration
+            ),
         ));
     }
 
@@ -164,7 +167,7 @@
         drop(state);
         actions.push(VoterAction::Log(
             "voter-admitted",
-            format!("participates in configuration {configuration}"),
+            format!("this voter is admitted to configuration {configuration}"),
         ));
         self.begin_configuration(now, configuration, base, actions);
     }
@@ -225,9 +228,9 @@
     ) {
         let mut state = self.storage.state_mut();
         let cause = if known.id != state.storage.id {
-            "another storage"
+            "a different storage of this voter"
         } else {
-            "a later state of this storage"
+            "a later version of this voter's storage"
         };
         *state = PersistentState::new(state.owner, self.next_storage_id);
         drop(state);
@@ -237,7 +240,7 @@
         self.next_hello = now;
         actions.push(VoterAction::Log(
             "storage-amnesia",
-            format!("another voter has recorded {cause}: this voter does not vote until it is admitted as a new one"),
+            format!("another voter has recorded {cause}; this voter does not vote until it is admitted as a new one"),
         ));
     }
 }
--- a/crates/coordination/tests/nodes/driver.rs
+++ b/crates/coordination/tests/nodes/driver.rs
@@ -19,7 +19,7 @@
 const MAX_SLOW_LATENCY_MS: i64 = 300;
 
 impl Simulation {
-    /// Calls a member's node, and executes its actions.
+    /// Calls a member's node and executes the resulting actions.
     pub fn call(
         &mut self,
         member: MemberId,
--- a/crates/coordination/tests/nodes/simulation.rs
+++ b/crates/coordination/tests/nodes/simulation.rs
@@ -38,7 +38,7 @@
 const BACKUP_INTERVAL: i64 = 700 * MS;
 /// Time from the start of a node until its connections are established.
 const CONNECT_TIME: i64 = 20 * MS;
-/// Maximum reading of a clock at the start of the simulation.
+/// Maximum reading of a clock at the start of the simulation, in microseconds.
 const MAX_CLOCK_OFFSET: i64 = 1_000_000;
 /// Difference between the incarnations of two successive processes.
 const INCARNATION_STEP: u64 = 1000;
