--- a/crates/coordination/src/node/actions.rs
+++ b/crates/coordination/src/node/actions.rs
@@ -55,7 +55,7 @@
                     actions.push(NodeAction::Send(to, Frame::ToMember(epoch, message)));
                 }
                 LeaderAction::Append(entry) => {
-                    actions.push(NodeAction::Log("log-append", describe(&entry)));
+                    actions.push(NodeAction::Log("log-append", describe_entry(&entry)));
                     if let Some(voter) = &mut self.voter {
                         let at = now.monotonic;
                         voter.append(at, epoch, now.unix_ms, entry, &mut voter_actions);
@@ -98,7 +98,7 @@
         entry: LeaderEntry,
         actions: &mut Vec<NodeAction>,
     ) {
-        actions.push(NodeAction::Log("log-commit", describe(&entry)));
+        actions.push(NodeAction::Log("log-commit", describe_entry(&entry)));
         if matches!(entry, LeaderEntry::Proposed(..)) {
             self.proposal_in_flight = None;
         }
@@ -167,7 +167,7 @@
 }
 
 /// Returns a description of the entry for log lines.
-fn describe(entry: &LeaderEntry) -> String {
+fn describe_entry(entry: &LeaderEntry) -> String {
     match entry {
         LeaderEntry::Proposed(proposal, _, author) => {
             format!("change {} is proposed by {}", proposal.0, author.name)
--- a/crates/coordination/src/node/operator.rs
+++ b/crates/coordination/src/node/operator.rs
@@ -47,7 +47,7 @@
         (base != self.state.committed).then_some(Reply::Stale(self.state.committed))
     }
 
-    fn pending(&self) -> Option<PendingStatus> {
+    fn pending_status(&self) -> Option<PendingStatus> {
         let change = self.state.pending.as_ref()?;
         Some(PendingStatus {
             author: change.author.clone(),
@@ -132,7 +132,7 @@
         GroupStatus {
             leader: self.setup.own_id,
             committed: view.state.committed,
-            pending: view.pending(),
+            pending: view.pending_status(),
             members: self.setup.members.iter().map(status).collect(),
         }
     }
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -276,7 +276,7 @@
         self.advance(now, actions);
     }
 
-    fn others(&self) -> impl Iterator<Item = MemberId> + '_ {
+    fn other_voters(&self) -> impl Iterator<Item = MemberId> + '_ {
         let voters = self.voters.iter().copied();
         voters.filter(|member| *member != self.own_id)
     }
@@ -311,7 +311,7 @@
 
     fn send_to_others(&self, message: &VoterMessage, actions: &mut Vec<VoterAction>) {
         actions.extend(
-            self.others()
+            self.other_voters()
                 .map(|other| VoterAction::Send(other, message.clone())),
         );
     }
--- a/crates/coordination/src/voter/replication.rs
+++ b/crates/coordination/src/voter/replication.rs
@@ -171,7 +171,7 @@
     fn begin_next_configuration(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         let configuration = self.storage.state().configuration + 1;
         self.begin_configuration(now, configuration, self.state.clone(), actions);
-        let others: Vec<MemberId> = self.others().collect();
+        let others: Vec<MemberId> = self.other_voters().collect();
         for other in others {
             self.configuration_sent_at.remove(&other);
             self.send_configuration(now, other, actions);
--- a/crates/coordination/tests/model.rs
+++ b/crates/coordination/tests/model.rs
@@ -21,14 +21,17 @@
 fn bounds() -> GroupModel {
     let small = GroupModel {
         members: 2,
-        time: 2,
-        restarts: 1,
-        elections: 1,
+        max_time: 2,
+        max_restarts: 1,
+        max_elections: 1,
         max_in_flight: 3,
         mutant: Mutant::Unmodified,
     };
     match std::env::var("MODEL").as_deref() {
-        Ok("large") => GroupModel { time: 3, ..small },
+        Ok("large") => GroupModel {
+            max_time: 3,
+            ..small
+        },
         _ => small,
     }
 }
@@ -60,7 +63,7 @@
 fn member_acting_after_its_lease_is_detected() {
     let model = GroupModel {
         mutant: Mutant::ActsAfterLease,
-        time: 4,
+        max_time: 4,
         ..bounds()
     };
     let checked = model
--- a/crates/coordination/tests/model/group_model.rs
+++ b/crates/coordination/tests/model/group_model.rs
@@ -21,11 +21,11 @@
     /// Number of members.
     pub members: u32,
     /// Maximum simulated time, in multiples of [`UNIT`].
-    pub time: i64,
+    pub max_time: i64,
     /// Maximum number of restarts, over all members.
-    pub restarts: u8,
+    pub max_restarts: u8,
     /// Maximum number of elections after the first one.
-    pub elections: u8,
+    pub max_elections: u8,
     /// Maximum number of messages in flight.
     pub max_in_flight: usize,
     pub mutant: Mutant,
@@ -123,14 +123,14 @@
     }
 
     fn elect(&self, state: &mut ModelState) {
-        state.lease_end = state.now + LEADER_LEASE;
+        state.leader_lease_end = state.now + LEADER_LEASE;
         state.appended.clear();
         let epoch = Epoch(state.replicated.epoch.0 + 1);
         state.replicated.apply(LogEntry::EpochStarted(epoch));
         let members: Vec<MemberId> = (0..self.members).map(MemberId).collect();
         let now = Time(state.now);
         let mut leader = Leader::elected(settings(), epoch, now, &members, &state.replicated);
-        leader.extend_lease(Time(state.lease_end));
+        leader.extend_lease(Time(state.leader_lease_end));
         state.leaders.push(leader);
         if state.leaders.len() > MAX_LEADERS {
             state.leaders.remove(0);
@@ -173,9 +173,9 @@
     fn advance_time(&self, state: &mut ModelState) {
         state.now += UNIT;
         // The last leader is never deposed: its lease is extended forever.
-        if state.elections >= self.elections {
-            state.lease_end = state.now + LEADER_LEASE;
-            let lease_end = Time(state.lease_end);
+        if state.elections >= self.max_elections {
+            state.leader_lease_end = state.now + LEADER_LEASE;
+            let lease_end = Time(state.leader_lease_end);
             if let Some(leader) = state.leaders.last_mut() {
                 leader.extend_lease(lease_end);
             }
@@ -207,7 +207,7 @@
             now: 0,
             replicated: ReplicatedState::new(BTreeMap::new()),
             leaders: Vec::new(),
-            lease_end: 0,
+            leader_lease_end: 0,
             appended: Vec::new(),
             members: (0..u64::from(self.members)).map(member).collect(),
             last_acted: vec![None; self.members as usize],
@@ -237,13 +237,13 @@
         if !state.has_proposed {
             actions.push(Action::Propose);
         }
-        if state.now < self.time * UNIT {
+        if state.now < self.max_time * UNIT {
             actions.push(Action::AdvanceTime);
         }
-        if state.restarts < self.restarts {
+        if state.restarts < self.max_restarts {
             actions.extend((0..self.members as usize).map(Action::Restart));
         }
-        if state.elections < self.elections && state.lease_end <= state.now {
+        if state.elections < self.max_elections && state.leader_lease_end <= state.now {
             actions.push(Action::Elect);
         }
     }
--- a/crates/coordination/tests/model/state.rs
+++ b/crates/coordination/tests/model/state.rs
@@ -33,7 +33,7 @@
     /// The latest leader, preceded by earlier ones that have not noticed it. Only the latest leader's entries are committed.
     pub leaders: Vec<Leader>,
     /// End of the latest leader's own lease, in microseconds.
-    pub lease_end: i64,
+    pub leader_lease_end: i64,
     /// Entries that are appended and not committed yet.
     pub appended: Vec<(Epoch, LeaderEntry)>,
     pub members: Vec<Member>,
--- a/crates/coordination/tests/nodes/driver.rs
+++ b/crates/coordination/tests/nodes/driver.rs
@@ -26,7 +26,7 @@
         call: impl FnOnce(&mut Node, ClockReading, &mut Vec<NodeAction>),
     ) {
         let simulated_now = self.now;
-        let daemon = self.daemon(member);
+        let daemon = self.daemon_mut(member);
         let now = ClockReading {
             monotonic: daemon.clock.reading(simulated_now),
             unix_ms: 0,
@@ -53,7 +53,7 @@
                 NodeAction::ApplyPolicy(revision, policy) => {
                     self.log(&format!("{member:?} applies {revision:?}"));
                     self.invariants.check_applied(revision, policy);
-                    self.daemon(member).applied = Some(revision);
+                    self.daemon_mut(member).applied = Some(revision);
                 }
                 NodeAction::Reply(number, reply) => self.check_outcome(number.0, reply),
                 NodeAction::Log(code, text) => self.log(&format!("{member:?} {code}: {text}")),
@@ -82,7 +82,7 @@
 
     fn send(&mut self, from: MemberId, to: MemberId, frame: Frame) {
         if to == from {
-            return self.daemon(from).inbox.push((from, frame));
+            return self.daemon_mut(from).inbox.push((from, frame));
         }
         let slow = self.faults_enabled && self.rng.random_bool(SLOW_FRAME_PROBABILITY);
         let max_ms = if slow {
--- a/crates/coordination/tests/nodes/faults.rs
+++ b/crates/coordination/tests/nodes/faults.rs
@@ -35,13 +35,13 @@
             }
             4..=5 => {
                 self.log(&format!("{member:?} is suspended for {ms} ms"));
-                self.daemon(member).suspended_until = until;
+                self.daemon_mut(member).suspended_until = until;
             }
             6..=8 => self.partition_pair(member, until),
             9 => self.partition_from_all(member, until),
             10 => {
                 self.log(&format!("the disk of {voter:?} is full for {ms} ms"));
-                self.daemon(voter).disk_full_until = until;
+                self.daemon_mut(voter).disk_full_until = until;
             }
             11 | 12 => self.damage_storage(voter, duration),
             13 => self.kill_all(),
--- a/crates/coordination/tests/nodes/simulation.rs
+++ b/crates/coordination/tests/nodes/simulation.rs
@@ -134,14 +134,14 @@
         MemberId(self.rng.random_range(0..self.daemons.len() as u32))
     }
 
-    pub fn daemon(&mut self, member: MemberId) -> &mut Daemon {
+    pub fn daemon_mut(&mut self, member: MemberId) -> &mut Daemon {
         self.daemons.get_mut(&member).unwrap()
     }
 
     /// Kills a member's node, which is restarted after `down` microseconds.
     pub fn kill(&mut self, member: MemberId, down: i64) {
         let down_until = self.now + down;
-        let daemon = self.daemon(member);
+        let daemon = self.daemon_mut(member);
         daemon.node = None;
         daemon.down_until = down_until;
         daemon.inbox.clear();
@@ -263,7 +263,7 @@
 
     fn start_or_stop(&mut self, member: MemberId) {
         let now = self.now;
-        let daemon = self.daemon(member);
+        let daemon = self.daemon_mut(member);
         if daemon.node.is_none() && daemon.down_until <= now {
             self.start(member);
         } else if now % BACKUP_INTERVAL < STEP {
@@ -285,7 +285,7 @@
         let votes = member.0 < self.voters;
         let (now, settings) = (self.now, self.settings);
         let trusts_stored_policy = self.mutant == Mutant::TrustsStoredPolicy;
-        let daemon = self.daemon(member);
+        let daemon = self.daemon_mut(member);
         let stored = daemon.disk.as_ref();
         let stored = stored.and_then(|bytes| PersistentState::decode(bytes, OWNER).ok());
         let state = stored.unwrap_or_else(|| PersistentState::new(OWNER, new_storage));
@@ -334,7 +334,7 @@
             return;
         }
         for _ in 0..ROUNDS_PER_STEP {
-            let inbox = std::mem::take(&mut self.daemon(member).inbox);
+            let inbox = std::mem::take(&mut self.daemon_mut(member).inbox);
             for (from, frame) in inbox {
                 self.call(member, |node, now, actions| {
                     node.handle_frame(now, from, frame, actions);
--- a/crates/coordination/tests/policy_change/elections.rs
+++ b/crates/coordination/tests/policy_change/elections.rs
@@ -20,16 +20,16 @@
 impl Simulation {
     /// Elects a new leader at some time after the lease of the latest one has expired, and extends leaders' leases.
     pub fn update_leadership(&mut self) {
-        let has_expired = self.lease_end <= self.now;
+        let has_expired = self.leader_lease_end <= self.now;
         if has_expired && (self.leaders.is_empty() || self.rng.random_bool(ELECTION_PROBABILITY)) {
             self.elect();
         } else if !self.is_deposed && !self.leaders.is_empty() {
-            self.lease_end = self.now + LEADER_LEASE;
+            self.leader_lease_end = self.now + LEADER_LEASE;
         }
         let latest = self.leaders.len().checked_sub(1);
         for (index, leader) in self.leaders.iter_mut().enumerate() {
             if Some(index) == latest {
-                leader.extend_lease(Time(self.lease_end));
+                leader.extend_lease(Time(self.leader_lease_end));
             } else if self.mutant == Mutant::LeadsAfterLease {
                 leader.extend_lease(Time(self.now + LEADER_LEASE));
             }
@@ -54,7 +54,7 @@
         if self.leaders.len() > MAX_LEADERS {
             self.leaders.remove(0);
         }
-        self.lease_end = self.now + LEADER_LEASE;
+        self.leader_lease_end = self.now + LEADER_LEASE;
     }
 
     /// Returns the replicated state from which a new leader starts.
--- a/crates/coordination/tests/policy_change/faults.rs
+++ b/crates/coordination/tests/policy_change/faults.rs
@@ -22,20 +22,20 @@
                 self.log_line(&format!("{id:?} is restarted"));
                 self.start(id);
                 let offset = self.rng.random_range(0..MAX_CLOCK_OFFSET);
-                let member = self.member(id);
+                let member = self.member_mut(id);
                 member.applied = None;
                 member.clock.offset = offset;
             }
             1 => {
                 self.log_line(&format!("{id:?} is suspended for {ms} ms"));
-                self.member(id).suspended_until = until;
+                self.member_mut(id).suspended_until = until;
             }
             2 => {
                 self.log_line(&format!("{id:?} is partitioned for {ms} ms"));
-                self.member(id).partitioned_until = until;
+                self.member_mut(id).partitioned_until = until;
             }
             3 if self.mutant == Mutant::RestoresEarlierState => {
-                let member = self.member(id);
+                let member = self.member_mut(id);
                 if member.before_quiesce.is_some() {
                     member.state = member.before_quiesce.take();
                 }
--- a/crates/coordination/tests/policy_change/simulation.rs
+++ b/crates/coordination/tests/policy_change/simulation.rs
@@ -57,7 +57,7 @@
     /// The latest leader, preceded by earlier ones that have not noticed it. Only the latest leader's entries are committed.
     pub leaders: Vec<Leader>,
     /// End of the latest leader's own lease.
-    pub lease_end: i64,
+    pub leader_lease_end: i64,
     /// Whether the latest leader can no longer commit entries.
     pub is_deposed: bool,
     pub epoch: u64,
@@ -107,7 +107,7 @@
             now: 0,
             members,
             leaders: Vec::new(),
-            lease_end: 0,
+            leader_lease_end: 0,
             is_deposed: false,
             epoch: 0,
             log: Vec::new(),
@@ -191,11 +191,11 @@
         self.starts += 1;
         let incarnation = ProcessIncarnation(self.starts);
         let state = Member::new(self.settings, incarnation);
-        self.member(member).state = Some(state);
+        self.member_mut(member).state = Some(state);
     }
 
     pub fn stop(&mut self, member: MemberId) {
-        self.member(member).state = None;
+        self.member_mut(member).state = None;
     }
 
     pub fn leader_state(&self) -> LeaderState {
@@ -228,7 +228,7 @@
         self.trace.log(self.now, text);
     }
 
-    pub fn member(&mut self, member: MemberId) -> &mut SimulatedMember {
+    pub fn member_mut(&mut self, member: MemberId) -> &mut SimulatedMember {
         self.members.get_mut(&member).unwrap()
     }
 
@@ -267,7 +267,7 @@
     ) {
         let mut actions = Vec::new();
         let simulated_now = self.now;
-        let member = self.member(id);
+        let member = self.member_mut(id);
         let now = member.clock.reading(simulated_now);
         let Some(state) = &mut member.state else {
             return;
@@ -282,7 +282,7 @@
                     self.send(Message::ToLeader(id, checked));
                 }
                 MemberAction::ApplyPolicy(revision, policy) => {
-                    self.member(id).applied = Some(revision);
+                    self.member_mut(id).applied = Some(revision);
                     self.log_line(&format!("{id:?} applies {revision:?}"));
                     self.invariants.check_applied(revision, policy);
                 }
