--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -5,7 +5,7 @@
 /// Limits of the deployment. Times are in milliseconds; 0 if there is none.
 #[derive(Debug, Deserialize)]
 pub struct LimitSettings {
-    /// Time after which an idle connection is closed.
+    /// Time for which an idle connection stays open.
     #[serde(rename = "conn_idle_ms", default)]
     pub idle_timeout_ms: f64,
     /// Time within which a connection must be established.
