--- a/crates/coordination/src/leader/pending_change.rs
+++ b/crates/coordination/src/leader/pending_change.rs
@@ -1,4 +1,4 @@
-//! The phases of a pending change.
+//! Transitions of a pending change between its phases.
 
 use super::{Leader, LeaderAction};
 use crate::identifiers::{MemberId, Policy, ProposalId};
@@ -23,25 +23,25 @@
     pub proposal: ProposalId,
     pub policy: Policy,
     pub phase: Phase,
-    /// When the phase began.
-    pub since: Time,
+    /// Time at which the current phase began.
+    pub phase_started_at: Time,
 }
 
 impl PendingChange {
-    /// A change that begins its checking phase.
+    /// Creates a change in its checking phase.
     pub fn new(proposal: ProposalId, policy: Policy, now: Time) -> PendingChange {
         PendingChange {
             proposal,
             policy,
             phase: Phase::Checking,
-            since: now,
+            phase_started_at: now,
         }
     }
 }
 
 impl Leader {
-    /// Records an acceptance, or withdraws the change for a rejection. A rejection counts until the change is decided, also
-    /// from a member that is not awaited.
+    /// Records an acceptance, or withdraws the change on a rejection. A rejection counts at any time before the decision,
+    /// even if it is from a member that the change does not wait for.
     pub(super) fn handle_verdict(
         &mut self,
         from: MemberId,
@@ -55,7 +55,7 @@
         match verdict {
             PolicyVerdict::Accepted => {
                 if let Some(progress) = self.members.get_mut(&from) {
-                    progress.checked = Some(proposal);
+                    progress.accepted = Some(proposal);
                 }
             }
             PolicyVerdict::Rejected(reason) => self.withdraw(reason, actions),
@@ -73,14 +73,14 @@
         match &mut self.pending {
             Some(change) if change.phase == Phase::Checking => {
                 change.phase = Phase::Quiescing;
-                change.since = now;
+                change.phase_started_at = now;
                 self.send_at_next_tick();
             }
             Some(_) | None => {}
         }
     }
 
-    /// Decides for the pending change.
+    /// Appends the decision to put the pending policy in force.
     pub(super) fn decide(&mut self, actions: &mut Vec<LeaderAction>) {
         if let Some(change) = &mut self.pending {
             change.phase = Phase::Deciding;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Withdraws the pending change, unless it is decided.
+    /// Appends the withdrawal of the pending change, unless its outcome is already decided.
     pub(super) fn withdraw(&mut self, reason: String, actions: &mut Vec<LeaderAction>) {
         match &mut self.pending {
             Some(change) if change.phase != Phase::Deciding => {
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Removes the pending change, if it is this proposal.
+    /// Removes and returns the pending change, if it is this proposal.
     pub(super) fn take_pending(&mut self, proposal: ProposalId) -> Option<PendingChange> {
         self.pending.take_if(|change| change.proposal == proposal)
     }
 
-    /// Sends all members that a proposal has its outcome.
+    /// Notifies all members that a proposal has its outcome.
     pub(super) fn announce_resolved(
         &mut self,
         proposal: ProposalId,
@@ -118,37 +118,37 @@
         );
     }
 
-    /// Makes the messages of a new phase due at once.
+    /// Makes the messages of the current phase due at the next tick.
     fn send_at_next_tick(&mut self) {
         for progress in self.members.values_mut() {
             progress.last_sent = None;
         }
     }
 
-    /// Whether the pending change waits for no member. Also true without a pending change.
+    /// Returns whether the pending change waits for no member. Also true if no change is pending.
     pub(super) fn is_phase_complete(&self, now: Time) -> bool {
         self.awaited(now).next().is_none()
     }
 
-    /// Members that the pending change waits for: those that have not completed its phase and may still act.
+    /// Returns the members that the pending change waits for. They have not completed its phase and may still act.
     pub(super) fn awaited(&self, now: Time) -> impl Iterator<Item = MemberId> + '_ {
         let members = self.pending.iter().flat_map(move |change| {
             let members = self.members.iter();
             members.filter(move |(_, progress)| {
-                !progress.is_done(change) && !progress.has_expired(now)
+                !progress.has_completed_phase(change) && !progress.has_stopped_acting(now)
             })
         });
         members.map(|(member, _)| *member)
     }
 
-    /// Sends the message of the phase to each member that has not completed it, once per resend interval.
+    /// Sends the message of the current phase to each member that has not completed it, once per resend interval.
     pub(super) fn send_phase_messages(&mut self, now: Time, actions: &mut Vec<LeaderAction>) {
         let Some(change) = &self.pending else { return };
         for (member, progress) in &mut self.members {
             let due = progress
                 .last_sent
                 .is_none_or(|sent_at| now - sent_at >= self.settings.resend_interval);
-            if !due || progress.is_done(change) {
+            if !due || progress.has_completed_phase(change) {
                 continue;
             }
             let message = match change.phase {
--- a/crates/coordination/src/node/actions.rs
+++ b/crates/coordination/src/node/actions.rs
@@ -1,5 +1,5 @@
-//! Executes the actions of a node's member, voter and leader: each turns into actions of the node, or into a call of another
-//! part.
+//! Execution of the actions of a node's member, voter and leader. Each action becomes an action of the node, or a call of
+//! another of its state machines.
 
 use super::{Frame, Node, NodeAction};
 use crate::identifiers::{Author, ClockReading, Epoch, MemberId, Policy, Revision};
@@ -9,9 +9,9 @@
 use crate::voter::VoterAction;
 use marblefall_time::Span;
 
-/// Time after which a leader proposes the initial policy again.
+/// Minimum time between two proposals of the initial policy.
 const INITIAL_PROPOSAL_INTERVAL: Span = Span(3_000_000);
-/// The author of the initial policy, as operators read it.
+/// The author of the initial policy, as displayed to operators.
 const INITIAL_AUTHOR: &str = "founding";
 /// The key of the initial policy's proposal.
 const INITIAL_KEY: u64 = 0;
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Calls the leader, if this daemon leads, and executes its actions.
-    pub(super) fn lead(
+    /// Calls the leader if this daemon is the leader, and executes the resulting actions.
+    pub(super) fn call_leader(
         &mut self,
         now: ClockReading,
         actions: &mut Vec<NodeAction>,
@@ -55,7 +55,7 @@
                     actions.push(NodeAction::Send(to, Frame::ToMember(epoch, message)));
                 }
                 LeaderAction::Append(entry) => {
-                    actions.push(NodeAction::Log("log-append", describe(&entry)));
+                    actions.push(NodeAction::Log("log-append", describe_entry(&entry)));
                     if let Some(voter) = &mut self.voter {
                         let at = now.monotonic;
                         voter.append(at, epoch, now.unix_ms, entry, &mut voter_actions);
@@ -81,11 +81,11 @@
                 VoterAction::Elected(epoch) => self.become_leader(now, epoch, actions),
                 VoterAction::Deposed => {
                     self.leader = None;
-                    let text = "another daemon leads the group, or none".to_owned();
+                    let text = "this daemon no longer leads the group".to_owned();
                     actions.push(NodeAction::Log("leader-deposed", text));
                 }
                 VoterAction::LeaseExtended(until) => {
-                    self.lead(now, actions, |leader, _| leader.extend_lease(until));
+                    self.call_leader(now, actions, |leader, _| leader.extend_lease(until));
                 }
                 VoterAction::Log(code, text) => actions.push(NodeAction::Log(code, text)),
             }
@@ -98,11 +98,11 @@
         entry: LeaderEntry,
         actions: &mut Vec<NodeAction>,
     ) {
-        actions.push(NodeAction::Log("log-commit", describe(&entry)));
+        actions.push(NodeAction::Log("log-commit", describe_entry(&entry)));
         if matches!(entry, LeaderEntry::Proposed(..)) {
             self.proposal_in_flight = None;
         }
-        self.lead(now, actions, |leader, actions| {
+        self.call_leader(now, actions, |leader, actions| {
             leader.handle_committed(now.monotonic, entry, actions)
         });
     }
@@ -124,7 +124,7 @@
         actions.push(NodeAction::Log("leader-elected", text));
     }
 
-    /// Proposes the initial policy, if this daemon leads and the log is empty.
+    /// Proposes the initial policy, if this daemon is the leader and the log contains no policy.
     pub(super) fn propose_initial_policy(
         &mut self,
         now: ClockReading,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Proposes a policy, if this daemon leads and no change is pending.
+    /// Proposes a policy, if this daemon is the leader and no change is pending.
     pub(super) fn propose(
         &mut self,
         now: ClockReading,
@@ -162,12 +162,12 @@
         };
         self.proposal_in_flight = Some(author.clone());
         let proposed = LeaderAction::Append(LeaderEntry::Proposed(proposal, policy, author));
-        self.lead(now, actions, |_, actions| actions.push(proposed));
+        self.call_leader(now, actions, |_, actions| actions.push(proposed));
     }
 }
 
-/// The text of an entry for log lines.
-fn describe(entry: &LeaderEntry) -> String {
+/// Returns a description of the entry for log lines.
+fn describe_entry(entry: &LeaderEntry) -> String {
     match entry {
         LeaderEntry::Proposed(proposal, _, author) => {
             format!("change {} is proposed by {}", proposal.0, author.name)
--- a/crates/coordination/src/node/operator.rs
+++ b/crates/coordination/src/node/operator.rs
@@ -1,4 +1,4 @@
-//! The leader's replies to operators' requests.
+//! Handling of operators' requests by the leader.
 
 use super::operator_message::{
     ChangePhase, GroupStatus, MemberStatus, PendingStatus, Reply, Request,
@@ -9,7 +9,7 @@
 use crate::replicated_state::{KnownChange, LeaderEntry, ReplicatedState};
 use marblefall_time::Time;
 
-/// The state of a leader that holds its own lease.
+/// A view of the leader's state, valid because the leader holds its own lease.
 struct LeaderView<'a> {
     leader: &'a Leader,
     state: &'a ReplicatedState,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The outcome or the phase of the change with this key, if it is known.
+    /// Returns the outcome or the phase of the change with this key, if the change is known.
     fn outcome(&self, key: u64) -> Option<Reply> {
         Some(match self.state.find_change(key)? {
             KnownChange::Resolved(change) => Reply::Resolved(change.clone()),
@@ -35,8 +35,9 @@
         })
     }
 
-    /// The reply to a proposal that is not appended to the log: it is known already, or cannot be made now.
-    fn rejection(&self, base: Revision, author: &Author) -> Option<Reply> {
+    /// Returns the reply to a proposal that must not be appended to the log, because the change is known already, another
+    /// change is pending, or the base is not the revision in force. Returns `None` if the proposal can be appended.
+    fn reply_without_appending(&self, base: Revision, author: &Author) -> Option<Reply> {
         if let Some(reply) = self.outcome(author.key) {
             return Some(reply);
         }
@@ -46,7 +47,7 @@
         (base != self.state.committed).then_some(Reply::Stale(self.state.committed))
     }
 
-    fn pending(&self) -> Option<PendingStatus> {
+    fn pending_status(&self) -> Option<PendingStatus> {
         let change = self.state.pending.as_ref()?;
         Some(PendingStatus {
             author: change.author.clone(),
@@ -57,7 +58,7 @@
 }
 
 impl Node {
-    /// The reply to an operator's request; `None` if this daemon does not lead.
+    /// Returns the reply to an operator's request, or `None` if this daemon does not lead or its lease has expired.
     pub(super) fn reply(
         &mut self,
         now: ClockReading,
@@ -70,20 +71,20 @@
                 base,
                 policy,
                 author,
-            } => match view.rejection(base, &author) {
+            } => match view.reply_without_appending(base, &author) {
                 Some(reply) => reply,
                 None => self.reply_to_proposal(now, policy, author, actions),
             },
             Request::Outcome(key) => view.outcome(key).unwrap_or(Reply::Unknown),
             Request::Withdraw if view.state.pending.is_none() => Reply::NothingPending,
             Request::Withdraw => {
-                self.lead(now, actions, Leader::withdraw_by_operator);
+                self.call_leader(now, actions, Leader::withdraw_by_operator);
                 Reply::Accepted
             }
             Request::Exclude(member) if !self.setup.members.contains(&member) => Reply::Unknown,
             Request::Exclude(member) => {
                 let excluded = LeaderAction::Append(LeaderEntry::Excluded(member));
-                self.lead(now, actions, |_, actions| actions.push(excluded));
+                self.call_leader(now, actions, |_, actions| actions.push(excluded));
                 Reply::Accepted
             }
             Request::Status => Reply::Status(Box::new(self.group_status(&view))),
@@ -91,7 +92,8 @@
         })
     }
 
-    /// The leader's state; `None` if another leader may exist, as this one may not know the policy in force.
+    /// Returns a view of the leader's state, or `None` if another leader may exist. This leader may then not know the policy
+    /// in force.
     fn leader_view(&self, now: Time) -> Option<LeaderView<'_>> {
         let leader = self.leader.as_ref()?;
         let state = self.voter.as_ref()?.state();
@@ -108,7 +110,7 @@
         actions: &mut Vec<NodeAction>,
     ) -> Reply {
         match &self.proposal_in_flight {
-            // An operator's command repeats its proposal while it receives no reply.
+            // An operator's command repeats its proposal until it receives a reply.
             Some(in_flight) if in_flight.key == author.key => {}
             Some(in_flight) => return Reply::Busy(in_flight.clone()),
             None => self.propose(now, policy, author, actions),
@@ -130,7 +132,7 @@
         GroupStatus {
             leader: self.setup.own_id,
             committed: view.state.committed,
-            pending: view.pending(),
+            pending: view.pending_status(),
             members: self.setup.members.iter().map(status).collect(),
         }
     }
--- a/crates/coordination/src/voter/replication.rs
+++ b/crates/coordination/src/voter/replication.rs
@@ -1,5 +1,5 @@
-//! The replicated log: entries are appended through the consensus library, and applied to the state once it has decided
-//! them. A long log is truncated by beginning another configuration of the same voters.
+//! The replicated log. Entries are appended through the consensus library, and applied to the state once the library has
+//! decided them. A long log is truncated by beginning a new configuration with the same voters.
 
 use super::leadership::Leadership;
 use super::{Participation, PaxosMessage, Voter, VoterAction, VoterMessage};
@@ -10,27 +10,27 @@
 use omnipaxos::{ClusterConfig, ServerConfig};
 use std::collections::BTreeMap;
 
-/// Number of ticks of one round of the library's heartbeats.
+/// Number of ticks per heartbeat round of the consensus library.
 const HEARTBEAT_TICKS: u64 = 4;
-/// Number of ticks after which the library resends lost messages.
+/// Number of ticks after which the consensus library resends lost messages.
 const RESEND_TICKS: u64 = 8;
-/// Number of entries that the library buffers.
-const PAXOS_BUFFER: usize = 64;
+/// Number of entries that the consensus library buffers.
+const PAXOS_BUFFER_SIZE: usize = 64;
 /// Number of entries at which the log is truncated.
 const MAX_LOG_LENGTH: usize = 96;
 
 impl Voter {
-    /// Appends an entry to the log. It is lost if this voter does not lead, or the configuration is ending.
+    /// Appends an entry to the log. The entry is lost if this voter is not the leader or the configuration is ending.
     pub(super) fn propose(&mut self, entry: LogEntry) {
         if self.is_only_voter {
             self.storage.append_as_only_voter(entry);
         } else if let Some(paxos) = &mut self.paxos {
-            // Fails while the configuration is ending. Proposals are repeated.
+            // An error while the configuration is ending is ignored, because proposals are repeated.
             let _ = paxos.append(entry);
         }
     }
 
-    /// Ends the current configuration, to be followed by one of these voters. Returns whether this voter may do so.
+    /// Ends the current configuration. The next one has these voters. Returns whether this voter may end it.
     pub(super) fn reconfigure(&mut self, voters: BTreeMap<MemberId, StorageId>) -> bool {
         let is_permitted = self.leadership.is_leading()
             && self.participation == Participation::Participating
@@ -41,7 +41,7 @@
         is_permitted
     }
 
-    /// Passes a message to the consensus library, if it is of the current configuration.
+    /// Passes a message to the consensus library if it belongs to the current configuration.
     pub(super) fn handle_paxos(
         &mut self,
         now: Time,
@@ -58,7 +58,7 @@
             return;
         }
         let message = received.message;
-        self.note_write_count(from, received.write_count, &message);
+        self.record_write_count(from, received.write_count, &message);
         let is_addressed = Some(message.get_sender()) == self.paxos_id(from)
             && Some(message.get_receiver()) == self.paxos_id(self.own_id);
         if let Some(paxos) = self.paxos.as_mut().filter(|_| is_addressed) {
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Applies the entries that the consensus library has decided, and returns its messages.
+    /// Applies the entries that the consensus library has decided, and sends its outgoing messages.
     pub(super) fn advance(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         if self.participation != Participation::Participating {
             return;
         }
         if self.is_only_voter {
-            // Entries of an earlier process precede this one's epoch.
+            // Apply the entries of earlier processes before this process starts its own epoch.
             self.apply_decided(now, actions);
         }
         self.update_leadership(actions);
@@ -80,7 +80,7 @@
         self.send_paxos_messages(actions);
     }
 
-    /// Begins a configuration, with an empty log after this state.
+    /// Begins a configuration with an empty log that follows the state `base`.
     pub(super) fn begin_configuration(
         &mut self,
         now: Time,
@@ -104,7 +104,7 @@
     pub(super) fn start_log(&mut self, now: Time) {
         let configuration = self.storage.state().configuration;
         self.state = self.storage.state().base_state();
-        self.applied = 0;
+        self.applied_entries = 0;
         self.leadership = Leadership::Follower;
         self.next_tick = now;
         self.next_lease_round = now;
@@ -121,7 +121,7 @@
             pid: self.paxos_id(self.own_id).unwrap_or(1),
             election_tick_timeout: HEARTBEAT_TICKS,
             resend_message_tick_timeout: RESEND_TICKS,
-            buffer_size: PAXOS_BUFFER,
+            buffer_size: PAXOS_BUFFER_SIZE,
             ..ServerConfig::default()
         };
         self.paxos = cluster.build_for_server(server, self.storage.clone()).ok();
@@ -129,7 +129,7 @@
 
     fn apply_decided(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         for entry in self.decided_entries() {
-            self.applied += 1;
+            self.applied_entries += 1;
             let epoch_started = match &entry {
                 LogEntry::EpochStarted(epoch) => Some(*epoch),
                 LogEntry::Leader { .. } | LogEntry::ConfigurationEnded(_) => None,
@@ -149,12 +149,14 @@
         }
     }
 
-    /// The entries that are decided and not applied.
+    /// Returns the entries that are decided and not applied yet.
     fn decided_entries(&self) -> Vec<LogEntry> {
         let Some(paxos) = &self.paxos else {
-            return self.storage.state().entries_from(self.applied);
+            return self.storage.state().entries_from(self.applied_entries);
         };
-        let decided = paxos.read_decided_suffix(self.applied).unwrap_or_default();
+        let decided = paxos
+            .read_decided_suffix(self.applied_entries)
+            .unwrap_or_default();
         decided
             .into_iter()
             .filter_map(|entry| match entry {
@@ -165,13 +167,13 @@
             .collect()
     }
 
-    /// Begins the configuration that follows the one that has ended, and sends it to the others.
+    /// Begins the configuration that follows the ended one, and sends it to the other voters.
     fn begin_next_configuration(&mut self, now: Time, actions: &mut Vec<VoterAction>) {
         let configuration = self.storage.state().configuration + 1;
         self.begin_configuration(now, configuration, self.state.clone(), actions);
-        let others: Vec<MemberId> = self.others().collect();
+        let others: Vec<MemberId> = self.other_voters().collect();
         for other in others {
-            self.configuration_sent.remove(&other);
+            self.configuration_sent_at.remove(&other);
             self.send_configuration(now, other, actions);
         }
     }
@@ -181,7 +183,7 @@
         let mut messages = Vec::new();
         paxos.take_outgoing_messages(&mut messages);
         let state = self.storage.state();
-        // They depend on the next write, if there is an unsaved change.
+        // If there is an unsaved change, the messages depend on the next write.
         let write_count = state.storage.write_count + u64::from(self.storage.is_unsaved());
         for message in messages {
             let position = message.get_receiver().saturating_sub(1) as usize;
--- a/crates/coordination/tests/model/group_model.rs
+++ b/crates/coordination/tests/model/group_model.rs
@@ -1,4 +1,4 @@
-//! The model: a group, and the events that lead from one state to the next.
+//! The model of a group, with the events that lead from one state to the next.
 
 use super::state::{clock, settings, Message, ModelState, LEADER_LEASE, UNIT};
 use marblefall_coordination::identifiers::{Epoch, MemberId, ProcessIncarnation, Revision};
@@ -10,28 +10,28 @@
 use stateright::{Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The property that no member acts under an earlier revision after any member acted under a later one.
-pub const NO_MIXTURE: &str = "no mixture";
+/// Name of the property that no member acts under an earlier revision after any member has acted under a later one.
+pub const REVISIONS_DO_NOT_DECREASE: &str = "no member acts under an earlier revision";
 /// Maximum number of simulated leaders, including former ones.
 const MAX_LEADERS: usize = 2;
 
-/// The group that is explored, and the bounds of the exploration.
+/// The group to explore, with the bounds of the exploration.
 #[derive(Clone)]
 pub struct GroupModel {
     /// Number of members.
     pub members: u32,
-    /// Maximum time, in units.
-    pub time: i64,
-    /// Maximum number of restarts of members.
-    pub restarts: u8,
+    /// Maximum simulated time, in multiples of [`UNIT`].
+    pub max_time: i64,
+    /// Maximum number of restarts, over all members.
+    pub max_restarts: u8,
     /// Maximum number of elections after the first one.
-    pub elections: u8,
+    pub max_elections: u8,
     /// Maximum number of messages in flight.
     pub max_in_flight: usize,
     pub mutant: Mutant,
 }
 
-/// A deliberate fault, which the check must detect.
+/// A deliberate fault of the members, which the check must detect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
     Unmodified,
@@ -52,7 +52,7 @@
 
 impl GroupModel {
     fn send(&self, state: &mut ModelState, message: Message) {
-        // A message beyond the bound is lost.
+        // Messages beyond the bound are lost.
         if state.in_flight.len() < self.max_in_flight {
             state.in_flight.insert(message);
         }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Every member that may act does so at this moment.
+    /// Lets every member act that may act at the current time, and checks the order of the revisions.
     fn act(&self, state: &mut ModelState) {
         for index in 0..state.members.len() {
             let lease = state.members[index]
@@ -117,20 +117,20 @@
                 Mutant::ActsAfterLease => lease.or(state.last_acted[index]),
             };
             let Some(revision) = acts else { continue };
-            state.is_violated |= revision < state.highest;
-            state.highest = state.highest.max(revision);
+            state.is_violated |= revision < state.highest_revision;
+            state.highest_revision = state.highest_revision.max(revision);
         }
     }
 
     fn elect(&self, state: &mut ModelState) {
-        state.lease_end = state.now + LEADER_LEASE;
+        state.leader_lease_end = state.now + LEADER_LEASE;
         state.appended.clear();
         let epoch = Epoch(state.replicated.epoch.0 + 1);
         state.replicated.apply(LogEntry::EpochStarted(epoch));
         let members: Vec<MemberId> = (0..self.members).map(MemberId).collect();
         let now = Time(state.now);
         let mut leader = Leader::elected(settings(), epoch, now, &members, &state.replicated);
-        leader.extend_lease(Time(state.lease_end));
+        leader.extend_lease(Time(state.leader_lease_end));
         state.leaders.push(leader);
         if state.leaders.len() > MAX_LEADERS {
             state.leaders.remove(0);
@@ -172,10 +172,10 @@
 
     fn advance_time(&self, state: &mut ModelState) {
         state.now += UNIT;
-        // The last leader keeps its voters.
-        if state.elections >= self.elections {
-            state.lease_end = state.now + LEADER_LEASE;
-            let lease_end = Time(state.lease_end);
+        // The last leader is never deposed: its lease is extended forever.
+        if state.elections >= self.max_elections {
+            state.leader_lease_end = state.now + LEADER_LEASE;
+            let lease_end = Time(state.leader_lease_end);
             if let Some(leader) = state.leaders.last_mut() {
                 leader.extend_lease(lease_end);
             }
@@ -207,7 +207,7 @@
             now: 0,
             replicated: ReplicatedState::new(BTreeMap::new()),
             leaders: Vec::new(),
-            lease_end: 0,
+            leader_lease_end: 0,
             appended: Vec::new(),
             members: (0..u64::from(self.members)).map(member).collect(),
             last_acted: vec![None; self.members as usize],
@@ -215,9 +215,9 @@
             in_flight: BTreeSet::new(),
             restarts: 0,
             elections: 0,
-            highest: Revision(0),
+            highest_revision: Revision(0),
             is_violated: false,
-            is_proposed: false,
+            has_proposed: false,
         };
         self.elect(&mut state);
         for index in 0..state.members.len() {
@@ -234,16 +234,16 @@
         if !state.appended.is_empty() {
             actions.push(Action::Commit);
         }
-        if !state.is_proposed {
+        if !state.has_proposed {
             actions.push(Action::Propose);
         }
-        if state.now < self.time * UNIT {
+        if state.now < self.max_time * UNIT {
             actions.push(Action::AdvanceTime);
         }
-        if state.restarts < self.restarts {
+        if state.restarts < self.max_restarts {
             actions.extend((0..self.members as usize).map(Action::Restart));
         }
-        if state.elections < self.elections && state.lease_end <= state.now {
+        if state.elections < self.max_elections && state.leader_lease_end <= state.now {
             actions.push(Action::Elect);
         }
     }
@@ -267,7 +267,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NO_MIXTURE, |_, state: &ModelState| !state.is_violated),
+            Property::always(REVISIONS_DO_NOT_DECREASE, |_, state: &ModelState| {
+                !state.is_violated
+            }),
             Property::sometimes("all act under the new policy", |_, state: &ModelState| {
                 state.all_act_under(Revision(1))
             }),
--- a/crates/coordination/tests/policy_change/faults.rs
+++ b/crates/coordination/tests/policy_change/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection in the simulated group.
+//! Fault injection into the simulated group.
 
 use super::common::MS;
 use super::mutant::Mutant;
@@ -6,9 +6,9 @@
 use marblefall_coordination::identifiers::MemberId;
 use rand::Rng;
 
-/// Number of equally likely choices in a step, of which the first ones are faults.
+/// Number of equally likely choices in a step. The first ones are faults, and the others inject nothing.
 const CHOICES: u32 = 600;
-/// Probability that a leader loses its voters, where that is chosen.
+/// Probability that the leader is deposed when that fault is chosen.
 const DEPOSITION_PROBABILITY: f64 = 0.4;
 
 impl Simulation {
@@ -22,27 +22,27 @@
                 self.log_line(&format!("{id:?} is restarted"));
                 self.start(id);
                 let offset = self.rng.random_range(0..MAX_CLOCK_OFFSET);
-                let member = self.member(id);
+                let member = self.member_mut(id);
                 member.applied = None;
                 member.clock.offset = offset;
             }
             1 => {
                 self.log_line(&format!("{id:?} is suspended for {ms} ms"));
-                self.member(id).suspended_until = until;
+                self.member_mut(id).suspended_until = until;
             }
             2 => {
                 self.log_line(&format!("{id:?} is partitioned for {ms} ms"));
-                self.member(id).partitioned_until = until;
+                self.member_mut(id).partitioned_until = until;
             }
             3 if self.mutant == Mutant::RestoresEarlierState => {
-                let member = self.member(id);
-                if member.earlier.is_some() {
-                    member.state = member.earlier.take();
+                let member = self.member_mut(id);
+                if member.before_quiesce.is_some() {
+                    member.state = member.before_quiesce.take();
                 }
             }
             4 if self.rng.random_bool(DEPOSITION_PROBABILITY) => {
-                // Another leader is elected after its lease has surely expired.
-                self.log_line("the leader loses its voters");
+                // Another leader is elected after the lease of this one has expired.
+                self.log_line("the leader is deposed");
                 self.is_deposed = true;
                 self.appended.clear();
             }
--- a/crates/coordination/tests/policy_change/simulated_member.rs
+++ b/crates/coordination/tests/policy_change/simulated_member.rs
@@ -1,4 +1,4 @@
-//! A simulated machine with its member and clock.
+//! A simulated machine with a member's process and a clock.
 
 use super::common::MemberClock;
 use super::mutant::Mutant;
@@ -7,12 +7,13 @@
 
 /// A machine with a member's process.
 pub struct SimulatedMember {
+    /// The member's process; `None` while it is stopped.
     pub state: Option<Member>,
     pub clock: MemberClock,
     pub suspended_until: i64,
     pub partitioned_until: i64,
-    /// The process's state before it was last quiesced.
-    pub earlier: Option<Member>,
+    /// The process's state before it was last quiesced. Used by a mutant.
+    pub before_quiesce: Option<Member>,
     pub applied: Option<Revision>,
 }
 
@@ -23,12 +24,12 @@
             clock,
             suspended_until: 0,
             partitioned_until: 0,
-            earlier: None,
+            before_quiesce: None,
             applied: None,
         }
     }
 
-    /// The revision under which the member acts at this moment; `None` if it does not act.
+    /// Returns the revision under which the member acts at `now`, or `None` if it does not act.
     pub fn acts_under(&self, now: i64, mutant: Mutant) -> Option<Revision> {
         let state = self.state.as_ref()?;
         let now = self.clock.reading(now);
