--- a/crates/endpoint-lists/src/active_lists.rs
+++ b/crates/endpoint-lists/src/active_lists.rs
@@ -204,15 +204,15 @@
     }
 
     /// Whether the endpoints of a destination are listed in endpoint lists.
-    pub fn is_from_lists(&self, destination: &str) -> bool {
+    pub fn uses_endpoint_lists(&self, destination: &str) -> bool {
         let destinations = self.rules.destinations.as_ref();
-        destinations.is_none_or(|all| all.get(destination) == Some(&EndpointSource::Lists))
+        destinations.is_none_or(|sources| sources.get(destination) == Some(&EndpointSource::Lists))
     }
 
     /// All active endpoints, each with its destination.
     pub fn endpoints(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
         let destinations = self.lists.values().flat_map(|list| &list.destinations);
-        let active = destinations.filter(|(name, _)| self.is_from_lists(name));
+        let active = destinations.filter(|(name, _)| self.uses_endpoint_lists(name));
         active.flat_map(|(name, destination)| {
             destination
                 .endpoints
--- a/crates/endpoint-lists/src/check.rs
+++ b/crates/endpoint-lists/src/check.rs
@@ -58,37 +58,37 @@
 
 /// Returns all diagnostics of a list, including the warnings of its format.
 pub(crate) fn check(parsed: &ParsedList, context: &CheckContext<'_>) -> Vec<Diagnostic> {
-    let mut check = Check {
+    let mut checker = Checker {
         parsed,
         context,
         diagnostics: parsed.warnings.clone(),
     };
     for (name, destination) in &parsed.list.destinations {
-        check.check_source(name);
-        check.check_other_files(name);
-        check.check_active_endpoint(name, destination);
+        checker.check_endpoint_source(name);
+        checker.check_not_in_other_files(name);
+        checker.check_has_active_endpoint(name, destination);
     }
-    check.check_shared_addresses();
+    checker.check_shared_addresses();
     if let Some(previous) = context
         .previous
         .filter(|previous| **previous != parsed.list)
     {
-        check.check_revision(previous);
-        check.check_weight_losses(previous);
-        check.check_endpoint_losses(previous);
-        check.check_moved_endpoints(previous);
+        checker.check_revision(previous);
+        checker.check_weight_losses(previous);
+        checker.check_endpoint_losses(previous);
+        checker.check_address_changes(previous);
     }
-    check.diagnostics
+    checker.diagnostics
 }
 
 /// One check of a list, which collects diagnostics.
-struct Check<'a> {
+struct Checker<'a> {
     parsed: &'a ParsedList,
     context: &'a CheckContext<'a>,
     diagnostics: Vec<Diagnostic>,
 }
 
-impl<'a> Check<'a> {
+impl<'a> Checker<'a> {
     fn span_of(&self, destination: &str) -> Option<Range<usize>> {
         self.parsed.spans.destinations.get(destination).cloned()
     }
@@ -115,7 +115,7 @@
     }
 
     /// Checks that the manifest leaves a destination's endpoints to lists.
-    fn check_source(&mut self, name: &str) {
+    fn check_endpoint_source(&mut self, name: &str) {
         let destinations = self.context.rules.destinations.as_ref();
         match destinations.map(|destinations| destinations.get(name)) {
             None | Some(Some(EndpointSource::Lists)) => {}
@@ -134,7 +134,7 @@
     }
 
     /// Checks that no other file has a destination.
-    fn check_other_files(&mut self, name: &str) {
+    fn check_not_in_other_files(&mut self, name: &str) {
         let mut other_lists = self.context.other_lists.iter();
         if let Some((file, _)) = other_lists.find(|(_, list)| list.destinations.contains_key(name))
         {
@@ -145,7 +145,7 @@
         }
     }
 
-    fn check_active_endpoint(&mut self, name: &str, destination: &Destination) {
+    fn check_has_active_endpoint(&mut self, name: &str, destination: &Destination) {
         if !destination.endpoints.iter().any(Endpoint::is_active) {
             let message = format!("no endpoint of {name} accepts anything new");
             let help =
@@ -156,23 +156,23 @@
 
     /// Warns of two destinations at one address. They may share a gateway, but more often one of them was copied.
     fn check_shared_addresses(&mut self) {
-        let mut destination_at: HashMap<SocketAddr, &str> = HashMap::new();
-        let elsewhere = self
+        let mut destinations_by_address: HashMap<SocketAddr, &str> = HashMap::new();
+        let other_destinations = self
             .context
             .other_lists
             .values()
             .flat_map(|list| &list.destinations);
-        for (name, destination) in elsewhere {
+        for (name, destination) in other_destinations {
             let addresses = destination
                 .endpoints
                 .iter()
                 .map(|endpoint| endpoint.address);
-            destination_at.extend(addresses.map(|address| (address, name.as_str())));
+            destinations_by_address.extend(addresses.map(|address| (address, name.as_str())));
         }
         let parsed: &'a ParsedList = self.parsed;
         for (name, destination) in &parsed.list.destinations {
             for endpoint in &destination.endpoints {
-                let other = destination_at.insert(endpoint.address, name);
+                let other = destinations_by_address.insert(endpoint.address, name);
                 if let Some(other) = other.filter(|other| other != name) {
                     let message =
                         format!("{name} and {other} share the address {}", endpoint.address);
--- a/crates/endpoint-lists/src/check/changes.rs
+++ b/crates/endpoint-lists/src/check/changes.rs
@@ -1,6 +1,6 @@
 //! Checks of a list against the one that it replaces.
 
-use super::{weight_loss, Check};
+use super::{weight_loss, Checker};
 use crate::diagnostic::Diagnostic;
 use crate::list::{Destination, EndpointList, ParsedList};
 use std::collections::BTreeSet;
@@ -42,7 +42,7 @@
     }
 }
 
-impl<'a> Check<'a> {
+impl<'a> Checker<'a> {
     /// Checks that the revision grows.
     pub(super) fn check_revision(&mut self, previous: &EndpointList) {
         let (new, old) = (self.parsed.list.revision, previous.revision);
@@ -57,11 +57,11 @@
 
     /// Checks that no destination loses too much of its weight without an allowance.
     pub(super) fn check_weight_losses(&mut self, previous: &EndpointList) {
-        let removed = Destination::default();
+        let empty = Destination::default();
         let list = &self.parsed.list;
         let allowance = list.loss_allowance.clone().unwrap_or_default();
         for (name, old) in &previous.destinations {
-            let new = list.destinations.get(name).unwrap_or(&removed);
+            let new = list.destinations.get(name).unwrap_or(&empty);
             let loss = if old == new {
                 0.0
             } else {
@@ -108,7 +108,7 @@
     }
 
     /// Warns of endpoints that get another address. That is usually intended, but a wrong address loses messages.
-    pub(super) fn check_moved_endpoints(&mut self, previous: &EndpointList) {
+    pub(super) fn check_address_changes(&mut self, previous: &EndpointList) {
         let parsed: &'a ParsedList = self.parsed;
         for (name, destination) in &parsed.list.destinations {
             let Some(old) = previous.destinations.get(name) else {
--- a/crates/endpoint-lists/src/diff.rs
+++ b/crates/endpoint-lists/src/diff.rs
@@ -86,10 +86,10 @@
         .keys()
         .chain(new.destinations.keys())
         .collect();
-    let unlisted = Destination::default();
+    let empty = Destination::default();
     for name in names {
-        let old = old.destinations.get(name).unwrap_or(&unlisted);
-        let new = new.destinations.get(name).unwrap_or(&unlisted);
+        let old = old.destinations.get(name).unwrap_or(&empty);
+        let new = new.destinations.get(name).unwrap_or(&empty);
         if old != new {
             diff_destination(name, old, new, &mut changes);
         }
--- a/crates/endpoint-lists/src/last_good_store.rs
+++ b/crates/endpoint-lists/src/last_good_store.rs
@@ -93,7 +93,7 @@
         let mut stored = Vec::new();
         for entry in entries {
             let path = entry.map_err(store_error(&self.0))?.path();
-            if let Some(file) = stored_file(&path) {
+            if let Some(file) = source_file_name(&path) {
                 let bytes = fs::read(&path).map_err(store_error(&path))?;
                 stored.push(StoredList {
                     file: file.to_owned(),
@@ -111,7 +111,7 @@
 }
 
 /// The name of the operators' file whose list is stored at a path; `None` for other paths.
-fn stored_file(path: &Path) -> Option<&str> {
+fn source_file_name(path: &Path) -> Option<&str> {
     let name = path.file_name()?.to_str()?;
     name.strip_suffix(EXTENSION)?.strip_suffix('.')
 }
--- a/crates/endpoint-lists/src/list/endpoint.rs
+++ b/crates/endpoint-lists/src/list/endpoint.rs
@@ -103,8 +103,8 @@
     /// Parses one endpoint; `None` if it has no valid address.
     fn parse(&mut self, raw: RawEndpoint) -> Option<Endpoint> {
         self.check_name(&raw.name);
-        let weight = self.weight(&raw);
-        let address = self.address(&raw.address)?;
+        let weight = self.parse_weight(&raw);
+        let address = self.parse_unique_address(&raw.address)?;
         Some(Endpoint {
             name: raw.name.into_inner(),
             address,
@@ -133,7 +133,7 @@
         }
     }
 
-    fn weight(&mut self, raw: &RawEndpoint) -> f64 {
+    fn parse_weight(&mut self, raw: &RawEndpoint) -> f64 {
         let span = raw
             .weight
             .as_ref()
@@ -155,7 +155,7 @@
         weight + 0.0
     }
 
-    fn address(&mut self, text: &Spanned<String>) -> Option<SocketAddr> {
+    fn parse_unique_address(&mut self, text: &Spanned<String>) -> Option<SocketAddr> {
         let span = text.span();
         let address = match parse_address(text.get_ref()) {
             Ok(address) => address,
--- a/crates/endpoint-lists/src/list/parse.rs
+++ b/crates/endpoint-lists/src/list/parse.rs
@@ -130,9 +130,14 @@
         return Err(Diagnostic::error("too-large", None, message, help));
     }
     std::str::from_utf8(bytes).map_err(|error| {
-        let at = error.valid_up_to();
+        let offset = error.valid_up_to();
         let help = "write the file as UTF-8 text";
-        Diagnostic::error("not-utf8", Some(at..at), "the file is not UTF-8", help)
+        Diagnostic::error(
+            "not-utf8",
+            Some(offset..offset),
+            "the file is not UTF-8",
+            help,
+        )
     })
 }
 
@@ -162,7 +167,7 @@
         None => {
             let message = "the file has no [end] table: it is not complete";
             let span = Some(text.len()..text.len());
-            let help = end_help(revision);
+            let help = end_table_help(revision);
             errors.push(Diagnostic::error("cut-off", span, message, help));
         }
         Some(end) => {
@@ -173,7 +178,7 @@
     revision
 }
 
-fn end_help(revision: u64) -> String {
+fn end_table_help(revision: u64) -> String {
     format!(
         "end the file with the lines `[end]` and `revision = {revision}`, and nothing after them"
     )
@@ -212,7 +217,7 @@
                 "not-last",
                 span,
                 message,
-                end_help(revision),
+                end_table_help(revision),
             ))
         }
     }
--- a/crates/endpoint-lists/src/list/print.rs
+++ b/crates/endpoint-lists/src/list/print.rs
@@ -8,14 +8,18 @@
     pub fn to_toml(&self) -> String {
         let mut text = format!("revision = {}\n", self.revision);
         // Writing to a string cannot fail.
-        if let Some(loss) = &self.loss_allowance {
-            let names: Vec<String> = loss.destinations.iter().map(|name| quoted(name)).collect();
+        if let Some(allowance) = &self.loss_allowance {
+            let names: Vec<String> = allowance
+                .destinations
+                .iter()
+                .map(|name| quoted(name))
+                .collect();
             let _ = writeln!(
                 text,
                 "allow_loss = {{ revision = {}, destinations = [{}], endpoints = {} }}",
                 self.revision,
                 names.join(", "),
-                loss.endpoints
+                allowance.endpoints
             );
         }
         for (name, destination) in &self.destinations {
--- a/crates/endpoint-lists/src/report.rs
+++ b/crates/endpoint-lists/src/report.rs
@@ -35,7 +35,7 @@
         diagnostics.truncate(MAX_DIAGNOSTICS);
         for diagnostic in &mut diagnostics {
             if let Some(span) = &diagnostic.span {
-                diagnostic.line = source.line_of(span.start);
+                diagnostic.line = source.line_number(span.start);
             }
         }
         let mut rendered: String = diagnostics
--- a/crates/endpoint-lists/src/report/snippet.rs
+++ b/crates/endpoint-lists/src/report/snippet.rs
@@ -27,13 +27,13 @@
         SourceText {
             file,
             text,
-            line_breaks: text.match_indices('\n').map(|(at, _)| at).collect(),
+            line_breaks: text.match_indices('\n').map(|(offset, _)| offset).collect(),
         }
     }
 
     /// The line of a byte, counted from 1.
-    pub(super) fn line_of(&self, byte: usize) -> usize {
-        self.line_breaks.partition_point(|at| *at < byte) + 1
+    pub(super) fn line_number(&self, byte: usize) -> usize {
+        self.line_breaks.partition_point(|offset| *offset < byte) + 1
     }
 
     /// Renders a diagnostic as several lines of text.
--- a/crates/endpoint-lists/tests/active_lists.rs
+++ b/crates/endpoint-lists/tests/active_lists.rs
@@ -21,9 +21,9 @@
             let mut active = ActiveLists::new(ListRules::default());
             active.activate(active.evaluate("a", before.as_bytes()).unwrap());
             let unchanged = active.clone();
-            (0..after.len()).all(|at| {
-                let tail = before.as_bytes().get(at..).unwrap_or_default();
-                let mixed = [&after.as_bytes()[..at], tail].concat();
+            (0..after.len()).all(|switch_offset| {
+                let tail = before.as_bytes().get(switch_offset..).unwrap_or_default();
+                let mixed = [&after.as_bytes()[..switch_offset], tail].concat();
                 let changes_nothing = |candidate: Candidate| candidate.changes.is_empty();
                 active.evaluate("a", &mixed).map_or(true, changes_nothing) && active == unchanged
             })
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn destination_in_two_files_stays_with_the_first() {
+fn destination_of_an_active_list_is_rejected_in_a_second_file() {
     let mut active = active_lists();
     let text = "revision = 1\n[destination.bole]\nendpoints = [{ name = \"x\", address = \"127.0.0.1:1\" }]\n[end]\nrevision = 1\n";
     let report = active.evaluate("second.toml", text.as_bytes()).unwrap_err();
--- a/crates/endpoint-lists/tests/checks.rs
+++ b/crates/endpoint-lists/tests/checks.rs
@@ -11,135 +11,140 @@
     /// The code of the diagnostic.
     code: &'static str,
     /// The text that is replaced.
-    from: &'static str,
+    old_text: &'static str,
     /// Its replacement.
-    to: &'static str,
+    new_text: &'static str,
     /// A text on the line of the diagnostic; `None` where the diagnostic is about a part that is missing.
-    on_line: Option<&'static str>,
+    text_on_line: Option<&'static str>,
 }
 
 const INVALID_CHANGES: &[InvalidChange] = &[
     InvalidChange {
         code: "unknown-field",
-        from: "weight = 3",
-        to: "wieght = 3",
-        on_line: Some("wieght"),
+        old_text: "weight = 3",
+        new_text: "wieght = 3",
+        text_on_line: Some("wieght"),
     },
     InvalidChange {
         code: "unknown-partner",
-        from: "[destination.kazanchis]",
-        to: "[destination.kazanchi]",
-        on_line: Some("[destination.kazanchi]"),
+        old_text: "[destination.kazanchis]",
+        new_text: "[destination.kazanchi]",
+        text_on_line: Some("[destination.kazanchi]"),
     },
     InvalidChange {
         code: "fixed-partner",
-        from: "[destination.kazanchis]",
-        to: "[destination.own]",
-        on_line: Some("[destination.own]"),
+        old_text: "[destination.kazanchis]",
+        new_text: "[destination.own]",
+        text_on_line: Some("[destination.own]"),
     },
     InvalidChange {
         code: "same-name",
-        from: "\"bole-2\"",
-        to: "\"bole-1\"",
-        on_line: Some("127.0.0.1:9102"),
+        old_text: "\"bole-2\"",
+        new_text: "\"bole-1\"",
+        text_on_line: Some("127.0.0.1:9102"),
     },
     InvalidChange {
         code: "same-address",
-        from: "127.0.0.1:9102",
-        to: "127.0.0.1:9101",
-        on_line: Some("bole-2"),
+        old_text: "127.0.0.1:9102",
+        new_text: "127.0.0.1:9101",
+        text_on_line: Some("bole-2"),
     },
     InvalidChange {
         code: "bad-name",
-        from: "\"bole-2\"",
-        to: "\"bole/2\"",
-        on_line: Some("bole/2"),
+        old_text: "\"bole-2\"",
+        new_text: "\"bole/2\"",
+        text_on_line: Some("bole/2"),
     },
     InvalidChange {
         code: "bad-weight",
-        from: "weight = 3",
-        to: "weight = -1",
-        on_line: Some("weight"),
+        old_text: "weight = 3",
+        new_text: "weight = -1",
+        text_on_line: Some("weight"),
     },
     InvalidChange {
         code: "bad-weight",
-        from: "weight = 3",
-        to: "weight = nan",
-        on_line: Some("weight"),
+        old_text: "weight = 3",
+        new_text: "weight = nan",
+        text_on_line: Some("weight"),
     },
     InvalidChange {
         code: "bad-weight",
-        from: "weight = 3",
-        to: "weight = 1000.5",
-        on_line: Some("weight"),
+        old_text: "weight = 3",
+        new_text: "weight = 1000.5",
+        text_on_line: Some("weight"),
     },
     InvalidChange {
         code: "bad-address",
-        from: "127.0.0.1:9102",
-        to: "127.0.0.1:0",
-        on_line: Some("bole-2"),
+        old_text: "127.0.0.1:9102",
+        new_text: "127.0.0.1:0",
+        text_on_line: Some("bole-2"),
     },
     InvalidChange {
         code: "bad-address",
-        from: "127.0.0.1:9102",
-        to: "0.0.0.0:80",
-        on_line: Some("bole-2"),
+        old_text: "127.0.0.1:9102",
+        new_text: "0.0.0.0:80",
+        text_on_line: Some("bole-2"),
     },
     InvalidChange {
         code: "bad-address",
-        from: "127.0.0.1:9102",
-        to: "bole:80",
-        on_line: Some("bole-2"),
+        old_text: "127.0.0.1:9102",
+        new_text: "bole:80",
+        text_on_line: Some("bole-2"),
     },
     InvalidChange {
         code: "bad-address",
-        from: "127.0.0.1:9102",
-        to: "224.0.0.1:80",
-        on_line: Some("bole-2"),
+        old_text: "127.0.0.1:9102",
+        new_text: "224.0.0.1:80",
+        text_on_line: Some("bole-2"),
     },
     InvalidChange {
         code: "torn",
-        from: "[end]\nrevision = 8",
-        to: "[end]\nrevision = 7",
-        on_line: Some("revision = 7"),
+        old_text: "[end]\nrevision = 8",
+        new_text: "[end]\nrevision = 7",
+        text_on_line: Some("revision = 7"),
     },
     InvalidChange {
         code: "cut-off",
-        from: "[end]\nrevision = 8\n",
-        to: "",
-        on_line: None,
+        old_text: "[end]\nrevision = 8\n",
+        new_text: "",
+        text_on_line: None,
     },
     InvalidChange {
         code: "not-last",
-        from: "[end]\nrevision = 8\n",
-        to: "[end]\nrevision = 8\n\n",
-        on_line: None,
+        old_text: "[end]\nrevision = 8\n",
+        new_text: "[end]\nrevision = 8\n\n",
+        text_on_line: None,
     },
     InvalidChange {
         code: "no-revision",
-        from: "revision = 8\n\n",
-        to: "\n\n",
-        on_line: None,
+        old_text: "revision = 8\n\n",
+        new_text: "\n\n",
+        text_on_line: None,
     },
     InvalidChange {
         code: "not-readable",
-        from: "weight = 3",
-        to: "weight = ",
-        on_line: Some("weight"),
+        old_text: "weight = 3",
+        new_text: "weight = ",
+        text_on_line: Some("weight"),
     },
 ];
 
 /// The number of the line that contains a text, counted from 1.
-fn line_of(text: &str, part: &str) -> usize {
+fn line_number(text: &str, part: &str) -> usize {
     text[..text.find(part).unwrap()].matches('\n').count() + 1
 }
 
 #[test]
-fn diagnostic_names_its_line_and_help() {
+fn diagnostic_has_its_line_number_and_help() {
     for change in INVALID_CHANGES {
-        let InvalidChange { code, from, to, .. } = *change;
-        let text = VALID_LIST.replacen(from, to, 1);
-        assert_ne!(text, VALID_LIST, "{from}");
+        let InvalidChange {
+            code,
+            old_text,
+            new_text,
+            ..
+        } = *change;
+        let text = VALID_LIST.replacen(old_text, new_text, 1);
+        assert_ne!(text, VALID_LIST, "{old_text}");
         let report = reject(&active_lists(), text.as_bytes());
         let diagnostic = report
             .diagnostics
@@ -150,8 +155,12 @@
             !diagnostic.help.is_empty() && report.to_string().contains(&diagnostic.help),
             "{report}"
         );
-        if let Some(on_line) = change.on_line {
-            assert_eq!(diagnostic.line, line_of(&text, on_line), "{report}");
+        if let Some(text_on_line) = change.text_on_line {
+            assert_eq!(
+                diagnostic.line,
+                line_number(&text, text_on_line),
+                "{report}"
+            );
             assert!(report.to_string().contains(FILE), "{report}");
         }
     }
@@ -184,11 +193,14 @@
         .unwrap()
         .changes
         .is_empty());
-    let same = VALID_LIST.replace("weight = 3", "weight = 4");
-    assert_eq!(codes(&reject(&active, same.as_bytes()))[0], "old-revision");
-    let lower = same.replace("revision = 8", "revision = 7");
+    let changed = VALID_LIST.replace("weight = 3", "weight = 4");
+    assert_eq!(
+        codes(&reject(&active, changed.as_bytes()))[0],
+        "old-revision"
+    );
+    let lower = changed.replace("revision = 8", "revision = 7");
     assert_eq!(codes(&reject(&active, lower.as_bytes()))[0], "old-revision");
-    let higher = same.replace("revision = 8", "revision = 9");
+    let higher = changed.replace("revision = 8", "revision = 9");
     assert_eq!(
         active
             .evaluate(FILE, higher.as_bytes())
@@ -222,7 +234,7 @@
 #[test]
 fn draining_and_zero_weight_count_as_loss() {
     let active = active_lists();
-    for (from, to, is_accepted) in [
+    for (old_text, new_text, is_accepted) in [
         ("weight = 3", "weight = 3, draining = true", false),
         ("weight = 3", "weight = 0", false),
         ("weight = 3", "weight = 0.01", false),
@@ -235,12 +247,12 @@
         ),
     ] {
         let text = VALID_LIST
-            .replace(from, to)
+            .replace(old_text, new_text)
             .replace("revision = 8", "revision = 9");
         assert_eq!(
             active.evaluate(FILE, text.as_bytes()).is_ok(),
             is_accepted,
-            "{to}"
+            "{new_text}"
         );
     }
 }
--- a/crates/endpoint-lists/tests/diff.rs
+++ b/crates/endpoint-lists/tests/diff.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn diff_leads_from_one_list_to_the_other() {
+fn applying_a_diff_to_the_old_list_gives_the_new_one() {
     check_property(
         5,
         300,
@@ -22,7 +22,7 @@
                 copied.endpoints[0].weight = 7.0;
                 new.destinations.insert(name.clone(), copied);
             }
-            let by_name = |list: &EndpointList| -> BTreeMap<(String, String), Endpoint> {
+            let endpoints_by_name = |list: &EndpointList| -> BTreeMap<(String, String), Endpoint> {
                 let destinations = list.destinations.iter();
                 destinations
                     .flat_map(|(name, destination)| {
@@ -35,7 +35,7 @@
                     .collect()
             };
             let changes = diff(&old, &new);
-            let mut result = by_name(&old);
+            let mut result = endpoints_by_name(&old);
             for change in &changes {
                 let key = (change.destination.clone(), change.endpoint.name.clone());
                 match change.kind {
@@ -43,7 +43,7 @@
                     _ => drop(result.insert(key, change.endpoint.clone())),
                 }
             }
-            result == by_name(&new) && changes.is_sorted_by_key(|change| change.kind)
+            result == endpoints_by_name(&new) && changes.is_sorted_by_key(|change| change.kind)
         },
     );
 }
--- a/crates/endpoint-lists/tests/format.rs
+++ b/crates/endpoint-lists/tests/format.rs
@@ -8,7 +8,7 @@
 use marblefall_endpoint_lists::{ActiveLists, EndpointList, ListRules};
 
 #[test]
-fn encoded_list_parses_to_an_equal_one() {
+fn encoded_list_parses_to_an_equal_list() {
     check_property(1, 300, |ValidList(list): ValidList| {
         parse(&list.to_toml()) == list
     });
@@ -18,11 +18,11 @@
 fn truncated_list_is_rejected_at_any_length() {
     check_property(2, 20, |ValidList(list): ValidList| {
         let text = list.to_toml();
-        (0..text.len()).all(|cut| EndpointList::parse(&text.as_bytes()[..cut], MAX_BYTES).is_err())
+        (0..text.len()).all(|len| EndpointList::parse(&text.as_bytes()[..len], MAX_BYTES).is_err())
     });
     let with_crlf = VALID_LIST.replace('\n', "\r\n");
     parse(&with_crlf);
-    let truncated = (0..with_crlf.len()).map(|cut| &with_crlf.as_bytes()[..cut]);
+    let truncated = (0..with_crlf.len()).map(|len| &with_crlf.as_bytes()[..len]);
     for bytes in truncated {
         assert!(EndpointList::parse(bytes, MAX_BYTES).is_err());
     }
@@ -30,11 +30,11 @@
 
 #[test]
 fn garbage_is_rejected_without_a_panic() {
-    check_property(4, 3000, |(bytes, at): (Vec<u8>, usize)| {
+    check_property(4, 3000, |(bytes, offset): (Vec<u8>, usize)| {
         let mut text = VALID_LIST.as_bytes().to_vec();
-        let at = at % text.len();
-        let end = (at + bytes.len()).min(text.len());
-        text.splice(at..end, bytes.iter().copied());
+        let offset = offset % text.len();
+        let end = (offset + bytes.len()).min(text.len());
+        text.splice(offset..end, bytes.iter().copied());
         // The corrupted text may still be a valid list, as where a comment has changed.
         let report = ActiveLists::new(ListRules::default())
             .evaluate("a", &text)
