--- a/crates/atomic-file/src/faulty_disk.rs
+++ b/crates/atomic-file/src/faulty_disk.rs
@@ -97,9 +97,9 @@
     }
 
     /// Injects a fault into a later change: 0 is the next one. Reads are not counted.
-    pub fn inject_fault(&self, after: usize, fault: Fault) {
+    pub fn inject_fault(&self, changes_before: usize, fault: Fault) {
         let mut state = self.0.borrow_mut();
-        let change = state.changes + after;
+        let change = state.changes + changes_before;
         state.fault = Some(InjectedFault { change, fault });
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Counts a change, and fails if a fault is injected into it or the process has crashed.
-    fn change(&self) -> Result<(), FailedChange> {
+    fn begin_change(&self) -> Result<(), FailedChange> {
         let mut state = self.0.borrow_mut();
         let change = state.changes;
         state.changes += 1;
@@ -152,7 +152,7 @@
         }
     }
 
-    fn store(&self, path: &Path, bytes: &[u8]) {
+    fn set_content(&self, path: &Path, bytes: &[u8]) {
         let mut state = self.0.borrow_mut();
         let new = state.files.len();
         let file = *state.names.entry(path.to_owned()).or_insert(new);
@@ -162,7 +162,7 @@
         state.files[file].current = bytes.to_vec();
     }
 
-    fn find(&self, path: &Path) -> io::Result<usize> {
+    fn find_file(&self, path: &Path) -> io::Result<usize> {
         self.0
             .borrow()
             .names
@@ -174,37 +174,37 @@
 
 impl Disk for FaultyDisk {
     fn read(&self, path: &Path) -> io::Result<Vec<u8>> {
-        let file = self.find(path)?;
+        let file = self.find_file(path)?;
         Ok(self.0.borrow().files[file].current.clone())
     }
 
     fn create_folder(&self, _folder: &Path) -> io::Result<()> {
-        self.change().map_err(|failed| failed.error)
+        self.begin_change().map_err(|failed| failed.error)
     }
 
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        let Err(failed) = self.change() else {
-            self.store(path, bytes);
+        let Err(failed) = self.begin_change() else {
+            self.set_content(path, bytes);
             return Ok(());
         };
         // A process that crashes before its first byte leaves the file as it was.
         if failed.bytes_written > 0 || !self.0.borrow().has_crashed {
-            self.store(path, &bytes[..failed.bytes_written.min(bytes.len())]);
+            self.set_content(path, &bytes[..failed.bytes_written.min(bytes.len())]);
         }
         Err(failed.error)
     }
 
     fn sync(&self, path: &Path) -> io::Result<()> {
-        self.change().map_err(|failed| failed.error)?;
-        let file = self.find(path)?;
+        self.begin_change().map_err(|failed| failed.error)?;
+        let file = self.find_file(path)?;
         let mut state = self.0.borrow_mut();
         state.files[file].synced = state.files[file].current.clone();
         Ok(())
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.change().map_err(|failed| failed.error)?;
-        let file = self.find(from)?;
+        self.begin_change().map_err(|failed| failed.error)?;
+        let file = self.find_file(from)?;
         let mut state = self.0.borrow_mut();
         state.names.remove(from);
         state.names.insert(to.to_owned(), file);
@@ -212,7 +212,7 @@
     }
 
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
-        self.change().map_err(|failed| failed.error)?;
+        self.begin_change().map_err(|failed| failed.error)?;
         let mut state = self.0.borrow_mut();
         let names = state.names.clone();
         state
--- a/crates/atomic-file/tests/replace.rs
+++ b/crates/atomic-file/tests/replace.rs
@@ -9,22 +9,26 @@
 const NEW: &[u8] = b"the newest content";
 
 /// The changes that a replacement makes at most.
-const CHANGES: usize = 4;
+const MAX_CHANGES: usize = 4;
 
 /// A disk after a replacement with an injected fault.
 struct FaultyReplacement {
     disk: FaultyDisk,
     /// Whether the replacement succeeded.
-    is_done: bool,
+    succeeded: bool,
 }
 
 /// Stores the old content durably, then replaces it by the new one with a fault at one of the changes.
-fn replace_with_fault(durability: Durability, after: usize, fault: Fault) -> FaultyReplacement {
+fn replace_with_fault(
+    durability: Durability,
+    changes_before: usize,
+    fault: Fault,
+) -> FaultyReplacement {
     let disk = FaultyDisk::new();
     replace(&disk, Path::new(PATH), OLD, Durability::PowerLoss).expect("no fault yet");
-    disk.inject_fault(after, fault);
-    let is_done = replace(&disk, Path::new(PATH), NEW, durability).is_ok();
-    FaultyReplacement { disk, is_done }
+    disk.inject_fault(changes_before, fault);
+    let succeeded = replace(&disk, Path::new(PATH), NEW, durability).is_ok();
+    FaultyReplacement { disk, succeeded }
 }
 
 /// The content of the file after a restart.
@@ -41,7 +45,7 @@
             Fault::Crash { bytes_written },
         ]
     });
-    faults.flat_map(|fault| (0..CHANGES).map(move |after| (after, fault)))
+    faults.flat_map(|fault| (0..MAX_CHANGES).map(move |changes_before| (changes_before, fault)))
 }
 
 #[test]
@@ -51,37 +55,38 @@
         Durability::Atomic,
         Durability::PowerLoss,
     ] {
-        for (after, fault) in faults() {
-            let FaultyReplacement { disk, is_done } = replace_with_fault(durability, after, fault);
+        for (changes_before, fault) in faults() {
+            let FaultyReplacement { disk, succeeded } =
+                replace_with_fault(durability, changes_before, fault);
             let content = content_after_restart(&disk, Unsynced::Survives);
             assert!(
                 content == OLD || content == NEW,
-                "{fault:?} at {after}: {content:?}"
+                "{fault:?} at {changes_before}: {content:?}"
             );
             assert!(
-                !is_done || content == NEW,
-                "{fault:?} at {after}: reported as done"
+                !succeeded || content == NEW,
+                "{fault:?} at {changes_before}: reported as done"
             );
         }
     }
 }
 
 #[test]
-fn old_or_new_content_survives_power_loss_where_requested() {
-    for (after, fault) in faults() {
+fn old_or_new_content_survives_power_loss_if_requested() {
+    for (changes_before, fault) in faults() {
         for unsynced in [Unsynced::Survives, Unsynced::Lost, Unsynced::NamesSurvive] {
             for durability in [Durability::Atomic, Durability::PowerLoss] {
-                let FaultyReplacement { disk, is_done } =
-                    replace_with_fault(durability, after, fault);
+                let FaultyReplacement { disk, succeeded } =
+                    replace_with_fault(durability, changes_before, fault);
                 let content = content_after_restart(&disk, unsynced);
                 assert!(
                     content == OLD || content == NEW,
-                    "{fault:?} at {after}, {unsynced:?}: {content:?}"
+                    "{fault:?} at {changes_before}, {unsynced:?}: {content:?}"
                 );
-                let must_be_new = durability == Durability::PowerLoss && is_done;
+                let must_be_new = durability == Durability::PowerLoss && succeeded;
                 assert!(
                     !must_be_new || content == NEW,
-                    "{fault:?} at {after}, {unsynced:?}: reported as done"
+                    "{fault:?} at {changes_before}, {unsynced:?}: reported as done"
                 );
             }
         }
@@ -91,9 +96,9 @@
 #[test]
 fn replacement_succeeds_after_the_disk_was_full() {
     let disk_full = faults().filter(|(_, fault)| matches!(fault, Fault::NoSpace { .. }));
-    for (after, fault) in disk_full {
+    for (changes_before, fault) in disk_full {
         let FaultyReplacement { disk, .. } =
-            replace_with_fault(Durability::PowerLoss, after, fault);
+            replace_with_fault(Durability::PowerLoss, changes_before, fault);
         replace(&disk, Path::new(PATH), NEW, Durability::PowerLoss)
             .expect("the disk has space again");
         assert_eq!(content_after_restart(&disk, Unsynced::Lost), NEW);
