--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -48,7 +48,7 @@
     }
 
     /// Forgets an instance that stops or restarts.
-    fn forget(&mut self, instance: &str) {
+    fn remove(&mut self, instance: &str) {
         if self.events.remove(instance).is_some() {
             self.order.retain(|name| name != instance);
         }
@@ -89,32 +89,34 @@
                 self.endpoint_lists.insert(number, entries);
             }
             Line::EndpointListUpdate(update) => {
-                let event = self.list_update(&update)?;
+                let event = self.endpoint_list_event(&update)?;
                 batch.push(&update.instance, Some(event));
             }
             Line::MessageAccepted(accepted) => {
-                let event = self.instance(&accepted.instance)?.accepted(&accepted)?;
+                let event = self
+                    .instance_mut(&accepted.instance)?
+                    .message_accepted(&accepted)?;
                 batch.push(&accepted.instance, Some(event));
             }
             Line::AttemptFinished(attempt) => {
-                let instance = self.instance(&attempt.instance)?;
+                let instance = self.instance_mut(&attempt.instance)?;
                 let event = instance.attempt_finished(&attempt)?;
                 batch.push(&attempt.instance, Some(event));
             }
             Line::MessageCancelled { instance, message } => {
-                let message = self.instance(&instance)?.message(&message);
+                let message = self.instance_mut(&instance)?.message_id(&message);
                 batch.push(&instance, Some(Event::Cancelled(message)));
             }
             Line::TimerFired { instance, token } => {
-                self.instance(&instance)?;
+                self.instance_mut(&instance)?;
                 batch.push(&instance, Some(Event::TimerFired(token)));
             }
             Line::HealthChecked(check) => {
-                let event = self.instance(&check.instance)?.health_checked(&check)?;
+                let event = self.instance_mut(&check.instance)?.health_checked(&check)?;
                 batch.push(&check.instance, Some(event));
             }
             Line::LeaderElected { instance } | Line::PeerMessage { instance } => {
-                self.instance(&instance)?;
+                self.instance_mut(&instance)?;
                 batch.push(&instance, None);
             }
         }
@@ -122,14 +124,14 @@
     }
 
     fn start_instance(&mut self, started: StartedInstance, batch: &mut Batch) {
-        batch.forget(&started.instance);
+        batch.remove(&started.instance);
         batch.push(&started.instance, None);
         let instance = Instance::new(*started.settings, started.seed);
         self.instances.insert(started.instance, instance);
     }
 
     fn stop_instance(&mut self, name: String, batch: &mut Batch) -> Result<(), InputError> {
-        batch.forget(&name);
+        batch.remove(&name);
         match self.instances.remove(&name) {
             Some(_) => Ok(()),
             None => Err(InputError::UnknownInstance(name)),
@@ -137,8 +139,8 @@
     }
 
     /// The event of an instance that receives an endpoint list.
-    fn list_update(&mut self, update: &ListUpdate) -> Result<Event, InputError> {
-        let instance = find(&mut self.instances, &update.instance)?;
+    fn endpoint_list_event(&mut self, update: &ListUpdate) -> Result<Event, InputError> {
+        let instance = find_instance(&mut self.instances, &update.instance)?;
         let mut updates = || {
             let entries = self.endpoint_lists.get(&update.number);
             let entries = entries.ok_or(InputError::UnknownList(update.number))?;
@@ -154,8 +156,8 @@
         })
     }
 
-    fn instance(&mut self, name: &str) -> Result<&mut Instance, InputError> {
-        find(&mut self.instances, name)
+    fn instance_mut(&mut self, name: &str) -> Result<&mut Instance, InputError> {
+        find_instance(&mut self.instances, name)
     }
 
     /// Lets all instances of a batch handle their events; returns the lines of the reply.
@@ -177,7 +179,7 @@
                 Err(panic) => {
                     let panicked = Reply::Panicked {
                         instance: name,
-                        text: panic_text(&*panic),
+                        text: panic_message(&*panic),
                     };
                     push_line(&mut lines, &panicked);
                 }
@@ -188,7 +190,7 @@
     }
 }
 
-fn find<'a>(
+fn find_instance<'a>(
     instances: &'a mut HashMap<String, Instance>,
     name: &str,
 ) -> Result<&'a mut Instance, InputError> {
@@ -203,7 +205,7 @@
     lines.push('\n');
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> &str {
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text.or(panic.downcast_ref::<&str>().copied());
     text.unwrap_or("panic without a text")
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,7 +1,7 @@
 //! One instance: its scheduler, and the translation between the wire's names and the scheduler's numbers.
 
 use crate::error::InputError;
-use crate::names::Names;
+use crate::names::NameTable;
 use crate::wire::{self, OutcomeCode};
 use marblefall_scheduler::{
     Action, AttemptNumber, ClassId, DestinationId, EndpointId, EndpointStatus, EndpointUpdate,
@@ -13,12 +13,12 @@
 /// One instance, with the names that stand for its numbers.
 pub struct Instance {
     scheduler: Scheduler,
-    messages: Names,
-    endpoints: Names,
-    classes: Names,
-    tenants: Names,
-    kinds: Names,
-    zones: Names,
+    messages: NameTable,
+    endpoints: NameTable,
+    classes: NameTable,
+    tenants: NameTable,
+    kinds: NameTable,
+    zones: NameTable,
     /// Whether rejected clients receive a `Retry-After`.
     sends_retry_after: bool,
 }
@@ -33,8 +33,8 @@
             tenants: tenants.collect(),
             kinds: settings.kinds.iter().cloned().collect(),
             zones: settings.zones.iter().cloned().collect(),
-            messages: Names::default(),
-            endpoints: Names::default(),
+            messages: NameTable::default(),
+            endpoints: NameTable::default(),
             sends_retry_after: settings.limits.sends_retry_after,
             scheduler: Scheduler::new(settings.scheduler_settings(), seed),
         }
@@ -48,12 +48,12 @@
     }
 
     /// The number of a message; a new message gets the next one.
-    pub fn message(&mut self, name: &str) -> MessageId {
-        MessageId(self.messages.number(name) as u64)
+    pub fn message_id(&mut self, name: &str) -> MessageId {
+        MessageId(self.messages.intern(name) as u64)
     }
 
-    fn endpoint(&mut self, name: &str) -> EndpointId {
-        EndpointId(self.endpoints.number(name) as u32)
+    fn endpoint_id(&mut self, name: &str) -> EndpointId {
+        EndpointId(self.endpoints.intern(name) as u32)
     }
 
     /// Translates an entry of the endpoint list.
@@ -62,10 +62,10 @@
         entry: &wire::EndpointEntry,
     ) -> Result<EndpointUpdate, InputError> {
         Ok(EndpointUpdate {
-            endpoint: self.endpoint(&entry.endpoint),
+            endpoint: self.endpoint_id(&entry.endpoint),
             destination: DestinationId(entry.destination as u64),
-            kind: KindId(self.kinds.known("destination kind", &entry.kind)?),
-            zone: ZoneId(self.zones.number(&entry.zone)),
+            kind: KindId(self.kinds.lookup("destination kind", &entry.kind)?),
+            zone: ZoneId(self.zones.intern(&entry.zone)),
             status: match entry.status {
                 wire::EndpointStatus::Active => EndpointStatus::Active,
                 wire::EndpointStatus::Draining => EndpointStatus::Draining,
@@ -77,17 +77,20 @@
     }
 
     /// Translates an accepted message.
-    pub fn accepted(&mut self, accepted: &wire::AcceptedMessage) -> Result<Event, InputError> {
+    pub fn message_accepted(
+        &mut self,
+        accepted: &wire::AcceptedMessage,
+    ) -> Result<Event, InputError> {
         let tenant = accepted.tenant.as_ref().and_then(|tenant| tenant.as_str());
         let tenant = match tenant {
             Some(name) if !self.tenants.is_empty() => {
-                Some(TenantId(self.tenants.known("tenant", name)?))
+                Some(TenantId(self.tenants.lookup("tenant", name)?))
             }
             _ => None,
         };
         Ok(Event::Accepted(NewMessage {
-            message: self.message(&accepted.message),
-            class: ClassId(self.classes.known("class", &accepted.class)?),
+            message: self.message_id(&accepted.message),
+            class: ClassId(self.classes.lookup("class", &accepted.class)?),
             tenant,
             ordering_key: accepted.ordering_key.map(OrderingKey),
             deadline: Time::from_ms(accepted.deadline_ms),
@@ -101,12 +104,12 @@
         finished: &wire::FinishedAttempt,
     ) -> Result<Event, InputError> {
         Ok(Event::AttemptFinished {
-            message: self.message(&finished.message),
+            message: self.message_id(&finished.message),
             attempt: AttemptNumber(finished.attempt),
-            outcome: outcome(finished.outcome, finished.retry_after_ms)?,
+            outcome: translate_outcome(finished.outcome, finished.retry_after_ms)?,
             duration: Span::from_ms(finished.duration_ms),
             is_final: finished.is_final,
-            rate_limit: rate_limit(finished.rate_limit),
+            rate_limit: translate_rate_limit(finished.rate_limit),
         })
     }
 
@@ -116,9 +119,9 @@
         finished: &wire::FinishedHealthCheck,
     ) -> Result<Event, InputError> {
         Ok(Event::HealthChecked {
-            endpoint: self.endpoint(&finished.endpoint),
-            outcome: outcome(finished.outcome, 0.0)?,
-            rate_limit: rate_limit(finished.rate_limit),
+            endpoint: self.endpoint_id(&finished.endpoint),
+            outcome: translate_outcome(finished.outcome, 0.0)?,
+            rate_limit: translate_rate_limit(finished.rate_limit),
         })
     }
 
@@ -186,7 +189,7 @@
 }
 
 /// Translates an outcome; a rejection has this `Retry-After`, 0 for none.
-fn outcome(code: OutcomeCode, retry_after_ms: f64) -> Result<Outcome, InputError> {
+fn translate_outcome(code: OutcomeCode, retry_after_ms: f64) -> Result<Outcome, InputError> {
     Ok(match code {
         OutcomeCode::DELIVERED => Outcome::Delivered,
         OutcomeCode::ERROR => Outcome::Error,
@@ -202,7 +205,7 @@
     })
 }
 
-fn rate_limit(report: Option<wire::RateLimit>) -> RateLimitReport {
+fn translate_rate_limit(report: Option<wire::RateLimit>) -> RateLimitReport {
     let report = report.unwrap_or_default();
     RateLimitReport {
         remaining: report.remaining,
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -5,29 +5,29 @@
 
 /// Names, numbered in the order of their first appearance.
 #[derive(Default)]
-pub struct Names {
+pub struct NameTable {
     numbers: HashMap<String, usize>,
     names: Vec<String>,
 }
 
-impl FromIterator<String> for Names {
-    fn from_iter<I: IntoIterator<Item = String>>(names: I) -> Names {
-        let mut numbered = Names::default();
+impl FromIterator<String> for NameTable {
+    fn from_iter<I: IntoIterator<Item = String>>(names: I) -> NameTable {
+        let mut table = NameTable::default();
         for name in names {
-            numbered.number(&name);
+            table.intern(&name);
         }
-        numbered
+        table
     }
 }
 
-impl Names {
+impl NameTable {
     /// Whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
     /// The number of a name; a new name gets the next number.
-    pub fn number(&mut self, name: &str) -> usize {
+    pub fn intern(&mut self, name: &str) -> usize {
         if let Some(&number) = self.numbers.get(name) {
             return number;
         }
@@ -43,7 +43,7 @@
     }
 
     /// The number of a known name; `kind` is what the name stands for, for the error.
-    pub fn known(&self, kind: &'static str, name: &str) -> Result<usize, InputError> {
+    pub fn lookup(&self, kind: &'static str, name: &str) -> Result<usize, InputError> {
         let number = self.numbers.get(name).copied();
         number.ok_or_else(|| InputError::UnknownName {
             kind,
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn list_numbers_are_resolved_in_event_order() {
+fn reused_list_number_refers_to_the_latest_list() {
     let reply = reply_to(&[
         BATCH_START,
         &instance_started("courier_0"),
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn restart_within_a_batch_forgets_everything() {
+fn restart_within_a_batch_discards_state_and_events() {
     let stopped = instance_stopped("courier_0");
     let reply = reply_to(&[
         BATCH_START,
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn subscription_is_requested_where_lists_need_one() {
+fn instance_that_must_subscribe_requests_a_subscription() {
     let subscribing = subscribing_instance_started("courier_0");
     let reply = reply_to(&[BATCH_START, &subscribing, BATCH_END]);
     assert!(
