--- a/crates/endpoint-lists/benches/evaluate.rs
+++ b/crates/endpoint-lists/benches/evaluate.rs
@@ -1,5 +1,5 @@
-//! The cost of a large list: parsing, checking, comparing and activating it.
-//! `cargo bench -p marblefall-endpoint-lists`.
+//! Benchmarks of parsing, comparing, checking and activating a large list.
+//! Run with `cargo bench -p marblefall-endpoint-lists`.
 
 #![allow(missing_docs, reason = "the macros generate undocumented items")]
 
@@ -13,7 +13,7 @@
 const DESTINATIONS: usize = 10_000;
 const MAX_BYTES: usize = 8 << 20;
 
-/// A list of destinations with two endpoints each.
+/// Creates a list of destinations with two endpoints each.
 fn list(destinations: usize, revision: u64, weight: f64) -> EndpointList {
     let endpoint = |number: usize, port: u16| Endpoint {
         name: format!("clinic-{number}-{port}"),
--- a/crates/endpoint-lists/src/active_lists.rs
+++ b/crates/endpoint-lists/src/active_lists.rs
@@ -1,5 +1,7 @@
-//! The active lists, one for each file, and the only way to change them. A file is evaluated first, which changes nothing.
-//! The resulting candidate can then be stored on disk and activated, in this order.
+//! The active lists, one for each file, and the only way to change them.
+//!
+//! Evaluating a file does not change the active lists. The resulting candidate can then be stored on disk and activated, in
+//! this order.
 
 use crate::check::{self, CheckContext, EndpointSource, ListRules};
 use crate::diagnostic::Diagnostic;
@@ -9,49 +11,49 @@
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The active lists.
+/// The active lists and the rules for new ones.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ActiveLists {
     rules: ListRules,
     lists: BTreeMap<String, EndpointList>,
-    /// Files with an active list that are missing now. Their destinations stay active until another file lists them.
+    /// Files that are missing but have an active list. Their destinations stay active until another file lists them.
     missing: BTreeSet<String>,
 }
 
-/// A valid list that can be activated.
+/// A list that passed all checks and can be activated.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     file: String,
     list: EndpointList,
-    /// The warnings about it, if any.
+    /// The warnings about the list, if any.
     pub report: Report,
-    /// The changes that it makes; none if it is active already.
+    /// The changes to the active lists; empty if the list is already active.
     pub changes: Vec<EndpointChange>,
 }
 
-/// The list of a missing file, without the destinations that a candidate takes over.
+/// The active list of a missing file after a candidate has taken over some of its destinations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SupersededList {
-    /// The missing file.
+    /// Name of the missing file.
     pub file: String,
-    /// The destinations that remain, if any.
+    /// The list without the destinations that were taken over; possibly empty.
     pub remaining: EndpointList,
 }
 
 impl Candidate {
-    /// The list's revision.
+    /// Returns the list's revision.
     pub fn revision(&self) -> u64 {
         self.list.revision
     }
 
-    /// Whether an equal list is active for the same file.
+    /// Returns whether an equal list is active for the same file.
     pub fn is_active(&self, active: &ActiveLists) -> bool {
         active.lists.get(&self.file) == Some(&self.list)
     }
 }
 
 impl ActiveLists {
-    /// No active lists yet.
+    /// Creates an empty set of active lists with these rules.
     pub fn new(rules: ListRules) -> ActiveLists {
         ActiveLists {
             rules,
@@ -59,19 +61,19 @@
         }
     }
 
-    /// The rules that lists must keep.
+    /// Returns the rules against which lists are checked.
     pub fn rules(&self) -> &ListRules {
         &self.rules
     }
 
-    /// Replaces the rules for later evaluations. Active lists stay, but the endpoints of a destination that is not in the
-    /// manifest are ignored.
+    /// Replaces the rules for later evaluations. Active lists stay active, but [`ActiveLists::endpoints`] omits destinations
+    /// whose endpoints the new rules do not expect in endpoint lists.
     pub fn set_rules(&mut self, rules: ListRules) {
         self.rules = rules;
     }
 
-    /// Sets which files exist. The list of a missing one stays active, but other files may take over its destinations, as
-    /// after a file was renamed or split.
+    /// Sets the files that exist. The list of a missing file stays active, but other files may take over its destinations,
+    /// for example after a file was renamed or split.
     pub fn set_present_files(&mut self, present: &BTreeSet<String>) {
         let files = self.lists.keys();
         self.missing = files
@@ -80,7 +82,7 @@
             .collect();
     }
 
-    /// The missing files that have an active list.
+    /// Returns the names of the missing files that have an active list.
     pub fn missing_files(&self) -> impl Iterator<Item = &str> {
         self.missing.iter().map(String::as_str)
     }
@@ -88,7 +90,7 @@
     /// Checks the content of a file against the rules and the active lists.
     ///
     /// # Errors
-    /// The report on a list that is rejected.
+    /// The report on a rejected list.
     pub fn evaluate(&self, file: &str, bytes: &[u8]) -> Result<Candidate, Report> {
         let report = |diagnostics| Report::new(file, bytes, diagnostics);
         let parsed = EndpointList::parse(bytes, self.rules.max_bytes).map_err(report)?;
@@ -112,8 +114,8 @@
         })
     }
 
-    /// The list that a file's new one replaces: the active one of the file, with the destinations that the new list takes
-    /// over from missing files.
+    /// Returns the list that a new list of a file replaces: the active list of the file, extended by the destinations that
+    /// the new list takes over from missing files.
     fn previous_list(&self, file: &str, new: &EndpointList) -> Cow<'_, EndpointList> {
         let mut previous = match self.lists.get(file) {
             Some(own) => Cow::Borrowed(own),
@@ -137,7 +139,7 @@
         previous
     }
 
-    /// The lists of other files that are present.
+    /// Returns the active lists of other files that are present.
     fn other_lists(&self, file: &str) -> BTreeMap<&str, &EndpointList> {
         self.lists
             .iter()
@@ -146,8 +148,8 @@
             .collect()
     }
 
-    /// The lists of missing files that lose destinations to a candidate. Their stored copies must be replaced before the
-    /// candidate is stored.
+    /// Returns the lists of missing files that lose destinations to a candidate. Their stored copies must be replaced before
+    /// the candidate is stored.
     pub fn superseded(&self, candidate: &Candidate) -> Vec<SupersededList> {
         let mut superseded = Vec::new();
         for file in self
@@ -172,7 +174,7 @@
         superseded
     }
 
-    /// Activates a list.
+    /// Activates a candidate, and removes the destinations that it takes over from the lists of missing files.
     pub fn activate(&mut self, candidate: Candidate) {
         for SupersededList { file, remaining } in self.superseded(&candidate) {
             if remaining.destinations.is_empty() {
@@ -186,11 +188,11 @@
         self.lists.insert(candidate.file, candidate.list);
     }
 
-    /// Activates a list again that an earlier incarnation had activated. Only its format is checked, since its changes were
-    /// allowed then.
+    /// Restores a list that an earlier incarnation had activated. Only its format is checked, because its changes were
+    /// accepted when it was activated.
     ///
     /// # Errors
-    /// The report on a list with an invalid format.
+    /// The report on a list whose format is invalid.
     pub fn restore(&mut self, file: &str, bytes: &[u8]) -> Result<(), Report> {
         let report = |diagnostics: Vec<Diagnostic>| Report::new(file, bytes, diagnostics);
         let parsed = EndpointList::parse(bytes, self.rules.max_bytes).map_err(report)?;
@@ -198,18 +200,18 @@
         Ok(())
     }
 
-    /// The active lists by file.
+    /// Returns the active lists, by file name.
     pub fn lists(&self) -> &BTreeMap<String, EndpointList> {
         &self.lists
     }
 
-    /// Whether the endpoints of a destination are listed in endpoint lists.
+    /// Returns whether the rules expect the endpoints of a destination in endpoint lists.
     pub fn uses_endpoint_lists(&self, destination: &str) -> bool {
         let destinations = self.rules.destinations.as_ref();
         destinations.is_none_or(|sources| sources.get(destination) == Some(&EndpointSource::Lists))
     }
 
-    /// All active endpoints, each with its destination.
+    /// Returns the endpoints of all active lists, each with the name of its destination.
     pub fn endpoints(&self) -> impl Iterator<Item = (&str, &Endpoint)> {
         let destinations = self.lists.values().flat_map(|list| &list.destinations);
         let active = destinations.filter(|(name, _)| self.uses_endpoint_lists(name));
@@ -221,7 +223,7 @@
         })
     }
 
-    /// The destinations whose endpoints are to be listed in endpoint lists, but are in no active one.
+    /// Returns the destinations whose endpoints are expected in endpoint lists, but that no active list contains.
     pub fn destinations_without_list(&self) -> Vec<&str> {
         let destinations = self.rules.destinations.iter().flatten();
         let from_lists = destinations.filter(|(_, source)| **source == EndpointSource::Lists);
--- a/crates/endpoint-lists/src/check.rs
+++ b/crates/endpoint-lists/src/check.rs
@@ -1,4 +1,5 @@
-//! Checks of a list beyond its format: against the operators' manifest, the other lists, and the list that it replaces.
+//! Checks of a list beyond its format: against the operators' manifest, the lists of other files, and the list that it
+//! replaces.
 
 mod changes;
 mod weight_loss;
@@ -14,25 +15,25 @@
 const DEFAULT_MAX_BYTES: usize = 8 * 1024 * 1024;
 const DEFAULT_MAX_LOSS: f64 = 0.5;
 
-/// Where the endpoints of a destination of the manifest are listed.
+/// The place where the endpoints of a destination are listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointSource {
-    /// In endpoint lists.
+    /// The endpoints are listed in endpoint lists.
     Lists,
-    /// In the manifest itself.
+    /// The endpoints are listed in the manifest itself.
     Manifest,
 }
 
-/// The rules that lists must keep.
+/// The rules against which lists are checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListRules {
-    /// The destinations of the manifest; `None` without a manifest, when any name is valid.
+    /// The destinations of the manifest; `None` if there is no manifest, and any destination name is valid.
     pub destinations: Option<BTreeMap<String, EndpointSource>>,
-    /// The largest file, in bytes.
+    /// Maximum size of a file, in bytes.
     pub max_bytes: usize,
-    /// The share of a destination's weight, 0 to 1, that one change may remove without an allowance.
+    /// Maximum share of a destination's weight, 0 to 1, that one change may remove without a loss allowance.
     pub max_weight_loss: f64,
-    /// The share of a file's endpoints, 0 to 1, that one change may remove without an allowance.
+    /// Maximum share of a file's active endpoints, 0 to 1, that one change may remove without a loss allowance.
     pub max_endpoint_loss: f64,
 }
 
@@ -47,12 +48,12 @@
     }
 }
 
-/// What a list is checked against.
+/// The rules and lists against which a list is checked.
 pub(crate) struct CheckContext<'a> {
     pub rules: &'a ListRules,
-    /// The list that it replaces, if there is one.
+    /// The list that the checked list replaces, if any.
     pub previous: Option<&'a EndpointList>,
-    /// The lists of other files, by file.
+    /// The active lists of other files, by file name.
     pub other_lists: BTreeMap<&'a str, &'a EndpointList>,
 }
 
@@ -81,7 +82,7 @@
     checker.diagnostics
 }
 
-/// One check of a list, which collects diagnostics.
+/// Checks one list and collects the diagnostics.
 struct Checker<'a> {
     parsed: &'a ParsedList,
     context: &'a CheckContext<'a>,
@@ -93,68 +94,70 @@
         self.parsed.spans.destinations.get(destination).cloned()
     }
 
-    /// Adds an error at a destination's table.
+    /// Adds an error located at a destination's table.
     fn error(&mut self, code: &'static str, destination: &str, message: String, help: &str) {
         let span = self.span_of(destination);
         self.diagnostics
             .push(Diagnostic::error(code, span, message, help));
     }
 
-    /// Adds a warning at a destination's table.
+    /// Adds a warning located at a destination's table.
     fn warning(&mut self, code: &'static str, destination: &str, message: String, help: &str) {
         let span = self.span_of(destination);
         self.diagnostics
             .push(Diagnostic::warning(code, span, message, help));
     }
 
-    /// Adds an error at the list's revision.
+    /// Adds an error located at the list's revision.
     fn error_at_revision(&mut self, code: &'static str, message: String, help: String) {
         let span = Some(self.parsed.spans.revision.clone());
         self.diagnostics
             .push(Diagnostic::error(code, span, message, help));
     }
 
-    /// Checks that the manifest leaves a destination's endpoints to lists.
+    /// Checks that the manifest has a destination, and that its endpoints are to be listed in endpoint lists.
     fn check_endpoint_source(&mut self, name: &str) {
         let destinations = self.context.rules.destinations.as_ref();
         match destinations.map(|destinations| destinations.get(name)) {
             None | Some(Some(EndpointSource::Lists)) => {}
             Some(None) => {
-                let message = format!("{name} is no destination of the operators' file");
+                let message = format!("{name} is not a destination in the operators' file");
                 let help =
-                    "correct the name, or plan and apply an operators' file that has the destination";
+                    "correct the name, or plan and apply an operators' file that contains the destination";
                 self.error("unknown-partner", name, message, help);
             }
             Some(Some(EndpointSource::Manifest)) => {
-                let message = format!("the endpoints of {name} stand in the operators' file");
-                let help = "remove the destination here, or its endpoints there";
+                let message = format!("the endpoints of {name} are listed in the operators' file");
+                let help = "remove the destination from this file, or its endpoints from the operators' file";
                 self.error("fixed-partner", name, message, help);
             }
         }
     }
 
-    /// Checks that no other file has a destination.
+    /// Checks that no other file lists a destination.
     fn check_not_in_other_files(&mut self, name: &str) {
         let mut other_lists = self.context.other_lists.iter();
         if let Some((file, _)) = other_lists.find(|(_, list)| list.destinations.contains_key(name))
         {
-            let message = format!("{name} stands in {file} too");
+            let message = format!("{name} is also listed in {file}");
             let help =
-                "remove it from one of the two files; to move it, remove it from the old one first";
+                "remove it from one of the two files; to move it, remove it from the old file first";
             self.error("two-files", name, message, help);
         }
     }
 
+    /// Warns of a destination without an active endpoint.
     fn check_has_active_endpoint(&mut self, name: &str, destination: &Destination) {
         if !destination.endpoints.iter().any(Endpoint::is_active) {
-            let message = format!("no endpoint of {name} accepts anything new");
+            let message = format!("no endpoint of {name} receives new attempts");
             let help =
-                "its messages wait until they expire; activate an endpoint unless that is intended";
+                "its messages will wait until they expire; activate an endpoint unless this is intended";
             self.warning("none-serves", name, message, help);
         }
     }
 
-    /// Warns of two destinations at one address. They may share a gateway, but more often one of them was copied.
+    /// Warns of two destinations with the same address. They may share a gateway, but more often one entry was copied from
+    /// the other by mistake.
     fn check_shared_addresses(&mut self) {
         let mut destinations_by_address: HashMap<SocketAddr, &str> = HashMap::new();
         let other_destinations = self
@@ -176,7 +179,7 @@
                 if let Some(other) = other.filter(|other| other != name) {
                     let message =
                         format!("{name} and {other} share the address {}", endpoint.address);
-                    let help = "make sure that both destinations are behind it";
+                    let help = "make sure that both destinations are reached at this address";
                     self.warning("shared-address", name, message, help);
                 }
             }
--- a/crates/endpoint-lists/src/check/changes.rs
+++ b/crates/endpoint-lists/src/check/changes.rs
@@ -1,18 +1,20 @@
-//! Checks of a list against the one that it replaces.
+//! Checks of a list against the list that it replaces.
 
 use super::{weight_loss, Checker};
 use crate::diagnostic::Diagnostic;
 use crate::list::{Destination, EndpointList, ParsedList};
 use std::collections::BTreeSet;
 
-/// The code of losses beyond the rules.
+/// Diagnostic code of a loss beyond the limits of the rules.
 const LARGE_LOSS: &str = "large-loss";
 const PERCENT: f64 = 100.0;
 
-/// How many active endpoints a list loses.
+/// The loss of active endpoints in a change.
 #[derive(Default)]
 struct EndpointLoss {
+    /// Number of active endpoints before the change.
     total: u32,
+    /// Number of these endpoints that are not active after the change.
     lost: u32,
 }
 
@@ -36,26 +38,29 @@
         loss
     }
 
-    /// The lost share, 0 to 1.
+    /// Returns the share of the active endpoints that is lost, 0 to 1.
     fn share(&self) -> f64 {
         f64::from(self.lost) / f64::from(self.total.max(1))
     }
 }
 
 impl<'a> Checker<'a> {
-    /// Checks that the revision grows.
+    /// Checks that the revision increases.
     pub(super) fn check_revision(&mut self, previous: &EndpointList) {
         let (new, old) = (self.parsed.list.revision, previous.revision);
         if new > old {
             return;
         }
         let message =
-            format!("revision {new} is not above {old}, which is in force with other content");
-        let help = format!("raise both places to {} or more", old.saturating_add(1));
+            format!("revision {new} is not above {old}, which is active with different content");
+        let help = format!(
+            "raise the revision at the start and in [end] to {} or more",
+            old.saturating_add(1)
+        );
         self.error_at_revision("old-revision", message, help);
     }
 
-    /// Checks that no destination loses too much of its weight without an allowance.
+    /// Checks that no destination loses more of its weight than the rules permit without a loss allowance.
     pub(super) fn check_weight_losses(&mut self, previous: &EndpointList) {
         let empty = Destination::default();
         let list = &self.parsed.list;
@@ -76,7 +81,7 @@
                 loss * PERCENT
             );
             let help = format!(
-                "go in smaller steps, or allow the loss: allow_loss = {{ revision = {}, destinations = [{name:?}] }}",
+                "use smaller steps, or allow the loss: allow_loss = {{ revision = {}, destinations = [{name:?}] }}",
                 list.revision
             );
             let span = self
@@ -87,7 +92,7 @@
         }
     }
 
-    /// Checks that the list does not lose too many endpoints without an allowance.
+    /// Checks that the list does not lose more endpoints than the rules permit without a loss allowance.
     pub(super) fn check_endpoint_losses(&mut self, previous: &EndpointList) {
         let list = &self.parsed.list;
         let loss = EndpointLoss::between(previous, list);
@@ -99,15 +104,16 @@
             return;
         }
         let EndpointLoss { total, lost } = loss;
-        let message = format!("{lost} of the {total} endpoints in use would be removed at once");
+        let message = format!("{lost} of the {total} active endpoints would be removed at once");
         let help = format!(
-            "go in smaller steps, or allow the loss: allow_loss = {{ revision = {}, endpoints = true }}",
+            "use smaller steps, or allow the loss: allow_loss = {{ revision = {}, endpoints = true }}",
             list.revision
         );
         self.error_at_revision(LARGE_LOSS, message, help);
     }
 
-    /// Warns of endpoints that get another address. That is usually intended, but a wrong address loses messages.
+    /// Warns of endpoints whose address changes. The change is usually intended, but messages sent to a wrong address are
+    /// lost.
     pub(super) fn check_address_changes(&mut self, previous: &EndpointList) {
         let parsed: &'a ParsedList = self.parsed;
         for (name, destination) in &parsed.list.destinations {
@@ -123,7 +129,7 @@
                     "{name}/{} moves from {} to {}",
                     endpoint.name, old.address, endpoint.address
                 );
-                let help = "make sure that it responds there";
+                let help = "make sure that the endpoint responds at the new address";
                 self.warning("moved", name, message, help);
             }
         }
--- a/crates/endpoint-lists/src/check/weight_loss.rs
+++ b/crates/endpoint-lists/src/check/weight_loss.rs
@@ -1,13 +1,13 @@
-//! The share of its weight that a destination loses by a change.
+//! Computes the share of its weight that a destination loses in a change.
 
 use crate::list::{Destination, Endpoint};
 use std::collections::HashMap;
 
-/// The share of its weight, 0 to 1, that a destination loses by a change.
+/// Returns the share of its weight, 0 to 1, that a destination loses in a change.
 ///
-/// The weight of each endpoint counts as lost as far as the endpoint loses against the one that keeps most of its
-/// weight. The weight of endpoints that become inactive is lost completely. Scaling all weights alike loses nothing, nor
-/// does adding endpoints.
+/// For each old endpoint, the ratio of its new weight to its old weight is compared with the largest such ratio of the
+/// destination. The relative shortfall counts as lost. The weight of an endpoint that becomes inactive is lost completely.
+/// Scaling all weights by the same factor and adding endpoints cause no loss.
 pub fn weight_loss(old: &Destination, new: &Destination) -> f64 {
     let new_weights: HashMap<&str, f64> = active(new)
         .map(|endpoint| (endpoint.name.as_str(), endpoint.weight))
--- a/crates/endpoint-lists/src/diagnostic.rs
+++ b/crates/endpoint-lists/src/diagnostic.rs
@@ -1,40 +1,40 @@
-//! Diagnostics of a list: what is wrong, where, and how to correct it.
+//! Diagnostics of a list: the problem, its location, and how to correct it.
 
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 
-/// Whether a list with a diagnostic is rejected. Errors come first in the order.
+/// Severity of a diagnostic. Errors are ordered before warnings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
     /// The list is rejected.
     Error,
-    /// The list is accepted, but somebody should look at it.
+    /// The list is accepted, but an operator should review it.
     Warning,
 }
 
-/// One thing that is wrong with a list.
+/// An error or a warning about a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Diagnostic {
-    /// A code that stays the same from version to version.
+    /// A code that identifies the kind of problem. It is stable across versions of the program.
     pub code: &'static str,
-    /// Whether the list is rejected.
+    /// Determines whether the list is rejected.
     pub severity: Severity,
-    /// What is wrong.
+    /// A description of the problem.
     #[serde(rename = "what")]
     pub message: String,
-    /// How to correct it.
+    /// Advice on how to correct the problem.
     pub help: String,
-    /// The bytes of the file that the diagnostic is about; `None` if it is about the whole file.
+    /// The byte range of the file that the diagnostic is about; `None` if it is about the entire file.
     #[serde(skip)]
     pub span: Option<Range<usize>>,
-    /// The line on which the span starts, counted from 1; 0 if the diagnostic is about the whole file. A
-    /// [`Report`](crate::report::Report) fills it in.
+    /// Number of the line on which the span starts, counted from 1; 0 if the diagnostic is about the entire file, or is not
+    /// yet part of a [`Report`](crate::report::Report), which sets the line.
     pub line: usize,
 }
 
 impl Diagnostic {
-    /// An error.
+    /// Creates an error.
     pub fn error(
         code: &'static str,
         span: Option<Range<usize>>,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A warning.
+    /// Creates a warning.
     pub fn warning(
         code: &'static str,
         span: Option<Range<usize>>,
--- a/crates/endpoint-lists/src/diff.rs
+++ b/crates/endpoint-lists/src/diff.rs
@@ -1,36 +1,36 @@
-//! The differences between two lists, endpoint by endpoint. The keys of the JSON form are the operators'.
+//! The differences between two lists, by endpoint. The JSON keys are part of the operators' interface.
 
 use crate::list::{Destination, Endpoint, EndpointList};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How an endpoint changes. The order is that in which changes are listed.
+/// The kind of change to an endpoint. [`diff`] sorts changes in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
-    /// It is no longer listed.
+    /// The endpoint is no longer listed.
     Removed,
-    /// It receives no new attempts.
+    /// The endpoint is still listed, but no longer receives new attempts.
     #[serde(rename = "stopped")]
     Drained,
-    /// It is newly listed.
+    /// The endpoint is newly listed.
     Added,
-    /// It changes in another way.
+    /// The endpoint changes in another way.
     Changed,
 }
 
-/// The change of one endpoint. `Display` shows it on one line.
+/// The change of one endpoint. `Display` writes it on one line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EndpointChange {
-    /// The kind of the change.
+    /// The kind of change.
     #[serde(rename = "step")]
     pub kind: ChangeKind,
-    /// The destination.
+    /// Name of the destination.
     pub destination: String,
-    /// The endpoint after the change; before it, if it is removed.
+    /// The endpoint after the change, or before the change if the endpoint is removed.
     pub endpoint: Endpoint,
-    /// The endpoint before the change, if it is neither added nor removed.
+    /// The endpoint before the change; `None` if the endpoint is added or removed.
     #[serde(rename = "was", skip_serializing_if = "Option::is_none")]
     pub previous: Option<Endpoint>,
 }
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// The changes that lead from one list to another, in the order of their kinds: those that take an endpoint out of use
+/// Returns the changes that turn the old list into the new one, sorted by kind: changes that take an endpoint out of use
 /// come first.
 pub fn diff(old: &EndpointList, new: &EndpointList) -> Vec<EndpointChange> {
     let mut changes = Vec::new();
--- a/crates/endpoint-lists/src/last_good_store.rs
+++ b/crates/endpoint-lists/src/last_good_store.rs
@@ -1,21 +1,21 @@
-//! Copies of the last good lists on disk, byte for byte. They survive the process, even if the operators' file is invalid
-//! or missing when it starts again.
+//! Byte-for-byte copies of the last good lists on disk. A restarted process can use them even if the operators' file is
+//! invalid or missing by then.
 
 use marblefall_atomic_file::{replace, Disk, Durability, LocalDisk};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The extension of stored lists.
+/// File name extension of stored lists.
 const EXTENSION: &str = "good";
 
 /// A list could not be stored, removed or read back.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {cause}")]
 pub struct StoreError {
-    /// The file or folder.
+    /// Path of the file or folder.
     pub path: PathBuf,
-    /// The system's error.
+    /// The error of the operating system.
     #[source]
     pub cause: io::Error,
 }
@@ -23,27 +23,27 @@
 /// A stored list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoredList {
-    /// The name of the operators' file.
+    /// Name of the operators' file.
     pub file: String,
-    /// The content of the file when its list was stored.
+    /// Content of the operators' file when its list was stored.
     pub bytes: Vec<u8>,
 }
 
-/// A folder of last good lists.
+/// A folder that stores the last good lists.
 #[derive(Clone, Debug)]
 pub struct LastGoodStore(PathBuf);
 
 impl LastGoodStore {
-    /// The store in a folder, which is created with the first list.
+    /// Creates a store in a folder. The folder is created when the first list is stored.
     pub fn at(folder: &Path) -> LastGoodStore {
         LastGoodStore(folder.to_owned())
     }
 
-    /// Replaces the list of a file atomically. Only after [`LastGoodStore::sync`] is the new one sure to survive a loss of
-    /// power; callers need not delay traffic for that.
+    /// Replaces the stored list of a file atomically. The new list is guaranteed to survive a loss of power only after
+    /// [`LastGoodStore::sync`]; callers need not delay traffic until then.
     ///
     /// # Errors
-    /// The list cannot be written.
+    /// The folder cannot be created, or the list cannot be written.
     pub fn write(&self, file: &str, bytes: &[u8]) -> Result<(), StoreError> {
         let path = self.path_of(file);
         let written = LocalDisk
@@ -52,7 +52,7 @@
         written.map_err(|cause| StoreError { path, cause })
     }
 
-    /// Returns once replaced and removed lists survive a loss of power.
+    /// Syncs the folder: replacements and removals survive a loss of power once this returns.
     ///
     /// # Errors
     /// The folder cannot be synced.
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Removes the list of a file.
+    /// Removes the stored list of a file, if any.
     ///
     /// # Errors
     /// The stored list cannot be removed.
@@ -77,7 +77,7 @@
         }
     }
 
-    /// All stored lists, by file name. Incomplete files of a process that crashed are ignored.
+    /// Reads all stored lists, sorted by file name. Temporary files that a crashed process left behind are ignored.
     ///
     /// # Errors
     /// The folder or a list cannot be read.
@@ -110,7 +110,7 @@
     }
 }
 
-/// The name of the operators' file whose list is stored at a path; `None` for other paths.
+/// Returns the name of the operators' file whose list is stored at a path; `None` if the path is not that of a stored list.
 fn source_file_name(path: &Path) -> Option<&str> {
     let name = path.file_name()?.to_str()?;
     name.strip_suffix(EXTENSION)?.strip_suffix('.')
--- a/crates/endpoint-lists/src/lib.rs
+++ b/crates/endpoint-lists/src/lib.rs
@@ -1,9 +1,13 @@
-//! Endpoint lists that people edit by hand, each activated as a whole or not at all.
+//! Endpoint lists that operators edit by hand. A list is activated completely or not at all.
 //!
-//! [`list`] is a list, its file format, and whether a file is complete. [`check`] compares a list with the operators'
-//! manifest and the active lists, [`mod@diff`] with the list that it replaces. [`diagnostic`] and [`report`] describe what is
-//! wrong. [`active_lists`] are the lists in force and the only way to change them, [`last_good_store`] is their copy on
-//! disk. Nothing here depends on sockets, clocks or tasks.
+//! - [`list`] defines a list and its file format, which shows whether a file is complete.
+//! - [`check`] checks a list against the operators' manifest, the active lists and the list that it replaces.
+//! - [`mod@diff`] computes the differences between two lists.
+//! - [`diagnostic`] and [`report`] describe errors and warnings.
+//! - [`active_lists`] holds the active lists and is the only way to change them.
+//! - [`last_good_store`] stores copies of the active lists on disk.
+//!
+//! This package does not depend on sockets, clocks or tasks.
 
 #![forbid(unsafe_code)]
 
--- a/crates/endpoint-lists/src/list.rs
+++ b/crates/endpoint-lists/src/list.rs
@@ -1,8 +1,8 @@
-//! An endpoint list and its file format: TOML that states its revision both at the start and at the end.
+//! An endpoint list and its file format: TOML with the revision both at the start and at the end.
 //!
-//! A truncated file is often valid TOML. Here the last line must be the `revision` of the `[end]` table with its line break,
-//! so that no truncated list is valid. While a file is written in place it may consist of the start of the new content and
-//! the end of the old one; their revisions differ.
+//! A truncated TOML file is often still valid TOML. This format therefore requires that the last line is the `revision` of
+//! the `[end]` table, with its line break, so that every truncated list is invalid. A file that is being written in place
+//! may start with the new content and end with the old content. It is rejected because the two revisions differ.
 
 mod endpoint;
 mod parse;
@@ -14,27 +14,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The largest weight.
+/// Maximum weight of an endpoint.
 pub const MAX_WEIGHT: f64 = 1000.0;
 
 /// One endpoint of a destination.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// The name, unique within the destination. It identifies the endpoint if its address changes.
+    /// The name, unique within the destination. An endpoint keeps its identity when its address changes.
     pub name: String,
     /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The endpoint's share of the destination's calls, relative to the weights of the others. With 0 it receives no new
-    /// attempts.
+    /// The endpoint's share of the destination's calls, relative to the weights of the destination's other endpoints. An
+    /// endpoint with weight 0 receives no new attempts.
     pub weight: f64,
-    /// The zone; empty if none is given.
+    /// The zone; empty if the list gives none.
     pub zone: String,
-    /// Whether the endpoint completes its attempts and receives no new ones.
+    /// Whether the endpoint is draining: it completes its attempts in flight and receives no new ones.
     pub draining: bool,
 }
 
 impl Endpoint {
-    /// Whether the endpoint receives new attempts.
+    /// Returns whether the endpoint receives new attempts.
     pub fn is_active(&self) -> bool {
         !self.draining && self.weight > 0.0
     }
@@ -43,27 +43,27 @@
 /// The endpoints of one destination.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Destination {
-    /// The endpoints in the order of the file.
+    /// The endpoints, in the order of the file.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Losses that a list allows for the change that it makes.
+/// Losses that a list explicitly allows although they exceed the limits of the rules.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LossAllowance {
-    /// Destinations that may lose most of their weight.
+    /// Destinations that may lose more of their weight than the rules permit.
     pub destinations: BTreeSet<String>,
-    /// Whether most endpoints of the file may be lost.
+    /// Whether the list may lose more of its endpoints than the rules permit.
     pub endpoints: bool,
 }
 
-/// An endpoint list.
+/// The endpoints of any number of destinations, as one file lists them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct EndpointList {
-    /// The revision, which grows with each change.
+    /// The revision, which increases with each change.
     pub revision: u64,
-    /// The destinations by name.
+    /// The destinations, by name.
     pub destinations: BTreeMap<String, Destination>,
-    /// Losses that are allowed for this revision.
+    /// The losses that this revision allows; `None` if it allows none.
     #[serde(rename = "allow_loss")]
     pub loss_allowance: Option<LossAllowance>,
 }
--- a/crates/endpoint-lists/src/list/endpoint.rs
+++ b/crates/endpoint-lists/src/list/endpoint.rs
@@ -8,7 +8,7 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// The longest name of an endpoint, in bytes.
+/// Maximum length of an endpoint's name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
@@ -31,13 +31,13 @@
     draining: bool,
 }
 
-/// Why a text is not the address of an endpoint.
+/// The error for a text that is not a valid endpoint address.
 struct AddressError {
     message: String,
     help: &'static str,
 }
 
-/// Parses the endpoints of a destination whose table is at `span`.
+/// Parses the endpoints of a destination whose table is at `span`, and adds the errors found.
 pub(super) fn parse_endpoints(
     destination: &str,
     span: &Range<usize>,
@@ -60,7 +60,7 @@
     endpoints
 }
 
-/// Parses the endpoints of one destination.
+/// The state of parsing one destination: the names and addresses seen so far, to detect duplicates.
 struct EndpointParser<'a> {
     destination: &'a str,
     names: BTreeSet<String>,
@@ -80,27 +80,28 @@
             .push(Diagnostic::error(code, Some(span), message, help));
     }
 
-    /// Adds an error if a destination has no endpoint. Endpoints may be missing because of earlier errors.
+    /// Adds an error if the destination has no endpoint, unless earlier errors may be the reason for that.
     fn check_not_empty(&mut self, endpoints: &[Endpoint], span: &Range<usize>) {
         if endpoints.is_empty() && self.errors.is_empty() {
             let message = format!("{} has no endpoint", self.destination);
-            let help = "list at least one, or remove the destination";
+            let help = "list at least one endpoint, or remove the destination";
             self.error("no-endpoint", span.clone(), message, help);
         }
     }
 
+    /// Adds an error if all endpoints have weight 0.
     fn check_total_weight(&mut self, endpoints: &[Endpoint], span: &Range<usize>) {
         if !endpoints.is_empty() && endpoints.iter().all(|endpoint| endpoint.weight == 0.0) {
             let message = format!(
-                "every endpoint of {} has weight 0: nothing could be sent there",
+                "every endpoint of {} has weight 0, so no message could be sent to it",
                 self.destination
             );
-            let help = "give one a weight above 0; to stop a destination, drain its endpoints and allow the loss";
+            let help = "give one endpoint a weight above 0; to stop a destination, drain its endpoints and allow the loss";
             self.error("all-zero", span.clone(), message, help);
         }
     }
 
-    /// Parses one endpoint; `None` if it has no valid address.
+    /// Parses one endpoint; returns `None` if its address is invalid.
     fn parse(&mut self, raw: RawEndpoint) -> Option<Endpoint> {
         self.check_name(&raw.name);
         let weight = self.parse_weight(&raw);
@@ -120,15 +121,15 @@
             .bytes()
             .all(|byte| byte.is_ascii_graphic() && byte != b'/');
         if name.is_empty() || name.len() > MAX_NAME_BYTES || !is_printable {
-            let message = format!("{name:?} is not a valid name of an endpoint");
+            let message = format!("{name:?} is not a valid endpoint name");
             let help = format!(
-                "use 1 to {MAX_NAME_BYTES} printable ASCII characters, without spaces and /"
+                "use 1 to {MAX_NAME_BYTES} printable ASCII characters other than space and /"
             );
             self.error("bad-name", span.clone(), message, help);
         }
         if !self.names.insert(name.clone()) {
             let message = format!("{} has two endpoints named {name}", self.destination);
-            let help = "give each endpoint of a destination a name of its own";
+            let help = "give each endpoint of a destination a unique name";
             self.error("same-name", span, message, help);
         }
     }
@@ -148,13 +149,14 @@
                 "bad-weight",
                 span,
                 message,
-                format!("write a number from 0 to {MAX_WEIGHT}"),
+                format!("use a number from 0 to {MAX_WEIGHT}"),
             );
         }
-        // Adding zero turns -0 into 0.
+        // Adding zero turns -0.0 into 0.0.
         weight + 0.0
     }
 
+    /// Parses an address; adds an error if it is invalid or another endpoint of the destination has it.
     fn parse_unique_address(&mut self, text: &Spanned<String>) -> Option<SocketAddr> {
         let span = text.span();
         let address = match parse_address(text.get_ref()) {
@@ -166,30 +168,30 @@
         };
         if !self.addresses.insert(address) {
             let message = format!("{} has two endpoints at {address}", self.destination);
-            let help = "remove one of them, or give it its own address";
+            let help = "remove one of them, or correct its address";
             self.error("same-address", span, message, help);
         }
         Some(address)
     }
 }
 
-/// Parses the address of an endpoint, to which a connection must be possible.
+/// Parses the address of an endpoint. A connection to the address must be possible.
 fn parse_address(text: &str) -> Result<SocketAddr, AddressError> {
     let address: SocketAddr = text.parse().map_err(|_| AddressError {
-        message: format!("{text:?} is not an address"),
-        help: "write IP:PORT, such as 10.0.0.7:8080; names are not resolved",
+        message: format!("{text:?} is not a valid address"),
+        help: "use IP:PORT, such as 10.0.0.7:8080; host names are not resolved",
     })?;
     if address.port() == 0 {
         return Err(AddressError {
             message: format!("{text} has port 0, to which no connection is possible"),
-            help: "write the port on which it listens",
+            help: "use the port on which the endpoint listens",
         });
     }
     let is_broadcast = matches!(address.ip(), IpAddr::V4(ip) if ip.is_broadcast());
     if address.ip().is_unspecified() || address.ip().is_multicast() || is_broadcast {
         return Err(AddressError {
             message: format!("{text} is not the address of a single host"),
-            help: "write the address of the host itself",
+            help: "use the address of the host itself",
         });
     }
     Ok(address)
--- a/crates/endpoint-lists/src/list/parse.rs
+++ b/crates/endpoint-lists/src/list/parse.rs
@@ -1,4 +1,4 @@
-//! Parses the file of a list, and checks its format.
+//! Parses the file of an endpoint list and checks its format.
 
 use super::endpoint::{parse_endpoints, RawDestination};
 use super::{Destination, EndpointList, LossAllowance};
@@ -8,12 +8,12 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// The bytes of the parts of a list in its file, for later diagnostics.
+/// Byte ranges of the parts of a list within its file, for diagnostics of later checks.
 #[derive(Clone, Debug, Default)]
 pub struct Spans {
-    /// The revision.
+    /// The range of the revision at the start of the file.
     pub revision: Range<usize>,
-    /// Each destination's table.
+    /// The range of each destination's table.
     pub destinations: BTreeMap<String, Range<usize>>,
 }
 
@@ -22,9 +22,9 @@
 pub struct ParsedList {
     /// The list.
     pub list: EndpointList,
-    /// The bytes of its parts.
+    /// The byte ranges of the parts of the list within the file.
     pub spans: Spans,
-    /// Warnings of its format.
+    /// Warnings about the format of the file.
     pub warnings: Vec<Diagnostic>,
 }
 
@@ -56,10 +56,10 @@
 }
 
 impl EndpointList {
-    /// Parses a file of at most `max_bytes`.
+    /// Parses the content of a file and checks its format; a file larger than `max_bytes` is rejected.
     ///
     /// # Errors
-    /// The diagnostics of its format.
+    /// The errors of the format.
     pub fn parse(bytes: &[u8], max_bytes: usize) -> Result<ParsedList, Vec<Diagnostic>> {
         let text = decode(bytes, max_bytes).map_err(|error| vec![error])?;
         let raw: RawFile =
@@ -98,7 +98,7 @@
 }
 
 impl ParsedList {
-    /// Sets the allowance, unless it was meant for another revision.
+    /// Sets the loss allowance if it is for this revision; adds a warning otherwise.
     fn set_loss_allowance(&mut self, allowance: Spanned<RawLossAllowance>) {
         let span = allowance.span();
         let allowance = allowance.into_inner();
@@ -110,10 +110,11 @@
             return;
         }
         let message = format!(
-            "allow_loss was meant for revision {} and has no effect",
+            "allow_loss is for revision {} and has no effect",
             allowance.revision
         );
-        let help = "remove it, or give it this file's revision if the loss is intended";
+        let help =
+            "remove allow_loss, or set its revision to that of this file if the loss is intended";
         self.warnings.push(Diagnostic::warning(
             "old-allowance",
             Some(span),
@@ -126,12 +127,12 @@
 fn decode(bytes: &[u8], max_bytes: usize) -> Result<&str, Diagnostic> {
     if bytes.len() > max_bytes {
         let message = format!("the file is larger than {max_bytes} bytes");
-        let help = "split it into a file for each destination, or raise max_kb of [roster] in the operators' file";
+        let help = "split the list into a file for each destination, or raise max_kb of [roster] in the operators' file";
         return Err(Diagnostic::error("too-large", None, message, help));
     }
     std::str::from_utf8(bytes).map_err(|error| {
         let offset = error.valid_up_to();
-        let help = "write the file as UTF-8 text";
+        let help = "save the file as UTF-8 text";
         Diagnostic::error(
             "not-utf8",
             Some(offset..offset),
@@ -141,31 +142,32 @@
     })
 }
 
-/// The diagnostic for an error of the TOML parser.
+/// Converts an error of the TOML parser to a diagnostic.
 fn syntax_error(error: &toml::de::Error, len: usize) -> Diagnostic {
     let message = error.message().trim().to_owned();
     let span = Some(error.span().unwrap_or(len..len));
     if message.starts_with("unknown field") {
-        let help = "correct its spelling or remove it";
+        let help = "correct the spelling of the field, or remove it";
         Diagnostic::error("unknown-field", span, message, help)
     } else {
-        let help = "correct the line; `marblefall roster check FILE` says when the file is good";
+        let help =
+            "correct the line; `marblefall roster check FILE` reports whether the file is valid";
         Diagnostic::error("not-readable", span, message, help)
     }
 }
 
-/// Checks that the file is complete; returns its revision, or 0 without one.
+/// Checks that the file is complete; returns its revision, or 0 if it has none.
 fn check_completeness(text: &str, raw: &RawFile, errors: &mut Vec<Diagnostic>) -> u64 {
     let Some(revision) = &raw.revision else {
-        let help = "begin the file with a line such as `revision = 8`";
-        let message = "the file names no revision";
+        let help = "start the file with a line such as `revision = 8`";
+        let message = "the file has no revision";
         errors.push(Diagnostic::error("no-revision", Some(0..0), message, help));
         return 0;
     };
     let revision = *revision.get_ref();
     match &raw.end {
         None => {
-            let message = "the file has no [end] table: it is not complete";
+            let message = "the file has no [end] table, so it is incomplete";
             let span = Some(text.len()..text.len());
             let help = end_table_help(revision);
             errors.push(Diagnostic::error("cut-off", span, message, help));
@@ -180,7 +182,7 @@
 
 fn end_table_help(revision: u64) -> String {
     format!(
-        "end the file with the lines `[end]` and `revision = {revision}`, and nothing after them"
+        "end the file with the lines `[end]` and `revision = {revision}`, without any text after them"
     )
 }
 
@@ -190,28 +192,28 @@
         return None;
     }
     let message = format!(
-        "the file begins as revision {revision} and ends as revision {}: it is not complete",
+        "the file starts with revision {revision} and ends with revision {}, so it is incomplete",
         end_revision.get_ref()
     );
-    let help = "give both places the same revision; if somebody is writing the file, wait";
+    let help = "use the same revision in both places; if the file is still being written, wait";
     let span = Some(end_revision.span());
     Some(Diagnostic::error("torn", span, message, help))
 }
 
-/// Checks that the end revision is followed by its line break alone. A missing line break is a truncation; further text may
-/// be the end of a longer file that this one was written over.
+/// Checks that only a line break follows the revision at the end. A missing line break means that the file was truncated.
+/// Further text may be the end of a longer file that this file was written over.
 fn check_last_line(text: &str, revision: u64, end_revision: &Spanned<u64>) -> Option<Diagnostic> {
     let end = end_revision.span().end;
     match &text[end..] {
         "\n" | "\r\n" => None,
         "" | "\r" => {
-            let message = "the last line has no line break: the file is not complete";
+            let message = "the last line has no line break, so the file is incomplete";
             let span = Some(text.len()..text.len());
-            let help = "end the last line";
+            let help = "add a line break at the end of the last line";
             Some(Diagnostic::error("cut-off", span, message, help))
         }
         _ => {
-            let message = "the file continues after the revision at its end";
+            let message = "the file has text after the revision in [end]";
             let span = Some(end..text.len());
             Some(Diagnostic::error(
                 "not-last",
--- a/crates/endpoint-lists/src/list/print.rs
+++ b/crates/endpoint-lists/src/list/print.rs
@@ -1,4 +1,4 @@
-//! Encodes a list in its file format.
+//! Writes an endpoint list in its file format.
 
 use super::{Endpoint, EndpointList};
 use std::fmt::Write;
@@ -50,7 +50,8 @@
     text.push_str(" },\n");
 }
 
-/// A TOML string on one line. The library may print a string over several lines, which is invalid for keys.
+/// Quotes a text as a TOML string on one line. The TOML library may write a string on several lines, which is invalid for
+/// keys.
 fn quoted(text: &str) -> String {
     let mut quoted = String::from("\"");
     for character in text.chars() {
--- a/crates/endpoint-lists/src/report.rs
+++ b/crates/endpoint-lists/src/report.rs
@@ -7,15 +7,16 @@
 use snippet::SourceText;
 use std::fmt;
 
-/// Maximum number of diagnostics of one file.
+/// Maximum number of diagnostics in a report.
 const MAX_DIAGNOSTICS: usize = 40;
 
-/// The diagnostics of one file. `Display` renders them for people.
+/// The diagnostics of one file. `Display` renders them as text for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// Errors before warnings, each in the order of the file. There is a limit on their number, since a file of another format may have one on each line.
+    /// The errors and then the warnings, each in the order of the file. Their number is limited, because a file of another
+    /// format may have an error on every line.
     #[serde(rename = "faults")]
     pub diagnostics: Vec<Diagnostic>,
     #[serde(skip)]
@@ -23,7 +24,7 @@
 }
 
 impl Report {
-    /// Sorts diagnostics, fills in their lines and renders them.
+    /// Sorts diagnostics, sets their line numbers and renders them.
     pub fn new(file: &str, bytes: &[u8], mut diagnostics: Vec<Diagnostic>) -> Report {
         let text = String::from_utf8_lossy(bytes);
         let source = SourceText::new(file, &text);
@@ -43,7 +44,7 @@
             .map(|diagnostic| source.render(diagnostic) + "\n")
             .collect();
         if omitted > 0 {
-            rendered.push_str(&format!("{file}: and {omitted} more\n"));
+            rendered.push_str(&format!("{file}: {omitted} more diagnostics omitted\n"));
         }
         Report {
             file: file.to_owned(),
@@ -52,14 +53,14 @@
         }
     }
 
-    /// Whether the file is rejected.
+    /// Returns whether the file is rejected.
     pub fn is_rejection(&self) -> bool {
         self.diagnostics
             .iter()
             .any(|diagnostic| diagnostic.severity == Severity::Error)
     }
 
-    /// The first diagnostic in one line, for a log; empty if there is none.
+    /// Returns the first diagnostic on one line, for a log; empty if there is none.
     pub fn summary(&self) -> String {
         let first = self.diagnostics.first();
         first.map_or_else(String::new, |diagnostic| {
--- a/crates/endpoint-lists/src/report/snippet.rs
+++ b/crates/endpoint-lists/src/report/snippet.rs
@@ -1,14 +1,14 @@
-//! Rendering a diagnostic with the lines that it is about.
+//! Renders a diagnostic together with the lines of the file that it is about.
 
 use crate::diagnostic::{Diagnostic, Severity};
 use annotate_snippets::{Annotation, AnnotationKind, Group, Level, Renderer, Snippet};
 use std::ops::Range;
 
-/// The longest line that is shown with a diagnostic, in bytes. Of a longer one, as in a file that is not a list, only the
-/// number is shown.
+/// Maximum length of a line that is shown with a diagnostic, in bytes. For a longer line, as in a file that is not a list,
+/// only the line number is shown.
 const MAX_LINE_BYTES: usize = 240;
 
-/// A file's text, and where its lines end.
+/// The text of a file, with the offsets of its line breaks.
 pub(super) struct SourceText<'a> {
     file: &'a str,
     text: &'a str,
@@ -17,7 +17,7 @@
 
 /// The lines that are shown with a diagnostic.
 struct ShownLines {
-    /// The number of the first line, counted from 1.
+    /// Number of the first line, counted from 1.
     first_line: usize,
     bytes: Range<usize>,
 }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The line of a byte, counted from 1.
+    /// Returns the number of the line that contains a byte, counted from 1.
     pub(super) fn line_number(&self, byte: usize) -> usize {
         self.line_breaks.partition_point(|offset| *offset < byte) + 1
     }
@@ -68,8 +68,8 @@
         )
     }
 
-    /// The line of a diagnostic, and the one before. The renderer is given no more, since it reads its whole input, and a
-    /// list may have megabytes.
+    /// Returns the line of a diagnostic and the line before it. The renderer gets only these, because it processes all of
+    /// its input and a list may have several megabytes.
     fn shown_lines(&self, line: usize) -> ShownLines {
         let first_line = line.saturating_sub(1).max(1);
         let start = match first_line {
@@ -84,7 +84,8 @@
     }
 }
 
-/// Marks a span within the shown bytes. The span may end lines further on, or start at the end of the text.
+/// Marks the part of a span that is within the shown bytes. The span may end on a later line, or start at the end of the
+/// text.
 fn annotation<'g>(span: &Range<usize>, shown: &Range<usize>) -> Annotation<'g> {
     let start = span.start.clamp(shown.start, shown.end) - shown.start;
     let end = span.end.clamp(span.start, shown.end.max(span.start));
--- a/crates/endpoint-lists/tests/active_lists.rs
+++ b/crates/endpoint-lists/tests/active_lists.rs
@@ -1,4 +1,4 @@
-//! Evaluating, activating and restoring lists.
+//! Tests of evaluating, activating, storing and restoring lists.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -8,8 +8,8 @@
 use marblefall_endpoint_lists::last_good_store::{LastGoodStore, StoredList};
 use marblefall_endpoint_lists::{ActiveLists, Candidate, ListRules};
 
-/// A file that is written in place starts with new content and ends with the old one, or is truncated if the new content
-/// is longer.
+/// While a file is being written in place, it starts with the new content and ends with the old content, or is truncated
+/// if the new content is longer.
 #[test]
 fn partially_written_file_changes_nothing() {
     check_property(
@@ -37,7 +37,7 @@
     let text = "revision = 1\n[destination.bole]\nendpoints = [{ name = \"x\", address = \"127.0.0.1:1\" }]\n[end]\nrevision = 1\n";
     let report = active.evaluate("second.toml", text.as_bytes()).unwrap_err();
     assert_eq!(report.diagnostics[0].code, "two-files");
-    // A destination is moved in two steps: out of the old file, then into the new one.
+    // A destination is moved in two steps: it is removed from the old file, and then added to the new file.
     let bole = VALID_LIST.find("[destination.bole]").unwrap()
         ..VALID_LIST.find("[destination.kaz").unwrap();
     let allowed =
@@ -50,7 +50,7 @@
     assert_eq!(active.destinations_without_list(), ["bole"]);
     active.activate(active.evaluate("second.toml", text.as_bytes()).unwrap());
     assert!(active.destinations_without_list().is_empty());
-    // The list of a destination that is removed from the manifest is ignored, but not lost.
+    // The endpoints of a destination that is removed from the manifest are omitted, but the list stays active.
     let mut fewer_destinations = rules();
     fewer_destinations
         .destinations
@@ -70,7 +70,7 @@
     let store = LastGoodStore::at(&folder);
     assert!(store.read().unwrap().is_empty());
     store.write(FILE, VALID_LIST.as_bytes()).unwrap();
-    // A crash while the next list is being written leaves a part of it in a temporary file.
+    // A crash while the next list is being written leaves a temporary file with a part of that list.
     std::fs::write(folder.join("roster.toml.new"), &VALID_LIST.as_bytes()[..40]).unwrap();
     let stored = store.read().unwrap();
     let complete = StoredList {
@@ -78,7 +78,7 @@
         bytes: VALID_LIST.as_bytes().to_vec(),
     };
     assert_eq!(stored, [complete]);
-    // After a crash between writing and activating a list, the next incarnation starts with that list.
+    // After a crash between writing and activating a list, the next incarnation restores that list.
     let next = VALID_LIST
         .replace("weight = 3", "weight = 4")
         .replace("revision = 8", "revision = 9");
--- a/crates/endpoint-lists/tests/checks.rs
+++ b/crates/endpoint-lists/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of lists, and what their diagnostics say.
+//! Tests of the checks of lists and of their diagnostics.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -6,15 +6,15 @@
 
 use common::{active_lists, codes, reject, FILE, VALID_LIST};
 
-/// A change of [`VALID_LIST`] for which it is rejected.
+/// A change that makes [`VALID_LIST`] invalid.
 struct InvalidChange {
-    /// The code of the diagnostic.
+    /// Code of the expected diagnostic.
     code: &'static str,
-    /// The text that is replaced.
+    /// Text of [`VALID_LIST`] that is replaced.
     old_text: &'static str,
-    /// Its replacement.
+    /// Replacement for the old text.
     new_text: &'static str,
-    /// A text on the line of the diagnostic; `None` where the diagnostic is about a part that is missing.
+    /// Text on the line of the expected diagnostic; `None` if the line is not checked, as where a part is missing.
     text_on_line: Option<&'static str>,
 }
 
@@ -129,7 +129,7 @@
     },
 ];
 
-/// The number of the line that contains a text, counted from 1.
+/// Returns the number of the first line that contains a text, counted from 1.
 fn line_number(text: &str, part: &str) -> usize {
     text[..text.find(part).unwrap()].matches('\n').count() + 1
 }
@@ -219,7 +219,7 @@
         let head = "[destination.bole]\nendpoints = [{ name = \"bole-2\", address = \"127.0.0.1:9102\" }]\n";
         format!("{first}\n{head}{rest}").replace("revision = 8", "revision = 9")
     };
-    // The endpoint that is removed has three quarters of the destination's weight.
+    // The removed endpoint has three quarters of the destination's weight.
     let report = reject(&active, without("revision = 8").as_bytes());
     assert_eq!(codes(&report)[0], "large-loss");
     assert!(report.to_string().contains("75%"), "{report}");
--- a/crates/endpoint-lists/tests/common/mod.rs
+++ b/crates/endpoint-lists/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Lists, random and fixed, and the rules that they are checked by.
+//! Fixed and random lists, and the rules against which they are checked.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use marblefall_endpoint_lists::list::MAX_WEIGHT;
 use marblefall_endpoint_lists::{
@@ -9,10 +9,10 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::fmt::Debug;
 
-/// The largest file that these tests parse, in bytes.
+/// Maximum size of a file that these tests parse, in bytes.
 pub const MAX_BYTES: usize = 1 << 20;
 
-/// The file of [`VALID_LIST`].
+/// File name of [`VALID_LIST`].
 pub const FILE: &str = "roster.toml";
 
 pub const VALID_LIST: &str = r#"revision = 8
@@ -30,7 +30,7 @@
 revision = 8
 "#;
 
-/// Checks a property of random values from a fixed seed.
+/// Checks a property for random values generated from a fixed seed.
 pub fn check_property<T: Arbitrary + Debug>(seed: u64, times: u64, property: fn(T) -> bool) {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, seed))
@@ -38,7 +38,7 @@
         .quickcheck(property);
 }
 
-/// A random list of valid format.
+/// A random list whose format is valid.
 #[derive(Clone, Debug)]
 pub struct ValidList(pub EndpointList);
 
@@ -49,7 +49,7 @@
             ..EndpointList::default()
         };
         for _ in 0..1 + usize::arbitrary(gen) % 4 {
-            // The name may have quotes, dots, line breaks and characters of other scripts.
+            // The name may contain quotes, dots, line breaks and non-ASCII characters.
             let name = String::arbitrary(gen);
             let endpoint = |number: usize, gen: &mut Gen| Endpoint {
                 name: format!("e-{number}"),
@@ -81,7 +81,7 @@
         .list
 }
 
-/// Rules with the destinations of [`VALID_LIST`], and one whose endpoints are in the manifest.
+/// Returns rules with the destinations of [`VALID_LIST`] and a destination whose endpoints are in the manifest.
 pub fn rules() -> ListRules {
     let destinations = [
         ("bole", EndpointSource::Lists),
@@ -99,7 +99,7 @@
     }
 }
 
-/// Active lists with [`VALID_LIST`].
+/// Returns active lists that consist of [`VALID_LIST`].
 pub fn active_lists() -> ActiveLists {
     let mut active = ActiveLists::new(rules());
     active.activate(active.evaluate(FILE, VALID_LIST.as_bytes()).unwrap());
@@ -114,7 +114,7 @@
     report
 }
 
-/// The codes of a report in their order.
+/// Returns the codes of the diagnostics of a report, in their order.
 pub fn codes(report: &Report) -> Vec<&str> {
     let diagnostics = report.diagnostics.iter();
     diagnostics.map(|diagnostic| diagnostic.code).collect()
--- a/crates/endpoint-lists/tests/diff.rs
+++ b/crates/endpoint-lists/tests/diff.rs
@@ -1,4 +1,4 @@
-//! The differences between random lists from a fixed seed.
+//! Tests of the differences between random lists, generated from a fixed seed.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -14,7 +14,7 @@
         5,
         300,
         |(ValidList(old), ValidList(new)): (ValidList, ValidList)| {
-            // Random names rarely coincide, so some destinations are copied from the old list.
+            // Random names rarely coincide, so some destinations of the old list are copied to the new list.
             let mut new = new;
             for (name, destination) in old.destinations.iter().take(2) {
                 let mut copied = destination.clone();
--- a/crates/endpoint-lists/tests/format.rs
+++ b/crates/endpoint-lists/tests/format.rs
@@ -1,4 +1,4 @@
-//! The file format: random lists from fixed seeds, truncated and corrupted.
+//! Tests of the file format with random lists from fixed seeds, intact, truncated and corrupted.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -35,7 +35,7 @@
         let offset = offset % text.len();
         let end = (offset + bytes.len()).min(text.len());
         text.splice(offset..end, bytes.iter().copied());
-        // The corrupted text may still be a valid list, as where a comment has changed.
+        // The corrupted text may still be a valid list, for example if only a character of a name has changed.
         let report = ActiveLists::new(ListRules::default())
             .evaluate("a", &text)
             .err();
