--- a/crates/atomic-file/src/faulty_disk.rs
+++ b/crates/atomic-file/src/faulty_disk.rs
@@ -1,8 +1,8 @@
-//! A disk in memory with injected faults, for tests of code that stores state.
+//! An in-memory disk with injected faults, for tests of code that stores state.
 //!
-//! It distinguishes what processes see from what is durable. A file's bytes become durable when the file is synced, names
-//! when their folder is synced. A loss of power may keep or lose anything else independently, and bytes in part, as POSIX
-//! allows.
+//! The disk keeps the content that processes read apart from the content that is durable. The bytes of a file become durable
+//! when the file is synced, and file names become durable when their folder is synced. As POSIX allows, a loss of power may
+//! keep or lose any other name or content independently, and may keep a part of the bytes.
 
 use crate::Disk;
 use std::cell::RefCell;
@@ -10,29 +10,29 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A fault of one operation.
+/// A fault that is injected into one operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The operation fails because the disk is full. Later operations succeed.
     NoSpace {
-        /// How many bytes a write has written before it fails.
+        /// Number of bytes that a write has written when it fails.
         bytes_written: usize,
     },
-    /// The process crashes during the operation: this and all later ones fail.
+    /// The process crashes during the operation: this operation and all later ones fail.
     Crash {
-        /// How many bytes a write has written before the crash.
+        /// Number of bytes that a write has written when the process crashes.
         bytes_written: usize,
     },
 }
 
-/// What a restart leaves of names and bytes that were not synced.
+/// The effect of a restart on names and bytes that were not synced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsynced {
-    /// Everything, as after a crash of the process alone.
+    /// All names and bytes survive, as after a crash of the process alone.
     Survives,
-    /// Nothing, as after a loss of power.
+    /// All names and bytes that were not synced are lost, as is possible after a loss of power.
     Lost,
-    /// The names, and the first half of the bytes, as after a loss of power.
+    /// The names and the first half of the bytes survive, as is possible after a loss of power.
     NamesSurvive,
 }
 
@@ -42,12 +42,12 @@
     synced: Vec<u8>,
 }
 
-/// The index of a file's content.
+/// Index of a file in [`State::files`].
 type FileIndex = usize;
 
 #[derive(Clone, Copy, Debug)]
 struct InjectedFault {
-    /// The number of the change that fails.
+    /// Number of the change that fails, counted from 0.
     change: usize,
     fault: Fault,
 }
@@ -57,7 +57,7 @@
     files: Vec<FileContent>,
     names: BTreeMap<PathBuf, FileIndex>,
     synced_names: BTreeMap<PathBuf, FileIndex>,
-    /// The number of changes that were requested.
+    /// Number of changes that were requested.
     changes: usize,
     fault: Option<InjectedFault>,
     has_crashed: bool,
@@ -65,7 +65,7 @@
 
 /// A change that failed.
 struct FailedChange {
-    /// How many bytes of a write were written.
+    /// Number of bytes that a write has written.
     bytes_written: usize,
     error: io::Error,
 }
@@ -86,24 +86,25 @@
     }
 }
 
-/// A disk in memory with injected faults.
+/// An in-memory disk with injected faults.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(RefCell<State>);
 
 impl FaultyDisk {
-    /// An empty disk without faults.
+    /// Creates an empty disk without faults.
     pub fn new() -> FaultyDisk {
         FaultyDisk::default()
     }
 
-    /// Injects a fault into a later change: 0 is the next one. Reads are not counted.
+    /// Injects a fault into the change that follows this number of other changes; 0 stands for the next change. Reads do not
+    /// count as changes.
     pub fn inject_fault(&self, changes_before: usize, fault: Fault) {
         let mut state = self.0.borrow_mut();
         let change = state.changes + changes_before;
         state.fault = Some(InjectedFault { change, fault });
     }
 
-    /// The disk after a restart of the process, without faults.
+    /// Returns the disk as it is after a restart of the process, without faults.
     pub fn after_restart(&self, unsynced: Unsynced) -> FaultyDisk {
         let state = self.0.borrow();
         let names = match unsynced {
@@ -133,7 +134,7 @@
         }))
     }
 
-    /// Counts a change, and fails if a fault is injected into it or the process has crashed.
+    /// Counts a change. Fails if the change has an injected fault or the process has crashed.
     fn begin_change(&self) -> Result<(), FailedChange> {
         let mut state = self.0.borrow_mut();
         let change = state.changes;
@@ -187,7 +188,7 @@
             self.set_content(path, bytes);
             return Ok(());
         };
-        // A process that crashes before its first byte leaves the file as it was.
+        // If the process crashes before the first byte is written, the file is unchanged.
         if failed.bytes_written > 0 || !self.0.borrow().has_crashed {
             self.set_content(path, &bytes[..failed.bytes_written.min(bytes.len())]);
         }
--- a/crates/atomic-file/src/lib.rs
+++ b/crates/atomic-file/src/lib.rs
@@ -1,7 +1,7 @@
-//! Atomic replacement of files. Every file of state that is not a journal is written by [`replace`].
+//! Atomic replacement of files. Every state file that is not a journal is written by [`replace`].
 //!
-//! Tests use a [`faulty_disk::FaultyDisk`] in place of the [`LocalDisk`], with injected errors, short writes, crashes and
-//! losses of power.
+//! Tests use a [`faulty_disk::FaultyDisk`] in place of the [`LocalDisk`] to inject errors, short writes, crashes and losses
+//! of power.
 
 #![forbid(unsafe_code)]
 
@@ -11,46 +11,46 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The operations of a disk.
+/// The file operations that [`replace`] and its callers use.
 pub trait Disk {
-    /// Reads a file.
+    /// Reads the content of a file.
     ///
     /// # Errors
-    /// Those of [`std::fs::read`]; the kind is `NotFound` if the file does not exist.
+    /// The errors of [`std::fs::read`]; the kind is `NotFound` if the file does not exist.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
     /// Creates a folder and its parents if they do not exist.
     ///
     /// # Errors
-    /// Those of [`std::fs::create_dir_all`].
+    /// The errors of [`std::fs::create_dir_all`].
     fn create_folder(&self, folder: &Path) -> io::Result<()>;
 
-    /// Creates a file with these bytes, or replaces its content.
+    /// Replaces the content of a file with these bytes; creates the file if it does not exist.
     ///
     /// # Errors
-    /// Those of [`std::fs::write`]; a part may have been written.
+    /// The errors of [`std::fs::write`]. Some of the bytes may have been written.
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
 
-    /// Returns once the bytes of a file survive a loss of power.
+    /// Syncs a file: its content survives a loss of power once this returns.
     ///
     /// # Errors
-    /// Those of [`std::fs::File::sync_all`].
+    /// The errors of [`std::fs::File::sync_all`].
     fn sync(&self, path: &Path) -> io::Result<()>;
 
-    /// Renames a file, and replaces the one that has the new name.
+    /// Renames a file, and replaces any file that already has the new name.
     ///
     /// # Errors
-    /// Those of [`std::fs::rename`].
+    /// The errors of [`std::fs::rename`].
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Returns once the names in a folder survive a loss of power.
+    /// Syncs a folder: the file names in it survive a loss of power once this returns.
     ///
     /// # Errors
-    /// Those of [`std::fs::File::sync_all`].
+    /// The errors of [`std::fs::File::sync_all`].
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 }
 
-/// The file systems of this machine.
+/// The file system of this machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalDisk;
 
@@ -80,24 +80,24 @@
     }
 }
 
-/// What a replaced file survives. In each case it has either its old or its new content completely.
+/// The failures that a replacement survives: after them, the file has either its complete old or its complete new content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// A crash of the process at any moment. After a loss of power the content may be incomplete, so this is for files
-    /// that readers check and can do without.
+    /// A crash of the process at any moment. After a loss of power the content may be incomplete, so this is only for files
+    /// that are checked when they are read and whose loss is tolerable.
     ProcessDeath,
-    /// A loss of power as well, but either content may be left until the folder is synced ([`Disk::sync_folder`]). For
-    /// callers that must not wait for that. Takes one sync.
+    /// A crash of the process or a loss of power. A loss of power may restore the old content until the folder is synced
+    /// with [`Disk::sync_folder`]. This is for callers that must not wait for that sync. It takes one sync.
     Atomic,
-    /// A loss of power as well; the new content is left once the call has returned. Takes two syncs.
+    /// A crash of the process or a loss of power. The new content is durable once the call has returned. It takes two syncs.
     PowerLoss,
 }
 
-/// Replaces the content of a file: writes a temporary file in the same folder and renames it.
+/// Replaces the content of a file atomically: writes a temporary file in the same folder and renames it.
 ///
 /// # Errors
-/// The first error of the disk. The file is then unchanged, unless syncing its folder has failed: it has the new content
-/// then, but either content may be left by a loss of power.
+/// The first error of the disk. The file is unchanged unless the error occurred when its folder was synced. In that case
+/// the file has the new content, but a loss of power may restore the old content.
 pub fn replace(
     disk: &impl Disk,
     path: &Path,
@@ -116,7 +116,7 @@
     }
 }
 
-/// The path of the temporary file: `applied.json.new` for `applied.json`.
+/// Returns the path of the temporary file: `applied.json.new` for `applied.json`.
 fn temporary_path(path: &Path) -> PathBuf {
     let mut name = path.file_name().unwrap_or_default().to_owned();
     name.push(".new");
--- a/crates/atomic-file/tests/replace.rs
+++ b/crates/atomic-file/tests/replace.rs
@@ -1,4 +1,4 @@
-//! The replacement of a file, with a fault at each change of the disk and a restart after it.
+//! Tests of the replacement of a file, with a fault at each change of the disk followed by a restart.
 
 use marblefall_atomic_file::faulty_disk::{Fault, FaultyDisk, Unsynced};
 use marblefall_atomic_file::{replace, Disk, Durability};
@@ -8,7 +8,7 @@
 const OLD: &[u8] = b"the old content, which is a bit longer";
 const NEW: &[u8] = b"the newest content";
 
-/// The changes that a replacement makes at most.
+/// Maximum number of changes of the disk in a replacement.
 const MAX_CHANGES: usize = 4;
 
 /// A disk after a replacement with an injected fault.
@@ -18,26 +18,26 @@
     succeeded: bool,
 }
 
-/// Stores the old content durably, then replaces it by the new one with a fault at one of the changes.
+/// Stores the old content durably, then replaces it with the new content, with a fault injected into one change.
 fn replace_with_fault(
     durability: Durability,
     changes_before: usize,
     fault: Fault,
 ) -> FaultyReplacement {
     let disk = FaultyDisk::new();
-    replace(&disk, Path::new(PATH), OLD, Durability::PowerLoss).expect("no fault yet");
+    replace(&disk, Path::new(PATH), OLD, Durability::PowerLoss).expect("no fault is injected yet");
     disk.inject_fault(changes_before, fault);
     let succeeded = replace(&disk, Path::new(PATH), NEW, durability).is_ok();
     FaultyReplacement { disk, succeeded }
 }
 
-/// The content of the file after a restart.
+/// Returns the content of the file after a restart.
 fn content_after_restart(disk: &FaultyDisk, unsynced: Unsynced) -> Vec<u8> {
     let restarted = disk.after_restart(unsynced);
     restarted.read(Path::new(PATH)).expect("the file exists")
 }
 
-/// A fault at each of the changes, with each number of bytes that a write can have written.
+/// Returns every fault at every change, for every number of bytes that a write may have written.
 fn faults() -> impl Iterator<Item = (usize, Fault)> {
     let faults = (0..=NEW.len()).flat_map(|bytes_written| {
         [
@@ -61,11 +61,11 @@
             let content = content_after_restart(&disk, Unsynced::Survives);
             assert!(
                 content == OLD || content == NEW,
-                "{fault:?} at {changes_before}: {content:?}"
+                "{fault:?} at change {changes_before}: {content:?}"
             );
             assert!(
                 !succeeded || content == NEW,
-                "{fault:?} at {changes_before}: reported as done"
+                "{fault:?} at change {changes_before}: reported success without the new content"
             );
         }
     }
@@ -81,12 +81,12 @@
                 let content = content_after_restart(&disk, unsynced);
                 assert!(
                     content == OLD || content == NEW,
-                    "{fault:?} at {changes_before}, {unsynced:?}: {content:?}"
+                    "{fault:?} at change {changes_before}, {unsynced:?}: {content:?}"
                 );
                 let must_be_new = durability == Durability::PowerLoss && succeeded;
                 assert!(
                     !must_be_new || content == NEW,
-                    "{fault:?} at {changes_before}, {unsynced:?}: reported as done"
+                    "{fault:?} at change {changes_before}, {unsynced:?}: reported success without the new content"
                 );
             }
         }
@@ -105,11 +105,11 @@
     }
 }
 
-/// Checks the disk itself.
+/// Tests the in-memory disk itself: content that was not synced does not survive every restart.
 #[test]
 fn unsynced_content_may_be_truncated_or_lost() {
     let (disk, path) = (FaultyDisk::new(), Path::new(PATH));
-    replace(&disk, path, NEW, Durability::ProcessDeath).expect("no fault");
+    replace(&disk, path, NEW, Durability::ProcessDeath).expect("no fault is injected");
     assert!(disk.after_restart(Unsynced::Lost).read(path).is_err());
     assert_eq!(
         content_after_restart(&disk, Unsynced::NamesSurvive),
