--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,7 +1,7 @@
-//! Runs the instances: turns lines into events and actions into lines. It takes no decisions.
+//! Runs the instances: translates input lines to events of the scheduler, and its actions to lines of the reply.
 //!
-//! A batch starts with a line that has its time and ends with a line of its own. Each instance that is named in it
-//! handles its events at the end, in the order in which the instances were first named.
+//! A batch starts with a line that has the batch's time, and ends with an end line. At the end of the batch, each instance
+//! that the batch names handles its events. Instances are processed in the order in which the batch first named them.
 
 use crate::error::InputError;
 use crate::instance::Instance;
@@ -11,19 +11,21 @@
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// All instances of this process, and the batch that is being read.
+/// The running instances, the endpoint lists received so far, and the batch that is being read.
 #[derive(Default)]
 pub struct Adapter {
     instances: HashMap<String, Instance>,
+    /// Endpoint lists by number; a list replaces an earlier list with the same number.
     endpoint_lists: BTreeMap<u64, Vec<EndpointEntry>>,
     batch: Option<Batch>,
 }
 
-/// The events of a batch, by instance.
+/// A batch of events that is being read.
 struct Batch {
     now: Time,
-    /// The instances in the order in which they were first named.
+    /// The instances, in the order in which the batch first named them.
     order: Vec<String>,
+    /// The events by instance.
     events: HashMap<String, Vec<Event>>,
 }
 
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Names an instance in the batch and adds its event, if there is one.
+    /// Adds an instance to the batch, if the batch does not have it yet, and its event, if any.
     fn push(&mut self, instance: &str, event: Option<Event>) {
         if !self.events.contains_key(instance) {
             self.order.push(instance.to_owned());
@@ -47,7 +49,7 @@
             .extend(event);
     }
 
-    /// Forgets an instance that stops or restarts.
+    /// Removes an instance that stops or restarts, with its events.
     fn remove(&mut self, instance: &str) {
         if self.events.remove(instance).is_some() {
             self.order.retain(|name| name != instance);
@@ -56,12 +58,12 @@
 }
 
 impl Adapter {
-    /// Whether a batch has started and not ended.
+    /// Returns whether a batch has started and not yet ended.
     pub fn is_inside_batch(&self) -> bool {
         self.batch.is_some()
     }
 
-    /// Handles one line; the end of a batch returns the reply to it.
+    /// Handles one line; returns the reply if the line ends a batch.
     pub fn handle_line(&mut self, line: Line) -> Result<Option<String>, InputError> {
         match (line, self.batch.take()) {
             (Line::BatchStart { time_ms }, None) => {
@@ -78,10 +80,10 @@
         Ok(None)
     }
 
-    /// Adds a line within a batch.
+    /// Handles a line within a batch.
     fn add_line(&mut self, line: Line, batch: &mut Batch) -> Result<(), InputError> {
         match line {
-            // `handle_line` handles the limits of a batch.
+            // `handle_line` handles the start and the end of a batch.
             Line::BatchStart { .. } | Line::BatchEnd {} => {}
             Line::InstanceStarted(started) => self.start_instance(started, batch),
             Line::InstanceStopped { instance } => self.stop_instance(instance, batch)?,
@@ -138,7 +140,7 @@
         }
     }
 
-    /// The event of an instance that receives an endpoint list.
+    /// Returns the event for an instance that receives an endpoint list, or whose request for one failed.
     fn endpoint_list_event(&mut self, update: &ListUpdate) -> Result<Event, InputError> {
         let instance = find_instance(&mut self.instances, &update.instance)?;
         let mut updates = || {
@@ -160,7 +162,7 @@
         find_instance(&mut self.instances, name)
     }
 
-    /// Lets all instances of a batch handle their events; returns the lines of the reply.
+    /// Runs the scheduler of each instance in the batch on its events; returns the lines of the reply.
     fn handle_batch(&mut self, batch: &Batch) -> String {
         let mut lines = String::new();
         for name in &batch.order {
@@ -201,12 +203,12 @@
 
 fn push_line(lines: &mut String, reply: &Reply<'_>) {
     let line = serde_json::to_string(reply);
-    lines.push_str(&line.expect("a reply holds only strings and finite numbers"));
+    lines.push_str(&line.expect("a reply contains only strings and finite numbers"));
     lines.push('\n');
 }
 
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text.or(panic.downcast_ref::<&str>().copied());
-    text.unwrap_or("panic without a text")
+    text.unwrap_or("panic without a message")
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,27 +1,27 @@
-//! Errors of the input.
+//! Errors in the input.
 
-/// Why a line of the input cannot be used.
+/// An error that prevents a line of the input from being processed.
 #[derive(Debug, thiserror::Error)]
 pub enum InputError {
-    /// A batch starts before the last one has ended.
-    #[error("a batch begins inside another")]
+    /// A batch starts before the previous batch has ended.
+    #[error("a batch starts inside another batch")]
     NestedBatch,
-    /// An event, or the end of a batch, without the start of one.
+    /// An event or the end of a batch precedes the start of a batch.
     #[error("a line outside any batch")]
     OutsideBatch,
-    /// An event for an instance that is not running.
-    #[error("an event for an instance that was not started: {0:?}")]
+    /// A line names an instance that is not running.
+    #[error("instance {0:?} is not running")]
     UnknownInstance(String),
-    /// An update with the number of an endpoint list that was not sent.
+    /// An update refers to the number of an endpoint list that was not received.
     #[error("unknown list number {0}")]
     UnknownList(u64),
-    /// An outcome without a meaning.
+    /// The number of an outcome is not defined.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u64),
-    /// A name that the instance's settings do not define.
+    /// A name is not defined in the instance's settings.
     #[error("unknown {kind} {name:?}")]
     UnknownName {
-        /// What the name stands for.
+        /// The kind of item that the name refers to, for the error message.
         kind: &'static str,
         /// The name.
         name: String,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! One instance: its scheduler, and the translation between the wire's names and the scheduler's numbers.
+//! One instance: its scheduler, and the translation between the names of the simulator's protocol and the scheduler's
+//! numbers.
 
 use crate::error::InputError;
 use crate::names::NameTable;
@@ -10,7 +11,7 @@
 };
 use marblefall_settings::InstanceSettings;
 
-/// One instance, with the names that stand for its numbers.
+/// A scheduler with the tables that translate its numbers to names.
 pub struct Instance {
     scheduler: Scheduler,
     messages: NameTable,
@@ -19,12 +20,12 @@
     tenants: NameTable,
     kinds: NameTable,
     zones: NameTable,
-    /// Whether rejected clients receive a `Retry-After`.
+    /// Whether the reply to a rejected client contains a `Retry-After`.
     sends_retry_after: bool,
 }
 
 impl Instance {
-    /// An instance that has just started.
+    /// Creates an instance that has just started.
     pub fn new(settings: InstanceSettings, seed: u64) -> Instance {
         let classes = settings.classes.iter().map(|class| class.name.clone());
         let tenants = settings.tenants.iter().map(|tenant| tenant.name.clone());
@@ -40,14 +41,14 @@
         }
     }
 
-    /// Lets the scheduler handle a batch of events.
+    /// Passes a batch of events to the scheduler; returns its actions.
     pub fn handle(&mut self, now: Time, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(now, events, &mut actions);
         actions
     }
 
-    /// The number of a message; a new message gets the next one.
+    /// Returns the number of a message, after assigning the next number if the message is new.
     pub fn message_id(&mut self, name: &str) -> MessageId {
         MessageId(self.messages.intern(name) as u64)
     }
@@ -56,7 +57,7 @@
         EndpointId(self.endpoints.intern(name) as u32)
     }
 
-    /// Translates an entry of the endpoint list.
+    /// Translates an entry of an endpoint list.
     pub fn endpoint_update(
         &mut self,
         entry: &wire::EndpointEntry,
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The `Retry-After` of a rejected client, in ms; 0 for none.
+    /// Returns the `Retry-After` for a rejected client, in ms; 0 if none is sent.
     fn retry_after_ms(&self, retry_after: Span) -> f64 {
         if self.sends_retry_after {
             retry_after.ms()
@@ -188,7 +189,7 @@
     }
 }
 
-/// Translates an outcome; a rejection has this `Retry-After`, 0 for none.
+/// Translates an outcome. `retry_after_ms` is the `Retry-After` of a rejection; 0 means that it had none.
 fn translate_outcome(code: OutcomeCode, retry_after_ms: f64) -> Result<Outcome, InputError> {
     Ok(match code {
         OutcomeCode::DELIVERED => Outcome::Delivered,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! The scheduler on the simulator's wire: reads batches of events from standard input and writes a reply to each to
-//! standard output. An error ends the program with one line on standard error that names the line of the input.
+//! Runs the scheduler with the simulator's line protocol: reads batches of events from standard input and writes a reply to
+//! each batch to standard output. On an error the program exits with one line on standard error, which includes the number
+//! of the input line.
 
 #![forbid(unsafe_code)]
 
@@ -15,22 +16,22 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Why the program ends early.
+/// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     /// Standard input cannot be read.
     #[error("line {line}")]
     Read { line: u64, source: io::Error },
-    /// A line does not have the wire's form.
+    /// A line is not valid in the simulator's protocol.
     #[error("line {line}")]
     Syntax {
         line: u64,
         source: serde_json::Error,
     },
-    /// A line cannot be used.
+    /// A line is valid, but cannot be processed.
     #[error("line {line}")]
     Input { line: u64, source: InputError },
-    /// The input ends before its batch does.
+    /// The input ends before the end of a batch.
     #[error("line {line}: the input ends inside a batch")]
     UnfinishedBatch { line: u64 },
     /// Standard output cannot be written.
@@ -39,7 +40,7 @@
 }
 
 fn main() -> ExitCode {
-    // The reply reports a panic of a scheduler; the default hook would print it once more.
+    // A panic of a scheduler is reported in the reply. The default hook would also print it to standard error.
     std::panic::set_hook(Box::new(|_| {}));
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -50,7 +51,7 @@
     }
 }
 
-/// Answers each batch of the input; returns at its end.
+/// Writes a reply to each batch of the input; returns at the end of the input.
 fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut adapter = Adapter::default();
     let mut text = Vec::new();
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,9 +1,9 @@
-//! Numbers in place of the wire's names.
+//! Maps the names of the simulator's protocol to the numbers that the scheduler uses.
 
 use crate::error::InputError;
 use std::collections::HashMap;
 
-/// Names, numbered in the order of their first appearance.
+/// A table of names, numbered from 0 in the order in which they were added.
 #[derive(Default)]
 pub struct NameTable {
     numbers: HashMap<String, usize>,
@@ -21,12 +21,12 @@
 }
 
 impl NameTable {
-    /// Whether there are no names.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// The number of a name; a new name gets the next number.
+    /// Returns the number of a name, after adding it with the next number if it is new.
     pub fn intern(&mut self, name: &str) -> usize {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -37,12 +37,12 @@
         number
     }
 
-    /// The name with a number. Panics if no name has it.
+    /// Returns the name with this number. Panics if the table has no such number.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
 
-    /// The number of a known name; `kind` is what the name stands for, for the error.
+    /// Returns the number of a name, or an error if the table does not contain it. The error states the `kind` of the name.
     pub fn lookup(&self, kind: &'static str, name: &str) -> Result<usize, InputError> {
         let number = self.numbers.get(name).copied();
         number.ok_or_else(|| InputError::UnknownName {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire as types: the lines of the input and of the output. The wire's own names are written in
-//! the `rename` attributes here and nowhere else.
+//! The simulator's line protocol as types: the lines of input and output. Names that only the protocol uses appear in the
+//! `rename` attributes of this module and nowhere else.
 
 use marblefall_settings::InstanceSettings;
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
         #[serde(rename = "courier_id")]
         instance: String,
     },
-    /// An endpoint list, for the updates with its number.
+    /// An endpoint list, to which later updates refer by its number.
     #[serde(rename = "sheet")]
     EndpointList {
         #[serde(rename = "buffer")]
@@ -32,13 +32,13 @@
         #[serde(rename = "rows_in")]
         entries: Vec<EndpointEntry>,
     },
-    /// An instance receives an endpoint list.
+    /// An instance receives an endpoint list, or its request for one failed.
     #[serde(rename = "update")]
     EndpointListUpdate(ListUpdate),
     /// A message was accepted.
     #[serde(rename = "accept")]
     MessageAccepted(AcceptedMessage),
-    /// An instance is the leader of its group; not used.
+    /// An instance was elected leader of its group. The batch then includes the instance, without an event.
     #[serde(rename = "first")]
     LeaderElected {
         #[serde(rename = "courier_id")]
@@ -47,7 +47,7 @@
     /// An attempt ended.
     #[serde(rename = "closed_attempt")]
     AttemptFinished(FinishedAttempt),
-    /// The client withdrew a message.
+    /// The client cancelled a message.
     #[serde(rename = "gone")]
     MessageCancelled {
         #[serde(rename = "courier_id")]
@@ -65,7 +65,7 @@
     /// A health check ended.
     #[serde(rename = "checked")]
     HealthChecked(FinishedHealthCheck),
-    /// A message from another instance; not used.
+    /// A message from another instance. The batch then includes the instance, without an event.
     #[serde(rename = "neighbour_says")]
     PeerMessage {
         #[serde(rename = "courier_id")]
@@ -76,74 +76,74 @@
 /// An instance that starts.
 #[derive(Debug, Deserialize)]
 pub struct StartedInstance {
-    /// Its name.
+    /// Name of the instance.
     #[serde(rename = "courier_id")]
     pub instance: String,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers of its scheduler.
     #[serde(rename = "random_seed")]
     pub seed: u64,
-    /// Its settings.
+    /// Settings of the instance.
     #[serde(rename = "boot_info")]
     pub settings: Box<InstanceSettings>,
 }
 
-/// An endpoint list that an instance receives.
+/// The result of a request for an endpoint list: a list, or an error.
 #[derive(Debug, Deserialize)]
 pub struct ListUpdate {
-    /// The instance that receives it.
+    /// Name of the instance that receives the update.
     #[serde(rename = "courier_id")]
     pub instance: String,
-    /// The list's number; absent and meaningless if `kind` is [`UpdateKind::Error`].
+    /// Number of the endpoint list; absent if `kind` is [`UpdateKind::Error`], and ignored then.
     #[serde(rename = "buffer", default)]
     pub number: u64,
-    /// What the list contains.
+    /// Kind of the update.
     pub kind: UpdateKind,
 }
 
-/// What an endpoint list contains.
+/// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub enum UpdateKind {
-    /// Changes.
+    /// The list contains only entries that changed.
     Partial,
-    /// The complete list.
+    /// The list is complete.
     Complete,
-    /// The complete list as it was last stored.
+    /// The list is complete, as it was last stored.
     Persisted,
-    /// Nothing: the request for the list failed.
+    /// There is no list: the request for it failed.
     Error,
 }
 
 /// An entry of an endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointEntry {
-    /// The destination's kind.
+    /// Kind of the destination.
     #[serde(rename = "sku")]
     pub kind: String,
-    /// The destination.
+    /// Number of the destination.
     pub destination: f64,
-    /// The endpoint's address.
+    /// Address of the endpoint.
     pub endpoint: String,
-    /// Whether the endpoint may be used.
+    /// Status of the endpoint.
     #[serde(rename = "availability")]
     pub status: EndpointStatus,
-    /// A rate in calls per second, as the settings define it.
+    /// Advertised rate, in calls per second; the settings define its meaning.
     #[serde(rename = "share", default)]
     pub advertised_rate: f64,
-    /// The endpoint's zone.
+    /// Zone of the endpoint.
     #[serde(rename = "area", default)]
     pub zone: String,
 }
 
-/// Status of an endpoint in a list.
+/// Status of an endpoint in an endpoint list.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub enum EndpointStatus {
-    /// It may be used.
+    /// The endpoint receives attempts.
     #[serde(rename = "on")]
     Active,
-    /// It receives nothing new.
+    /// The endpoint receives no new attempts.
     #[serde(rename = "fading")]
     Draining,
-    /// It is removed.
+    /// The endpoint is removed from the list.
     #[serde(rename = "off")]
     Removed,
 }
@@ -151,43 +151,43 @@
 /// A message that was accepted.
 #[derive(Debug, Deserialize)]
 pub struct AcceptedMessage {
-    /// The instance that accepted it.
+    /// Name of the instance that accepted the message.
     #[serde(rename = "courier_id")]
     pub instance: String,
-    /// Identity of the message.
+    /// Identifier of the message.
     #[serde(rename = "ref")]
     pub message: String,
-    /// Name of its class.
+    /// Class of the message.
     #[serde(rename = "type")]
     pub class: String,
-    /// Name of its tenant; a number where there are no tenants.
+    /// Name of the tenant; a number if the settings define no tenants.
     #[serde(rename = "billing")]
     pub tenant: Option<Value>,
-    /// Its ordering key.
+    /// Ordering key of the message; `None` if it has none.
     #[serde(rename = "entity")]
     pub ordering_key: Option<u64>,
-    /// Its deadline, in ms.
+    /// Deadline of the message, in ms on the time scale of [`Line::BatchStart`].
     #[serde(rename = "expires_ms")]
     pub deadline_ms: f64,
-    /// Its destination.
+    /// Number of the destination.
     pub destination: f64,
 }
 
 /// An attempt that ended.
 #[derive(Debug, Deserialize)]
 pub struct FinishedAttempt {
-    /// The instance that sent it.
+    /// Name of the instance.
     #[serde(rename = "courier_id")]
     pub instance: String,
-    /// The message of the attempt.
+    /// Identifier of the message.
     #[serde(rename = "ref")]
     pub message: String,
     /// Number of the attempt.
     #[serde(rename = "copy")]
     pub attempt: u32,
-    /// How it ended.
+    /// The outcome.
     pub outcome: OutcomeCode,
-    /// How long it was in flight, in ms.
+    /// Time for which the attempt was in flight, in ms.
     pub duration_ms: f64,
     /// Whether the outcome is the message's final one.
     #[serde(rename = "last", default)]
@@ -195,7 +195,7 @@
     /// The `Retry-After` of a rejection, in ms; 0 if it had none.
     #[serde(rename = "detail", default)]
     pub retry_after_ms: f64,
-    /// The rate limit that the response reports.
+    /// The rate limit that the response reports, if any.
     #[serde(rename = "server_stats")]
     pub rate_limit: Option<RateLimit>,
 }
@@ -203,19 +203,19 @@
 /// A health check that ended.
 #[derive(Debug, Deserialize)]
 pub struct FinishedHealthCheck {
-    /// The instance that sent it.
+    /// Name of the instance.
     #[serde(rename = "courier_id")]
     pub instance: String,
-    /// How it ended.
+    /// The outcome.
     pub outcome: OutcomeCode,
-    /// The endpoint that was checked.
+    /// Address of the endpoint that was checked.
     pub endpoint: String,
-    /// The rate limit that the response reports.
+    /// The rate limit that the response reports, if any.
     #[serde(rename = "server_stats")]
     pub rate_limit: Option<RateLimit>,
 }
 
-/// The wire's number of an outcome.
+/// The number of an outcome in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct OutcomeCode(pub u64);
@@ -227,25 +227,25 @@
     pub const ERROR: OutcomeCode = OutcomeCode(1);
     /// The destination rejected the message.
     pub const REJECTED: OutcomeCode = OutcomeCode(2);
-    /// No response arrived before the time-out.
+    /// No response arrived before the timeout.
     pub const TIMED_OUT: OutcomeCode = OutcomeCode(3);
     /// No connection could be established.
     pub const CONNECT_FAILED: OutcomeCode = OutcomeCode(4);
-    /// The connection broke.
+    /// The connection was lost.
     pub const RESET: OutcomeCode = OutcomeCode(5);
     /// The instance cancelled the attempt.
     pub const CANCELLED: OutcomeCode = OutcomeCode(6);
-    /// The request was never written.
+    /// The request was not written to a connection.
     pub const NOT_SENT: OutcomeCode = OutcomeCode(7);
 }
 
-/// The state of a rate limit as a response reports it.
+/// The state of a rate limit, as reported by a response.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct RateLimit {
     /// Share of the quota that remains.
     #[serde(rename = "x0")]
     pub remaining: Option<f64>,
-    /// Calls per second that the limit allows.
+    /// Rate that the limit allows, in calls per second.
     #[serde(rename = "x1")]
     pub limit: Option<f64>,
 }
@@ -254,7 +254,7 @@
 #[derive(Debug, Serialize)]
 #[serde(tag = "msg")]
 pub enum Reply<'a> {
-    /// Start an attempt.
+    /// Send an attempt to an endpoint.
     #[serde(rename = "pass_on")]
     Send {
         #[serde(rename = "courier_id")]
@@ -265,7 +265,7 @@
         #[serde(rename = "cut_at_ms")]
         timeout_at_ms: f64,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     #[serde(rename = "stop_attempt")]
     Cancel {
         #[serde(rename = "courier_id")]
@@ -285,7 +285,7 @@
         #[serde(rename = "retry_in_ms")]
         retry_after_ms: f64,
     },
-    /// Fail a message.
+    /// End a message with the outcome "failed".
     #[serde(rename = "end_failed")]
     Fail {
         #[serde(rename = "courier_id")]
@@ -293,7 +293,7 @@
         #[serde(rename = "ref")]
         message: &'a str,
     },
-    /// Set a timer.
+    /// Set a timer, which fires with this token.
     #[serde(rename = "wake_at")]
     SetTimer {
         #[serde(rename = "courier_id")]
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,26 +1,26 @@
-//! Exchanges with the built adapter over its standard streams, with valid and invalid input.
+//! Tests that run the adapter program with valid and invalid input on its standard streams.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 const BATCH_START: &str = r#"{"msg":"mark","time_ms":100}"#;
 const BATCH_END: &str = r#"{"msg":"end"}"#;
-/// Kinds of lines of a reply.
+/// Values of `msg` in the lines of a reply.
 const SEND: &str = "pass_on";
 const REJECT: &str = "overload_reply";
 const FAIL: &str = "end_failed";
 const SET_TIMER: &str = "wake_at";
-/// Settings of an instance, with keys that are unknown to it.
-const SETTINGS: &str = r#"{"classes":[{"name":"c","importance":1,"promise_ms":2000,"give_up_ms":16000,"effect":"pure","late_value":0.3,"window_ms":0,"stream":false,"news":1}],"host_types":["k"],"zones":["z"],"caps":{"max_attempts":6,"max_open":50,"retry_after":true,"max_retry_after_ms":3000},"domain":{"workers":3,"kind_apart":[false],"per_call":[1],"late":"line"},"unheard_of":{"a":[1]}}"#;
+/// Settings of an instance, with keys that the adapter does not know and must ignore.
+const SETTINGS: &str = r#"{"classes":[{"name":"c","importance":1,"promise_ms":2000,"give_up_ms":16000,"effect":"pure","late_value":0.3,"window_ms":0,"stream":false,"news":1}],"host_types":["k"],"zones":["z"],"caps":{"max_attempts":6,"max_open":50,"retry_after":true,"max_retry_after_ms":3000},"domain":{"workers":3,"kind_apart":[false],"per_call":[1],"late":"line"},"unknown_key":{"a":[1]}}"#;
 
 fn instance_started(instance: &str) -> String {
     format!(r#"{{"msg":"begin","courier_id":"{instance}","random_seed":5,"boot_info":{SETTINGS}}}"#)
 }
 
-/// An instance that must subscribe to the endpoint list.
+/// Returns the line that starts an instance whose settings require a subscription to the endpoint list.
 fn subscribing_instance_started(instance: &str) -> String {
-    let discovery = r#""registry_mode":"subscribe","unheard_of""#;
-    instance_started(instance).replace(r#""unheard_of""#, discovery)
+    let discovery = r#""registry_mode":"subscribe","unknown_key""#;
+    instance_started(instance).replace(r#""unknown_key""#, discovery)
 }
 
 fn instance_stopped(instance: &str) -> String {
@@ -55,7 +55,7 @@
     format!(r#"{{"msg":"update","courier_id":"{instance}","kind":"Error","version":1}}"#)
 }
 
-/// Runs the adapter on these lines of input.
+/// Runs the adapter with these lines of input.
 fn run(lines: &[&str]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_marblefall-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -65,13 +65,13 @@
         .expect("the adapter starts");
     let text: String = lines.iter().map(|line| format!("{line}\n")).collect();
     let mut input = child.stdin.take().expect("piped");
-    // The adapter may exit before it has read all of an invalid input.
+    // The write fails if the adapter exits before it has read all of an invalid input.
     let _ = input.write_all(text.as_bytes());
     drop(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
-/// The reply to valid lines.
+/// Returns the reply to valid lines.
 fn reply_to(lines: &[&str]) -> String {
     let output = run(lines);
     assert!(
@@ -83,7 +83,7 @@
     String::from_utf8(output.stdout).expect("UTF-8")
 }
 
-/// Checks that invalid lines end the adapter with an error that names the line and the cause.
+/// Checks that the adapter exits with an error that states the number of the invalid line and the cause.
 fn assert_error(lines: &[&str], line: usize, cause: &str) {
     let output = run(lines);
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -100,7 +100,7 @@
     );
 }
 
-/// The lines of a reply that send a message.
+/// Returns the lines of a reply that send a message.
 fn sends(reply: &str) -> Vec<&str> {
     reply.lines().filter(|line| line.contains(SEND)).collect()
 }
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn invalid_input_is_reported_with_its_line() {
+fn invalid_input_is_reported_with_its_line_number() {
     let started = instance_started("courier_0");
     assert_error(&[BATCH_START, "nonsense"], 2, "expected");
     assert_error(
