--- a/crates/endpoint-lists/src/check.rs
+++ b/crates/endpoint-lists/src/check.rs
@@ -139,7 +139,7 @@
         let mut other_lists = self.context.other_lists.iter();
         if let Some((file, _)) = other_lists.find(|(_, list)| list.destinations.contains_key(name))
         {
-            let message = format!("{name} is also listed in {file}");
+            let message = format!("{name} stands in {file} too");
             let help =
                 "remove it from one of the two files; to move it, remove it from the old file first";
             self.error("two-files", name, message, help);
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -210,5 +210,5 @@
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text.or(panic.downcast_ref::<&str>().copied());
-    text.unwrap_or("panic without a message")
+    text.unwrap_or("panic without a text")
 }
