--- a/crates/endpoint-lists/src/list/print.rs
+++ b/crates/endpoint-lists/src/list/print.rs
@@ -1,4 +1,4 @@
-//! Encodes a list in its file format.
+//! Writes an endpoint list in its file format.
 
 use super::{Endpoint, EndpointList};
 use std::fmt::Write;
@@ -8,14 +8,18 @@
     pub fn to_toml(&self) -> String {
         let mut text = format!("revision = {}\n", self.revision);
         // Writing to a string cannot fail.
-        if let Some(loss) = &self.loss_allowance {
-            let names: Vec<String> = loss.destinations.iter().map(|name| quoted(name)).collect();
+        if let Some(allowance) = &self.loss_allowance {
+            let names: Vec<String> = allowance
+                .destinations
+                .iter()
+                .map(|name| quoted(name))
+                .collect();
             let _ = writeln!(
                 text,
                 "allow_loss = {{ revision = {}, destinations = [{}], endpoints = {} }}",
                 self.revision,
                 names.join(", "),
-                loss.endpoints
+                allowance.endpoints
             );
         }
         for (name, destination) in &self.destinations {
@@ -46,7 +50,8 @@
     text.push_str(" },\n");
 }
 
-/// A TOML string on one line. The library may print a string over several lines, which is invalid for keys.
+/// Quotes a text as a TOML string on one line. The TOML library may write a string on several lines, which is invalid for
+/// keys.
 fn quoted(text: &str) -> String {
     let mut quoted = String::from("\"");
     for character in text.chars() {
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,7 +1,7 @@
-//! Runs the instances: turns lines into events and actions into lines. It takes no decisions.
+//! Runs the instances: translates input lines to events of the scheduler, and its actions to lines of the reply.
 //!
-//! A batch starts with a line that has its time and ends with a line of its own. Each instance that is named in it
-//! handles its events at the end, in the order in which the instances were first named.
+//! A batch starts with a line that has the batch's time, and ends with an end line. At the end of the batch, each instance
+//! that the batch names handles its events. Instances are processed in the order in which the batch first named them.
 
 use crate::error::InputError;
 use crate::instance::Instance;
@@ -11,19 +11,21 @@
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// All instances of this process, and the batch that is being read.
+/// The running instances, the endpoint lists received so far, and the batch that is being read.
 #[derive(Default)]
 pub struct Adapter {
     instances: HashMap<String, Instance>,
+    /// Endpoint lists by number; a list replaces an earlier list with the same number.
     endpoint_lists: BTreeMap<u64, Vec<EndpointEntry>>,
     batch: Option<Batch>,
 }
 
-/// The events of a batch, by instance.
+/// A batch of events that is being read.
 struct Batch {
     now: Time,
-    /// The instances in the order in which they were first named.
+    /// The instances, in the order in which the batch first named them.
     order: Vec<String>,
+    /// The events by instance.
     events: HashMap<String, Vec<Event>>,
 }
 
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Names an instance in the batch and adds its event, if there is one.
+    /// Adds an instance to the batch, if the batch does not have it yet, and its event, if any.
     fn push(&mut self, instance: &str, event: Option<Event>) {
         if !self.events.contains_key(instance) {
             self.order.push(instance.to_owned());
@@ -47,8 +49,8 @@
             .extend(event);
     }
 
-    /// Forgets an instance that stops or restarts.
-    fn forget(&mut self, instance: &str) {
+    /// Removes an instance that stops or restarts, with its events.
+    fn remove(&mut self, instance: &str) {
         if self.events.remove(instance).is_some() {
             self.order.retain(|name| name != instance);
         }
@@ -56,12 +58,12 @@
 }
 
 impl Adapter {
-    /// Whether a batch has started and not ended.
+    /// Returns whether a batch has started and not yet ended.
     pub fn is_inside_batch(&self) -> bool {
         self.batch.is_some()
     }
 
-    /// Handles one line; the end of a batch returns the reply to it.
+    /// Handles one line; returns the reply if the line ends a batch.
     pub fn handle_line(&mut self, line: Line) -> Result<Option<String>, InputError> {
         match (line, self.batch.take()) {
             (Line::BatchStart { time_ms }, None) => {
@@ -78,10 +80,10 @@
         Ok(None)
     }
 
-    /// Adds a line within a batch.
+    /// Handles a line within a batch.
     fn add_line(&mut self, line: Line, batch: &mut Batch) -> Result<(), InputError> {
         match line {
-            // `handle_line` handles the limits of a batch.
+            // `handle_line` handles the start and the end of a batch.
             Line::BatchStart { .. } | Line::BatchEnd {} => {}
             Line::InstanceStarted(started) => self.start_instance(started, batch),
             Line::InstanceStopped { instance } => self.stop_instance(instance, batch)?,
@@ -89,32 +91,34 @@
                 self.endpoint_lists.insert(number, entries);
             }
             Line::EndpointListUpdate(update) => {
-                let event = self.list_update(&update)?;
+                let event = self.endpoint_list_event(&update)?;
                 batch.push(&update.instance, Some(event));
             }
             Line::MessageAccepted(accepted) => {
-                let event = self.instance(&accepted.instance)?.accepted(&accepted)?;
+                let event = self
+                    .instance_mut(&accepted.instance)?
+                    .message_accepted(&accepted)?;
                 batch.push(&accepted.instance, Some(event));
             }
             Line::AttemptFinished(attempt) => {
-                let instance = self.instance(&attempt.instance)?;
+                let instance = self.instance_mut(&attempt.instance)?;
                 let event = instance.attempt_finished(&attempt)?;
                 batch.push(&attempt.instance, Some(event));
             }
             Line::MessageCancelled { instance, message } => {
-                let message = self.instance(&instance)?.message(&message);
+                let message = self.instance_mut(&instance)?.message_id(&message);
                 batch.push(&instance, Some(Event::Cancelled(message)));
             }
             Line::TimerFired { instance, token } => {
-                self.instance(&instance)?;
+                self.instance_mut(&instance)?;
                 batch.push(&instance, Some(Event::TimerFired(token)));
             }
             Line::HealthChecked(check) => {
-                let event = self.instance(&check.instance)?.health_checked(&check)?;
+                let event = self.instance_mut(&check.instance)?.health_checked(&check)?;
                 batch.push(&check.instance, Some(event));
             }
             Line::LeaderElected { instance } | Line::PeerMessage { instance } => {
-                self.instance(&instance)?;
+                self.instance_mut(&instance)?;
                 batch.push(&instance, None);
             }
         }
@@ -122,23 +126,23 @@
     }
 
     fn start_instance(&mut self, started: StartedInstance, batch: &mut Batch) {
-        batch.forget(&started.instance);
+        batch.remove(&started.instance);
         batch.push(&started.instance, None);
         let instance = Instance::new(*started.settings, started.seed);
         self.instances.insert(started.instance, instance);
     }
 
     fn stop_instance(&mut self, name: String, batch: &mut Batch) -> Result<(), InputError> {
-        batch.forget(&name);
+        batch.remove(&name);
         match self.instances.remove(&name) {
             Some(_) => Ok(()),
             None => Err(InputError::UnknownInstance(name)),
         }
     }
 
-    /// The event of an instance that receives an endpoint list.
-    fn list_update(&mut self, update: &ListUpdate) -> Result<Event, InputError> {
-        let instance = find(&mut self.instances, &update.instance)?;
+    /// Returns the event for an instance that receives an endpoint list, or whose request for one failed.
+    fn endpoint_list_event(&mut self, update: &ListUpdate) -> Result<Event, InputError> {
+        let instance = find_instance(&mut self.instances, &update.instance)?;
         let mut updates = || {
             let entries = self.endpoint_lists.get(&update.number);
             let entries = entries.ok_or(InputError::UnknownList(update.number))?;
@@ -154,11 +158,11 @@
         })
     }
 
-    fn instance(&mut self, name: &str) -> Result<&mut Instance, InputError> {
-        find(&mut self.instances, name)
+    fn instance_mut(&mut self, name: &str) -> Result<&mut Instance, InputError> {
+        find_instance(&mut self.instances, name)
     }
 
-    /// Lets all instances of a batch handle their events; returns the lines of the reply.
+    /// Runs the scheduler of each instance in the batch on its events; returns the lines of the reply.
     fn handle_batch(&mut self, batch: &Batch) -> String {
         let mut lines = String::new();
         for name in &batch.order {
@@ -177,7 +181,7 @@
                 Err(panic) => {
                     let panicked = Reply::Panicked {
                         instance: name,
-                        text: panic_text(&*panic),
+                        text: panic_message(&*panic),
                     };
                     push_line(&mut lines, &panicked);
                 }
@@ -188,7 +192,7 @@
     }
 }
 
-fn find<'a>(
+fn find_instance<'a>(
     instances: &'a mut HashMap<String, Instance>,
     name: &str,
 ) -> Result<&'a mut Instance, InputError> {
@@ -199,11 +203,11 @@
 
 fn push_line(lines: &mut String, reply: &Reply<'_>) {
     let line = serde_json::to_string(reply);
-    lines.push_str(&line.expect("a reply holds only strings and finite numbers"));
+    lines.push_str(&line.expect("a reply contains only strings and finite numbers"));
     lines.push('\n');
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> &str {
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text.or(panic.downcast_ref::<&str>().copied());
     text.unwrap_or("panic without a text")
