--- a/crates/control-plane/src/plan.rs
+++ b/crates/control-plane/src/plan.rs
@@ -1,5 +1,5 @@
-//! Plan and apply. A plan is the change from the applied manifest to an operator's manifest. It is applied atomically, or
-//! rejected as stale if another change was applied after the plan was made.
+//! Planning and applying changes. A plan is the change from the applied manifest to an operator's manifest. It is applied
+//! atomically, or rejected as stale if another change was applied after the plan was made.
 
 mod changes;
 
@@ -11,20 +11,20 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file in a home that contains the applied manifest.
+/// Name of the file in a home that contains the applied manifest.
 pub const APPLIED_FILE: &str = "applied.json";
-/// The file that is locked while a plan is applied.
+/// Name of the file that is locked while a plan is applied.
 const LOCK_FILE: &str = "lock";
 
-/// Why a plan is not applied.
+/// An error that prevents a plan from being applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ApplyError {
     /// Another change was applied after the plan was made.
-    #[error("the plan is stale: it was made against revision {base}, applied is revision {applied}; plan again")]
+    #[error("the plan is stale: it was made against revision {base}, but revision {applied} is applied; plan again")]
     Stale {
-        /// The revision that the plan was made against.
+        /// The revision on which the plan is based.
         base: u64,
-        /// The revision that is applied.
+        /// The currently applied revision.
         applied: u64,
     },
     /// The applied manifest cannot be read.
@@ -35,26 +35,26 @@
     Home {
         /// The home folder.
         home: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// The applied manifest and its revision, as stored. `#[serde(rename)]` keeps the keys of earlier versions.
+/// The applied manifest and its revision, as stored. `#[serde(rename)]` preserves the keys that earlier versions wrote.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Applied {
-    /// Grows by one with each apply.
+    /// The revision, which increases by one with each applied plan.
     pub revision: u64,
-    /// The manifest.
+    /// The applied manifest.
     #[serde(rename = "fleet")]
     pub manifest: Manifest,
 }
 
 impl Applied {
-    /// Reads the applied manifest of a home; an empty manifest of revision 0 if none is applied.
+    /// Reads the applied manifest of a home. Returns an empty manifest with revision 0 if none is applied.
     ///
     /// # Errors
-    /// The file cannot be read, or has other content.
+    /// The file cannot be read, or is not a valid applied manifest.
     pub fn read(home: &Path) -> Result<Applied, JsonFileError> {
         json_file::read_or_default(&home.join(APPLIED_FILE))
     }
@@ -71,22 +71,22 @@
     }
 }
 
-/// A change from the applied manifest to another one. Displayed, it lists the changed entries.
+/// The change from the applied manifest to another one. Its `Display` output lists the changed entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The applied manifest when the plan was made.
+    /// The manifest that was applied when the plan was made.
     pub base: Applied,
     /// The manifest to apply.
     pub target: Manifest,
 }
 
 impl Plan {
-    /// The change from the applied manifest to `target`.
+    /// Creates the plan that changes the applied manifest `base` to `target`.
     pub fn new(base: Applied, target: Manifest) -> Plan {
         Plan { base, target }
     }
 
-    /// Whether nothing would change.
+    /// Returns whether the plan changes nothing.
     pub fn is_empty(&self) -> bool {
         self.base.manifest == self.target
     }
@@ -101,7 +101,7 @@
             source,
         };
         fs::create_dir_all(home).map_err(home_error)?;
-        // Of two operators who apply at the same time, the second must see the first one's change.
+        // Serializes concurrent applies: the second operator's plan must be compared with the first one's result.
         let lock = File::create(home.join(LOCK_FILE)).map_err(home_error)?;
         lock.lock().map_err(home_error)?;
         let current = Applied::read(home)?;
--- a/crates/control-plane/src/plan/changes.rs
+++ b/crates/control-plane/src/plan/changes.rs
@@ -1,4 +1,4 @@
-//! The changes of a plan, entry by entry, for operators: by the manifest's own keys.
+//! Formats the changes of a plan for operators, entry by entry, with the keys of the manifest.
 
 use super::Plan;
 use crate::manifest::Manifest;
@@ -6,21 +6,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The keys of the manifest's tables, each with the name of an entry.
+/// The manifest's tables, each as its key and the name of a single entry.
 const TABLES: [(&str, &str); 3] = [
     ("classes", "class"),
     ("destinations", "destination"),
     ("instances", "instance"),
 ];
 
-/// The change of an entry.
+/// The change of an entry of the manifest.
 enum Change<'a> {
     Added,
     Changed(&'a Value, &'a Value),
     Removed,
 }
 
-/// The entries of a manifest, by their names for operators.
+/// Returns the entries of a manifest by the names that operators see.
 fn entries(manifest: &Manifest) -> BTreeMap<String, Value> {
     let mut entries = BTreeMap::new();
     let tables = serde_json::to_value(manifest).unwrap_or_default();
--- a/crates/control-plane/src/supervisor.rs
+++ b/crates/control-plane/src/supervisor.rs
@@ -1,13 +1,13 @@
-//! The supervisor: runs the instances of the manifest that is applied in a home folder, each on a thread of its own, and
-//! applies later changes of the manifest.
+//! The supervisor runs the instances of the manifest that is applied in a home folder, each on its own thread, and applies
+//! later changes of the manifest.
 //!
-//! It is one loop. Each round handles the group's events, reloads the applied manifest, handles commands, passes changes on
-//! to the running instances, and then reconciles the set of instances with the manifest: those that failed are started
-//! again after a backoff, those that were removed or that cannot apply a change while they run are shut down, and missing
-//! ones are started. A round begins every `POLL_INTERVAL`, or earlier after an event of the group or a change of an
-//! endpoint list.
+//! The supervisor is a single loop. Each round handles the group's events, reloads the applied manifest, handles commands
+//! and sends changes to the running instances. It then reconciles the set of instances with the manifest: failed instances
+//! are restarted after a backoff, instances that were removed or that cannot apply a change in place are shut down, and
+//! missing instances are started. A round begins every `POLL_INTERVAL`, or earlier after an event of the group or a change
+//! of an endpoint list.
 //!
-//! After a shutdown command no instance is started, and the loop ends with the last instance.
+//! After a shutdown command no instance is started, and the loop ends when the last instance has ended.
 
 mod applied_file;
 mod desired_state;
@@ -47,13 +47,13 @@
 
 /// Maximum time between two rounds.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Delay before the list watcher is started again after a failure.
+/// Delay before a failed start of the list watcher is retried.
 const LIST_WATCHER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a supervisor does not run.
+/// An error that prevents the supervisor from running.
 #[derive(Debug, thiserror::Error)]
 pub enum SupervisorError {
-    /// The process's signals cannot be watched.
+    /// The handlers of the process's signals cannot be installed.
     #[error("{}", error_reporter::Report::new(.0))]
     Signals(#[from] InstanceError),
     /// The applied manifest cannot be read.
@@ -62,15 +62,15 @@
     /// The home's membership in its group cannot be read.
     #[error(transparent)]
     Membership(#[from] GroupError),
-    /// The lock file cannot be created or locked.
+    /// The home's lock file cannot be created or locked.
     #[error("{0}")]
     LockFile(#[source] io::Error),
     /// Another process supervises the same home.
-    #[error("{}: another daemon runs this fleet ({source})", home.display())]
+    #[error("{}: another daemon already runs this fleet ({source})", home.display())]
     AlreadyRunning {
         /// The home folder.
         home: PathBuf,
-        /// Why the lock could not be acquired.
+        /// The error of acquiring the lock.
         source: TryLockError,
     },
     /// The group cannot be joined.
@@ -78,9 +78,9 @@
     Coordination(#[from] CoordinationError),
 }
 
-/// Runs the instances of a home until the process receives a signal to shut down. In a home that is a member of a group,
-/// everything that its instances do under a policy is written to `history`, if it is given, and the member listens at
-/// `link`, if it is given, in place of its address in the manifest.
+/// Runs the instances of a home until the process receives a signal to shut down. If the home is a member of a group, all
+/// actions that its instances take under a lease are written to `history`, if given. The member listens at `link`, if
+/// given, instead of its address in the manifest.
 ///
 /// # Errors
 /// The home cannot be read, another process supervises it, or its group cannot be joined.
@@ -108,7 +108,7 @@
     async_io::block_on(tasks.run(supervising))
 }
 
-/// Whether instances are still started.
+/// The phase of the supervisor. Instances are started only while it is running.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Running,
@@ -122,15 +122,15 @@
     ListsChanged,
 }
 
-/// The owner of all instances of a home.
+/// Owns all instances of a home.
 struct Supervisor {
     commands: Receiver<InstanceCommand>,
-    /// The group's event that caused this round.
+    /// The group event that woke the supervisor and is not handled yet.
     pending_event: Option<GroupEvent>,
     phase: Phase,
     applied_file: AppliedFile,
     desired: DesiredState,
-    /// Whether the manifest or an endpoint list has changed since the last change was passed on to the instances.
+    /// Whether the manifest or an endpoint list has changed since changes were last sent to the instances.
     has_changed: bool,
     list_watcher: Option<ListWatcher>,
     /// The earliest time at which the list watcher is started.
@@ -202,7 +202,7 @@
 
     async fn check_policy(&self, proposed: &Manifest, verdicts: &Sender<PolicyVerdict>) {
         let verdict = self.instances.check_policy(proposed, &self.desired).await;
-        // Fails if the verdict is no longer waited for.
+        // Fails if the receiver no longer waits for the verdict.
         let _ = verdicts.try_send(verdict);
     }
 
@@ -212,7 +212,9 @@
         }
         match self.applied_file.read_if_changed() {
             Some(Ok(applied)) => self.adopt(applied),
-            Some(Err(error)) => log_line!("manifest: kept as it was, {error}"),
+            Some(Err(error)) => {
+                log_line!("manifest not reloaded, the previous one stays in force: {error}")
+            }
             None => {}
         }
     }
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Starts the list watcher if the manifest has endpoint lists. A start that fails is repeated after a delay.
+    /// Starts the list watcher if the manifest has endpoint lists. A failed start is retried after a delay.
     fn start_list_watcher_if_due(&mut self) {
         let manifest = &self.desired.applied.manifest;
         let is_due = self.list_watcher.is_none()
@@ -246,7 +248,7 @@
             Err(error) => {
                 log_line!(
                     code = "list-watcher-not-started",
-                    "endpoint lists are not watched: {error}; tried again"
+                    "endpoint lists are not watched, retrying: {error}"
                 );
                 self.list_watcher_start_at = Instant::now() + LIST_WATCHER_RETRY_INTERVAL;
             }
@@ -278,7 +280,7 @@
         }
     }
 
-    /// Passes a changed manifest or endpoint list on to the running instances.
+    /// Sends a changed manifest or endpoint list to the running instances.
     fn push_changes(&mut self) {
         self.has_changed |= self
             .list_watcher
@@ -300,7 +302,7 @@
             Ok(directory) => self.desired.applied.directory = directory,
             Err(error) => log_line!(
                 code = "destination-table-full",
-                "destinations kept as they were: {error}"
+                "endpoint lists not applied, the previous destinations stay in force: {error}"
             ),
         }
     }
@@ -334,8 +336,8 @@
     }
 }
 
-/// Receives the next message of a channel. Waits for ever where its sender's thread has panicked: the supervisor continues
-/// by its poll.
+/// Receives the next message of a channel. Never completes if the sender's thread has panicked; the supervisor then relies
+/// on its poll interval.
 async fn receive_or_wait<T>(channel: &Receiver<T>) -> T {
     match channel.recv().await {
         Ok(message) => message,
--- a/crates/control-plane/src/supervisor/applied_file.rs
+++ b/crates/control-plane/src/supervisor/applied_file.rs
@@ -1,4 +1,4 @@
-//! The applied manifest's file, which is read again when it has changed.
+//! The file of the applied manifest, which is reloaded when it has changed.
 
 use crate::endpoint_directory::CompactApplied;
 use crate::json_file::JsonFileError;
@@ -7,12 +7,12 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The applied manifest's file in a home.
+/// The file of the applied manifest in a home.
 pub(super) struct AppliedFile {
     home: PathBuf,
-    /// What was read before the supervisor started, until its first round.
+    /// Content that was read before the supervisor started; `None` after its first round.
     preloaded: Option<Preloaded>,
-    /// The modification time at the last read; `None` to read the file again in any case.
+    /// Modification time at the last read; `None` if the file must be read regardless of its modification time.
     last_modified: Option<SystemTime>,
 }
 
@@ -22,11 +22,11 @@
 }
 
 impl AppliedFile {
-    /// Reads the file of a home. The first [`AppliedFile::read_if_changed`] returns this content, unless the file has
-    /// changed by then.
+    /// Reads the file of a home. The first call of [`AppliedFile::read_if_changed`] returns this content, unless the file
+    /// has changed in the meantime.
     ///
     /// # Errors
-    /// The file cannot be read, or has other content.
+    /// The file cannot be read, or is not a valid applied manifest.
     pub fn preload(home: &Path) -> Result<AppliedFile, JsonFileError> {
         let preloaded = Preloaded {
             modified: modification_time(home),
@@ -39,12 +39,12 @@
         })
     }
 
-    /// Reads the file at the next call of [`AppliedFile::read_if_changed`], even if its modification time is the same.
+    /// Makes the next call of [`AppliedFile::read_if_changed`] read the file, even if its modification time is unchanged.
     pub fn invalidate(&mut self) {
         self.last_modified = None;
     }
 
-    /// Reads the file if it has changed since it was last read.
+    /// Reads the file if it has changed since the last read; `None` if it has not.
     pub fn read_if_changed(&mut self) -> Option<Result<CompactApplied, JsonFileError>> {
         let modified = modification_time(&self.home);
         if modified == self.last_modified {
@@ -57,14 +57,14 @@
             None => CompactApplied::read(&self.home),
         };
         if matches!(result, Err(JsonFileError::Read { .. })) {
-            // The failure may pass without another change of the file.
+            // The error may be transient and disappear without a change of the file.
             self.invalidate();
         }
         Some(result)
     }
 }
 
-/// The modification time of the applied manifest's file; `None` if it does not exist.
+/// Returns the modification time of the file, or `None` if it cannot be determined.
 fn modification_time(home: &Path) -> Option<SystemTime> {
     fs::metadata(home.join(APPLIED_FILE))
         .and_then(|file| file.modified())
--- a/crates/control-plane/src/supervisor/desired_state.rs
+++ b/crates/control-plane/src/supervisor/desired_state.rs
@@ -1,28 +1,28 @@
-//! The state to which a supervisor brings its instances.
+//! The desired state that the supervisor reconciles its instances with.
 
 use super::group_member::GroupMember;
 use crate::endpoint_directory::CompactApplied;
 use std::path::PathBuf;
 
-/// The state to which a supervisor brings its instances.
+/// The desired state that the supervisor reconciles its instances with.
 pub(super) struct DesiredState {
     /// The home folder.
     pub home: PathBuf,
     /// The manifest in force, with the endpoints of the endpoint lists in force.
     pub applied: CompactApplied,
-    /// The supervisor's part in its group. Without a group it runs all instances.
+    /// The member of a group that this supervisor runs; `None` without a group, in which case it runs all instances.
     pub group_member: Option<GroupMember>,
 }
 
 impl DesiredState {
-    /// Whether this supervisor runs an instance, if the manifest declares it.
+    /// Returns whether an instance, if the manifest declares it, is assigned to this supervisor.
     pub fn runs_here(&self, instance: &str) -> bool {
         self.group_member
             .as_ref()
             .is_none_or(|member| member.runs(&self.applied.manifest, instance))
     }
 
-    /// The manifest's instances that this supervisor runs.
+    /// Returns the names of the manifest's instances that this supervisor runs.
     pub fn instances(&self) -> impl Iterator<Item = &str> {
         let names = self.applied.manifest.instances.keys().map(String::as_str);
         names.filter(|name| self.runs_here(name))
--- a/crates/control-plane/src/supervisor/group_member.rs
+++ b/crates/control-plane/src/supervisor/group_member.rs
@@ -1,4 +1,4 @@
-//! The supervisor's part in a group: its member's name, the lease guard of its instances, and the group's events.
+//! The group member that a supervisor runs: its name, the lease guard of the instances, and the group's events.
 
 use crate::group::{GroupError, GroupEvent, Membership};
 use crate::manifest::Manifest;
@@ -11,35 +11,36 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Why a supervisor cannot take part in its group.
+/// An error that prevents a supervisor from joining its group.
 #[derive(Debug, thiserror::Error)]
 pub enum CoordinationError {
-    /// The history cannot be opened.
+    /// The history file cannot be opened.
     #[error("{}: {source}", path.display())]
     History {
-        /// Its file.
+        /// The path of the history file.
         path: PathBuf,
-        /// Why.
+        /// The error of opening the file.
         source: io::Error,
     },
-    /// The member's node cannot be started.
+    /// The member's coordination node cannot be started.
     #[error(transparent)]
     Member(#[from] GroupError),
 }
 
-/// A supervisor's part in its group.
+/// The group member that a supervisor runs.
 pub(super) struct GroupMember {
     name: String,
     lease_guard: Arc<LeaseGuard>,
-    /// Events of the member's node.
+    /// Events of the member's coordination node.
     pub events: Receiver<GroupEvent>,
 }
 
 impl GroupMember {
-    /// Starts the member's node. Everything that instances do under a lease is written to `history`, if it is given.
+    /// Starts the member's coordination node. All actions that instances take under a lease are written to `history`, if
+    /// given.
     ///
     /// # Errors
-    /// The history cannot be opened, or the node cannot be started.
+    /// The history file cannot be opened, or the node cannot be started.
     pub fn start(
         membership: Membership,
         home: &Path,
@@ -58,12 +59,12 @@
         })
     }
 
-    /// The lease guard of all instances of this supervisor.
+    /// Returns the lease guard that all instances of this supervisor share.
     pub fn lease_guard(&self) -> Arc<LeaseGuard> {
         self.lease_guard.clone()
     }
 
-    /// Whether the manifest assigns an instance to this member.
+    /// Returns whether the manifest assigns an instance to this member.
     pub fn runs(&self, manifest: &Manifest, instance: &str) -> bool {
         let group = manifest.group.as_ref();
         let member = group.and_then(|group| group.members.get(&self.name));
--- a/crates/control-plane/src/supervisor/home.rs
+++ b/crates/control-plane/src/supervisor/home.rs
@@ -1,5 +1,5 @@
-//! What a supervisor reads and locks in its home before it starts. A failure that may pass by itself is retried: a daemon
-//! that exited instead would leave the messages of all its instances undelivered.
+//! Reads and locks a home before its supervisor starts. Transient errors are retried: if the daemon exited instead, the
+//! messages of all its instances would stay undelivered.
 
 use super::applied_file::AppliedFile;
 use super::SupervisorError;
@@ -16,24 +16,24 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The file that the supervisor of a home holds locked.
+/// Name of the file that the supervisor of a home keeps locked.
 const LOCK_FILE: &str = "run.lock";
-/// Delay before a failed operation is retried.
+/// Delay before opening the home is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A home that this process supervises.
 pub(super) struct OpenedHome {
     pub applied_file: AppliedFile,
     pub membership: Option<Membership>,
-    /// Locked until it is dropped.
+    /// The lock file. The lock is released when the file is dropped.
     pub lock: File,
 }
 
 impl OpenedHome {
-    /// Opens a home; `None` if a shutdown is commanded before it can be read.
+    /// Opens a home and retries transient errors; `None` if a shutdown is requested before the home is open.
     ///
     /// # Errors
-    /// The home cannot be read for a reason that does not pass by itself, or another process supervises it.
+    /// Reading or locking the home fails with an error that is not transient, or another process supervises it.
     pub async fn open(
         home: &Path,
         commands: &Receiver<InstanceCommand>,
@@ -46,14 +46,10 @@
             if !has_transient_cause(&error) {
                 return Err(error);
             }
-            log_line!(
-                code = "home-fails",
-                "{}: {error}; tried again",
-                home.display()
-            );
+            log_line!(code = "home-fails", "{}: {error}; retrying", home.display());
             Timer::after(RETRY_INTERVAL).await;
             if is_shut_down(commands) {
-                log_line!("shut down before its home can be read");
+                log_line!("shut down before the home could be opened");
                 return Ok(None);
             }
         }
@@ -68,7 +64,7 @@
     }
 }
 
-/// Locks the home: two supervisors of one home would write to each other's journals.
+/// Locks the home, because two supervisors of one home would write to the same journals.
 fn lock_home(home: &Path) -> Result<File, SupervisorError> {
     let lock = File::create(home.join(LOCK_FILE)).map_err(SupervisorError::LockFile)?;
     match lock.try_lock() {
@@ -83,7 +79,7 @@
     }
 }
 
-/// Whether an error was caused by one of the system that may pass by itself.
+/// Returns whether an error was caused by a transient error of the operating system.
 fn has_transient_cause(error: &SupervisorError) -> bool {
     let mut cause: Option<&(dyn Error + 'static)> = Some(error);
     while let Some(error) = cause {
@@ -95,7 +91,7 @@
     false
 }
 
-/// Whether a shutdown is commanded. Other commands concern instances, of which none runs yet.
+/// Returns whether a shutdown was requested. Other commands are dropped, as they concern instances and none runs yet.
 fn is_shut_down(commands: &Receiver<InstanceCommand>) -> bool {
     iter::from_fn(|| commands.try_recv().ok())
         .any(|command| matches!(command, InstanceCommand::Shutdown { .. }))
--- a/crates/control-plane/src/supervisor/instance_handle.rs
+++ b/crates/control-plane/src/supervisor/instance_handle.rs
@@ -1,4 +1,4 @@
-//! An instance that runs on a thread of its own.
+//! An instance that runs on its own thread.
 
 use super::listeners::{FrontendListeners, ListenError};
 use crate::endpoint_directory::EndpointDirectory;
@@ -19,10 +19,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The folder in a home that contains a state folder for each instance.
+/// Name of the folder in a home that contains each instance's state folder.
 const INSTANCES_FOLDER: &str = "instances";
 
-/// Why an instance cannot be started.
+/// An error that prevents an instance from starting.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StartError {
     #[error(transparent)]
@@ -31,13 +31,13 @@
     Thread(#[from] io::Error),
 }
 
-/// The parameters of a start, beside the instance's own manifest.
+/// The parameters of an instance's start, besides its manifest.
 pub(super) struct StartContext<'a> {
     /// The home folder.
     pub home: &'a Path,
-    /// The destinations.
+    /// The destinations with their endpoints.
     pub directory: &'a EndpointDirectory,
-    /// The guard of the lease under which the instance acts; `None` outside a group.
+    /// The lease guard that permits the instance to act; `None` outside a group.
     pub lease_guard: Option<Arc<LeaseGuard>>,
     /// The revision of the instance's manifest.
     pub revision: u64,
@@ -46,7 +46,7 @@
 /// An instance and its thread.
 pub(super) struct InstanceHandle {
     manifest: InstanceManifest,
-    /// The revision of its manifest in a group; 0 outside a group.
+    /// The revision of the instance's manifest in a group; 0 outside a group.
     revision: u64,
     classes: ClassTable,
     commands: Sender<InstanceCommand>,
@@ -55,10 +55,10 @@
 }
 
 impl InstanceHandle {
-    /// Opens the listeners and starts the thread.
+    /// Opens the instance's listeners and starts its thread.
     ///
     /// # Errors
-    /// An address cannot be listened at, or the thread cannot be started.
+    /// A listener cannot be opened, or the thread cannot be started.
     pub fn start(
         manifest: InstanceManifest,
         context: StartContext<'_>,
@@ -93,38 +93,38 @@
         })
     }
 
-    /// The manifest that it runs under.
+    /// Returns the manifest under which the instance runs.
     pub fn manifest(&self) -> &InstanceManifest {
         &self.manifest
     }
 
-    /// The revision of its manifest in a group; 0 outside a group.
+    /// Returns the revision of the instance's manifest in a group; 0 outside a group.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether it has received a command to shut down.
+    /// Returns whether a shutdown command was sent to the instance.
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down
     }
 
-    /// Whether its thread has ended, by a return or a panic.
+    /// Returns whether the instance's thread has ended, by a return or a panic.
     pub fn has_ended(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits for its thread. To be called once [`InstanceHandle::has_ended`] is true, so that it returns at once.
+    /// Joins the instance's thread. Call this only once [`InstanceHandle::has_ended`] returns true: otherwise it blocks.
     pub fn join(self) {
-        // The panic hook has printed a panic. The other instances continue.
+        // A panic was already printed by the panic hook. The other instances continue.
         let _ = self.thread.join();
     }
 
-    /// Sends a command. It is lost if the instance has ended.
+    /// Sends a command to the instance. The command is lost if the instance has ended.
     pub fn send(&self, command: InstanceCommand) {
         let _ = self.commands.try_send(command);
     }
 
-    /// Shuts it down within `timeout`.
+    /// Shuts the instance down within `timeout`.
     pub fn shut_down(&mut self, timeout: Duration) {
         self.send(InstanceCommand::Shutdown {
             timeout,
@@ -133,7 +133,7 @@
         self.shutting_down = true;
     }
 
-    /// Shuts it down within `timeout` for a restart: it starts no further attempts.
+    /// Shuts the instance down within `timeout` for a restart. It starts no further attempts.
     pub fn shut_down_for_restart(&mut self, timeout: Duration) {
         self.send(InstanceCommand::Shutdown {
             timeout,
@@ -142,7 +142,7 @@
         self.shutting_down = true;
     }
 
-    /// Changes its policy while it runs.
+    /// Updates the policy of the running instance.
     pub fn update_policy(
         &mut self,
         manifest: InstanceManifest,
@@ -164,7 +164,7 @@
         self.send(InstanceCommand::UpdatePolicy(Arc::new(make_update)));
     }
 
-    /// Replaces its destinations; its policy stays.
+    /// Replaces the destinations of the running instance, without a change of its policy.
     pub fn replace_destinations(&self, directory: &EndpointDirectory) {
         self.send(InstanceCommand::ReplaceDestinations(
             directory.destination_table.clone(),
@@ -173,7 +173,7 @@
     }
 }
 
-/// The body of an instance's thread.
+/// Runs an instance on the current thread until it ends.
 fn run_instance(name: &str, config: InstanceConfig, commands: Receiver<InstanceCommand>) {
     let _span = instance::instance_span(name).entered();
     let tasks = Rc::new(LocalExecutor::new());
--- a/crates/control-plane/src/supervisor/instance_set.rs
+++ b/crates/control-plane/src/supervisor/instance_set.rs
@@ -1,4 +1,4 @@
-//! The instances that a supervisor runs, and the steps that bring them to what the manifest declares.
+//! The instances that a supervisor runs, and their reconciliation with the manifest.
 
 use super::desired_state::DesiredState;
 use super::group_member::GroupMember;
@@ -12,22 +12,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Time after which an instance that failed, or could not be started, is started again.
+/// Delay before an instance that failed, or could not be started, is started again.
 const RESTART_BACKOFF: Duration = Duration::from_secs(1);
-/// Time within which an instance that is restarted for a change lets its attempts finish.
+/// Maximum time for which an instance that is restarted for a change waits for its attempts in flight.
 const RESTART_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The instances that a supervisor runs.
 #[derive(Default)]
 pub(super) struct InstanceSet {
     instances: BTreeMap<String, InstanceHandle>,
-    /// Instances in backoff, each with the earliest time of its start.
+    /// Earliest time of the next start of each instance that has failed, or could not be started.
     restart_at: BTreeMap<String, Instant>,
     listeners: FrontendListeners,
 }
 
 impl InstanceSet {
-    /// Whether no instance runs.
+    /// Returns whether no instance runs.
     pub fn is_empty(&self) -> bool {
         self.instances.is_empty()
     }
@@ -39,26 +39,26 @@
         }
     }
 
-    /// Shuts all instances down.
+    /// Shuts down all instances.
     pub fn shut_down(&mut self, timeout: Duration) {
         for instance in self.instances.values_mut() {
             instance.shut_down(timeout);
         }
     }
 
-    /// Checks whether the instances can act under a proposed policy.
+    /// Checks with all instances whether they can act under a proposed policy.
     pub async fn check_policy(&self, proposed: &Manifest, desired: &DesiredState) -> PolicyVerdict {
         let expected: Vec<&str> = desired.instances().collect();
         let result = policy_check::check_policy(proposed, &self.instances, &expected).await;
         result.into()
     }
 
-    /// Passes a change of the manifest or of an endpoint list on to the instances that can apply it without a restart.
+    /// Sends a change of the manifest or of an endpoint list to the instances that can apply it without a restart.
     pub fn push_changes(&mut self, desired: &DesiredState) {
         let applied = &desired.applied;
         let is_grouped = desired.group_member.is_some();
         for (name, instance) in &mut self.instances {
-            // Its successor starts with the changed manifest.
+            // The instance is started again with the changed manifest, if at all.
             if instance.is_shutting_down() {
                 continue;
             }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Removes instances that have ended. One that was not shut down is started again after a backoff.
+    /// Removes instances that have ended. Those that were not shut down are started again after a backoff.
     pub fn reap(&mut self) {
         let ended: Vec<String> = self
             .instances
@@ -91,7 +91,7 @@
                 continue;
             };
             if !instance.is_shutting_down() {
-                log_line!("{name}: ended by itself, is started again");
+                log_line!("{name}: ended unexpectedly, restarting");
                 self.back_off(&name);
             }
             instance.join();
@@ -105,7 +105,7 @@
         self.start_missing(desired);
     }
 
-    /// Shuts down instances that are no longer declared here, or differ from their declaration.
+    /// Shuts down instances that are no longer assigned to this supervisor, or whose manifest has changed.
     fn shut_down_outdated(&mut self, desired: &DesiredState) {
         for (name, instance) in &mut self.instances {
             if instance.is_shutting_down() {
@@ -119,14 +119,15 @@
                     instance.shut_down_for_restart(RESTART_TIMEOUT);
                 }
                 None => {
-                    log_line!("{name}: leaves the manifest");
+                    log_line!("{name}: no longer declared here, shutting down");
                     instance.shut_down(SHUTDOWN_TIMEOUT);
                 }
             }
         }
     }
 
-    /// Listeners stay open while their instance restarts, so that clients wait instead of being rejected.
+    /// Closes listeners that no declared instance uses. Listeners stay open while their instance restarts, so that clients
+    /// wait instead of being rejected.
     fn close_unused_listeners(&mut self, desired: &DesiredState) {
         let specs = &desired.applied.manifest.instances;
         let used: BTreeSet<ListenerKey> = desired
@@ -164,7 +165,7 @@
                 self.instances.insert(name.to_owned(), instance);
             }
             Err(error) => {
-                log_line!("{name}: not started, {error}");
+                log_line!("{name}: cannot be started: {error}");
                 self.back_off(name);
             }
         }
--- a/crates/control-plane/src/supervisor/listeners.rs
+++ b/crates/control-plane/src/supervisor/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets at which instances' frontends listen. The supervisor owns them, so that they stay open while an instance
+//! The listening sockets of instances' frontends. The supervisor owns them, so that they stay open while an instance
 //! restarts.
 
 use crate::instance_config::InstanceListeners;
@@ -9,7 +9,7 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// An address that cannot be listened at.
+/// The error of opening a listener at an address.
 #[derive(Debug, thiserror::Error)]
 #[error("{address}: {source}")]
 pub(super) struct ListenError {
@@ -23,7 +23,8 @@
     Platform,
 }
 
-/// The owner and the address of a listener. Instances with port 0 each have a port of their own.
+/// Identifies a listener by its instance, its frontend and its address. The instance is part of the key because several
+/// instances may declare port 0, and each of them gets its own port.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ListenerKey {
     instance: String,
@@ -32,7 +33,7 @@
 }
 
 impl ListenerKey {
-    /// The keys of an instance's frontends.
+    /// Returns the keys of an instance's frontends.
     pub fn all_of(name: &str, instance: &InstanceSpec) -> Vec<ListenerKey> {
         let events = instance.events.iter().map(|events| ListenerKey {
             instance: name.to_owned(),
@@ -58,11 +59,11 @@
         self.0.retain(|key, _| used.contains(key));
     }
 
-    /// Opens an instance's listeners, or shares those that are open. A new one refuses connections until its instance
-    /// listens.
+    /// Opens an instance's listeners, or duplicates those that are already open. A new listener refuses connections until
+    /// its instance listens.
     ///
     /// # Errors
-    /// An address cannot be listened at.
+    /// A listener cannot be opened or duplicated.
     pub fn open(&mut self, manifest: &InstanceManifest) -> Result<InstanceListeners, ListenError> {
         let events = manifest.events.as_ref().map(|events| events.listen_address);
         let platform = manifest
--- a/crates/control-plane/src/supervisor/policy_check.rs
+++ b/crates/control-plane/src/supervisor/policy_check.rs
@@ -1,4 +1,4 @@
-//! Checks with the instances whether a proposed policy permits the messages that they hold.
+//! Checks with the instances whether a proposed policy permits their open messages.
 
 use super::instance_handle::InstanceHandle;
 use crate::manifest::{name_hash, Manifest};
@@ -10,15 +10,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time within which an instance must respond.
+/// Maximum time for an instance's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why the instances cannot act under a proposed policy.
+/// The reason why the instances cannot act under a proposed policy.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PolicyCheckError {
     #[error("instance {0} is still starting")]
     Starting(String),
-    #[error("instance {0}: does not respond")]
+    #[error("instance {0} does not respond")]
     NoResponse(String),
     #[error("instance {instance}: {source}")]
     Mismatch {
@@ -27,11 +27,11 @@
     },
 }
 
-/// Checks a policy with all running instances.
+/// Checks a proposed policy with all running instances.
 ///
 /// # Errors
 /// One of the `expected` instances does not run, or an instance that the policy declares does not respond or cannot act
-/// under it.
+/// under the policy.
 pub(super) async fn check_policy(
     proposed: &Manifest,
     instances: &BTreeMap<String, InstanceHandle>,
--- a/crates/control-plane/src/supervisor/tests.rs
+++ b/crates/control-plane/src/supervisor/tests.rs
@@ -1,9 +1,9 @@
-//! The supervisor's wait for its next round.
+//! Tests of the supervisor's wait for its next round.
 
 use super::receive_or_wait;
 use futures_lite::future;
 
-/// Regression: the supervisor was woken at once, and again in each round, by the channel of a thread that had panicked.
+/// Regression: after a thread had panicked, its closed channel woke the supervisor immediately in every round.
 #[test]
 fn channel_of_an_ended_thread_does_not_wake_the_supervisor() {
     let (sender, receiver) = async_channel::bounded::<u32>(1);
