--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -1,7 +1,7 @@
-//! A home as a member of a group: its files, and the daemon's node in the group.
+//! Membership of a home in a group: the files in the home, and the daemon's coordination node.
 //!
-//! The folder `group` in the home contains three files: `member` is the member's name, `founding.json` the initial manifest,
-//! and `votes` the persistent state of the member's voter.
+//! The folder `group` in the home contains three files: `member` with the member's name, `founding.json` with the initial
+//! manifest, and `votes` with the persistent state of the member's voter.
 
 mod driver;
 mod error;
@@ -20,40 +20,39 @@
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// The folder in a home that contains the group's files.
+/// Name of the folder in a home that contains the group's files.
 const FOLDER: &str = "group";
-/// The file that contains the member's name.
+/// Name of the file that contains the member's name.
 const MEMBER_FILE: &str = "member";
-/// The file that contains the initial manifest.
+/// Name of the file that contains the initial manifest.
 const INITIAL_MANIFEST_FILE: &str = "founding.json";
-/// The file that contains the persistent state of the member's voter.
+/// Name of the file that contains the persistent state of the member's voter.
 const VOTER_STATE_FILE: &str = "votes";
 
-/// Maximum difference in speed between the clocks of two machines, in percent.
+/// Maximum drift between the clocks of two machines, in percent.
 const CLOCK_DRIFT_PERCENT: i64 = 1;
-/// Time after which a message without a response is sent again.
+/// Time in microseconds after which a message without a response is sent again.
 const RESEND_INTERVAL: Span = Span(250_000);
-/// Number of microseconds in a millisecond.
 const MICROS_PER_MS: i64 = 1000;
 
-/// A home as a member of its group.
+/// The membership of a home in its group.
 #[derive(Clone, Debug)]
 pub struct Membership {
     /// The member's name.
     pub name: String,
-    /// The member's position among the names.
+    /// The member's id: its position among the sorted names of the members.
     pub id: MemberId,
-    /// The group, by the manifest in force in the home or else by the initial manifest.
+    /// The group as declared by the home's applied manifest, or by the initial manifest if none is applied.
     pub group: GroupSpec,
-    /// The initial manifest, as JSON.
+    /// The initial manifest as JSON; `None` if the home has no such file.
     initial_manifest: Option<Vec<u8>>,
 }
 
 impl Membership {
-    /// Reads a home's membership; `None` if the home does not belong to a group.
+    /// Reads the membership of a home; `None` if the home is not a member of a group.
     ///
     /// # Errors
-    /// The home's files cannot be read, or contradict each other.
+    /// The home's files cannot be read, or are inconsistent with each other.
     pub fn read(home: &Path) -> Result<Option<Membership>, GroupError> {
         let path = group_file(home, MEMBER_FILE);
         let Some(name) = read_if_present(&path)? else {
@@ -89,11 +88,11 @@
         }))
     }
 
-    /// Makes a home a member of the manifest's group. The manifest is the group's initial policy; it comes into force once
-    /// all voters run.
+    /// Makes a home a member of the manifest's group. The manifest is the group's initial policy, which comes into force
+    /// once all voters run.
     ///
     /// # Errors
-    /// The manifest has no such member, or the home's files cannot be written.
+    /// The manifest has no group or no member of this name, or the home's files cannot be written.
     pub fn create(home: &Path, name: &str, manifest: &Manifest) -> Result<(), GroupError> {
         let Some(group) = &manifest.group else {
             return Err(GroupError::NoGroupInManifest);
@@ -117,16 +116,16 @@
             replace(&LocalDisk, &path, content, Durability::PowerLoss).map_err(write_error)
         };
         write(INITIAL_MANIFEST_FILE, &text)?;
-        // Written last, as a home with this file is a member.
+        // Written last, because this file makes the home a member.
         write(MEMBER_FILE, name.as_bytes())
     }
 
-    /// The member with a name.
+    /// Returns the id of the member with this name.
     pub fn member_id(&self, name: &str) -> Option<MemberId> {
         member_id(&self.group, name)
     }
 
-    /// The members' names, in the order of their ids.
+    /// Returns the members' names in the order of their ids.
     pub fn names(&self) -> Vec<String> {
         self.group.members.keys().cloned().collect()
     }
@@ -151,7 +150,7 @@
     home.join(FOLDER).join(name)
 }
 
-/// The content of a file; `None` if it does not exist.
+/// Reads a file; `None` if it does not exist.
 fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, GroupError> {
     match fs::read(path) {
         Ok(bytes) => Ok(Some(bytes)),
--- a/crates/control-plane/src/group/driver.rs
+++ b/crates/control-plane/src/group/driver.rs
@@ -1,7 +1,8 @@
-//! Drives the daemon's [`Node`]: clock, disk and transport around it, and the lease guard of the daemon's instances.
+//! Runs the daemon's coordination [`Node`]: connects it to the clock, the disk and the transport, and sets the lease guard
+//! of the daemon's instances.
 //!
-//! Before anything is sent, the policy in force is stored and the lease guard is set: a message may state that this member
-//! no longer acts.
+//! The policy in force is stored and the lease guard is set before any message is sent, because a message may state that
+//! this member no longer acts.
 
 mod inbox;
 mod lease;
@@ -31,13 +32,14 @@
 use std::time::Instant;
 use voter_state::VoterStateFile;
 
-/// An event of the group, for the supervisor of the daemon's instances.
+/// An event of the group that the driver sends to the supervisor of the daemon's instances.
 pub enum GroupEvent {
-    /// Another policy is in force, and is stored in the home.
+    /// A different policy is in force and was stored in the home.
     PolicyInForce,
-    /// Instances may act from now on, or may no longer act.
+    /// The lease of the instances has begun, has ended, or applies to a different revision.
     LeaseChanged,
-    /// Check whether the instances can act under this policy with the messages that they hold, and send the verdict.
+    /// A request to check whether the instances can act under this policy with their open messages. The verdict is sent to
+    /// the channel.
     CheckPolicy(Box<Manifest>, Sender<PolicyVerdict>),
 }
 
@@ -53,10 +55,10 @@
     group_events: Sender<GroupEvent>,
     tasks: Spawner,
     open_requests: OpenRequests,
-    /// The policy that this home was created with. Another initial policy is rejected.
+    /// The initial policy that was stored when the home was created. A different initial policy is rejected.
     initial_policy: Option<Policy>,
     voter_state_file: VoterStateFile,
-    /// A policy in force that could not be stored yet.
+    /// The policy in force, if storing it failed.
     unstored_policy: Option<(Revision, Policy)>,
 }
 
@@ -68,7 +70,7 @@
             self.retry_storing_policy();
             let event = inbox.receive(self.next_wake()).await;
             self.handle_event(event);
-            // All events that have arrived are handled before the node's next tick.
+            // All queued events of the transport are handled before the node's next tick.
             while let Some(event) = inbox.try_receive() {
                 self.handle_event(event);
             }
@@ -121,7 +123,7 @@
     }
 
     fn execute(&mut self, actions: Vec<NodeAction>) {
-        // The policy is stored before the lease guard opens for it, and the guard is set before anything is sent.
+        // The policy is stored before the lease guard opens for it, and the guard is set before any message is sent.
         self.store_applied_policies(&actions);
         self.update_lease_guard();
         let own_id = self.membership.id;
@@ -130,14 +132,14 @@
         for action in actions {
             match action {
                 NodeAction::Write(bytes) => written = self.write_voter_state(&bytes),
-                // What follows a failed write depends on it.
+                // Messages after a failed write depend on the state that was not written.
                 NodeAction::Send(..) if !written => {}
                 NodeAction::Send(to, frame) if to == own_id => own_frames.push(frame),
                 NodeAction::Send(to, frame) => self.peers.send(to, &frame),
                 NodeAction::CheckPolicy(proposal, follows, policy) => {
                     self.check_policy(proposal, follows, &policy);
                 }
-                // Stored above.
+                // Already stored by `store_applied_policies`.
                 NodeAction::ApplyPolicy(..) => {}
                 NodeAction::Reply(number, reply) => self.respond(number, Some(reply)),
                 NodeAction::Log(code, text) => log_line!(code, "group: {text}"),
@@ -156,7 +158,7 @@
         }
     }
 
-    /// Writes the voter's persistent state; whether it is on disk.
+    /// Writes the voter's persistent state. Returns whether the state is on disk.
     fn write_voter_state(&mut self, bytes: &[u8]) -> bool {
         let written = self.voter_state_file.write(bytes);
         if !written {
--- a/crates/control-plane/src/group/driver/inbox.rs
+++ b/crates/control-plane/src/group/driver/inbox.rs
@@ -1,4 +1,4 @@
-//! The events that the driver waits for.
+//! The queues of the events that the driver handles.
 
 use crate::group::transport::TransportEvent;
 use async_channel::Receiver;
@@ -14,13 +14,13 @@
     pub verdict: PolicyVerdict,
 }
 
-/// An event for the driver.
+/// An event that the driver handles.
 pub(super) enum DriverEvent {
     /// An event of the transport.
     Transport(TransportEvent),
     /// The instances have checked a proposed policy.
     Checked(CheckedProposal),
-    /// The time to wake has come.
+    /// The wake-up time was reached.
     Timer,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Inbox {
-    /// Waits for the next event, until `wake` at the latest.
+    /// Waits for the next event. Returns [`DriverEvent::Timer`] if none arrives by `wake`.
     pub async fn receive(&self, wake: Instant) -> DriverEvent {
         let transport = async {
             let event = self.transport.recv().await;
@@ -50,7 +50,7 @@
         future::or(transport, future::or(verdict, timer)).await
     }
 
-    /// The next event of the transport that has arrived.
+    /// Returns the next queued event of the transport; `None` if the queue is empty.
     pub fn try_receive(&self) -> Option<DriverEvent> {
         let event = self.transport.try_recv().ok()?;
         Some(DriverEvent::Transport(event))
--- a/crates/control-plane/src/group/driver/lease.rs
+++ b/crates/control-plane/src/group/driver/lease.rs
@@ -1,4 +1,4 @@
-//! Publishes the node's lease: the lease guard of the daemon's instances follows it.
+//! Publishes the node's lease to the lease guard of the daemon's instances.
 
 use super::{Driver, GroupEvent};
 use crate::group::transport::{LEASE_CLOSED, LEASE_OPEN, LEASE_SUSPENDED};
@@ -6,7 +6,7 @@
 use marblefall_delivery::log_line;
 use std::time::Instant;
 
-/// The lease to which the lease guard was last set.
+/// The revision and state of the lease that were last published to the lease guard.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct PublishedLease {
     revision: u64,
@@ -14,13 +14,14 @@
 }
 
 impl PublishedLease {
-    /// Whether it differs from an earlier one in more than the end of the lease.
+    /// Returns whether the lease differs from an earlier one in its revision, or in whether it is open. The expiry time is
+    /// ignored, as it changes with each renewal.
     fn differs_from(&self, earlier: &PublishedLease) -> bool {
         let is_open = |lease: &PublishedLease| matches!(lease.state, GuardState::Open(_));
         self.revision != earlier.revision || is_open(self) != is_open(earlier)
     }
 
-    /// The state at this moment, as operators read it.
+    /// Returns the name for operators of the lease's current state.
     fn state_name(&self) -> &'static str {
         match self.state {
             GuardState::Open(until) if until.is_none_or(|until| Instant::now() < until) => {
@@ -33,7 +34,7 @@
 }
 
 impl Driver {
-    /// Sets the lease guard to the node's lease, and notifies the supervisor if instances may now act, or may no longer.
+    /// Sets the lease guard to the node's lease. Notifies the supervisor if the revision or the permission to act changed.
     pub(super) fn update_lease_guard(&mut self) {
         let lease = self.current_lease();
         if self.published_lease == Some(lease) {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether instances may act, as operators read it.
+    /// Returns the name for operators of the published lease's current state.
     pub(super) fn lease_state(&self) -> &'static str {
         self.published_lease
             .map_or(LEASE_CLOSED, |lease| lease.state_name())
--- a/crates/control-plane/src/group/driver/operators.rs
+++ b/crates/control-plane/src/group/driver/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' requests, from the connection that they were received on to the response on it.
+//! Operators' requests that wait for a response, and the responses to them.
 
 use super::Driver;
 use crate::group::transport::{LastLeader, LocalStatus, OperatorResponse};
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Time after which a request without a leader's reply is answered without one.
+/// Maximum wait for the leader's reply. After this time the response is sent without a reply.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Requests without a response.
+/// Requests that no response was sent to yet.
 #[derive(Default)]
 pub(super) struct OpenRequests {
     requests: BTreeMap<RequestNumber, OpenRequest>,
@@ -24,7 +24,7 @@
 }
 
 impl OpenRequests {
-    /// Adds a request, and returns its number.
+    /// Adds a request and returns its number.
     pub fn open(&mut self, responses: Sender<OperatorResponse>) -> RequestNumber {
         self.last_number += 1;
         let number = RequestNumber(self.last_number);
@@ -36,7 +36,7 @@
         number
     }
 
-    /// When the next request expires.
+    /// Returns the time at which the next request expires; `None` if no request is open.
     pub fn next_expiry(&self) -> Option<Instant> {
         let requests = self.requests.values();
         requests.map(|request| request.expires_at).min()
@@ -53,7 +53,7 @@
 }
 
 impl Driver {
-    /// Responds to a request, unless it has been responded to already.
+    /// Sends the response to a request, unless a response was already sent.
     pub(super) fn respond(&mut self, number: RequestNumber, reply: Option<Reply>) {
         let Some(request) = self.open_requests.requests.remove(&number) else {
             return;
@@ -66,7 +66,7 @@
         let _ = request.responses.try_send(response);
     }
 
-    /// Responds to requests that received no leader's reply in time.
+    /// Responds without a reply to requests whose reply from the leader did not arrive in time.
     pub(super) fn expire_requests(&mut self) {
         for number in self.open_requests.expired() {
             self.respond(number, None);
--- a/crates/control-plane/src/group/driver/peers.rs
+++ b/crates/control-plane/src/group/driver/peers.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The channels to the other members. Each is opened with the first frame for its member.
+/// The channels to the other members. A channel is opened when the first frame is sent to its member.
 pub(super) struct Peers {
     hello: Hello,
     /// The members' addresses, in the order of their ids.
@@ -21,7 +21,7 @@
 }
 
 impl Peers {
-    /// No channels yet. New connections are reported to `transport_events`.
+    /// Creates the set without open channels. New connections are reported to `transport_events`.
     pub fn new(
         membership: &Membership,
         transport_events: Sender<TransportEvent>,
--- a/crates/control-plane/src/group/driver/policy.rs
+++ b/crates/control-plane/src/group/driver/policy.rs
@@ -1,4 +1,4 @@
-//! Policies of the group: a proposed policy is checked, and a policy in force is stored in the home.
+//! Checks policies that are proposed in the group, and stores the policy in force in the home.
 
 use super::inbox::CheckedProposal;
 use super::{Driver, GroupEvent};
@@ -8,28 +8,28 @@
 use marblefall_coordination::message::PolicyVerdict;
 use marblefall_delivery::log_line;
 
-/// Why this member cannot act under a proposed policy.
+/// The reason why this member cannot act under a proposed policy.
 #[derive(Debug, thiserror::Error)]
 enum PolicyError {
     #[error("the policy cannot be read: {0}")]
     Undecodable(#[from] serde_json::Error),
-    #[error("the file has no [group] any more")]
+    #[error("the file no longer has a [group]")]
     NoGroup,
     #[error("of [group], a change may only say which instances a member runs")]
     OtherGroup,
-    #[error("its home was founded with another file")]
+    #[error("its home was created with a different file")]
     OtherInitialPolicy,
 }
 
 impl Driver {
     /// Checks whether a proposed policy can be decoded, whether this member can act under it, and whether it permits the
-    /// messages that the instances hold. The verdict arrives as an event.
+    /// instances' open messages. The verdict arrives as an event.
     pub(super) fn check_policy(&self, proposal: ProposalId, follows: Revision, policy: &[u8]) {
         match self.check_without_instances(follows, policy) {
             Ok(manifest) => self.check_with_instances(proposal, manifest),
             Err(error) => {
                 let verdict = rejection(&self.membership.name, &error.to_string());
-                // The queue is unbounded, and open as long as this driver exists.
+                // Cannot fail: the queue is unbounded and stays open as long as this driver exists.
                 let _ = self
                     .verdicts
                     .try_send(CheckedProposal { proposal, verdict });
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Checks everything that does not depend on the instances.
+    /// Performs the checks that do not depend on the instances.
     fn check_without_instances(
         &self,
         follows: Revision,
@@ -60,7 +60,7 @@
     fn check_with_instances(&self, proposal: ProposalId, manifest: Manifest) {
         let (sender, verdict) = async_channel::bounded(1);
         let check = GroupEvent::CheckPolicy(Box::new(manifest), sender);
-        // Fails if the supervisor has ended; then no verdict arrives below.
+        // Fails if the supervisor has ended. In this case no verdict arrives below.
         let _ = self.group_events.try_send(check);
         let name = self.membership.name.clone();
         let verdicts = self.verdicts.clone();
@@ -75,7 +75,7 @@
         });
     }
 
-    /// Stores a policy in force in the home, and notifies the supervisor. Does nothing if it is stored already.
+    /// Stores the policy in force in the home and notifies the supervisor. Does nothing if the policy is already stored.
     pub(super) fn store_policy(&mut self, revision: Revision, policy: &Policy) {
         if revision == Revision(0) {
             return;
@@ -86,7 +86,7 @@
             Err(error) => {
                 return log_line!(
                     code = "policy-unreadable",
-                    "group: revision {number} cannot be read: {error}"
+                    "group: revision {number} cannot be decoded: {error}"
                 )
             }
         };
@@ -98,11 +98,11 @@
             return;
         }
         if let Err(error) = applied.write(&self.home) {
-            // Until it is stored, instances stay under their policy, for which the lease guard is closed.
+            // Until the new policy is stored, instances keep the previous one, for which the lease guard is closed.
             self.unstored_policy = Some((revision, policy.clone()));
             return log_line!(
                 code = "policy-not-written",
-                "group: revision {number}: {error}"
+                "group: revision {number} cannot be stored: {error}"
             );
         }
         log_line!(
@@ -113,7 +113,7 @@
         let _ = self.group_events.try_send(GroupEvent::PolicyInForce);
     }
 
-    /// Retries storing a policy in force that could not be stored.
+    /// Retries storing the policy in force if storing it has failed.
     pub(super) fn retry_storing_policy(&mut self) {
         if let Some((revision, policy)) = self.unstored_policy.take() {
             self.store_policy(revision, &policy);
@@ -125,8 +125,8 @@
     PolicyVerdict::Rejected(format!("member {member}: {reason}"))
 }
 
-/// The settings that a change must not alter, because members could not agree on it while they change: all of the group's
-/// settings except for the instances of its members.
+/// Returns the settings that a change must not alter: all settings of the group except for the instances of its members.
+/// While these settings change, the members could not agree on the change.
 fn fixed_settings(group: &GroupSpec) -> GroupSpec {
     let mut group = group.clone();
     for member in group.members.values_mut() {
--- a/crates/control-plane/src/group/driver/start.rs
+++ b/crates/control-plane/src/group/driver/start.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's node: reads its state, listens for the other members, and spawns the driver.
+//! Starts the daemon's coordination node: reads its state, listens for the other members, and spawns the driver.
 
 use super::inbox::Inbox;
 use super::operators::OpenRequests;
@@ -19,15 +19,16 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Maximum number of queued transport events. Connections are not read while the queue is full.
+/// Maximum number of queued transport events. While the queue is full, connections are not read.
 const EVENT_QUEUE: usize = 1024;
 
 impl Membership {
-    /// Starts the daemon's node, and returns its events for the supervisor of the instances. The transport listens at
-    /// `listen` if it is given, for members that reach it at the manifest's address through a proxy.
+    /// Starts the daemon's coordination node, and returns the events for the supervisor of the instances. The transport
+    /// listens at `listen`, if given, instead of the manifest's address. This serves members that connect to the manifest's
+    /// address through a proxy.
     ///
     /// # Errors
-    /// The address cannot be listened at, or the voter's state cannot be read.
+    /// The transport cannot listen at its address, or the voter's state cannot be read.
     pub fn start(
         self,
         home: &Path,
@@ -78,7 +79,7 @@
         let listener =
             TcpListener::bind(address).map_err(|source| GroupError::Listen { address, source })?;
         let (group, name) = (&self.group.name, &self.name);
-        log_line!("group {group}: member {name}, link at {address}");
+        log_line!("group {group}: member {name} listens at {address}");
         let setup = ListenerSetup {
             group: self.group.name.clone(),
             members: self.group.members.len() as u32,
--- a/crates/control-plane/src/group/driver/voter_state.rs
+++ b/crates/control-plane/src/group/driver/voter_state.rs
@@ -10,7 +10,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The extension of a state file that could not be decoded.
+/// The extension to which a state file is renamed if it cannot be decoded.
 const UNREADABLE_EXTENSION: &str = "unreadable";
 
 /// The file that contains the persistent state of the member's voter.
@@ -21,7 +21,7 @@
 }
 
 impl VoterStateFile {
-    /// The file of a home, which need not exist.
+    /// Refers to the file in a home. The file need not exist.
     pub fn new(home: &Path) -> VoterStateFile {
         VoterStateFile {
             path: group_file(home, VOTER_STATE_FILE),
@@ -29,11 +29,11 @@
         }
     }
 
-    /// Reads the state of a member's voter; `None` if the member does not vote. Where there is no file, or it cannot be
-    /// decoded, returns the state of a new storage: the group then admits the voter as a new one.
+    /// Reads the state of a member's voter; `None` if the member does not vote. If the file does not exist or cannot be
+    /// decoded, returns the state of a new storage. The group then admits the voter as a new one.
     ///
     /// # Errors
-    /// The file exists and cannot be read.
+    /// The file exists but cannot be read.
     pub fn read(
         &self,
         membership: &Membership,
@@ -54,14 +54,14 @@
                 "{}: {error}; this voter requests admission as a new one",
                 self.path.display()
             );
-            // Preserved for analysis. If it cannot be renamed, the next write replaces it.
+            // The file is preserved for analysis. If it cannot be renamed, the next write replaces it.
             let _ = fs::rename(&self.path, self.path.with_extension(UNREADABLE_EXTENSION));
             new()
         });
         Ok(Some(state))
     }
 
-    /// Replaces the file; whether the state is on disk. Only the first of several failures is logged.
+    /// Replaces the file and returns whether the state is on disk. Of several failures in a row only the first is logged.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         match replace_in_folder(&self.path, bytes) {
             Ok(()) => {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Replaces a file, and creates its folder if need be.
+/// Replaces a file, and creates its folder if it does not exist.
 fn replace_in_folder(path: &Path, bytes: &[u8]) -> io::Result<()> {
     if let Some(folder) = path.parent() {
         LocalDisk.create_folder(folder)?;
--- a/crates/control-plane/src/group/error.rs
+++ b/crates/control-plane/src/group/error.rs
@@ -5,34 +5,34 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a home cannot be, or take part as, a member of a group.
+/// An error of creating or reading a home's membership in a group, or of starting its member.
 #[derive(Debug, thiserror::Error)]
 pub enum GroupError {
     /// A file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// Which file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of reading the file.
         source: io::Error,
     },
-    /// A file, or the folder of the group, cannot be written.
+    /// A file or the group's folder cannot be written.
     #[error("{}: {source}", path.display())]
     Write {
-        /// Which file or folder.
+        /// The path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// The error of writing.
         source: io::Error,
     },
     /// The applied manifest of the home cannot be read.
     #[error("{0}")]
     Applied(#[source] JsonFileError),
-    /// The initial manifest cannot be read.
+    /// The initial manifest cannot be decoded.
     #[error("{}: {source}", path.display())]
     InitialManifest {
-        /// Its file.
+        /// The path of the initial manifest.
         path: PathBuf,
-        /// Why.
+        /// The fault and its position.
         source: serde_json::Error,
     },
     /// The manifest cannot be encoded.
@@ -44,40 +44,40 @@
     /// The group has no member with the requested name.
     #[error("group {group} has no member {member:?}; it has {}", members.join(", "))]
     NoSuchMember {
-        /// The group.
+        /// The name of the group.
         group: String,
-        /// The name.
+        /// The requested name.
         member: String,
         /// The names of the group's members.
         members: Vec<String>,
     },
-    /// The home is a member, but none of its manifests declares the group.
+    /// The home is a member of a group, but none of its manifests declares the group.
     #[error(
-        "{}: the home is a member of a group, and neither the applied manifest nor {initial_manifest} declares the group",
+        "{}: the home is a member of a group, but neither the applied manifest nor {initial_manifest} declares the group",
         path.display()
     )]
     UnknownGroup {
-        /// The file that makes the home a member.
+        /// The path of the file that makes the home a member.
         path: PathBuf,
-        /// The name of the initial manifest's file.
+        /// The file name of the initial manifest.
         initial_manifest: &'static str,
     },
-    /// The group has no member with the name in the home.
+    /// The group has no member with the name that the home's file contains.
     #[error("{}: group {group} has no member {member:?}", path.display())]
     NotAMember {
-        /// The file that makes the home a member.
+        /// The path of the file that makes the home a member.
         path: PathBuf,
-        /// The group.
+        /// The name of the group.
         group: String,
-        /// The name in the home.
+        /// The member's name in that file.
         member: String,
     },
     /// The member cannot listen at its address.
-    #[error("the group's link, {address}: {source}")]
+    #[error("cannot listen at the group's link {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address of the member's link.
         address: SocketAddr,
-        /// Why.
+        /// The error of opening the listener.
         source: io::Error,
     },
 }
--- a/crates/control-plane/src/group/transport.rs
+++ b/crates/control-plane/src/group/transport.rs
@@ -1,12 +1,12 @@
 //! The transport between the daemons of a group: frames over TCP. Each connection carries frames in one direction, from the
 //! daemon that opened it.
 //!
-//! A connection begins with a [`Hello`]. The receiver acknowledges each frame with one byte, so that a connection that
-//! accepts data without delivering it is detected. Connections are neither encrypted nor authenticated: a daemon listens
-//! at its address in the manifest and nowhere else.
+//! The first frame on a connection is a [`Hello`]. The receiver acknowledges each frame with one byte, so that a connection
+//! that accepts data without delivering it is detected. Connections are neither encrypted nor authenticated. A daemon
+//! therefore listens at a single address: its link in the manifest, or an address that was given instead.
 //!
-//! Operators connect to the daemon of their home in the same way: the daemon responds to each [`Request`] with an
-//! [`OperatorResponse`].
+//! Operators' commands connect to the daemon of their home in the same way. The daemon responds to each [`Request`] with
+//! an [`OperatorResponse`].
 
 mod channel;
 mod frame;
@@ -22,14 +22,14 @@
 use marblefall_coordination::voter::VotingStatus;
 use serde::{Deserialize, Serialize};
 
-/// The version of the protocol.
+/// Version of the protocol between daemons.
 const VERSION: u16 = 1;
 
-/// [`LocalStatus::lease_state`] of a member that may act.
+/// The value of [`LocalStatus::lease_state`] for a member that may act.
 pub const LEASE_OPEN: &str = "acts";
-/// [`LocalStatus::lease_state`] of a member that is quiesced for a change.
+/// The value of [`LocalStatus::lease_state`] for a member that is quiesced for a change.
 pub const LEASE_SUSPENDED: &str = "still";
-/// [`LocalStatus::lease_state`] of a member that holds no lease.
+/// The value of [`LocalStatus::lease_state`] for a member that holds no lease.
 pub const LEASE_CLOSED: &str = "shut";
 
 /// The first frame on a connection.
@@ -40,7 +40,7 @@
     peer: Peer,
 }
 
-/// Who opened a connection.
+/// The kind of peer that opened a connection.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 enum Peer {
     Member(MemberId),
@@ -48,7 +48,7 @@
 }
 
 impl Hello {
-    /// The first frame of a member's connection.
+    /// Creates the first frame of a member's connection.
     pub fn from_member(group: &str, member: MemberId) -> Hello {
         Hello {
             version: VERSION,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The first frame of an operator's connection.
+    /// Creates the first frame of an operator's connection.
     pub fn from_operator(group: &str) -> Hello {
         Hello {
             version: VERSION,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The member that opened the connection; `None` for an operator.
+    /// Returns the member that opened the connection; `None` for an operator.
     pub fn member(&self) -> Option<MemberId> {
         match self.peer {
             Peer::Member(member) => Some(member),
@@ -80,22 +80,22 @@
 pub struct LocalStatus {
     /// The member's name.
     pub member: String,
-    /// The revision that it has applied.
+    /// The revision that the member has applied; `None` if it has applied none.
     pub applied: Option<u64>,
-    /// Whether it may act: [`LEASE_OPEN`], [`LEASE_SUSPENDED`] or [`LEASE_CLOSED`].
+    /// The state of the member's lease: [`LEASE_OPEN`], [`LEASE_SUSPENDED`] or [`LEASE_CLOSED`].
     pub lease_state: String,
-    /// The leader that last sent it a message.
+    /// The leader whose message the member received last; `None` if it has received none.
     pub last_leader: Option<LastLeader>,
-    /// Whether it participates in voting, if it is a voter.
+    /// The state of the member's voter; `None` if it is not a voter.
     pub voting: Option<VotingStatus>,
 }
 
-/// The last message that a daemon received from a leader.
+/// The leader whose message a daemon received last.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LastLeader {
     /// The leader's name.
     pub name: String,
-    /// Milliseconds since the message was received.
+    /// Time since the message was received, in milliseconds.
     pub contact_ms_ago: u64,
 }
 
@@ -104,17 +104,17 @@
 pub struct OperatorResponse {
     /// The state of the daemon that received the request.
     pub local: LocalStatus,
-    /// The leader's reply, if a leader could be reached.
+    /// The leader's reply; `None` if no reply arrived in time.
     pub reply: Option<Reply>,
 }
 
 /// An event of the transport.
 pub enum TransportEvent {
-    /// A member has sent a frame.
+    /// A frame was received from a member.
     Frame(MemberId, Frame),
     /// The connection to a member was established.
     Connected(MemberId),
-    /// An operator has sent a request.
+    /// An operator's request was received. The response is sent to the channel.
     Request(Request, Sender<OperatorResponse>),
 }
 
--- a/crates/control-plane/src/group/transport/channel.rs
+++ b/crates/control-plane/src/group/transport/channel.rs
@@ -1,6 +1,6 @@
-//! The connection to one member, which is reopened whenever it breaks.
+//! The connection to one member. It is reopened whenever it breaks.
 //!
-//! Frames are lost with the connection that they were queued for. Each new connection is reported by
+//! When a connection breaks, the frames that were queued for it are dropped. Each new connection is reported by
 //! [`TransportEvent::Connected`].
 
 use super::frame::encode_frame;
@@ -16,33 +16,33 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Maximum number of queued frames. A connection whose queue overflows is reopened.
+/// Maximum number of queued frames. If the queue overflows, the connection is reopened.
 const QUEUE_CAPACITY: usize = 256;
-/// Time after which a connection with an unacknowledged frame is reopened.
+/// Maximum time without an acknowledgement while frames are unacknowledged. After it the connection is reopened.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Number of checks within [`ACKNOWLEDGE_TIMEOUT`].
+/// Number of timeout checks within [`ACKNOWLEDGE_TIMEOUT`].
 const CHECKS_PER_TIMEOUT: u32 = 4;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Backoff before the first reconnect. It doubles with each further one.
+/// Backoff before the first reconnect. It doubles with each further reconnect.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Upper limit of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// Smallest proportion of the backoff that is waited; the rest is random.
+/// Minimum proportion of the backoff after jitter.
 const MIN_BACKOFF_FACTOR: f64 = 0.5;
-/// Acknowledgements that are read at once.
+/// Maximum number of acknowledgements that are read at once.
 const ACKNOWLEDGEMENT_BUFFER: usize = 256;
 
-/// The parts of a channel.
+/// The parameters of a channel.
 pub struct ChannelSetup {
     /// The first frame of each connection.
     pub hello: Hello,
-    /// The member at the other end.
+    /// The member to which the channel connects.
     pub to: MemberId,
     /// The address at which that member listens.
     pub address: SocketAddr,
-    /// Receives an event for each new connection.
+    /// Queue that receives an event for each new connection.
     pub events: Sender<TransportEvent>,
-    /// Seed of the backoff's jitter.
+    /// Random seed of the backoff's jitter.
     pub seed: u64,
 }
 
@@ -52,7 +52,7 @@
     overflowed: Rc<Cell<bool>>,
 }
 
-/// The task that keeps a channel's connection open.
+/// The task that opens a channel's connection, and reopens it when it breaks.
 struct Connector {
     hello: Vec<u8>,
     to: MemberId,
@@ -62,15 +62,15 @@
     overflowed: Rc<Cell<bool>>,
 }
 
-/// Frames that were written and are not acknowledged.
+/// The written frames of a connection that are not acknowledged yet.
 struct Unacknowledged {
     count: Cell<u64>,
-    /// When the last acknowledgement was received, or else the first frame written; `None` without unacknowledged frames.
+    /// Time of the last acknowledgement, or of the first write if there was none; `None` without unacknowledged frames.
     since: Cell<Option<Instant>>,
 }
 
 impl Channel {
-    /// Opens a channel, whose connection is kept open until the channel is dropped.
+    /// Opens a channel. Its connection is kept open until the channel is dropped.
     pub fn open(setup: ChannelSetup, tasks: &Spawner) -> Channel {
         let (queue, frames) = async_channel::bounded(QUEUE_CAPACITY);
         let overflowed = Rc::new(Cell::new(false));
@@ -86,7 +86,8 @@
         Channel { queue, overflowed }
     }
 
-    /// Queues a frame. It is lost if there is no connection, or if the queue is full; then the connection is reopened.
+    /// Queues a frame. The frame is lost if there is no connection. If the queue is full, the frame is lost and the
+    /// connection is reopened.
     pub fn send(&self, frame: Vec<u8>) {
         if self.queue.try_send(frame).is_err() {
             self.overflowed.set(true);
@@ -99,7 +100,7 @@
     async fn run(self, mut rng: fastrand::Rng) {
         let mut backoff = MIN_BACKOFF;
         loop {
-            // Queued frames belong to the former connection. Senders continue after the event of the new one.
+            // Queued frames belong to the previous connection. Senders resume after the `Connected` event of the new one.
             while self.frames.try_recv().is_ok() {}
             self.overflowed.set(false);
             let started_at = Instant::now();
@@ -114,12 +115,12 @@
         }
     }
 
-    /// Opens a connection and writes frames until it breaks; `Ok` once the channel is dropped.
+    /// Opens a connection and writes frames until it breaks. Returns `Ok` when the channel is dropped.
     async fn run_connection(&self) -> io::Result<()> {
         let stream = self.connect().await?;
         (&stream).write_all(&self.hello).await?;
         let unacknowledged = Unacknowledged::hello();
-        // Waits while the event queue is full, before the acknowledgement timeout is checked.
+        // Waits here while the event queue is full, so that this wait does not count as an acknowledgement timeout.
         let connected = TransportEvent::Connected(self.to);
         if self.events.send(connected).await.is_err() {
             return Ok(());
@@ -164,7 +165,7 @@
 }
 
 impl Unacknowledged {
-    /// The state after the first frame of a connection.
+    /// The state after the [`Hello`] frame was written, which is acknowledged like any other frame.
     fn hello() -> Unacknowledged {
         Unacknowledged {
             count: Cell::new(1),
@@ -190,12 +191,12 @@
     }
 }
 
-/// The backoff with jitter.
+/// Returns the backoff with random jitter.
 fn jittered(backoff: Duration, rng: &mut fastrand::Rng) -> Duration {
     backoff.mul_f64(MIN_BACKOFF_FACTOR + rng.f64() * (1.0 - MIN_BACKOFF_FACTOR))
 }
 
-/// Reads acknowledgements until the connection breaks. Each byte acknowledges a frame.
+/// Reads acknowledgements until the connection breaks. Each byte acknowledges one frame.
 async fn read_acknowledgements(
     mut stream: &Async<TcpStream>,
     unacknowledged: &Unacknowledged,
--- a/crates/control-plane/src/group/transport/frame.rs
+++ b/crates/control-plane/src/group/transport/frame.rs
@@ -1,35 +1,35 @@
-//! The encoding of frames: the length of the content and its CRC-32, both of four bytes in little-endian order, then the
-//! content as `postcard`.
+//! The encoding of frames: the length of the content and its CRC-32, each as four bytes in little-endian order, and then
+//! the content in `postcard` format.
 
 use futures_lite::AsyncReadExt;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::{self, ErrorKind};
 
-/// Maximum length of a frame's content in bytes. A manifest of a hundred thousand destinations is shorter.
+/// Maximum length of a frame's content in bytes. A manifest with 100,000 destinations fits.
 const MAX_LENGTH: usize = 64 << 20;
 /// Number of bytes that are read at once.
 const READ_SIZE: usize = 16 * 1024;
 
-/// Why a frame is not accepted.
+/// An error of reading a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The connection broke or ended.
     #[error("{0}")]
     Connection(#[from] io::Error),
-    /// Its length is above the limit.
-    #[error("a frame of {0} bytes")]
+    /// The length of the frame's content exceeds the limit.
+    #[error("a frame of {0} bytes, which is too long")]
     TooLong(usize),
-    /// Its checksum does not match its content.
+    /// The checksum does not match the content.
     #[error("a frame whose checksum does not match its content")]
     Checksum,
-    /// Its content cannot be decoded.
-    #[error("a frame that cannot be read")]
+    /// The content cannot be decoded.
+    #[error("a frame that cannot be decoded")]
     Undecodable(#[source] postcard::Error),
 }
 
 impl FrameError {
-    /// The reason code for log lines.
+    /// Returns the reason code for log lines.
     pub(super) fn code(&self) -> &'static str {
         match self {
             FrameError::Connection(_) => "link-failed",
@@ -42,7 +42,7 @@
 
 /// Encodes a frame.
 pub fn encode_frame(content: &impl Serialize) -> Vec<u8> {
-    // Cannot fail: the length of each sequence is known.
+    // Encoding cannot fail, because the length of each sequence is known.
     let body = postcard::to_allocvec(content).unwrap_or_default();
     let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
     bytes.extend(crc32fast::hash(&body).to_le_bytes());
@@ -72,7 +72,7 @@
     postcard::from_bytes(&body).map_err(FrameError::Undecodable)
 }
 
-/// Reads the content. Memory is allocated as bytes arrive, so that a false length alone costs none.
+/// Reads the content of a frame. Memory is allocated as bytes arrive, so that a false length alone allocates nothing.
 async fn read_body(stream: &mut (impl AsyncReadExt + Unpin), length: usize) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     let mut part = [0; READ_SIZE];
--- a/crates/control-plane/src/group/transport/listener.rs
+++ b/crates/control-plane/src/group/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of members and of operators.
+//! Accepts and serves the connections of members and operators.
 
 use super::frame::{encode_frame, read_frame, FrameError};
 use super::{Hello, Peer, TransportEvent, VERSION};
@@ -16,30 +16,30 @@
 
 /// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 1200;
-/// Time after which a connection without a [`Hello`] is closed.
+/// Maximum time until a connection's [`Hello`] is received. After it the connection is closed.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time before the next accept after a failed one, which most likely lacked a file descriptor.
+/// Delay before the next accept after a failed one, whose most likely cause is a lack of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
-/// Acknowledges one frame; the [`Hello`] is acknowledged too.
+/// The byte that acknowledges one frame. The [`Hello`] is acknowledged too.
 const ACKNOWLEDGEMENT: [u8; 1] = [1];
 
-/// The parts of a listener.
+/// The parameters of a listener.
 #[derive(Clone)]
 pub struct ListenerSetup {
     /// The group's name. Connections from other groups are closed.
     pub group: String,
-    /// The number of members of the group.
+    /// Number of members of the group.
     pub members: u32,
-    /// Receives an event for each frame and each operator's request.
+    /// Queue that receives an event for each frame and each operator's request.
     pub events: Sender<TransportEvent>,
 }
 
-/// Why a connection is closed.
+/// The reason why a connection is closed.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionError {
     #[error("no hello was received")]
     NoHello,
-    #[error("its protocol version is {0}, this daemon has {VERSION}")]
+    #[error("its protocol version is {0}, but this daemon's is {VERSION}")]
     OtherVersion(u16),
     #[error("it belongs to group {0:?}")]
     OtherGroup(String),
@@ -50,7 +50,7 @@
 }
 
 impl ConnectionError {
-    /// The reason code for log lines.
+    /// Returns the reason code for log lines.
     fn code(&self) -> &'static str {
         match self {
             ConnectionError::NoHello => "link-no-hello",
@@ -70,14 +70,14 @@
     let open = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            // Open connections are not affected.
+            // Connections that are already open are not affected.
             Timer::after(ACCEPT_BACKOFF).await;
             continue;
         };
         if open.get() >= MAX_CONNECTIONS {
             log_line!(
                 code = "link-too-many",
-                "link from {from} is closed: {MAX_CONNECTIONS} are open"
+                "link from {from} is closed: {MAX_CONNECTIONS} links are already open"
             );
             continue;
         }
--- a/crates/control-plane/src/group/transport/tests.rs
+++ b/crates/control-plane/src/group/transport/tests.rs
@@ -1,4 +1,4 @@
-//! The channel to a member, and the encoding of the first frame and of responses.
+//! Tests of the channel to a member, and of the encoding of `Hello` and `OperatorResponse`.
 
 use super::*;
 use async_executor::LocalExecutor;
@@ -9,7 +9,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// A full event queue delays the event of a new connection, and does not break the connection.
+/// A full event queue delays the event of a new connection, but does not break the connection.
 #[test]
 fn channel_connecting_to_full_queue_delivers_frames() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -44,10 +44,10 @@
     }));
 }
 
-/// Daemons and operators' commands of two versions of the program understand each other.
+/// Daemons and operators' commands of different program versions must be able to communicate.
 #[test]
 fn hello_and_response_are_encoded_as_before() {
-    // The fields in the order of earlier versions.
+    // Tuples with the fields in the order in which earlier versions encoded them.
     let earlier_hello = |peer: (u8, Option<u32>)| match peer {
         (tag, Some(member)) => encode_frame(&(1u16, "g", (tag, member))),
         (tag, None) => encode_frame(&(1u16, "g", tag)),
