--- a/crates/control-plane/src/manifest.rs
+++ b/crates/control-plane/src/manifest.rs
@@ -1,11 +1,11 @@
-//! The manifest: the operators' declaration of instances with their frontends, and of the classes, destinations and limits
-//! that they serve.
+//! The manifest: the operators' declaration of instances with their frontends and limits, and of the classes and
+//! destinations that the instances serve.
 //!
-//! Reading has three steps, each with a module of its own: `document` is the file as it is written, with the position of
-//! each entry; `checks` finds invalid and contradictory entries; `spec` and `group` are the model, which is also the
-//! stored form of an applied manifest. An unknown or invalid entry is an error that names its line.
+//! A manifest is read in three steps, each with its own modules. `document` represents the file as written, with the
+//! position of each entry. `checks` finds invalid and contradictory entries. `spec` and `group` define the model, which is
+//! also the stored form of an applied manifest. An unknown or invalid entry is an error that names its line.
 //!
-//! Where a field's name differs from the operators' key, `#[serde(rename)]` keeps the key.
+//! Where a field's name differs from the operators' key, `#[serde(rename)]` preserves the key.
 
 mod checks;
 mod document;
@@ -31,10 +31,10 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// An operator's file.
+/// The content of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Limits of instances that have none of their own.
+    /// Limits of the instances that do not declare their own.
     #[serde(default)]
     pub limits: InstanceLimits,
     /// Classes by name.
@@ -46,17 +46,17 @@
     /// Instances by name.
     #[serde(default)]
     pub instances: BTreeMap<String, InstanceSpec>,
-    /// The number of instances that serve the same destinations from other homes or machines. Destinations' rates and
-    /// recovery ramps are shared with them, without any communication.
+    /// Number of instances in other homes or on other machines that serve the same destinations. The rates and recovery
+    /// ramps of destinations are divided among all instances without communication between them.
     #[serde(default, rename = "elsewhere", skip_serializing_if = "is_zero")]
     pub external_instances: usize,
-    /// The source of endpoint lists, for destinations without endpoints of their own.
+    /// The source of endpoint lists, for destinations whose endpoints are not in the manifest.
     #[serde(default, rename = "roster")]
     pub list_source: Option<EndpointListSource>,
-    /// The group of daemons that change their policy together, if there is one.
+    /// The group of daemons that change their policy together; `None` if this daemon runs alone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub group: Option<GroupSpec>,
-    /// Where each destination's endpoints come from, if the destinations themselves are in an endpoint directory.
+    /// The source of each destination's endpoints, if the destinations themselves are in an endpoint directory.
     #[serde(skip)]
     pub endpoint_origins: Option<BTreeMap<String, EndpointSource>>,
 }
@@ -66,7 +66,7 @@
 }
 
 impl Manifest {
-    /// Reads an operator's file. A relative path of endpoint lists is relative to the file's folder.
+    /// Reads an operator's file. A relative path of endpoint lists is resolved against the file's folder.
     ///
     /// # Errors
     /// The file cannot be read, or is not valid.
@@ -80,7 +80,7 @@
             source,
         })?;
         if let Some(list_source) = &mut manifest.list_source {
-            // The daemon may run in another working folder than the operator's command.
+            // The daemon may run in a different working directory than the operator's command.
             let folder = path.parent().unwrap_or(Path::new(""));
             list_source.path = std::path::absolute(folder.join(&list_source.path))
                 .map_err(ManifestError::ListPath)?;
@@ -91,7 +91,8 @@
     /// Parses the text of an operator's file.
     ///
     /// # Errors
-    /// It is not TOML, has unknown or missing keys, or has invalid or contradictory entries, of which all are reported.
+    /// The text is not TOML, has unknown or missing keys, or has invalid or contradictory entries. All invalid and
+    /// contradictory entries are reported.
     pub fn parse(text: &str) -> Result<Manifest, InvalidManifest> {
         let document: Document = toml::from_str(text)?;
         let faults = checks::check(&document, text);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The rules for endpoint lists under this manifest.
+    /// Returns the rules that this manifest sets for endpoint lists.
     pub fn list_rules(&self) -> ListRules {
         let origins = self.endpoint_origins.clone();
         let rules = ListRules {
@@ -132,12 +133,12 @@
     }
 }
 
-/// A hash of a name: the 64-bit FNV-1a hash without its lowest bit. It is the scheduler's id of a destination, which does not
-/// depend on other destinations, and the owner in a voter's state file.
+/// Returns the hash of a name: the 64-bit FNV-1a hash without its lowest bit. It is the scheduler's id of a destination, so
+/// that the id does not depend on other destinations. It also identifies the owner of a voter's state file.
 pub fn name_hash(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x100_0000_01b3;
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(PRIME);
-    // The journal stores ids as signed numbers.
+    // Shifted right by one bit, because the journal stores ids as signed numbers.
     name.bytes().fold(OFFSET_BASIS, mix) >> 1
 }
--- a/crates/control-plane/src/manifest/checks.rs
+++ b/crates/control-plane/src/manifest/checks.rs
@@ -1,5 +1,5 @@
-//! Checks a document for values out of range and for entries that contradict each other. Faults are reported in the order
-//! of the checks in [`check`].
+//! Checks a document for values that are out of range and for entries that contradict each other. Faults are reported in
+//! the order of the checks in [`check`].
 
 mod destinations;
 mod entries;
@@ -11,10 +11,10 @@
 use entries::{class_fault, limits_fault, list_source_fault};
 use toml::Spanned;
 
-/// Maximum number of external instances. A larger number is taken for a mistake.
+/// Maximum number of external instances. A larger number is presumably a mistake.
 const MAX_EXTERNAL_INSTANCES: usize = 10_000;
 
-/// Returns all faults of a document with this text.
+/// Returns all faults of a document that was parsed from `text`.
 pub(super) fn check(document: &Document, text: &str) -> Vec<ManifestFault> {
     let mut checker = Checker {
         document,
@@ -31,13 +31,13 @@
     checker.faults
 }
 
-/// The place of an entry in the document.
+/// An entry of the document, as named in the report of a fault.
 #[derive(Clone, Copy)]
 struct Place<'a> {
     kind: &'static str,
-    /// `None` where there is only one entry of the kind.
+    /// The entry's name; `None` if the document has at most one entry of the kind.
     name: Option<&'a str>,
-    /// Byte offset of the entry.
+    /// Byte offset of the entry in the document's text.
     offset: usize,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The place of an entry that is the only one of its kind.
+    /// Creates the place of an entry without a name, of which the document has at most one.
     fn only<T>(kind: &'static str, entry: &Spanned<T>) -> Place<'a> {
         Place {
             kind,
@@ -62,7 +62,7 @@
 
 struct Checker<'a> {
     document: &'a Document,
-    /// Byte offsets of the line breaks, in order: lines are found by binary search.
+    /// Byte offsets of the line breaks in ascending order, for a binary search of an offset's line.
     line_breaks: Vec<usize>,
     faults: Vec<ManifestFault>,
 }
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The manifest's own limits may be left out, so their fault names no line.
+    /// Checks the manifest's limits. Their fault names no line, because the file may omit them.
     fn check_limits(&mut self) {
         if let Some(cause) = limits_fault(&self.document.limits) {
             self.faults.push(ManifestFault {
--- a/crates/control-plane/src/manifest/checks/destinations.rs
+++ b/crates/control-plane/src/manifest/checks/destinations.rs
@@ -9,13 +9,13 @@
 impl Checker<'_> {
     /// Checks all destinations.
     pub(super) fn check_destinations(&mut self) {
-        let mut numbers = BTreeSet::new();
+        let mut name_hashes = BTreeSet::new();
         let mut endpoint_names = BTreeSet::new();
         for (name, destination) in &self.document.destinations {
             let place = Place::named("destination", name, destination);
             let destination = destination.get_ref();
             self.check_destination(place, destination);
-            if !numbers.insert(name_hash(name)) {
+            if !name_hashes.insert(name_hash(name)) {
                 self.report(place, FaultCause::NumberCollision);
             }
             self.check_endpoints(place, destination, &mut endpoint_names);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The name of an endpoint must be unique in the whole file.
+    /// Checks the endpoints of a destination. Endpoint names must be unique across all destinations of the file.
     fn check_endpoints<'d>(
         &mut self,
         place: Place<'_>,
--- a/crates/control-plane/src/manifest/checks/entries.rs
+++ b/crates/control-plane/src/manifest/checks/entries.rs
@@ -1,24 +1,25 @@
-//! Checks that need a single entry only.
+//! Checks that concern a single entry.
 
 use crate::manifest::error::FaultCause;
 use crate::manifest::{ClassSpec, EndpointListSource, IdempotencySpec, InstanceLimits};
 
-/// The journal needs this much for a message, besides its reserve for outcomes and snapshots.
+/// Minimum size of the state folder, in megabytes. The journal needs this much for a message, in addition to its reserve
+/// for outcomes and snapshots.
 const MIN_DISK_MB: f64 = 1.0;
-/// Minimum number of descriptors of an instance.
+/// Minimum number of file descriptors of an instance.
 const MIN_SOCKETS: usize = 64;
-/// Upper limit of the maximum size of an endpoint list: 1 GiB.
+/// Upper limit of the configurable maximum size of an endpoint list, in KiB (1 GiB).
 const MAX_LIST_KIB: usize = 1 << 20;
 const MIN_POLL_INTERVAL_MS: u64 = 50;
 const MAX_POLL_INTERVAL_MS: u64 = 3_600_000;
 
-/// Whether a name can also be the name of a folder.
+/// Returns whether a name can be used as the name of a folder.
 pub(super) fn name_is_valid(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
     !name.is_empty() && name.bytes().all(is_allowed)
 }
 
-/// Whether a text is a path of a request line.
+/// Returns whether a text is a valid path in an HTTP request line.
 pub(super) fn is_path(path: &str) -> bool {
     path.starts_with('/') && path.bytes().all(|byte| byte.is_ascii_graphic())
 }
@@ -27,7 +28,7 @@
     (0.0..=1.0).contains(&value)
 }
 
-/// The first fault of a class.
+/// Returns the first fault of a class.
 pub(super) fn class_fault(class: &ClassSpec) -> Option<FaultCause> {
     match (class.idempotency, class.deduplication_window_ms) {
         (IdempotencySpec::IdempotencyKey, None) => return Some(FaultCause::WindowMissing),
@@ -47,7 +48,7 @@
     (!(weight.is_finite() && weight > 0.0)).then_some(FaultCause::WeightNotPositive)
 }
 
-/// The first fault of the source of endpoint lists.
+/// Returns the first fault of the source of endpoint lists.
 pub(super) fn list_source_fault(source: &EndpointListSource) -> Option<FaultCause> {
     if !is_proportion(source.max_weight_lost) || !is_proportion(source.max_endpoints_lost) {
         return Some(FaultCause::LossOutOfRange);
@@ -63,7 +64,7 @@
         .then_some(FaultCause::PollIntervalOutOfRange)
 }
 
-/// The first fault of limits.
+/// Returns the first fault of an instance's limits.
 pub(super) fn limits_fault(limits: &InstanceLimits) -> Option<FaultCause> {
     if limits.max_in_flight == 0 || limits.max_open == 0 || limits.max_attempts == 0 {
         return Some(FaultCause::ZeroLimit);
--- a/crates/control-plane/src/manifest/checks/group.rs
+++ b/crates/control-plane/src/manifest/checks/group.rs
@@ -9,19 +9,19 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Permitted durations of leases and timeouts.
+/// Permitted range of the durations of leases and timeouts.
 const DURATIONS_MS: RangeInclusive<u64> = 200..=600_000;
 /// Maximum number of voters.
 const MAX_VOTERS: usize = 9;
-/// Time by which a timeout must exceed the longest time after which a member's lease has surely expired.
+/// Margin by which a timeout must exceed the time after which a member's lease has certainly expired.
 const TIMEOUT_MARGIN_MS: u64 = 1000;
 
-/// The members that use each address and run each instance, as far as members were checked.
+/// The addresses and instances that are assigned to the members checked so far.
 #[derive(Default)]
 struct Assignments<'a> {
-    /// The member that listens at an address.
+    /// Member names by the address of their link.
     links: BTreeMap<SocketAddr, &'a str>,
-    /// The member that runs an instance.
+    /// Member names by the instance that they run.
     instances: BTreeMap<&'a str, &'a str>,
 }
 
@@ -124,8 +124,8 @@
     }
 }
 
-/// The shortest timeout for a lease of this duration. A change completes without an unreachable member only after the
-/// member's lease has expired, for which a quarter more is allowed.
+/// Returns the minimum timeout for a lease of this duration. A change completes without an unreachable member only after
+/// the member's lease has expired, which is certain after one and a quarter times its duration.
 fn min_timeout_ms(lease_ms: u64) -> u64 {
     lease_ms
         .saturating_add(lease_ms / 4)
--- a/crates/control-plane/src/manifest/checks/instances.rs
+++ b/crates/control-plane/src/manifest/checks/instances.rs
@@ -14,7 +14,7 @@
         for (name, instance) in &self.document.instances {
             let place = Place::named("instance", name, instance);
             let instance = instance.get_ref();
-            // An instance's state folder has its name.
+            // The instance's name is also the name of its state folder.
             if !name_is_valid(name) {
                 self.report(place, FaultCause::InvalidName);
             }
--- a/crates/control-plane/src/manifest/document.rs
+++ b/crates/control-plane/src/manifest/document.rs
@@ -1,4 +1,4 @@
-//! The operators' file as it is written, with the position of each entry.
+//! The operators' file as written, with the position of each entry.
 
 use super::entries::{without_positions, Entries};
 use super::group::GroupSection;
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The whole file.
+/// The parsed content of an operators' file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Document {
@@ -28,7 +28,7 @@
     pub group: Option<Spanned<GroupSection>>,
 }
 
-/// Declarations about all instances together.
+/// Declarations that concern all instances together.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetSection {
@@ -37,7 +37,7 @@
 }
 
 impl Document {
-    /// The model, without positions.
+    /// Converts the document to the model, which has no positions.
     pub fn into_manifest(self) -> Manifest {
         let fleet = self.fleet.map(Spanned::into_inner).unwrap_or_default();
         Manifest {
--- a/crates/control-plane/src/manifest/error.rs
+++ b/crates/control-plane/src/manifest/error.rs
@@ -1,27 +1,27 @@
-//! Faults of an operator's file. Messages name the operators' own keys.
+//! Errors of reading an operator's file. Messages use the keys of the file.
 
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a manifest cannot be read from disk.
+/// An error of reading a manifest from disk.
 #[derive(Debug, thiserror::Error)]
 pub enum ManifestError {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of reading the file.
         source: io::Error,
     },
-    /// The file is not valid.
+    /// The content of the file is invalid.
     #[error("{}:\n{source}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Its faults.
+        /// The faults of the content.
         source: InvalidManifest,
     },
     /// The path of the endpoint lists cannot be made absolute.
@@ -29,13 +29,13 @@
     ListPath(#[source] io::Error),
 }
 
-/// Why a manifest's text is invalid.
+/// The reason why a manifest's text is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidManifest {
-    /// It is not TOML, or has unknown, missing or mistyped keys.
+    /// The text is not TOML, or has unknown keys, missing keys or values of a wrong type.
     #[error("{}", .0.to_string().trim_end())]
     Syntax(#[from] toml::de::Error),
-    /// Its entries contradict themselves or each other.
+    /// Entries have values out of range or contradict each other.
     #[error("{}", lines(.0))]
     Faults(Vec<ManifestFault>),
 }
@@ -45,14 +45,14 @@
     lines.join("\n")
 }
 
-/// A fault of one entry.
+/// A fault of an entry.
 #[derive(Debug, thiserror::Error)]
 pub struct ManifestFault {
-    /// The line of the entry, counted from 1; `None` for an entry that may be left out.
+    /// Line of the entry, counted from 1; `None` for an entry that the file may omit.
     pub line: Option<usize>,
-    /// The entry.
+    /// Kind and name of the entry, as shown to operators.
     pub entry: String,
-    /// The cause.
+    /// The reason why the entry is invalid.
     #[source]
     pub cause: FaultCause,
 }
@@ -66,115 +66,115 @@
     }
 }
 
-/// Why an entry is invalid.
+/// The reason why an entry is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FaultCause {
-    /// A name cannot be the name of a folder.
-    #[error("a name holds letters, digits, - and _ only")]
+    /// A name cannot be used as the name of a folder.
+    #[error("a name may contain only letters, digits, - and _")]
     InvalidName,
     /// A path does not begin with /, or has characters that are not graphic ASCII.
-    #[error("{0:?} is no path")]
+    #[error("{0:?} is not a valid path")]
     InvalidPath(String),
     /// A limit is 0.
-    #[error("slots, max_open and max_attempts are 1 at least")]
+    #[error("slots, max_open and max_attempts must be at least 1")]
     ZeroLimit,
-    /// The state folder is too small for the journal.
-    #[error("disk_mb is 1 at least")]
+    /// The maximum size of the state folder is too small for the journal.
+    #[error("disk_mb must be at least 1")]
     DiskTooSmall,
-    /// The limit on descriptors is below what an instance needs.
-    #[error("sockets is 64 at least")]
+    /// The limit on file descriptors is below the minimum of an instance.
+    #[error("sockets must be at least 64")]
     TooFewSockets,
     /// A class with idempotency keys has no deduplication window.
     #[error("repeats = \"keyed\" needs window_ms")]
     WindowMissing,
     /// A class without idempotency keys has a deduplication window.
-    #[error("window_ms goes with repeats = \"keyed\" only")]
+    #[error("window_ms is allowed only with repeats = \"keyed\"")]
     WindowUnused,
-    /// The latency objective is beyond the deadline, or the deadline is 0.
-    #[error("wanted_ms is beyond give_up_ms")]
+    /// The latency objective is greater than the deadline, or the deadline is 0.
+    #[error("wanted_ms is greater than give_up_ms, or give_up_ms is 0")]
     ObjectiveBeyondDeadline,
     /// The late value is not a proportion.
-    #[error("late_value is not within 0 and 1")]
+    #[error("late_value must be between 0 and 1")]
     LateValueOutOfRange,
-    /// The priority weight is not above 0.
-    #[error("worth is not above 0")]
+    /// The priority weight is not a finite number above 0.
+    #[error("worth must be a finite number above 0")]
     WeightNotPositive,
     /// A destination has no endpoints, and there are no endpoint lists.
-    #[error("no endpoints, and no [roster] that could list them")]
+    #[error("it has no endpoints, and the file has no [roster] to list them")]
     NoEndpoints,
-    /// The rate is not above 0.
-    #[error("rate is not above 0")]
+    /// The rate is not a finite number above 0.
+    #[error("rate must be a finite number above 0")]
     RateNotPositive,
-    /// Two names have the same hash.
-    #[error("shares its number with another; it needs another name")]
+    /// Two names of destinations have the same hash.
+    #[error("its name has the same hash as another destination's; choose a different name")]
     NumberCollision,
-    /// An endpoint's name cannot be one of an endpoint list.
-    #[error("endpoint {0}: with rosters, a name holds no /")]
+    /// An endpoint's name contains a slash, which is reserved for endpoints from endpoint lists.
+    #[error("endpoint {0}: a name may not contain / in a file with [roster]")]
     SlashInEndpointName(String),
     /// Two endpoints have the same name.
-    #[error("endpoint {0} stands in the file twice")]
+    #[error("endpoint {0} is declared twice in the file")]
     DuplicateEndpoint(String),
     /// An instance has no frontend.
-    #[error("no front is on")]
+    #[error("it has neither an events nor a relay frontend")]
     NoFrontend,
-    /// An event type has a class that is not in the manifest.
+    /// An event type is assigned to a class that is not in the manifest.
     #[error("type {event_type:?} has the unknown class {class:?}")]
     UnknownClass {
         /// The event type.
         event_type: String,
-        /// Its class.
+        /// The name of the unknown class.
         class: String,
     },
-    /// A destination's number is not a number, or its destination is not in the manifest.
-    #[error("number {number:?} has no known destination {destination:?}")]
+    /// The number of a destination is not an integer, or the destination is not in the manifest.
+    #[error("number {number:?} is not an integer, or its destination {destination:?} is unknown")]
     UnknownDestination {
-        /// The number.
+        /// The number, as written in the file.
         number: String,
-        /// Its destination.
+        /// The name of the destination.
         destination: String,
     },
-    /// Two frontends have the same address.
-    #[error("{0} is listened at twice")]
+    /// Two frontends have the same listen address.
+    #[error("{0} is the listen address of two frontends")]
     DuplicateAddress(SocketAddr),
     /// The number of external instances is implausibly large.
-    #[error("elsewhere is {max} at most")]
+    #[error("elsewhere must be at most {max}")]
     TooManyExternalInstances {
-        /// The maximum.
+        /// Maximum number of external instances.
         max: usize,
     },
     /// A permitted loss is not a proportion.
-    #[error("most_weight_lost and most_endpoints_lost are within 0 and 1")]
+    #[error("most_weight_lost and most_endpoints_lost must be between 0 and 1")]
     LossOutOfRange,
     /// The path of the endpoint lists is empty.
     #[error("path is empty")]
     EmptyPath,
     /// The maximum size of an endpoint list is out of range.
-    #[error("max_kb is 1 at least and 1,048,576 at most")]
+    #[error("max_kb must be between 1 and 1,048,576")]
     MaxKibOutOfRange,
     /// The poll interval is out of range.
-    #[error("poll_ms is 50 at least and an hour at most")]
+    #[error("poll_ms must be between 50 and 3,600,000")]
     PollIntervalOutOfRange,
     /// A duration of the group is out of range.
-    #[error("{key} is 200 at least and 600,000 at most")]
+    #[error("{key} must be between 200 and 600,000")]
     DurationOutOfRange {
-        /// Its key.
+        /// The key of the duration.
         key: &'static str,
     },
-    /// A timeout could end before a lease has expired.
-    #[error("{key} is {min_ms} at least, for a term of {lease_ms}")]
+    /// A timeout could elapse before a lease has expired.
+    #[error("{key} must be at least {min_ms} if term_ms is {lease_ms}")]
     ShorterThanLease {
-        /// Its key.
+        /// The key of the timeout.
         key: &'static str,
-        /// The minimum.
+        /// Minimum of the timeout, in milliseconds.
         min_ms: u64,
-        /// The duration of a lease.
+        /// Duration of a lease, in milliseconds.
         lease_ms: u64,
     },
     /// The group has no voters.
     #[error("no member has votes = true")]
     NoVoters,
     /// The group has too many voters.
-    #[error("{0} members vote; nine are enough for any group")]
+    #[error("{0} members vote, but a group may have at most 9 voters")]
     TooManyVoters(usize),
     /// A member's link has no port.
     #[error("its link has no port")]
@@ -188,9 +188,9 @@
     /// Two members run the same instance.
     #[error("runs instance {instance:?}, as does member {member}")]
     InstanceRunTwice {
-        /// The instance.
+        /// The name of the instance.
         instance: String,
-        /// The other member.
+        /// The name of the other member.
         member: String,
     },
     /// No member runs an instance.
--- a/crates/control-plane/src/manifest/group.rs
+++ b/crates/control-plane/src/manifest/group.rs
@@ -1,5 +1,5 @@
-//! The part of a manifest that makes several daemons a group, as operators write it ([`GroupSection`]) and as it is stored
-//! ([`GroupSpec`]). As in `spec`, `#[serde(rename)]` keeps the keys of earlier versions.
+//! The part of a manifest that combines several daemons into a group, as operators write it ([`GroupSection`]) and as it
+//! is stored ([`GroupSpec`]). As in `spec`, `#[serde(rename)]` preserves the keys of earlier versions.
 
 #[cfg(test)]
 mod tests;
@@ -13,53 +13,53 @@
 const DEFAULT_CHECK_TIMEOUT_MS: u64 = 5000;
 const DEFAULT_QUIESCE_TIMEOUT_MS: u64 = 8000;
 
-/// What a member does while it cannot reach the leader.
+/// The behaviour of a member while it cannot reach the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PartitionPolicy {
-    /// Once its lease has expired it accepts and sends nothing; changes complete without it.
+    /// Once the member's lease has expired, the member accepts and sends nothing. Changes complete without the member.
     #[default]
     Stop,
-    /// It continues to serve. Changes wait for it, or for an operator to exclude it.
+    /// The member continues to serve. Changes wait until the member is reachable or an operator excludes it.
     Serve,
 }
 
-/// A daemon of the group, with a home of its own.
+/// A member of the group: a daemon with its own home.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberSpec {
-    /// The address at which it listens for other members and for operators.
+    /// The address at which the member listens for other members and for operators.
     pub link: SocketAddr,
-    /// The instances that it runs.
+    /// The names of the instances that the member runs.
     #[serde(default)]
     pub instances: BTreeSet<String>,
-    /// Whether it is a voter.
+    /// Whether the member is a voter.
     #[serde(default)]
     pub votes: bool,
 }
 
-/// Daemons that change their policy together, as stored.
+/// A group of daemons that change their policy together, as stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupSpec {
-    /// Its name. Connections from another group are closed.
+    /// The group's name. Connections from other groups are closed.
     pub name: String,
-    /// What a member does while it cannot reach the leader.
+    /// The behaviour of a member while it cannot reach the leader.
     #[serde(default, rename = "on_cut")]
     pub partition_policy: PartitionPolicy,
-    /// The duration of a lease in milliseconds, under [`PartitionPolicy::Stop`].
+    /// Duration of a lease in milliseconds, under [`PartitionPolicy::Stop`].
     #[serde(default = "default_lease_ms", rename = "term_ms")]
     pub lease_ms: u64,
-    /// How long a change may wait for the members' checks, in milliseconds, under [`PartitionPolicy::Stop`].
+    /// Maximum time for which a change waits for the members' checks, in milliseconds, under [`PartitionPolicy::Stop`].
     #[serde(default = "default_check_timeout_ms", rename = "check_ms")]
     pub check_timeout_ms: u64,
-    /// How long members may be quiesced before a change is withdrawn, in milliseconds.
+    /// Maximum time for which members are quiesced before a change is withdrawn, in milliseconds.
     #[serde(default = "default_quiesce_timeout_ms", rename = "stop_ms")]
     pub quiesce_timeout_ms: u64,
     /// The members by name.
     pub members: BTreeMap<String, MemberSpec>,
 }
 
-/// The same as operators write it, with the position of each member. Unlike the stored form it rejects unknown keys.
+/// A group as operators write it, with the position of each member. Unlike [`GroupSpec`] it rejects unknown keys.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct GroupSection {
@@ -102,16 +102,16 @@
 }
 
 impl GroupSpec {
-    /// A warning about a number of voters that is valid and probably a mistake.
+    /// Returns a warning if the number of voters is valid but probably a mistake.
     pub fn warning(&self) -> Option<String> {
         let voters = self.members.values().filter(|member| member.votes).count();
         match voters {
             1 => Some(
-                "one member votes: the group's log is in its folder alone, and the loss of that folder is not detected"
+                "one member votes: the group's log is stored only in that member's folder, and the loss of the folder is not detected"
                     .to_owned(),
             ),
             _ if voters % 2 == 0 => Some(format!(
-                "{voters} members vote: the loss of half of them stops all changes, as it would with one less"
+                "{voters} members vote: a failure of half of them stops all changes, which is no better than with one voter less"
             )),
             _ => None,
         }
--- a/crates/control-plane/src/manifest/group/tests.rs
+++ b/crates/control-plane/src/manifest/group/tests.rs
@@ -1,4 +1,4 @@
-//! The group of the examples, valid and with one invalid entry at a time.
+//! Tests of the example group: as written, and with one invalid entry at a time.
 
 use crate::manifest::Manifest;
 
@@ -10,9 +10,9 @@
     from: &'static str,
     /// Its replacement.
     to: &'static str,
-    /// A part of the error message.
+    /// A text that the error message contains.
     message: &'static str,
-    /// The line that the message names.
+    /// The line number in the error message.
     line: usize,
 }
 
@@ -56,13 +56,13 @@
     InvalidChange {
         from: "term_ms = 3000",
         to: "term_ms = 6000",
-        message: "check_ms is 8500 at least",
+        message: "check_ms must be at least 8500",
         line: 15,
     },
     InvalidChange {
         from: "term_ms = 3000",
         to: "term_ms = 1",
-        message: "term_ms is 200 at least",
+        message: "term_ms must be between 200 and 600,000",
         line: 15,
     },
     InvalidChange {
@@ -113,7 +113,7 @@
     assert!(warning.starts_with("2 members vote"), "{warning}");
 }
 
-/// Regression: the shortest timeout for such a lease was computed beyond the range of its type.
+/// Regression: the computation of the minimum timeout overflowed for a very long lease.
 #[test]
 fn absurd_lease_is_an_error() {
     let text = GOOD.replace("term_ms = 3000", &format!("term_ms = {}", i64::MAX));
--- a/crates/control-plane/src/manifest/instance_manifest.rs
+++ b/crates/control-plane/src/manifest/instance_manifest.rs
@@ -4,28 +4,28 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The part of a manifest that concerns one instance. When it changes, the instance applies it, in place or by a restart.
+/// The part of a manifest that concerns one instance. The instance applies a change of it in place or by a restart.
 ///
-/// It does not contain the destinations, which are in the endpoint directory and change while an instance runs, nor what
-/// concerns the supervisor alone: the source of the endpoint lists, and the group.
+/// It does not contain the destinations, which are in the endpoint directory and change while an instance runs. Nor does it
+/// contain the source of the endpoint lists and the group, which concern only the supervisor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceManifest {
-    /// Its name.
+    /// The instance's name.
     pub name: String,
-    /// The events frontend, if it is on.
+    /// The CloudEvents frontend; `None` if it is disabled.
     pub events: Option<EventsFrontendSpec>,
-    /// The platform's frontend, if it is on.
+    /// The platform's frontend; `None` if it is disabled.
     pub platform: Option<PlatformFrontendSpec>,
-    /// Its limits.
+    /// The instance's limits.
     pub limits: InstanceLimits,
     /// Classes by name.
     pub classes: BTreeMap<String, ClassSpec>,
-    /// The number of instances that serve the same destinations and share their rates.
+    /// Number of instances, including external ones, that serve the same destinations and share their rates.
     pub total_instances: usize,
 }
 
 impl Manifest {
-    /// The part of the manifest that concerns an instance; `None` if the manifest does not contain the instance.
+    /// Returns the part of the manifest that concerns an instance; `None` if the manifest does not contain the instance.
     pub fn instance_manifest(&self, name: &str) -> Option<InstanceManifest> {
         let instance = self.instances.get(name)?;
         Some(InstanceManifest {
@@ -40,8 +40,8 @@
 }
 
 impl InstanceManifest {
-    /// Whether a running instance can change to `new` without a restart: its listeners, its state folder and its
-    /// connections stay as they are.
+    /// Returns whether a running instance can apply `new` without a restart, which requires that the settings of its
+    /// listeners, its state folder and its connections are unchanged.
     pub fn can_update_in_place(&self, new: &InstanceManifest) -> bool {
         self.events_address() == new.events_address()
             && self.platform_addresses() == new.platform_addresses()
--- a/crates/control-plane/src/manifest/spec.rs
+++ b/crates/control-plane/src/manifest/spec.rs
@@ -1,5 +1,5 @@
-//! The entries of a manifest. Operators write them, and they are stored as part of what is applied: `#[serde(rename)]`
-//! keeps the keys of earlier versions.
+//! The entries of a manifest, as operators write them and as they are stored in the applied manifest. `#[serde(rename)]`
+//! preserves the keys of earlier versions.
 
 use marblefall_delivery::frontend::cloudevents::event::ContentMode;
 use serde::{Deserialize, Serialize};
@@ -7,26 +7,26 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A day, in seconds.
+/// Seconds in a day.
 const DAY_S: u64 = 24 * 3600;
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
-/// Attempts per second.
+/// Default rate of a destination, in attempts per second.
 const DEFAULT_RATE: f64 = 1.0;
 const DEFAULT_POLL_INTERVAL_MS: u64 = 2000;
 const DEFAULT_MAX_LIST_KIB: usize = 8192;
 const DEFAULT_MAX_LOST: f64 = 0.5;
 const BYTES_PER_KIB: usize = 1024;
 
-/// The effect of a repeated attempt at a class's receivers.
+/// The effect of a repeated attempt at the receivers of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IdempotencySpec {
-    /// None: an event may always be sent again.
+    /// A repeated attempt has no further effect. An event may always be sent again.
     #[serde(rename = "free")]
     Idempotent,
-    /// Receivers drop it by its idempotency key, within the class's deduplication window.
+    /// Receivers drop a repeated attempt by its idempotency key, within the class's deduplication window.
     #[serde(rename = "keyed")]
     IdempotencyKey,
-    /// A second execution: an event is sent again only if it surely was not executed.
+    /// A repeated attempt is executed again. An event is sent again only if it certainly was not executed.
     #[serde(rename = "never")]
     NonIdempotent,
 }
@@ -38,22 +38,23 @@
     /// The effect of a repeated attempt.
     #[serde(rename = "repeats")]
     pub idempotency: IdempotencySpec,
-    /// The time in milliseconds within which receivers drop repeats; for [`IdempotencySpec::IdempotencyKey`] only.
+    /// The deduplication window in milliseconds, in which receivers drop repeats. Required for
+    /// [`IdempotencySpec::IdempotencyKey`], and `None` for the others.
     #[serde(default, rename = "window_ms")]
     pub deduplication_window_ms: Option<u64>,
     /// The value of an event that is delivered within the latency objective.
     #[serde(default = "default_weight", rename = "worth")]
     pub priority_weight: f64,
-    /// The time in milliseconds within which a delivered event has its full value.
+    /// Time in milliseconds within which a delivered event has its full value.
     #[serde(rename = "wanted_ms")]
     pub latency_objective_ms: u64,
-    /// The time to live in milliseconds of an event without an `expirytime`.
+    /// Time to live in milliseconds of an event without an `expirytime`.
     #[serde(rename = "give_up_ms")]
     pub deadline_ms: u64,
-    /// The proportion of the value, 0 to 1, that an event has at the deadline.
+    /// Proportion of its value, 0 to 1, that an event still has at the deadline.
     #[serde(default)]
     pub late_value: f64,
-    /// The time in seconds for which a repeat of a completed event is recognised.
+    /// Time in seconds after the completion of an event during which a repeat is recognised.
     #[serde(default = "default_remember_s")]
     pub remember_s: u64,
 }
@@ -70,11 +71,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// Its name, which does not change with its address.
+    /// The endpoint's name, which identifies it even if its address changes.
     pub name: String,
-    /// The address at which it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// Whether it is draining: it receives no new attempts.
+    /// Whether the endpoint is draining, so that it receives no new attempts.
     #[serde(default)]
     pub draining: bool,
 }
@@ -83,16 +84,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DestinationSpec {
-    /// The content mode in which events are sent to it.
+    /// The content mode in which events are sent to the destination.
     #[serde(default, rename = "mode")]
     pub content_mode: ContentMode,
-    /// The request path at its endpoints.
+    /// The request path at the destination's endpoints.
     #[serde(default = "root_path")]
     pub path: String,
-    /// The approximate rate that it accepts from all instances together, in attempts per second.
+    /// Approximate rate that the destination accepts from all instances together, in attempts per second.
     #[serde(default = "default_rate")]
     pub rate: f64,
-    /// Its endpoints; none if they come from endpoint lists.
+    /// The destination's endpoints; empty if they come from endpoint lists.
     #[serde(default)]
     pub endpoints: Vec<EndpointSpec>,
 }
@@ -124,13 +125,13 @@
     /// Maximum number of completed events whose repeats are recognised.
     #[serde(rename = "remember")]
     pub max_remembered: usize,
-    /// The connect timeout, in milliseconds.
+    /// Connect timeout, in milliseconds.
     #[serde(rename = "dial_ms")]
     pub connect_timeout_ms: u64,
-    /// The time in milliseconds after which endpoints close an idle connection.
+    /// Time in milliseconds after which endpoints close an idle connection.
     #[serde(rename = "idle_ms")]
     pub idle_timeout_ms: u64,
-    /// The longest `Retry-After` that clients receive, in milliseconds.
+    /// Maximum `Retry-After` in responses to clients, in milliseconds.
     #[serde(rename = "retry_after_ms")]
     pub max_retry_after_ms: u64,
 }
@@ -161,9 +162,9 @@
     /// The path at which events are accepted.
     #[serde(default = "root_path")]
     pub path: String,
-    /// The attribute that contains an event's destination.
+    /// Name of the event attribute that contains the destination.
     pub destination_attribute: String,
-    /// The class of each type of event.
+    /// Class names by event type.
     #[serde(rename = "types")]
     pub class_by_type: BTreeMap<String, String>,
 }
@@ -178,22 +179,22 @@
     /// The address to which final outcomes are reported.
     #[serde(rename = "notices")]
     pub notice_address: SocketAddr,
-    /// The destinations by the numbers that clients use for them.
+    /// Destination names by the numbers that clients use for them.
     #[serde(rename = "numbers")]
     pub destination_by_number: BTreeMap<String, String>,
 }
 
-/// An instance.
+/// An instance, with its frontends and limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSpec {
-    /// The CloudEvents frontend, if it is on.
+    /// The CloudEvents frontend; `None` if it is disabled.
     #[serde(default)]
     pub events: Option<EventsFrontendSpec>,
-    /// The platform's frontend, if it is on.
+    /// The platform's frontend; `None` if it is disabled.
     #[serde(default, rename = "relay")]
     pub platform: Option<PlatformFrontendSpec>,
-    /// Its limits; the manifest's limits if left out.
+    /// The instance's limits; `None` to use the manifest's limits.
     #[serde(default)]
     pub limits: Option<InstanceLimits>,
 }
@@ -202,24 +203,24 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointListSource {
-    /// An endpoint list, or a folder of them.
+    /// The path of an endpoint list, or of a folder of endpoint lists.
     pub path: PathBuf,
-    /// The interval in milliseconds at which the lists are polled.
+    /// Interval in milliseconds at which the lists are polled.
     #[serde(default = "default_poll_interval_ms", rename = "poll_ms")]
     pub poll_interval_ms: u64,
-    /// The maximum size of a list, in units of 1,024 bytes.
+    /// Maximum size of a list, in units of 1,024 bytes.
     #[serde(default = "default_max_kib", rename = "max_kb")]
     pub max_kib: usize,
-    /// The proportion of a destination's weight, 0 to 1, that one change may remove without an allowance.
+    /// Maximum proportion of a destination's weight, 0 to 1, that a change may remove without an allowance.
     #[serde(default = "default_max_lost", rename = "most_weight_lost")]
     pub max_weight_lost: f64,
-    /// The proportion of a list's endpoints, 0 to 1, that one change may remove without an allowance.
+    /// Maximum proportion of a list's endpoints, 0 to 1, that a change may remove without an allowance.
     #[serde(default = "default_max_lost", rename = "most_endpoints_lost")]
     pub max_endpoints_lost: f64,
 }
 
 impl EndpointListSource {
-    /// The maximum size of a list, in bytes.
+    /// Returns the maximum size of a list, in bytes.
     pub fn max_bytes(&self) -> usize {
         self.max_kib * BYTES_PER_KIB
     }
--- a/crates/control-plane/src/manifest/tests.rs
+++ b/crates/control-plane/src/manifest/tests.rs
@@ -1,4 +1,4 @@
-//! The deployed manifest, valid and with one invalid entry at a time.
+//! Tests of the deployed manifest: as written, and with one invalid entry at a time.
 
 use super::Manifest;
 
@@ -10,9 +10,9 @@
     from: &'static str,
     /// Its replacement.
     to: &'static str,
-    /// A part of the error message.
+    /// A text that the error message contains.
     message: &'static str,
-    /// A text on the line that the message names.
+    /// A text on the line whose number is in the error message.
     on_line: &'static str,
 }
 
@@ -26,7 +26,7 @@
     InvalidChange {
         from: "[limits]",
         to: "[fleet]\nelsewhere = 20000\n[limits]",
-        message: "elsewhere is 10000 at most",
+        message: "elsewhere must be at most 10000",
         on_line: "[fleet]",
     },
     InvalidChange {
@@ -50,13 +50,13 @@
     InvalidChange {
         from: "wanted_ms = 2500",
         to: "wanted_ms = 250000",
-        message: "beyond give_up_ms",
+        message: "wanted_ms is greater than give_up_ms",
         on_line: "[class.refill-order]",
     },
     InvalidChange {
         from: "127.0.0.1:8192",
         to: "127.0.0.1:8191",
-        message: "listened at twice",
+        message: "127.0.0.1:8191 is the listen address of two frontends",
         on_line: "[instance.clinics-2]",
     },
 ];
@@ -69,7 +69,7 @@
     );
 }
 
-/// The number of the line that contains a text, counted from 1.
+/// Returns the number, counted from 1, of the first line that contains `part`.
 fn line_of(text: &str, part: &str) -> usize {
     text[..text.find(part).unwrap()].matches('\n').count() + 1
 }
