--- a/crates/control-plane/src/endpoint_directory.rs
+++ b/crates/control-plane/src/endpoint_directory.rs
@@ -1,5 +1,5 @@
-//! The endpoint directory: all destinations of the manifest with their endpoints, including those of the endpoint lists in
-//! force, in the compact form that all instances of the process share.
+//! The endpoint directory: all destinations of the manifest with their endpoints, including the endpoints of the endpoint
+//! lists in force. All instances of the process share its compact form.
 
 mod compact_applied;
 
@@ -19,17 +19,17 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// All destinations, and the distinct targets in which events are encoded for them.
+/// All destinations, and the distinct targets for which events are encoded.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointDirectory {
-    /// The destinations.
+    /// The destinations with their endpoints.
     pub destination_table: Arc<DestinationTable>,
-    /// The targets, by the destinations' `encoding`.
+    /// The targets. The `encoding` of a destination is the index of its target.
     pub targets: Arc<Vec<Target>>,
 }
 
 impl EndpointDirectory {
-    /// A copy with the endpoints of the lists in force.
+    /// Returns a copy with the endpoints of the lists in force.
     ///
     /// # Errors
     /// The table's capacity is exceeded.
@@ -66,7 +66,7 @@
     }
 }
 
-/// Builds a directory.
+/// Builds an endpoint directory.
 struct DirectoryBuilder {
     encodings: HashMap<(ContentMode, String), u16>,
     targets: Vec<Target>,
@@ -94,7 +94,7 @@
         self.table.add(entry, endpoints)
     }
 
-    /// The index of a destination's target.
+    /// Returns the index of a destination's target, which is added if it is new.
     fn encoding(&mut self, destination: &DestinationSpec) -> Result<u16, TableError> {
         let next = u16::try_from(self.targets.len()).map_err(|_| TableError::Encodings)?;
         let key = (destination.content_mode, destination.path.clone());
@@ -126,8 +126,8 @@
 }
 
 impl<'de> Deserialize<'de> for EndpointDirectory {
-    /// Reads the destinations of an applied file one by one. As values of their own, a hundred thousand of them would take
-    /// ten times the memory, which an allocator does not return completely.
+    /// Reads the destinations of an applied file one by one. As a collection of [`DestinationSpec`], 100,000 destinations
+    /// would take ten times the memory, which an allocator does not return completely.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<EndpointDirectory, D::Error> {
         deserializer.deserialize_map(DestinationVisitor)
     }
--- a/crates/control-plane/src/endpoint_directory/compact_applied.rs
+++ b/crates/control-plane/src/endpoint_directory/compact_applied.rs
@@ -14,17 +14,17 @@
 use std::io::{self, BufReader};
 use std::path::Path;
 
-/// Size of the read buffer, in bytes.
+/// Size in bytes of the buffer for reading the file.
 const READ_BUFFER: usize = 64 * 1024;
 
 /// The applied manifest and its revision, with the destinations in an endpoint directory.
 #[derive(Clone, Debug, Default)]
 pub struct CompactApplied {
-    /// Grows by one with each apply.
+    /// The revision, which increases by one with each applied plan.
     pub revision: u64,
     /// The manifest without its destinations.
     pub manifest: Manifest,
-    /// The destinations.
+    /// The destinations of the manifest.
     pub directory: EndpointDirectory,
 }
 
@@ -55,10 +55,10 @@
 }
 
 impl CompactApplied {
-    /// Reads the applied manifest of a home; an empty manifest of revision 0 if none is applied.
+    /// Reads the applied manifest of a home. Returns an empty manifest with revision 0 if none is applied.
     ///
     /// # Errors
-    /// The file cannot be read, or has other content.
+    /// The file cannot be read, or is not a valid applied manifest.
     pub fn read(home: &Path) -> Result<CompactApplied, JsonFileError> {
         let path = home.join(APPLIED_FILE);
         let file = match File::open(&path) {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Where each destination's endpoints come from.
+/// Returns the source of each destination's endpoints.
 fn endpoint_origins(directory: &EndpointDirectory) -> BTreeMap<String, EndpointSource> {
     let origin = |entry: &DestinationEntry<'_>| match entry.from_list {
         true => EndpointSource::Lists,
--- a/crates/control-plane/src/instance_config.rs
+++ b/crates/control-plane/src/instance_config.rs
@@ -1,5 +1,5 @@
-//! Builds an instance's configuration from its manifest: the complete one for its start, and an update for each policy
-//! that comes into force while it runs.
+//! Builds an instance's configuration from its manifest: the complete configuration for the start, and an update for each
+//! policy that comes into force while the instance runs.
 
 mod class_table;
 mod engine_settings;
@@ -21,14 +21,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Number of bytes in a megabyte.
 const BYTES_PER_MB: f64 = 1e6;
 
 /// The listeners of an instance's frontends.
 pub struct InstanceListeners {
-    /// The CloudEvents frontend's, if it is on.
+    /// The listener of the CloudEvents frontend; `None` if the frontend is disabled.
     pub events: Option<TcpListener>,
-    /// The platform frontend's, if it is on.
+    /// The listener of the platform's frontend; `None` if the frontend is disabled.
     pub platform: Option<TcpListener>,
 }
 
@@ -39,12 +38,12 @@
     pub manifest: &'a InstanceManifest,
     /// The instance's classes.
     pub classes: &'a ClassTable,
-    /// The destinations.
+    /// The destinations with their endpoints.
     pub directory: &'a EndpointDirectory,
 }
 
 impl InstanceConfigBuilder<'_> {
-    /// The complete configuration, for a start. `lease` is the lease under which the instance acts, if it is of a group.
+    /// Returns the complete configuration for a start. In a group, `lease` is the lease under which the instance acts.
     pub fn config(
         self,
         folder: PathBuf,
@@ -72,7 +71,7 @@
         }
     }
 
-    /// An update to this policy, for a running instance.
+    /// Returns the update that changes a running instance to this policy.
     pub fn policy_update(self, revision: u64) -> PolicyUpdate {
         PolicyUpdate {
             change: PolicyChange {
@@ -136,7 +135,7 @@
             .destination_by_number
             .iter()
             .filter_map(|(number, name)| Some((number.parse().ok()?, destination(name))));
-        // Clients cannot use a class that was removed from the manifest.
+        // A class that was removed from the manifest has no name for clients, so that they cannot use it.
         let accepted_name =
             |name: String| Some(name).filter(|name| self.manifest.classes.contains_key(name));
         let is_keyed = |class: &ClassSpec| class.idempotency == IdempotencySpec::IdempotencyKey;
--- a/crates/control-plane/src/instance_config/engine_settings.rs
+++ b/crates/control-plane/src/instance_config/engine_settings.rs
@@ -9,20 +9,20 @@
 };
 use std::time::SystemTime;
 
-/// Minimum time between two batches of the scheduler.
+/// Minimum time between two batches of the scheduler, in milliseconds.
 const MIN_BATCH_INTERVAL_MS: u64 = 5;
-/// Proportion of its rate that a recovering destination receives at first.
+/// Proportion of its rate that a recovering destination receives at the start of the recovery ramp.
 const RAMP_START: f64 = 0.27;
-/// Time in which the recovery ramp rises to the full rate.
+/// Duration of the recovery ramp from its start to the full rate, in milliseconds.
 const RAMP_DURATION_MS: u64 = 10_000;
-/// Multiple of the ramp's rate above which a recovering destination counts as overloaded.
+/// Multiple of the recovery ramp's rate above which a recovering destination is considered overloaded.
 const OVERLOAD_FACTOR: f64 = 1.5;
-/// Time over which the rate is measured for the overload.
+/// Window over which the rate is measured to detect an overload, in milliseconds.
 const OVERLOAD_WINDOW_MS: u64 = 2000;
 const MS_PER_SECOND: i64 = 1000;
 
 impl InstanceConfigBuilder<'_> {
-    /// The engine's settings, with a new seed.
+    /// Returns the engine's settings, with a new random seed.
     pub(super) fn engine_settings(self) -> EngineSettings {
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let retention_ms = |class: &ClassSpec| class.remember_s as i64 * MS_PER_SECOND;
--- a/crates/control-plane/src/json_file.rs
+++ b/crates/control-plane/src/json_file.rs
@@ -1,32 +1,32 @@
-//! Stored JSON files, whose absence means that nothing is stored yet.
+//! Reading of stored JSON files. A file that does not exist yet is read as the default value.
 
 use serde::de::DeserializeOwned;
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a stored file cannot be read.
+/// An error of reading a stored file.
 #[derive(Debug, thiserror::Error)]
 pub enum JsonFileError {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of reading the file.
         source: io::Error,
     },
-    /// The file has other content.
+    /// The content of the file is not valid.
     #[error("{}: {source}", path.display())]
     Parse {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// The fault and its position.
         source: serde_json::Error,
     },
 }
 
-/// Reads a file; the default value if it does not exist.
+/// Reads a file. Returns the default value if the file does not exist.
 pub(crate) fn read_or_default<T>(path: &Path) -> Result<T, JsonFileError>
 where
     T: DeserializeOwned + Default,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,13 +1,13 @@
-//! The control plane: runs the instances that operators declare, and puts changes to the declaration in force.
+//! The control plane: runs the instances that operators declare in a manifest, and applies changes of the manifest.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`manifest`] | the operators' declaration |
-//! | [`plan`] | the change from the applied manifest to another one, and how it is applied |
-//! | [`endpoint_directory`] | the destinations of the applied manifest |
-//! | [`list_watcher`] | the endpoint lists beside the manifest |
-//! | [`supervisor`] | the instances and their restarts |
-//! | [`group`] | several daemons that change their policy together |
+//! | [`manifest`] | the operators' declaration of instances, classes and destinations |
+//! | [`plan`] | planning and applying a change of the manifest |
+//! | [`endpoint_directory`] | the destinations of the applied manifest, with their endpoints |
+//! | [`list_watcher`] | watching the endpoint lists, which are files separate from the manifest |
+//! | [`supervisor`] | running and restarting the instances |
+//! | [`group`] | coordination of several daemons that change their policy together |
 
 #![forbid(unsafe_code)]
 
--- a/crates/control-plane/src/list_watcher.rs
+++ b/crates/control-plane/src/list_watcher.rs
@@ -1,9 +1,9 @@
-//! The list watcher: watches the endpoint lists of a manifest on a thread of its own. A valid list is stored in
-//! `HOME/rosters` as the last good one, put in force, and announced. An invalid one is logged once, and the last good list
-//! stays in force.
+//! The list watcher watches the endpoint lists of a manifest on its own thread. A valid list is stored in `HOME/rosters` as
+//! the last good list and put in force, and the supervisor is notified. An invalid list is logged once, and the last good
+//! list stays in force.
 //!
 //! The operating system reports most changes, and a slow poll finds the others. Correctness does not depend on when a scan
-//! runs: a partially written file is detected by its format.
+//! runs, because a partially written file is detected by its format.
 
 mod file_states;
 mod folder_watch;
@@ -31,35 +31,35 @@
 use std::thread::{self, JoinHandle};
 use wakeup::Wakeup;
 
-/// The folder in a home that holds the last good lists and the status file.
+/// Name of the folder in a home that contains the last good lists and the status file.
 const LISTS_FOLDER: &str = "rosters";
-/// The name of the watcher's thread.
+/// Name of the watcher's thread.
 const THREAD_NAME: &str = "rosters";
 
-/// Why the watcher cannot be started.
+/// An error that prevents the watcher from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum ListWatcherError {
     /// The last good lists cannot be read.
     #[error(transparent)]
     LastGoodLists(#[from] StoreError),
-    /// The thread cannot be started.
+    /// The watcher's thread cannot be started.
     #[error("{0}")]
     Thread(#[from] io::Error),
 }
 
 /// The last good lists of a home.
 pub struct LastGoodLists {
-    /// The lists that can be decoded, in force.
+    /// The lists that can be decoded. They are in force.
     pub lists: ActiveLists,
-    /// A report for each one that cannot be decoded.
+    /// A report for each list that cannot be decoded.
     pub unreadable: Vec<Report>,
 }
 
 impl LastGoodLists {
-    /// Reads the last good lists, under the manifest's rules.
+    /// Reads the last good lists of a home and applies the manifest's rules to them.
     ///
     /// # Errors
-    /// The folder or a file cannot be read.
+    /// The folder of the lists or a file in it cannot be read.
     pub fn read(home: &Path, manifest: &Manifest) -> Result<LastGoodLists, StoreError> {
         let mut lists = ActiveLists::new(manifest.list_rules());
         let mut unreadable = Vec::new();
@@ -71,17 +71,17 @@
     }
 }
 
-/// The owner of the watcher's thread, which ends when this is dropped.
+/// Owns the watcher's thread, which is ended when the watcher is dropped.
 pub struct ListWatcher {
     lists: SharedLists,
     wakeups: mpsc::Sender<Wakeup>,
-    /// Holds a message after a list was put in force.
+    /// Contains a message if a list was put in force since the last receive.
     pub changes: Receiver<()>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ListWatcher {
-    /// Puts the last good lists of a home in force, scans the files once, and starts watching them.
+    /// Puts the last good lists of a home in force, scans the files once, and starts to watch them.
     ///
     /// # Errors
     /// The last good lists cannot be read, or the thread cannot be started.
@@ -101,7 +101,8 @@
             wakeup_sender: wakeup_sender.clone(),
             wakeups,
         });
-        // The first scan runs on the thread too: the allocator keeps the memory that it frees for the thread that used it.
+        // The first scan also runs on the watcher's thread, because the allocator keeps freed memory for the thread that
+        // used it.
         let (first_scan_done, first_scan) = mpsc::channel();
         let body = move || {
             scanner.scan(ScanScope::AllFiles);
@@ -111,7 +112,7 @@
         let thread = thread::Builder::new()
             .name(THREAD_NAME.to_owned())
             .spawn(body)?;
-        // An error means that the thread panicked; the lists in force stay.
+        // Fails only if the thread has panicked. The last good lists then stay in force.
         let _ = first_scan.recv();
         Ok(ListWatcher {
             lists,
@@ -121,19 +122,19 @@
         })
     }
 
-    /// Watches under another manifest from now on. Entries of the lists in force that it does not permit are ignored.
+    /// Replaces the manifest. Entries of the lists in force that the new manifest does not permit are ignored.
     pub fn set_manifest(&self, manifest: &Manifest) {
         self.lists
             .write(|lists| lists.set_rules(manifest.list_rules()));
         self.wake(Wakeup::SourceChanged(manifest.list_source.clone()));
     }
 
-    /// Scans the changed files now.
+    /// Requests a scan of the changed files.
     pub fn rescan(&self) {
         self.wake(Wakeup::FilesChanged);
     }
 
-    /// Reads the lists in force.
+    /// Calls `read` with the lists in force.
     pub fn with_lists<T>(&self, read: impl FnOnce(&ActiveLists) -> T) -> T {
         self.lists.read(read)
     }
@@ -148,7 +149,7 @@
     fn drop(&mut self) {
         self.wake(Wakeup::Shutdown);
         if let Some(thread) = self.thread.take() {
-            // A panic was printed by its hook.
+            // A panic was already printed by the panic hook.
             let _ = thread.join();
         }
     }
--- a/crates/control-plane/src/list_watcher/file_states.rs
+++ b/crates/control-plane/src/list_watcher/file_states.rs
@@ -1,43 +1,43 @@
-//! The state of each endpoint list's file, logged when it changes.
+//! The states of the endpoint lists' files. A change of a state is logged.
 
 use super::status::FileState;
 use marblefall_delivery::log_line;
 use std::collections::BTreeMap;
 
-/// The name under which an unreadable source path itself is recorded.
+/// File name under which the source path itself is recorded if it cannot be read.
 pub(super) const SOURCE_PATH: &str = "";
 
-/// The last recorded state of each file, by name.
+/// The last recorded state of each file, by file name.
 #[derive(Default)]
 pub(super) struct FileStates(BTreeMap<String, FileState>);
 
 impl FileStates {
-    /// The state of a file, if it was recorded.
+    /// Returns the recorded state of a file; `None` if none is recorded.
     pub fn get(&self, file: &str) -> Option<&FileState> {
         self.0.get(file)
     }
 
-    /// All files with their states, in the order of their names.
+    /// Returns all files with their states, in the order of the file names.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &FileState)> {
         self.0.iter()
     }
 
-    /// Forgets all files.
+    /// Removes the states of all files.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// Forgets one file.
+    /// Removes the state of a file.
     pub fn remove(&mut self, file: &str) {
         self.0.remove(file);
     }
 
-    /// Forgets all files but those to `keep`. The state of the source path itself stays.
+    /// Removes the states of all files for which `keep` returns false. The state of the source path itself is kept.
     pub fn retain_files(&mut self, keep: impl Fn(&str) -> bool) {
         self.0.retain(|file, _| file == SOURCE_PATH || keep(file));
     }
 
-    /// Records a file's state, and logs it if it has changed.
+    /// Records the state of a file, and logs the state if it has changed.
     pub fn record(&mut self, file: &str, state: FileState) {
         if self.0.get(file) == Some(&state) {
             return;
@@ -49,7 +49,7 @@
 
 fn log_state(file: &str, state: &FileState) {
     match state {
-        // Logged with its revision where it is put in force.
+        // Logged with the list's revision when the list is put in force.
         FileState::InForce => {}
         FileState::Rejected { report } => log_rejected(file, report),
         FileState::Unreadable { cause } => log_line!(
@@ -71,7 +71,7 @@
         .map(str::trim)
         .filter(|line| !line.is_empty());
     let message = lines.next().unwrap_or_default();
-    // The file and the line follow the arrow in a report.
+    // In a report, the arrow precedes the file name and the line number.
     let location = lines
         .find_map(|line| line.strip_prefix("--> "))
         .unwrap_or(file);
--- a/crates/control-plane/src/list_watcher/folder_watch.rs
+++ b/crates/control-plane/src/list_watcher/folder_watch.rs
@@ -1,4 +1,4 @@
-//! The operating system's watch on the folders in which endpoint lists may change.
+//! Watches the folders in which endpoint lists may change, by the file notifications of the operating system.
 
 use super::wakeup::Wakeup;
 use marblefall_delivery::log_line;
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
 
-/// Identity of a folder. A folder that was replaced by another one of its name must be watched anew.
+/// Identity of a folder. If a folder is replaced by another one of the same name, a new watch is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FolderId {
     device: u64,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Wakes the scanner when the operating system reports a change.
+/// Wakes the scanner when the operating system reports a change in a watched folder.
 pub(super) struct FolderWatch {
     wakeups: mpsc::Sender<Wakeup>,
     active: Option<ActiveWatch>,
@@ -34,12 +34,12 @@
 
 struct ActiveWatch {
     folders: BTreeMap<PathBuf, FolderId>,
-    /// Watches until it is dropped.
+    /// Keeps the watch active until it is dropped.
     _watcher: RecommendedWatcher,
 }
 
 impl FolderWatch {
-    /// A watch that sends [`Wakeup::FilesChanged`], and watches nothing yet.
+    /// Creates an inactive watch that will send [`Wakeup::FilesChanged`] to `wakeups`.
     pub fn new(wakeups: mpsc::Sender<Wakeup>) -> FolderWatch {
         FolderWatch {
             wakeups,
@@ -52,8 +52,8 @@
         self.active = None;
     }
 
-    /// Watches the folders in which the content of `path` may change, unless they are watched already. Where the operating
-    /// system cannot, lists are only polled every `poll_interval_ms`.
+    /// Watches the folders in which the content of `path` may change, unless they are already watched. If the operating
+    /// system cannot watch them, the lists are only polled every `poll_interval_ms`.
     pub fn follow(&mut self, path: &Path, poll_interval_ms: u64) {
         let folders = relevant_folders(path);
         let is_followed = |active: &ActiveWatch| active.folders == folders;
@@ -65,7 +65,7 @@
             Err(error) => {
                 log_line!(
                     code = "file-watch-unavailable",
-                    "the system reports no file changes, endpoint lists are polled every {poll_interval_ms} ms: {error}"
+                    "file changes cannot be watched, endpoint lists are polled every {poll_interval_ms} ms: {error}"
                 );
                 None
             }
@@ -80,7 +80,7 @@
                 let folder = folder.display();
                 log_line!(
                     code = "file-watch-unavailable",
-                    "{folder} is only polled: {error}"
+                    "{folder} cannot be watched and is only polled: {error}"
                 );
             }
         }
@@ -91,8 +91,8 @@
     }
 }
 
-/// The folder at the path, its parent (in which the path may be replaced, or removed and created again), and the same two
-/// of the path with all links resolved (a link may be switched to another target).
+/// Returns the folder at `path` and its parent, and the same two for the path with all symbolic links resolved. A change in
+/// the parent may replace the path, or remove and create it again. A symbolic link may be switched to another target.
 fn relevant_folders(path: &Path) -> BTreeMap<PathBuf, FolderId> {
     let real_path = fs::canonicalize(path).ok();
     let paths = [Some(path), real_path.as_deref()];
@@ -109,7 +109,7 @@
 
 fn wake_on_change(wakeups: mpsc::Sender<Wakeup>) -> impl FnMut(notify::Result<Event>) {
     move |event| {
-        // The scanner's own reads cause events too. Taken for a change, each read would cause the next one.
+        // The scanner's own reads cause events too. If they counted as changes, each scan would trigger the next one.
         if !event.as_ref().is_ok_and(is_read_only) {
             // Fails only once the scanner has ended.
             let _ = wakeups.send(Wakeup::FilesChanged);
--- a/crates/control-plane/src/list_watcher/last_good_writer.rs
+++ b/crates/control-plane/src/list_watcher/last_good_writer.rs
@@ -5,23 +5,23 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// A change to the stored copy of one file's last good list.
+/// A change of the stored copy of a file's last good list.
 pub(super) enum StoreChange {
-    /// Store this text.
+    /// Replace the copy by this text.
     Write(Vec<u8>),
     /// Remove the copy.
     Remove,
 }
 
-/// Writes the last good lists to disk.
+/// Writes the last good lists to disk, and keeps failed changes for a retry.
 pub(super) struct LastGoodWriter {
     store: LastGoodStore,
-    /// Changes that failed, by file name.
+    /// Failed changes by file name.
     failed: BTreeMap<String, StoreChange>,
 }
 
 impl LastGoodWriter {
-    /// A writer to the lists' folder.
+    /// Creates a writer to the folder of the last good lists.
     pub fn new(folder: &Path) -> LastGoodWriter {
         LastGoodWriter {
             store: LastGoodStore::at(folder),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Changes the stored copy of a file's list. A change that fails is logged with its consequence, and kept for
+    /// Changes the stored copy of a file's list. A failure is logged with its `consequence`, and the change is kept for
     /// [`LastGoodWriter::retry_failed`].
     pub fn apply(&mut self, file: &str, change: StoreChange, consequence: &str) {
         if let Err(error) = self.try_apply(file, change) {
@@ -37,20 +37,24 @@
         }
     }
 
-    /// Retries the changes that failed.
+    /// Retries all failed changes.
     pub fn retry_failed(&mut self) {
         for (file, change) in std::mem::take(&mut self.failed) {
             match self.try_apply(&file, change) {
-                Ok(()) => log_line!(code = "last-good-list-written", file, "stored after all"),
+                Ok(()) => log_line!(
+                    code = "last-good-list-written",
+                    file,
+                    "stored after a retry"
+                ),
                 Err(error) => log_not_stored(&file, "still not stored", &error),
             }
         }
     }
 
-    /// Returns once everything written survives a loss of power. A failure is logged as one of `file`.
+    /// Makes all written changes durable against a power loss. A failure is logged with the name of `file`.
     pub fn sync(&self, file: &str) {
         if let Err(error) = self.store.sync() {
-            log_not_stored(file, "a loss of power may restore the list before", &error);
+            log_not_stored(file, "a power loss may restore the previous list", &error);
         }
     }
 
--- a/crates/control-plane/src/list_watcher/list_files.rs
+++ b/crates/control-plane/src/list_watcher/list_files.rs
@@ -1,4 +1,4 @@
-//! The files of endpoint lists: finding and reading them, and detecting whether one has changed since it was read.
+//! Finds and reads the files of endpoint lists, and detects whether a file has changed since it was read.
 
 use std::collections::BTreeMap;
 use std::fs::{self, Metadata, OpenOptions};
@@ -7,12 +7,13 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// A file that changed within this time before it was read may have changed again within the resolution of its timestamps.
+/// Minimum age of a file's last change at the read for the file's timestamps to be reliable. A more recent file may change
+/// again within the resolution of the timestamps.
 const RACY_AGE: Duration = Duration::from_secs(2);
-/// Maximum number of entries of a folder that are considered.
+/// Maximum number of entries that are read from a folder.
 const MAX_FILES: usize = 20_000;
 
-/// The endpoint lists' files at a path, by name: the file itself, or those of the folder that end in `.toml`.
+/// Returns the files of endpoint lists at a path, by file name: the file itself, or the folder's files that end in `.toml`.
 ///
 /// # Errors
 /// The path does not exist, or the folder cannot be read.
@@ -24,7 +25,7 @@
     let entries = fs::read_dir(path)?
         .take(MAX_FILES)
         .collect::<io::Result<Vec<_>>>()?;
-    // Names that start with a dot belong to editors and mounts.
+    // File names that start with a dot belong to editors and to mounted volumes.
     let is_list = |name: &str| name.ends_with(".toml") && !name.starts_with('.');
     Ok(entries
         .into_iter()
@@ -33,16 +34,16 @@
         .collect())
 }
 
-/// The content of a file, and its metadata when it was opened.
+/// The content of a file, and its metadata after it was opened.
 pub struct FileContent {
-    /// The content, of at most one byte more than the limit.
+    /// The content, truncated to one byte more than the size limit.
     pub bytes: Vec<u8>,
-    /// The metadata.
+    /// The metadata after the file was opened, before the content was read.
     pub metadata: Metadata,
 }
 
-/// Reads a regular file to its end, but at most one byte more than `max_bytes`. Other files are rejected: a pipe might
-/// never end.
+/// Reads a regular file to its end, but at most one byte more than `max_bytes`. Other kinds of files are rejected, because
+/// reading from a pipe might never end.
 ///
 /// # Errors
 /// The file cannot be read, or is not a regular file.
@@ -61,7 +62,7 @@
     Ok(FileContent { bytes, metadata })
 }
 
-/// The metadata by which a change of a file is detected.
+/// The part of a file's metadata that is compared to detect a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileIdentity {
     device: u64,
@@ -85,7 +86,7 @@
     }
 }
 
-/// The identity of a file when it was read.
+/// The identity of a file at the time when it was read.
 #[derive(Clone, Debug)]
 pub(super) struct FileFingerprint {
     identity: FileIdentity,
@@ -93,7 +94,7 @@
 }
 
 impl FileFingerprint {
-    /// The fingerprint of a file that was read just now.
+    /// Creates the fingerprint of a file that has just been read.
     pub fn of(metadata: &Metadata) -> FileFingerprint {
         FileFingerprint {
             identity: FileIdentity::of(metadata),
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Whether a file with this metadata surely holds the bytes that were read.
+    /// Returns whether a file with this metadata certainly still has the content that was read.
     pub fn matches(&self, metadata: &Metadata) -> bool {
         let changed_s = Duration::from_secs(metadata.ctime().max(0) as u64);
         let age = self
--- a/crates/control-plane/src/list_watcher/scanner.rs
+++ b/crates/control-plane/src/list_watcher/scanner.rs
@@ -1,5 +1,5 @@
-//! The watcher's thread: waits for a wake-up, lets the files settle, scans those that changed, and puts valid lists in
-//! force.
+//! The watcher's thread. It waits for a wake-up, waits until the files no longer change, scans the changed files, and puts
+//! valid lists in force.
 
 use super::file_states::{FileStates, SOURCE_PATH};
 use super::folder_watch::FolderWatch;
@@ -19,14 +19,14 @@
 use std::sync::mpsc::{self, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// Time without a further change after which the files are scanned.
+/// Time without further changes after which the files are scanned.
 const SETTLE_TIME: Duration = Duration::from_millis(10);
-/// Time after which the files are scanned even if they keep changing: a writer that never stops must not delay a drain.
+/// Time after which the files are scanned even if they keep changing, so that a continuous writer does not delay a drain.
 const MAX_SETTLE_TIME: Duration = Duration::from_millis(60);
 /// The poll interval while there is no source to poll.
 const NO_POLL: Duration = Duration::from_millis(u32::MAX as u64);
 
-/// Which files a scan reads.
+/// The files that a scan reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ScanScope {
     /// Files that changed since they were last read.
@@ -35,29 +35,29 @@
     AllFiles,
 }
 
-/// Outcome of scanning one file.
+/// The outcome of scanning a file.
 enum Observation {
-    /// The lists in force stay as they are, whatever the other files hold.
+    /// The lists in force do not change, and another file's list does not affect this outcome.
     Settled,
-    /// A new list is in force.
+    /// The file's list was put in force.
     Adopted,
-    /// The list was rejected, perhaps because of another file's list.
+    /// The list was rejected, possibly because of a conflict with another file's list.
     Rejected,
 }
 
-/// The parts of a scanner.
+/// The parameters of a scanner.
 pub(super) struct ScannerConfig {
     /// The folder of the last good lists and of the status file.
     pub folder: PathBuf,
     /// The lists in force.
     pub lists: SharedLists,
-    /// Receives a message when a list is put in force.
+    /// Channel to which a message is sent when a list is put in force.
     pub changes: Sender<()>,
-    /// Where the lists are; `None` where the manifest names no source.
+    /// The source of the lists; `None` if the manifest declares none.
     pub source: Option<EndpointListSource>,
-    /// Wakes this scanner.
+    /// Sender of messages that wake the scanner.
     pub wakeup_sender: mpsc::Sender<Wakeup>,
-    /// What wakes this scanner.
+    /// Receiver of messages that wake the scanner.
     pub wakeups: mpsc::Receiver<Wakeup>,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Scanner {
-    /// A scanner that has not scanned anything.
+    /// Creates a scanner that has not scanned any file yet.
     pub fn new(config: ScannerConfig) -> Scanner {
         Scanner {
             last_good: LastGoodWriter::new(&config.folder),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Scans at each wake-up and each poll, until [`Wakeup::Shutdown`].
+    /// Scans the files at each wake-up and each poll, until [`Wakeup::Shutdown`] is received.
     pub fn run(mut self) {
         while let Some(scope) = self.wait() {
             self.scan(scope);
@@ -141,7 +141,7 @@
         self.reporter.report(&self.lists, &self.states);
     }
 
-    /// Without a source nothing is watched, and the status shows no files.
+    /// Stops the watch and clears the state of all files, so that the status lists none.
     fn forget_source(&mut self) {
         self.folder_watch.stop();
         self.states.clear();
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Scans files until no rejected one becomes valid: a list that takes over a destination from another file is valid
-    /// only once that file's new list is in force.
+    /// Scans the files until no further rejected list becomes valid. A list that takes over a destination from another file
+    /// is valid only once that file's new list is in force.
     fn scan_files(&mut self, present: &BTreeMap<String, PathBuf>, max_bytes: usize) {
         let mut pending: Vec<(&String, &PathBuf)> = present.iter().collect();
         loop {
@@ -232,7 +232,8 @@
         Observation::Adopted
     }
 
-    /// Whether the last state of a file still holds. A rejected file is evaluated again: it may fit the other lists by now.
+    /// Returns whether the recorded state of a file is still valid. A rejected file is always evaluated again, because its
+    /// conflict with another list may be resolved.
     fn is_unchanged(&self, file: &str, path: &Path) -> bool {
         let rejected = matches!(self.states.get(file), Some(FileState::Rejected { .. }));
         let Some(fingerprint) = self.fingerprints.get(file) else {
@@ -241,8 +242,8 @@
         !rejected && fs::metadata(path).is_ok_and(|metadata| fingerprint.matches(&metadata))
     }
 
-    /// Puts a valid list in force. It is written to disk first, so that the start after a crash between the two steps puts
-    /// it in force.
+    /// Puts a valid list in force. The list is written to disk first, so that after a crash between the two steps the next
+    /// start puts it in force.
     fn adopt(&mut self, file: &str, candidate: Candidate, bytes: Vec<u8>) {
         for warning in &candidate.report.diagnostics {
             log_warning(file, warning);
@@ -251,15 +252,15 @@
         self.last_good.apply(
             file,
             StoreChange::Write(bytes),
-            "in force, but not stored yet for the next start",
+            "in force, but not yet stored for the next start",
         );
         self.put_in_force(file, candidate);
-        // Synced last, so that a slow disk does not delay the traffic's change to the new list.
+        // Synced last, so that a slow disk does not delay the switch of the traffic to the new list.
         self.last_good.sync(file);
         self.states.record(file, FileState::InForce);
     }
 
-    /// Stores what remains of missing files' lists once a new list names their destinations.
+    /// Stores the remaining destinations of missing files' lists after a new list takes over some of their destinations.
     fn store_superseded(&mut self, candidate: &Candidate) {
         let superseded = self.lists.read(|lists| lists.superseded(candidate));
         for SupersededList { file, remaining } in superseded {
@@ -268,8 +269,11 @@
             } else {
                 StoreChange::Write(remaining.to_toml().into_bytes())
             };
-            self.last_good
-                .apply(&file, change, "the next start may find the list before");
+            self.last_good.apply(
+                &file,
+                change,
+                "the next start may restore the previous list",
+            );
         }
     }
 
@@ -280,13 +284,13 @@
             code = "endpoint-list-in-force",
             file,
             revision,
-            "endpoint list in force: {endpoint_changes} endpoints change"
+            "endpoint list in force: {endpoint_changes} endpoints changed"
         );
-        // Full while an earlier change has not been received.
+        // Fails if the supervisor has not yet received an earlier message, which then covers this change too.
         let _ = self.changes.try_send(());
     }
 
-    /// Records files that are missing while a list of theirs is in force, and forgets missing files without one.
+    /// Records missing files whose list is in force, and removes the states of missing files whose list is not in force.
     fn record_missing(&mut self, present: &BTreeMap<String, PathBuf>) {
         let in_force: BTreeSet<String> = self
             .lists
--- a/crates/control-plane/src/list_watcher/shared_lists.rs
+++ b/crates/control-plane/src/list_watcher/shared_lists.rs
@@ -3,12 +3,12 @@
 use marblefall_endpoint_lists::ActiveLists;
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// A shared handle on the lists in force. After a panic of one thread the other one continues to use them.
+/// A shared handle to the lists in force. After a panic of one thread the other one can still use them.
 #[derive(Clone)]
 pub(super) struct SharedLists(Arc<RwLock<ActiveLists>>);
 
 impl SharedLists {
-    /// Shares these lists.
+    /// Creates a handle to these lists.
     pub fn new(lists: ActiveLists) -> SharedLists {
         SharedLists(Arc::new(RwLock::new(lists)))
     }
--- a/crates/control-plane/src/list_watcher/status_reporter.rs
+++ b/crates/control-plane/src/list_watcher/status_reporter.rs
@@ -1,4 +1,4 @@
-//! Reports what the last scan found: the status file, and a log line for each destination without a list.
+//! Reports the results of a scan: writes the status file, and logs destinations that no list contains.
 
 use super::file_states::FileStates;
 use super::shared_lists::SharedLists;
@@ -7,17 +7,17 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Reports what each scan found.
+/// Reports the results of each scan.
 pub(super) struct StatusReporter {
     status_path: PathBuf,
-    /// The status that the file holds.
+    /// The status that was last written to the file; `None` before the first write.
     written_status: Option<ListStatus>,
-    /// Destinations without a list, as last logged.
+    /// The destinations that no list contained at the last report.
     unlisted: BTreeSet<String>,
 }
 
 impl StatusReporter {
-    /// A reporter that writes the status file to the lists' folder.
+    /// Creates a reporter that writes the status file to the folder of the last good lists.
     pub fn new(folder: &Path) -> StatusReporter {
         StatusReporter {
             status_path: ListStatus::path(folder),
--- a/crates/control-plane/src/list_watcher/wakeup.rs
+++ b/crates/control-plane/src/list_watcher/wakeup.rs
@@ -4,9 +4,9 @@
 
 /// A message that wakes the scanner's thread.
 pub(super) enum Wakeup {
-    /// A file has changed, or may have.
+    /// A file may have changed.
     FilesChanged,
-    /// The manifest names another source of lists, or none.
+    /// The source of lists in the manifest may have changed; `None` if the manifest declares none.
     SourceChanged(Option<EndpointListSource>),
     /// The watcher was dropped.
     Shutdown,
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,6 +1,6 @@
-//! Data that an earlier version of the program stored is read by this one: a member's home with its voter's log and the
-//! policy in force, and a fleet with the endpoint list in force. The fixtures in `tests/fixtures` were written by an earlier
-//! version, and must not be changed.
+//! Tests that this version reads the data that an earlier version of the program stored: a member's home with its voter's
+//! log and the policy in force, and a fleet's home with the endpoint list in force. The fixtures in `tests/fixtures` were
+//! written by an earlier version and must not be changed.
 
 use marblefall_control_plane::endpoint_directory::CompactApplied;
 use marblefall_control_plane::group::Membership;
@@ -38,7 +38,7 @@
         ("east", "clinics")
     );
     assert_eq!(membership.names(), ["east", "north", "south"]);
-    // Encoded again, it is the same, key by key.
+    // Encoding it again yields the same keys and values.
     let before: serde_json::Value =
         serde_json::from_slice(&fs::read(home.join("applied.json")).unwrap()).unwrap();
     assert_eq!(serde_json::to_value(&applied).unwrap(), before);
