--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -21,7 +21,7 @@
 use std::path::{Path, PathBuf};
 
 /// Name of the folder in a home that contains the group's files.
-const FOLDER: &str = "group";
+const GROUP_FOLDER: &str = "group";
 /// Name of the file that contains the member's name.
 const MEMBER_FILE: &str = "member";
 /// Name of the file that contains the initial manifest.
@@ -104,7 +104,7 @@
                 members: group.members.keys().cloned().collect(),
             });
         }
-        let folder = home.join(FOLDER);
+        let folder = home.join(GROUP_FOLDER);
         let write_error = |source: io::Error| GroupError::Write {
             path: folder.clone(),
             source,
@@ -147,7 +147,7 @@
 }
 
 fn group_file(home: &Path, name: &str) -> PathBuf {
-    home.join(FOLDER).join(name)
+    home.join(GROUP_FOLDER).join(name)
 }
 
 /// Reads a file; `None` if it does not exist.
--- a/crates/control-plane/src/group/driver.rs
+++ b/crates/control-plane/src/group/driver.rs
@@ -136,8 +136,8 @@
                 NodeAction::Send(..) if !written => {}
                 NodeAction::Send(to, frame) if to == own_id => own_frames.push(frame),
                 NodeAction::Send(to, frame) => self.peers.send(to, &frame),
-                NodeAction::CheckPolicy(proposal, follows, policy) => {
-                    self.check_policy(proposal, follows, &policy);
+                NodeAction::CheckPolicy(proposal, base_revision, policy) => {
+                    self.check_policy(proposal, base_revision, &policy);
                 }
                 // Already stored by `store_applied_policies`.
                 NodeAction::ApplyPolicy(..) => {}
--- a/crates/control-plane/src/group/driver/policy.rs
+++ b/crates/control-plane/src/group/driver/policy.rs
@@ -16,16 +16,21 @@
     #[error("the file no longer has a [group]")]
     NoGroup,
     #[error("of [group], a change may only say which instances a member runs")]
-    OtherGroup,
+    GroupSettingsChanged,
     #[error("its home was created with a different file")]
-    OtherInitialPolicy,
+    InitialPolicyMismatch,
 }
 
 impl Driver {
     /// Checks whether a proposed policy can be decoded, whether this member can act under it, and whether it permits the
     /// instances' open messages. The verdict arrives as an event.
-    pub(super) fn check_policy(&self, proposal: ProposalId, follows: Revision, policy: &[u8]) {
-        match self.check_without_instances(follows, policy) {
+    pub(super) fn check_policy(
+        &self,
+        proposal: ProposalId,
+        base_revision: Revision,
+        policy: &[u8],
+    ) {
+        match self.check_without_instances(base_revision, policy) {
             Ok(manifest) => self.check_with_instances(proposal, manifest),
             Err(error) => {
                 let verdict = rejection(&self.membership.name, &error.to_string());
@@ -40,18 +45,18 @@
     /// Performs the checks that do not depend on the instances.
     fn check_without_instances(
         &self,
-        follows: Revision,
+        base_revision: Revision,
         policy: &[u8],
     ) -> Result<Manifest, PolicyError> {
         let manifest: Manifest = serde_json::from_slice(policy)?;
         let group = manifest.group.as_ref().ok_or(PolicyError::NoGroup)?;
         if fixed_settings(group) != fixed_settings(&self.membership.group) {
-            return Err(PolicyError::OtherGroup);
+            return Err(PolicyError::GroupSettingsChanged);
         }
         let initial_policy = self.initial_policy.as_deref();
-        let is_other_initial = initial_policy.is_some_and(|initial| initial != policy);
-        if follows == Revision(0) && is_other_initial {
-            return Err(PolicyError::OtherInitialPolicy);
+        let differs_from_initial = initial_policy.is_some_and(|initial| initial != policy);
+        if base_revision == Revision(0) && differs_from_initial {
+            return Err(PolicyError::InitialPolicyMismatch);
         }
         Ok(manifest)
     }
--- a/crates/control-plane/src/group/driver/start.rs
+++ b/crates/control-plane/src/group/driver/start.rs
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 /// Maximum number of queued transport events. While the queue is full, connections are not read.
-const EVENT_QUEUE: usize = 1024;
+const EVENT_QUEUE_CAPACITY: usize = 1024;
 
 impl Membership {
     /// Starts the daemon's coordination node, and returns the events for the supervisor of the instances. The transport
@@ -39,7 +39,7 @@
         if let Some(warning) = self.group.warning() {
             log_line!(code = "even-voters", "{warning}");
         }
-        let (transport_events, transport) = async_channel::bounded(EVENT_QUEUE);
+        let (transport_events, transport) = async_channel::bounded(EVENT_QUEUE_CAPACITY);
         self.listen(listen, transport_events.clone(), tasks)?;
         let (group_events, group_event_receiver) = async_channel::unbounded();
         let (verdict_sender, verdicts) = async_channel::unbounded();
--- a/crates/control-plane/src/group/transport/channel.rs
+++ b/crates/control-plane/src/group/transport/channel.rs
@@ -119,7 +119,7 @@
     async fn run_connection(&self) -> io::Result<()> {
         let stream = self.connect().await?;
         (&stream).write_all(&self.hello).await?;
-        let unacknowledged = Unacknowledged::hello();
+        let unacknowledged = Unacknowledged::after_hello();
         // Waits here while the event queue is full, so that this wait does not count as an acknowledgement timeout.
         let connected = TransportEvent::Connected(self.to);
         if self.events.send(connected).await.is_err() {
@@ -166,7 +166,7 @@
 
 impl Unacknowledged {
     /// The state after the [`Hello`] frame was written, which is acknowledged like any other frame.
-    fn hello() -> Unacknowledged {
+    fn after_hello() -> Unacknowledged {
         Unacknowledged {
             count: Cell::new(1),
             since: Cell::new(Some(Instant::now())),
--- a/crates/control-plane/src/group/transport/listener.rs
+++ b/crates/control-plane/src/group/transport/listener.rs
@@ -40,9 +40,9 @@
     #[error("no hello was received")]
     NoHello,
     #[error("its protocol version is {0}, but this daemon's is {VERSION}")]
-    OtherVersion(u16),
+    VersionMismatch(u16),
     #[error("it belongs to group {0:?}")]
-    OtherGroup(String),
+    GroupMismatch(String),
     #[error("the group has no member {}", .0 .0)]
     NoSuchMember(MemberId),
     #[error(transparent)]
@@ -54,8 +54,8 @@
     fn code(&self) -> &'static str {
         match self {
             ConnectionError::NoHello => "link-no-hello",
-            ConnectionError::OtherVersion(_) => "link-version",
-            ConnectionError::OtherGroup(_) => "link-other-group",
+            ConnectionError::VersionMismatch(_) => "link-version",
+            ConnectionError::GroupMismatch(_) => "link-other-group",
             ConnectionError::NoSuchMember(_) => "link-no-member",
             ConnectionError::Frame(error) => error.code(),
         }
@@ -102,10 +102,10 @@
 ) -> Result<(), ConnectionError> {
     let hello = read_hello(&mut stream).await?;
     if hello.version != VERSION {
-        return Err(ConnectionError::OtherVersion(hello.version));
+        return Err(ConnectionError::VersionMismatch(hello.version));
     }
     if hello.group != setup.group {
-        return Err(ConnectionError::OtherGroup(hello.group));
+        return Err(ConnectionError::GroupMismatch(hello.group));
     }
     match hello.peer {
         Peer::Operator => Ok(serve_operator(stream, setup).await?),
--- a/crates/control-plane/src/group/transport/tests.rs
+++ b/crates/control-plane/src/group/transport/tests.rs
@@ -46,7 +46,7 @@
 
 /// Daemons and operators' commands of different program versions must be able to communicate.
 #[test]
-fn hello_and_response_are_encoded_as_before() {
+fn hello_and_response_encoding_is_unchanged() {
     // Tuples with the fields in the order in which earlier versions encoded them.
     let earlier_hello = |peer: (u8, Option<u32>)| match peer {
         (tag, Some(member)) => encode_frame(&(1u16, "g", (tag, member))),
--- a/crates/control-plane/src/list_watcher/list_files.rs
+++ b/crates/control-plane/src/list_watcher/list_files.rs
@@ -9,7 +9,7 @@
 
 /// Minimum age of a file's last change at the read for the file's timestamps to be reliable. A more recent file may change
 /// again within the resolution of the timestamps.
-const RACY_AGE: Duration = Duration::from_secs(2);
+const MIN_RELIABLE_AGE: Duration = Duration::from_secs(2);
 /// Maximum number of entries that are read from a folder.
 const MAX_FILES: usize = 20_000;
 
@@ -108,6 +108,6 @@
         let age = self
             .read_at
             .duration_since(SystemTime::UNIX_EPOCH + changed_s);
-        self.identity == FileIdentity::of(metadata) && age.is_ok_and(|age| age > RACY_AGE)
+        self.identity == FileIdentity::of(metadata) && age.is_ok_and(|age| age > MIN_RELIABLE_AGE)
     }
 }
--- a/crates/control-plane/src/list_watcher/scanner.rs
+++ b/crates/control-plane/src/list_watcher/scanner.rs
@@ -36,9 +36,9 @@
 }
 
 /// The outcome of scanning a file.
-enum Observation {
+enum ScanOutcome {
     /// The lists in force do not change, and another file's list does not affect this outcome.
-    Settled,
+    NoChange,
     /// The file's list was put in force.
     Adopted,
     /// The list was rejected, possibly because of a conflict with another file's list.
@@ -136,13 +136,13 @@
         self.last_good.retry_failed();
         match self.source.clone() {
             Some(source) => self.scan_source(&source, scope),
-            None => self.forget_source(),
+            None => self.clear_source_state(),
         }
         self.reporter.report(&self.lists, &self.states);
     }
 
     /// Stops the watch and clears the state of all files, so that the status lists none.
-    fn forget_source(&mut self) {
+    fn clear_source_state(&mut self) {
         self.folder_watch.stop();
         self.states.clear();
         self.fingerprints.clear();
@@ -185,12 +185,12 @@
         loop {
             let mut adopted = false;
             pending.retain(|(file, path)| match self.scan_file(file, path, max_bytes) {
-                Observation::Settled => false,
-                Observation::Adopted => {
+                ScanOutcome::NoChange => false,
+                ScanOutcome::Adopted => {
                     adopted = true;
                     false
                 }
-                Observation::Rejected => true,
+                ScanOutcome::Rejected => true,
             });
             if !adopted || pending.is_empty() {
                 return;
@@ -198,16 +198,16 @@
         }
     }
 
-    fn scan_file(&mut self, file: &str, path: &Path, max_bytes: usize) -> Observation {
+    fn scan_file(&mut self, file: &str, path: &Path, max_bytes: usize) -> ScanOutcome {
         if self.is_unchanged(file, path) {
-            return Observation::Settled;
+            return ScanOutcome::NoChange;
         }
         let FileContent { bytes, metadata } = match read_bounded(path, max_bytes) {
             Ok(content) => content,
             Err(error) => {
                 let cause = error.to_string();
                 self.states.record(file, FileState::Unreadable { cause });
-                return Observation::Settled;
+                return ScanOutcome::NoChange;
             }
         };
         let fingerprint = FileFingerprint::of(&metadata);
@@ -215,21 +215,21 @@
         self.evaluate(file, bytes)
     }
 
-    fn evaluate(&mut self, file: &str, bytes: Vec<u8>) -> Observation {
+    fn evaluate(&mut self, file: &str, bytes: Vec<u8>) -> ScanOutcome {
         let candidate = match self.lists.read(|lists| lists.evaluate(file, &bytes)) {
             Ok(candidate) => candidate,
             Err(report) => {
                 let report = report.to_string();
                 self.states.record(file, FileState::Rejected { report });
-                return Observation::Rejected;
+                return ScanOutcome::Rejected;
             }
         };
         if self.lists.read(|lists| candidate.is_active(lists)) {
             self.states.record(file, FileState::InForce);
-            return Observation::Settled;
+            return ScanOutcome::NoChange;
         }
         self.adopt(file, candidate, bytes);
-        Observation::Adopted
+        ScanOutcome::Adopted
     }
 
     /// Returns whether the recorded state of a file is still valid. A rejected file is always evaluated again, because its
--- a/crates/control-plane/src/manifest/checks.rs
+++ b/crates/control-plane/src/manifest/checks.rs
@@ -31,9 +31,9 @@
     checker.faults
 }
 
-/// An entry of the document, as named in the report of a fault.
+/// The location of an entry in the document, with the names for the report of a fault.
 #[derive(Clone, Copy)]
-struct Place<'a> {
+struct EntryLocation<'a> {
     kind: &'static str,
     /// The entry's name; `None` if the document has at most one entry of the kind.
     name: Option<&'a str>,
@@ -41,18 +41,18 @@
     offset: usize,
 }
 
-impl<'a> Place<'a> {
-    fn named<T>(kind: &'static str, name: &'a str, entry: &Spanned<T>) -> Place<'a> {
-        Place {
+impl<'a> EntryLocation<'a> {
+    fn named<T>(kind: &'static str, name: &'a str, entry: &Spanned<T>) -> EntryLocation<'a> {
+        EntryLocation {
             kind,
             name: Some(name),
             offset: entry.span().start,
         }
     }
 
-    /// Creates the place of an entry without a name, of which the document has at most one.
-    fn only<T>(kind: &'static str, entry: &Spanned<T>) -> Place<'a> {
-        Place {
+    /// Creates the location of an entry without a name, of which the document has at most one.
+    fn unnamed<T>(kind: &'static str, entry: &Spanned<T>) -> EntryLocation<'a> {
+        EntryLocation {
             kind,
             name: None,
             offset: entry.span().start,
@@ -68,12 +68,12 @@
 }
 
 impl Checker<'_> {
-    fn report(&mut self, place: Place<'_>, cause: FaultCause) {
-        let entry = match place.name {
-            Some(name) => format!("{} {name}", place.kind),
-            None => place.kind.to_owned(),
+    fn report(&mut self, location: EntryLocation<'_>, cause: FaultCause) {
+        let entry = match location.name {
+            Some(name) => format!("{} {name}", location.kind),
+            None => location.kind.to_owned(),
         };
-        let line = self.line_breaks.partition_point(|at| *at < place.offset) + 1;
+        let line = self.line_breaks.partition_point(|at| *at < location.offset) + 1;
         self.faults.push(ManifestFault {
             line: Some(line),
             entry,
@@ -84,7 +84,7 @@
     fn check_classes(&mut self) {
         for (name, class) in &self.document.classes {
             if let Some(cause) = class_fault(class.get_ref()) {
-                self.report(Place::named("class", name, class), cause);
+                self.report(EntryLocation::named("class", name, class), cause);
             }
         }
     }
@@ -97,7 +97,7 @@
             let cause = FaultCause::TooManyExternalInstances {
                 max: MAX_EXTERNAL_INSTANCES,
             };
-            self.report(Place::only("fleet", fleet), cause);
+            self.report(EntryLocation::unnamed("fleet", fleet), cause);
         }
     }
 
@@ -106,7 +106,7 @@
             return;
         };
         if let Some(cause) = list_source_fault(source.get_ref()) {
-            self.report(Place::only("roster", source), cause);
+            self.report(EntryLocation::unnamed("roster", source), cause);
         }
     }
 
--- a/crates/control-plane/src/manifest/checks/group.rs
+++ b/crates/control-plane/src/manifest/checks/group.rs
@@ -1,7 +1,7 @@
 //! Checks of the group: its durations, its voters, and the assignment of instances to members.
 
 use super::entries::name_is_valid;
-use super::{Checker, Place};
+use super::{Checker, EntryLocation};
 use crate::manifest::error::FaultCause;
 use crate::manifest::group::GroupSection;
 use crate::manifest::{MemberSpec, PartitionPolicy};
@@ -31,29 +31,29 @@
         let Some(group) = &self.document.group else {
             return;
         };
-        let place = Place::only("group", group);
+        let location = EntryLocation::unnamed("group", group);
         let group = group.get_ref();
         if !name_is_valid(&group.name) {
-            self.report(place, FaultCause::InvalidName);
+            self.report(location, FaultCause::InvalidName);
         }
-        self.check_durations(place, group);
-        self.check_voters(place, group);
+        self.check_durations(location, group);
+        self.check_voters(location, group);
         let mut assignments = Assignments::default();
         for (name, member) in &group.members {
-            let place = Place::named("member", name, member);
-            self.check_member(place, name, member.get_ref(), &mut assignments);
+            let location = EntryLocation::named("member", name, member);
+            self.check_member(location, name, member.get_ref(), &mut assignments);
         }
         self.check_instances_are_run(&assignments);
     }
 
-    fn check_durations(&mut self, place: Place<'_>, group: &GroupSection) {
+    fn check_durations(&mut self, location: EntryLocation<'_>, group: &GroupSection) {
         let timeouts = [
             ("check_ms", group.check_timeout_ms),
             ("stop_ms", group.quiesce_timeout_ms),
         ];
         for (key, ms) in [("term_ms", group.lease_ms)].into_iter().chain(timeouts) {
             if !DURATIONS_MS.contains(&ms) {
-                self.report(place, FaultCause::DurationOutOfRange { key });
+                self.report(location, FaultCause::DurationOutOfRange { key });
             }
         }
         if group.partition_policy == PartitionPolicy::Serve {
@@ -68,48 +68,48 @@
                     min_ms,
                     lease_ms,
                 };
-                self.report(place, cause);
+                self.report(location, cause);
             }
         }
     }
 
-    fn check_voters(&mut self, place: Place<'_>, group: &GroupSection) {
+    fn check_voters(&mut self, location: EntryLocation<'_>, group: &GroupSection) {
         let members = group.members.values();
         let voters = members.filter(|member| member.get_ref().votes).count();
         if voters == 0 {
-            self.report(place, FaultCause::NoVoters);
+            self.report(location, FaultCause::NoVoters);
         }
         if voters > MAX_VOTERS {
-            self.report(place, FaultCause::TooManyVoters(voters));
+            self.report(location, FaultCause::TooManyVoters(voters));
         }
     }
 
     fn check_member<'d>(
         &mut self,
-        place: Place<'_>,
+        location: EntryLocation<'_>,
         name: &'d str,
         member: &'d MemberSpec,
         assignments: &mut Assignments<'d>,
     ) {
         if !name_is_valid(name) {
-            self.report(place, FaultCause::InvalidName);
+            self.report(location, FaultCause::InvalidName);
         }
         if member.link.port() == 0 {
-            self.report(place, FaultCause::LinkWithoutPort);
+            self.report(location, FaultCause::LinkWithoutPort);
         }
         if let Some(other) = assignments.links.insert(member.link, name) {
-            self.report(place, FaultCause::DuplicateLink(other.to_owned()));
+            self.report(location, FaultCause::DuplicateLink(other.to_owned()));
         }
         for instance in &member.instances {
             if !self.document.instances.contains_key(instance) {
-                self.report(place, FaultCause::UnknownInstance(instance.clone()));
+                self.report(location, FaultCause::UnknownInstance(instance.clone()));
             }
             if let Some(other) = assignments.instances.insert(instance, name) {
                 let cause = FaultCause::InstanceRunTwice {
                     instance: instance.clone(),
                     member: other.to_owned(),
                 };
-                self.report(place, cause);
+                self.report(location, cause);
             }
         }
     }
@@ -117,8 +117,8 @@
     fn check_instances_are_run(&mut self, assignments: &Assignments<'_>) {
         for (name, instance) in &self.document.instances {
             if !assignments.instances.contains_key(name.as_str()) {
-                let place = Place::named("instance", name, instance);
-                self.report(place, FaultCause::InstanceNotRun);
+                let location = EntryLocation::named("instance", name, instance);
+                self.report(location, FaultCause::InstanceNotRun);
             }
         }
     }
--- a/crates/control-plane/src/manifest/checks/instances.rs
+++ b/crates/control-plane/src/manifest/checks/instances.rs
@@ -1,7 +1,7 @@
 //! Checks of the instances and their frontends.
 
 use super::entries::{is_path, limits_fault, name_is_valid};
-use super::{Checker, Place};
+use super::{Checker, EntryLocation};
 use crate::manifest::error::FaultCause;
 use crate::manifest::InstanceSpec;
 use std::collections::BTreeSet;
@@ -12,30 +12,30 @@
     pub(super) fn check_instances(&mut self) {
         let mut addresses = BTreeSet::new();
         for (name, instance) in &self.document.instances {
-            let place = Place::named("instance", name, instance);
+            let location = EntryLocation::named("instance", name, instance);
             let instance = instance.get_ref();
             // The instance's name is also the name of its state folder.
             if !name_is_valid(name) {
-                self.report(place, FaultCause::InvalidName);
+                self.report(location, FaultCause::InvalidName);
             }
             if instance.events.is_none() && instance.platform.is_none() {
-                self.report(place, FaultCause::NoFrontend);
+                self.report(location, FaultCause::NoFrontend);
             }
             if let Some(cause) = instance.limits.as_ref().and_then(limits_fault) {
-                self.report(place, cause);
+                self.report(location, cause);
             }
-            self.check_events_frontend(place, instance);
-            self.check_platform_frontend(place, instance);
-            self.check_addresses(place, instance, &mut addresses);
+            self.check_events_frontend(location, instance);
+            self.check_platform_frontend(location, instance);
+            self.check_addresses(location, instance, &mut addresses);
         }
     }
 
-    fn check_events_frontend(&mut self, place: Place<'_>, instance: &InstanceSpec) {
+    fn check_events_frontend(&mut self, location: EntryLocation<'_>, instance: &InstanceSpec) {
         let Some(events) = &instance.events else {
             return;
         };
         if !is_path(&events.path) {
-            self.report(place, FaultCause::InvalidPath(events.path.clone()));
+            self.report(location, FaultCause::InvalidPath(events.path.clone()));
         }
         for (event_type, class) in &events.class_by_type {
             if !self.document.classes.contains_key(class) {
@@ -43,12 +43,12 @@
                     event_type: event_type.clone(),
                     class: class.clone(),
                 };
-                self.report(place, cause);
+                self.report(location, cause);
             }
         }
     }
 
-    fn check_platform_frontend(&mut self, place: Place<'_>, instance: &InstanceSpec) {
+    fn check_platform_frontend(&mut self, location: EntryLocation<'_>, instance: &InstanceSpec) {
         let Some(platform) = &instance.platform else {
             return;
         };
@@ -59,14 +59,14 @@
                     number: number.clone(),
                     destination: destination.clone(),
                 };
-                self.report(place, cause);
+                self.report(location, cause);
             }
         }
     }
 
     fn check_addresses(
         &mut self,
-        place: Place<'_>,
+        location: EntryLocation<'_>,
         instance: &InstanceSpec,
         known_addresses: &mut BTreeSet<SocketAddr>,
     ) {
@@ -74,7 +74,7 @@
         let platform = instance.platform.iter();
         for address in events.chain(platform.map(|platform| platform.listen_address)) {
             if address.port() != 0 && !known_addresses.insert(address) {
-                self.report(place, FaultCause::DuplicateAddress(address));
+                self.report(location, FaultCause::DuplicateAddress(address));
             }
         }
     }
--- a/crates/control-plane/src/manifest/group/tests.rs
+++ b/crates/control-plane/src/manifest/group/tests.rs
@@ -2,9 +2,9 @@
 
 use crate::manifest::Manifest;
 
-const GOOD: &str = include_str!("../../../../../examples/group/fleet.toml");
+const EXAMPLE: &str = include_str!("../../../../../examples/group/fleet.toml");
 
-/// A change of [`GOOD`] that makes it invalid.
+/// A change of [`EXAMPLE`] that makes it invalid.
 struct InvalidChange {
     /// The text that is replaced.
     from: &'static str,
@@ -81,7 +81,7 @@
 
 #[test]
 fn example_group_is_valid_without_warning() {
-    let manifest = Manifest::parse(GOOD).unwrap();
+    let manifest = Manifest::parse(EXAMPLE).unwrap();
     let group = manifest.group.unwrap();
     assert_eq!((group.members.len(), group.warning()), (3, None));
 }
@@ -90,8 +90,8 @@
 fn invalid_group_is_an_error_with_its_line() {
     for change in INVALID_CHANGES {
         let InvalidChange { from, line, .. } = change;
-        let text = GOOD.replace(from, change.to);
-        assert_ne!(text, GOOD, "{from}");
+        let text = EXAMPLE.replace(from, change.to);
+        assert_ne!(text, EXAMPLE, "{from}");
         let message = Manifest::parse(&text).unwrap_err().to_string();
         assert!(
             message.contains(change.message) && message.contains(&format!("line {line}")),
@@ -103,7 +103,7 @@
 
 #[test]
 fn even_number_of_voters_is_a_warning() {
-    let even = GOOD.replacen("votes = true", "votes = false", 1);
+    let even = EXAMPLE.replacen("votes = true", "votes = false", 1);
     let warning = Manifest::parse(&even)
         .unwrap()
         .group
@@ -115,8 +115,8 @@
 
 /// Regression: the computation of the minimum timeout overflowed for a very long lease.
 #[test]
-fn absurd_lease_is_an_error() {
-    let text = GOOD.replace("term_ms = 3000", &format!("term_ms = {}", i64::MAX));
+fn overlong_lease_is_an_error() {
+    let text = EXAMPLE.replace("term_ms = 3000", &format!("term_ms = {}", i64::MAX));
     let message = Manifest::parse(&text).unwrap_err().to_string();
     assert!(message.contains("term_ms"), "{message}");
     assert!(message.contains("check_ms"), "{message}");
--- a/crates/control-plane/src/manifest/tests.rs
+++ b/crates/control-plane/src/manifest/tests.rs
@@ -2,9 +2,9 @@
 
 use super::Manifest;
 
-const GOOD: &str = include_str!("../../../../deploy/partners.toml");
+const DEPLOYED: &str = include_str!("../../../../deploy/partners.toml");
 
-/// A change of [`GOOD`] that makes it invalid.
+/// A change of [`DEPLOYED`] that makes it invalid.
 struct InvalidChange {
     /// The text that is replaced.
     from: &'static str,
@@ -63,7 +63,7 @@
 
 #[test]
 fn deployed_manifest_is_valid() {
-    let manifest = Manifest::parse(GOOD).unwrap();
+    let manifest = Manifest::parse(DEPLOYED).unwrap();
     assert!(
         !manifest.instances.is_empty() && manifest.instances.values().all(|i| i.events.is_some())
     );
@@ -78,8 +78,8 @@
 fn invalid_entry_is_an_error_with_its_line() {
     for change in INVALID_CHANGES {
         let InvalidChange { from, on_line, .. } = change;
-        let text = GOOD.replacen(from, change.to, 1);
-        assert_ne!(text, GOOD, "{from}");
+        let text = DEPLOYED.replacen(from, change.to, 1);
+        assert_ne!(text, DEPLOYED, "{from}");
         let message = Manifest::parse(&text).unwrap_err().to_string();
         let place = format!("line {}", line_of(&text, on_line));
         assert!(
@@ -92,7 +92,7 @@
 
 #[test]
 fn unknown_key_error_lists_operators_keys() {
-    let text = GOOD.replacen("worth = 1", "priority_weight = 1", 1);
+    let text = DEPLOYED.replacen("worth = 1", "priority_weight = 1", 1);
     let message = Manifest::parse(&text).unwrap_err().to_string();
     let keys = "expected one of `repeats`, `window_ms`, `worth`, `wanted_ms`, `give_up_ms`, `late_value`, `remember_s`";
     assert!(
--- a/crates/control-plane/src/plan/changes.rs
+++ b/crates/control-plane/src/plan/changes.rs
@@ -30,19 +30,19 @@
         }
     }
     let has_entries = !entries.is_empty();
-    let mut add = |entry: &str, key: &str, is_set: bool| {
+    let mut add_if_set = |entry: &str, key: &str, is_set: bool| {
         if is_set {
             entries.insert(entry.to_owned(), tables[key].clone());
         }
     };
-    add("limits", "limits", has_entries);
-    add("fleet", "elsewhere", manifest.external_instances > 0);
-    add("group", "group", manifest.group.is_some());
-    add("roster", "roster", manifest.list_source.is_some());
+    add_if_set("limits", "limits", has_entries);
+    add_if_set("fleet", "elsewhere", manifest.external_instances > 0);
+    add_if_set("group", "group", manifest.group.is_some());
+    add_if_set("roster", "roster", manifest.list_source.is_some());
     entries
 }
 
-fn change<'a>(old: Option<&'a Value>, new: Option<&'a Value>) -> Option<Change<'a>> {
+fn classify_change<'a>(old: Option<&'a Value>, new: Option<&'a Value>) -> Option<Change<'a>> {
     match (old, new) {
         (None, Some(_)) => Some(Change::Added),
         (Some(old), Some(new)) if old != new => Some(Change::Changed(old, new)),
@@ -55,11 +55,16 @@
     let no_keys = Map::new();
     let old = old.as_object().unwrap_or(&no_keys);
     let new = new.as_object().unwrap_or(&no_keys);
-    let show = |value: Option<&Value>| value.map_or("-".to_owned(), Value::to_string);
+    let format_value = |value: Option<&Value>| value.map_or("-".to_owned(), Value::to_string);
     for key in old.keys().chain(new.keys()).collect::<BTreeSet<_>>() {
         let (old, new) = (old.get(key), new.get(key));
         if old != new {
-            writeln!(f, "    {key}: {} -> {}", show(old), show(new))?;
+            writeln!(
+                f,
+                "    {key}: {} -> {}",
+                format_value(old),
+                format_value(new)
+            )?;
         }
     }
     Ok(())
@@ -72,7 +77,7 @@
         let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
         let (mut added, mut changed, mut removed) = (0, 0, 0);
         for name in names {
-            match change(old.get(name), new.get(name)) {
+            match classify_change(old.get(name), new.get(name)) {
                 Some(Change::Added) => {
                     added += 1;
                     writeln!(f, "+ {name}")?;
--- a/crates/control-plane/src/supervisor.rs
+++ b/crates/control-plane/src/supervisor.rs
@@ -131,7 +131,7 @@
     applied_file: AppliedFile,
     desired: DesiredState,
     /// Whether the manifest or an endpoint list has changed since changes were last sent to the instances.
-    has_changed: bool,
+    has_unpushed_changes: bool,
     list_watcher: Option<ListWatcher>,
     /// The earliest time at which the list watcher is started.
     list_watcher_start_at: Instant,
@@ -155,7 +155,7 @@
                 applied: CompactApplied::default(),
                 group_member,
             },
-            has_changed: false,
+            has_unpushed_changes: false,
             list_watcher: None,
             list_watcher_start_at: Instant::now(),
             instances: InstanceSet::default(),
@@ -223,7 +223,7 @@
         let (revision, instances) = (applied.revision, applied.manifest.instances.len());
         log_line!("manifest: revision {revision}, {instances} instances");
         self.desired.applied = applied;
-        self.has_changed = true;
+        self.has_unpushed_changes = true;
         let manifest = &self.desired.applied.manifest;
         if let Some(watcher) = &self.list_watcher {
             watcher.set_manifest(manifest);
@@ -243,7 +243,7 @@
         match ListWatcher::start(&self.desired.home, manifest) {
             Ok(watcher) => {
                 self.list_watcher = Some(watcher);
-                self.has_changed = true;
+                self.has_unpushed_changes = true;
             }
             Err(error) => {
                 log_line!(
@@ -282,11 +282,11 @@
 
     /// Sends a changed manifest or endpoint list to the running instances.
     fn push_changes(&mut self) {
-        self.has_changed |= self
+        self.has_unpushed_changes |= self
             .list_watcher
             .as_ref()
             .is_some_and(|watcher| watcher.changes.try_recv().is_ok());
-        if !std::mem::take(&mut self.has_changed) {
+        if !std::mem::take(&mut self.has_unpushed_changes) {
             return;
         }
         self.merge_endpoint_lists();
@@ -331,7 +331,7 @@
         match future::or(future::or(poll, group_event), lists_changed).await {
             Wakeup::Poll => {}
             Wakeup::GroupEvent(event) => self.pending_event = Some(event),
-            Wakeup::ListsChanged => self.has_changed = true,
+            Wakeup::ListsChanged => self.has_unpushed_changes = true,
         }
     }
 }
--- a/crates/control-plane/src/supervisor/instance_set.rs
+++ b/crates/control-plane/src/supervisor/instance_set.rs
@@ -56,16 +56,16 @@
     /// Sends a change of the manifest or of an endpoint list to the instances that can apply it without a restart.
     pub fn push_changes(&mut self, desired: &DesiredState) {
         let applied = &desired.applied;
-        let is_grouped = desired.group_member.is_some();
+        let is_in_group = desired.group_member.is_some();
         for (name, instance) in &mut self.instances {
             // The instance is started again with the changed manifest, if at all.
             if instance.is_shutting_down() {
                 continue;
             }
-            let new_policy = is_grouped && instance.revision() != applied.revision;
+            let revision_changed = is_in_group && instance.revision() != applied.revision;
             let manifest = applied.manifest.instance_manifest(name);
             let changed = manifest.filter(|manifest| {
-                (new_policy || manifest != instance.manifest())
+                (revision_changed || manifest != instance.manifest())
                     && instance.manifest().can_update_in_place(manifest)
             });
             match changed {
--- a/crates/control-plane/src/supervisor/tests.rs
+++ b/crates/control-plane/src/supervisor/tests.rs
@@ -5,7 +5,7 @@
 
 /// Regression: after a thread had panicked, its closed channel woke the supervisor immediately in every round.
 #[test]
-fn channel_of_an_ended_thread_does_not_wake_the_supervisor() {
+fn closed_channel_does_not_wake_supervisor() {
     let (sender, receiver) = async_channel::bounded::<u32>(1);
     sender.try_send(1).unwrap();
     drop(sender);
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn members_home_and_policy_in_force_are_read() {
+fn stored_membership_and_applied_policy_are_read() {
     let home = fixture("member");
     let applied = Applied::read(&home).unwrap();
     assert_eq!(applied.revision, 2);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn voters_log_is_read_and_written_byte_for_byte() {
+fn voter_state_is_decoded_and_encoded_byte_for_byte() {
     let bytes = fs::read(fixture("member/group/votes")).unwrap();
     let stored = PersistentState::decode(&bytes, name_hash("clinics/east")).unwrap();
     assert!(stored.log_length() >= 2, "{} entries", stored.log_length());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn list_in_force_is_read_under_the_applied_manifest() {
+fn stored_last_good_list_and_status_are_read() {
     let home = fixture("fleet");
     let applied = Applied::read(&home).unwrap();
     assert_eq!(applied.revision, 1);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn compact_read_equals_full_read() {
+fn compact_read_equals_full_read_of_applied_file() {
     for (home, origins) in [("member", 0), ("fleet", 1)] {
         let full = Applied::read(&fixture(home)).unwrap();
         let compact = CompactApplied::read(&fixture(home)).unwrap();
