--- a/crates/control-plane/src/manifest/checks/destinations.rs
+++ b/crates/control-plane/src/manifest/checks/destinations.rs
@@ -16,7 +16,7 @@
             let destination = destination.get_ref();
             self.check_destination(location, destination);
             if !name_hashes.insert(name_hash(name)) {
-                self.report(location, FaultCause::NumberCollision);
+                self.report(location, FaultCause::HashCollision);
             }
             self.check_endpoints(location, destination, &mut endpoint_names);
         }
--- a/crates/control-plane/src/manifest/error.rs
+++ b/crates/control-plane/src/manifest/error.rs
@@ -107,7 +107,7 @@
     RateNotPositive,
     /// Two names of destinations have the same hash.
     #[error("its name has the same hash as another destination's; choose a different name")]
-    NumberCollision,
+    HashCollision,
     /// An endpoint's name contains a slash, which is reserved for endpoints from endpoint lists.
     #[error("endpoint {0}: a name may not contain / in a file with [roster]")]
     SlashInEndpointName(String),
