--- a/crates/control-plane/src/group/driver/lease.rs
+++ b/crates/control-plane/src/group/driver/lease.rs
@@ -21,7 +21,7 @@
         self.revision != earlier.revision || is_open(self) != is_open(earlier)
     }
 
-    /// Returns the name for operators of the lease's current state.
+    /// Returns the name of the lease's current state, as shown to operators.
     fn state_name(&self) -> &'static str {
         match self.state {
             GuardState::Open(until) if until.is_none_or(|until| Instant::now() < until) => {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the name for operators of the published lease's current state.
+    /// Returns the name of the published lease's current state, as shown to operators.
     pub(super) fn lease_state(&self) -> &'static str {
         self.published_lease
             .map_or(LEASE_CLOSED, |lease| lease.state_name())
--- a/crates/control-plane/src/group/driver/operators.rs
+++ b/crates/control-plane/src/group/driver/operators.rs
@@ -66,7 +66,7 @@
         let _ = request.responses.try_send(response);
     }
 
-    /// Responds without a reply to requests whose reply from the leader did not arrive in time.
+    /// Sends a response without a reply to each request whose reply from the leader did not arrive in time.
     pub(super) fn expire_requests(&mut self) {
         for number in self.open_requests.expired() {
             self.respond(number, None);
--- a/crates/control-plane/src/group/driver/policy.rs
+++ b/crates/control-plane/src/group/driver/policy.rs
@@ -11,7 +11,7 @@
 /// The reason why this member cannot act under a proposed policy.
 #[derive(Debug, thiserror::Error)]
 enum PolicyError {
-    #[error("the policy cannot be read: {0}")]
+    #[error("the policy cannot be decoded: {0}")]
     Undecodable(#[from] serde_json::Error),
     #[error("the file no longer has a [group]")]
     NoGroup,
--- a/crates/control-plane/src/group/transport/channel.rs
+++ b/crates/control-plane/src/group/transport/channel.rs
@@ -18,7 +18,7 @@
 
 /// Maximum number of queued frames. If the queue overflows, the connection is reopened.
 const QUEUE_CAPACITY: usize = 256;
-/// Maximum time without an acknowledgement while frames are unacknowledged. After it the connection is reopened.
+/// Maximum wait for the next acknowledgement. A connection that exceeds it is reopened.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Number of timeout checks within [`ACKNOWLEDGE_TIMEOUT`].
 const CHECKS_PER_TIMEOUT: u32 = 4;
@@ -65,7 +65,8 @@
 /// The written frames of a connection that are not acknowledged yet.
 struct Unacknowledged {
     count: Cell<u64>,
-    /// Time of the last acknowledgement, or of the first write if there was none; `None` without unacknowledged frames.
+    /// Start of the current wait for an acknowledgement: the last acknowledgement, or the first write after all earlier
+    /// frames were acknowledged. `None` without unacknowledged frames.
     since: Cell<Option<Instant>>,
 }
 
--- a/crates/control-plane/src/group/transport/listener.rs
+++ b/crates/control-plane/src/group/transport/listener.rs
@@ -16,7 +16,7 @@
 
 /// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 1200;
-/// Maximum time until a connection's [`Hello`] is received. After it the connection is closed.
+/// Maximum wait for the [`Hello`] of a connection. A connection that exceeds it is closed.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay before the next accept after a failed one, whose most likely cause is a lack of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
--- a/crates/control-plane/src/list_watcher.rs
+++ b/crates/control-plane/src/list_watcher.rs
@@ -112,7 +112,7 @@
         let thread = thread::Builder::new()
             .name(THREAD_NAME.to_owned())
             .spawn(body)?;
-        // Fails only if the thread has panicked. The last good lists then stay in force.
+        // Fails only if the thread has panicked. The lists in force at that time stay in force.
         let _ = first_scan.recv();
         Ok(ListWatcher {
             lists,
--- a/crates/control-plane/src/list_watcher/folder_watch.rs
+++ b/crates/control-plane/src/list_watcher/folder_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the folders in which endpoint lists may change, by the file notifications of the operating system.
+//! Watches the folders in which endpoint lists may change, with the operating system's file notifications.
 
 use super::wakeup::Wakeup;
 use marblefall_delivery::log_line;
--- a/crates/control-plane/src/list_watcher/list_files.rs
+++ b/crates/control-plane/src/list_watcher/list_files.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// Minimum age of a file's last change at the read for the file's timestamps to be reliable. A more recent file may change
-/// again within the resolution of the timestamps.
+/// Minimum time between a file's last change and the read. After a shorter time, the file may change again within the
+/// resolution of its timestamps, so that equal timestamps do not prove equal content.
 const MIN_RELIABLE_AGE: Duration = Duration::from_secs(2);
 /// Maximum number of entries that are read from a folder.
 const MAX_FILES: usize = 20_000;
--- a/crates/control-plane/src/manifest.rs
+++ b/crates/control-plane/src/manifest.rs
@@ -46,8 +46,8 @@
     /// Instances by name.
     #[serde(default)]
     pub instances: BTreeMap<String, InstanceSpec>,
-    /// Number of instances in other homes or on other machines that serve the same destinations. The rates and recovery
-    /// ramps of destinations are divided among all instances without communication between them.
+    /// Number of instances in other homes or on other machines that serve the same destinations. They share the rates and
+    /// recovery ramps of the destinations with this home's instances, without any communication.
     #[serde(default, rename = "elsewhere", skip_serializing_if = "is_zero")]
     pub external_instances: usize,
     /// The source of endpoint lists, for destinations whose endpoints are not in the manifest.
--- a/crates/control-plane/src/manifest/group.rs
+++ b/crates/control-plane/src/manifest/group.rs
@@ -111,7 +111,7 @@
                     .to_owned(),
             ),
             _ if voters % 2 == 0 => Some(format!(
-                "{voters} members vote: a failure of half of them stops all changes, which is no better than with one voter less"
+                "{voters} members vote: a failure of half of them stops all changes, which is no better than with one voter fewer"
             )),
             _ => None,
         }
--- a/crates/control-plane/src/supervisor.rs
+++ b/crates/control-plane/src/supervisor.rs
@@ -108,7 +108,7 @@
     async_io::block_on(tasks.run(supervising))
 }
 
-/// The phase of the supervisor. Instances are started only while it is running.
+/// The phase of the supervisor. Instances are started only in [`Phase::Running`].
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Running,
