--- a/crates/control-plane/src/group.rs
+++ b/crates/control-plane/src/group.rs
@@ -130,7 +130,7 @@
         self.group.members.keys().cloned().collect()
     }
 
-    fn settings(&self) -> CoordinationSettings {
+    fn coordination_settings(&self) -> CoordinationSettings {
         let span = |ms: u64| Span(ms as i64 * MICROS_PER_MS);
         CoordinationSettings {
             partition_policy: match self.group.partition_policy {
--- a/crates/control-plane/src/group/driver/start.rs
+++ b/crates/control-plane/src/group/driver/start.rs
@@ -102,7 +102,7 @@
             own_id: self.id,
             members: members.map(|(id, _)| id).collect(),
             voters: voters.map(|(id, _)| id).collect(),
-            settings: self.settings(),
+            settings: self.coordination_settings(),
             incarnation,
             state: voter_state_file.read(self, new_storage)?,
             initial_policy: self.initial_manifest.clone().map(Policy::from),
--- a/crates/control-plane/src/group/transport/channel.rs
+++ b/crates/control-plane/src/group/transport/channel.rs
@@ -67,7 +67,7 @@
     count: Cell<u64>,
     /// Start of the current wait for an acknowledgement: the last acknowledgement, or the first write after all earlier
     /// frames were acknowledged. `None` without unacknowledged frames.
-    since: Cell<Option<Instant>>,
+    waiting_since: Cell<Option<Instant>>,
 }
 
 impl Channel {
@@ -170,24 +170,25 @@
     fn after_hello() -> Unacknowledged {
         Unacknowledged {
             count: Cell::new(1),
-            since: Cell::new(Some(Instant::now())),
+            waiting_since: Cell::new(Some(Instant::now())),
         }
     }
 
     fn add(&self) {
         self.count.set(self.count.get() + 1);
-        let since = self.since.get();
-        self.since.set(since.or_else(|| Some(Instant::now())));
+        let since = self.waiting_since.get();
+        self.waiting_since
+            .set(since.or_else(|| Some(Instant::now())));
     }
 
     fn acknowledge(&self, frames: u64) {
         let remaining = self.count.get().saturating_sub(frames);
         self.count.set(remaining);
-        self.since.set((remaining > 0).then(Instant::now));
+        self.waiting_since.set((remaining > 0).then(Instant::now));
     }
 
     fn is_overdue(&self) -> bool {
-        let since = self.since.get();
+        let since = self.waiting_since.get();
         since.is_some_and(|since| since.elapsed() >= ACKNOWLEDGE_TIMEOUT)
     }
 }
--- a/crates/control-plane/src/group/transport/listener.rs
+++ b/crates/control-plane/src/group/transport/listener.rs
@@ -67,25 +67,25 @@
     let Ok(listener) = Async::new(listener) else {
         return;
     };
-    let open = Rc::new(Cell::new(0));
+    let open_connections = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             // Connections that are already open are not affected.
             Timer::after(ACCEPT_BACKOFF).await;
             continue;
         };
-        if open.get() >= MAX_CONNECTIONS {
+        if open_connections.get() >= MAX_CONNECTIONS {
             log_line!(
                 code = "link-too-many",
                 "link from {from} is closed: {MAX_CONNECTIONS} links are already open"
             );
             continue;
         }
-        open.set(open.get() + 1);
-        let (setup, open) = (setup.clone(), open.clone());
+        open_connections.set(open_connections.get() + 1);
+        let (setup, open_connections) = (setup.clone(), open_connections.clone());
         tasks.spawn(async move {
             serve(stream, from, &setup).await;
-            open.set(open.get() - 1);
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
