--- a/crates/control-plane/src/manifest/checks.rs
+++ b/crates/control-plane/src/manifest/checks.rs
@@ -1,5 +1,5 @@
-//! Checks a document for values out of range and for entries that contradict each other. Faults are reported in the order
-//! of the checks in [`check`].
+//! Checks a document for values that are out of range and for entries that contradict each other. Faults are reported in
+//! the order of the checks in [`check`].
 
 mod destinations;
 mod entries;
@@ -11,10 +11,10 @@
 use entries::{class_fault, limits_fault, list_source_fault};
 use toml::Spanned;
 
-/// Maximum number of external instances. A larger number is taken for a mistake.
+/// Maximum number of external instances. A larger number is presumably a mistake.
 const MAX_EXTERNAL_INSTANCES: usize = 10_000;
 
-/// Returns all faults of a document with this text.
+/// Returns all faults of a document that was parsed from `text`.
 pub(super) fn check(document: &Document, text: &str) -> Vec<ManifestFault> {
     let mut checker = Checker {
         document,
@@ -31,28 +31,28 @@
     checker.faults
 }
 
-/// The place of an entry in the document.
+/// The location of an entry in the document, with the names for the report of a fault.
 #[derive(Clone, Copy)]
-struct Place<'a> {
+struct EntryLocation<'a> {
     kind: &'static str,
-    /// `None` where there is only one entry of the kind.
+    /// The entry's name; `None` if the document has at most one entry of the kind.
     name: Option<&'a str>,
-    /// Byte offset of the entry.
+    /// Byte offset of the entry in the document's text.
     offset: usize,
 }
 
-impl<'a> Place<'a> {
-    fn named<T>(kind: &'static str, name: &'a str, entry: &Spanned<T>) -> Place<'a> {
-        Place {
+impl<'a> EntryLocation<'a> {
+    fn named<T>(kind: &'static str, name: &'a str, entry: &Spanned<T>) -> EntryLocation<'a> {
+        EntryLocation {
             kind,
             name: Some(name),
             offset: entry.span().start,
         }
     }
 
-    /// The place of an entry that is the only one of its kind.
-    fn only<T>(kind: &'static str, entry: &Spanned<T>) -> Place<'a> {
-        Place {
+    /// Creates the location of an entry without a name, of which the document has at most one.
+    fn unnamed<T>(kind: &'static str, entry: &Spanned<T>) -> EntryLocation<'a> {
+        EntryLocation {
             kind,
             name: None,
             offset: entry.span().start,
@@ -62,18 +62,18 @@
 
 struct Checker<'a> {
     document: &'a Document,
-    /// Byte offsets of the line breaks, in order: lines are found by binary search.
+    /// Byte offsets of the line breaks in ascending order, for a binary search of an offset's line.
     line_breaks: Vec<usize>,
     faults: Vec<ManifestFault>,
 }
 
 impl Checker<'_> {
-    fn report(&mut self, place: Place<'_>, cause: FaultCause) {
-        let entry = match place.name {
-            Some(name) => format!("{} {name}", place.kind),
-            None => place.kind.to_owned(),
+    fn report(&mut self, location: EntryLocation<'_>, cause: FaultCause) {
+        let entry = match location.name {
+            Some(name) => format!("{} {name}", location.kind),
+            None => location.kind.to_owned(),
         };
-        let line = self.line_breaks.partition_point(|at| *at < place.offset) + 1;
+        let line = self.line_breaks.partition_point(|at| *at < location.offset) + 1;
         self.faults.push(ManifestFault {
             line: Some(line),
             entry,
@@ -84,7 +84,7 @@
     fn check_classes(&mut self) {
         for (name, class) in &self.document.classes {
             if let Some(cause) = class_fault(class.get_ref()) {
-                self.report(Place::named("class", name, class), cause);
+                self.report(EntryLocation::named("class", name, class), cause);
             }
         }
     }
@@ -97,7 +97,7 @@
             let cause = FaultCause::TooManyExternalInstances {
                 max: MAX_EXTERNAL_INSTANCES,
             };
-            self.report(Place::only("fleet", fleet), cause);
+            self.report(EntryLocation::unnamed("fleet", fleet), cause);
         }
     }
 
@@ -106,11 +106,11 @@
             return;
         };
         if let Some(cause) = list_source_fault(source.get_ref()) {
-            self.report(Place::only("roster", source), cause);
+            self.report(EntryLocation::unnamed("roster", source), cause);
         }
     }
 
-    /// The manifest's own limits may be left out, so their fault names no line.
+    /// Checks the manifest's limits. Their fault names no line, because the file may omit them.
     fn check_limits(&mut self) {
         if let Some(cause) = limits_fault(&self.document.limits) {
             self.faults.push(ManifestFault {
--- a/crates/control-plane/src/manifest/group/tests.rs
+++ b/crates/control-plane/src/manifest/group/tests.rs
@@ -1,18 +1,18 @@
-//! The group of the examples, valid and with one invalid entry at a time.
+//! Tests of the example group: as written, and with one invalid entry at a time.
 
 use crate::manifest::Manifest;
 
-const GOOD: &str = include_str!("../../../../../examples/group/fleet.toml");
+const EXAMPLE: &str = include_str!("../../../../../examples/group/fleet.toml");
 
-/// A change of [`GOOD`] that makes it invalid.
+/// A change of [`EXAMPLE`] that makes it invalid.
 struct InvalidChange {
     /// The text that is replaced.
     from: &'static str,
     /// Its replacement.
     to: &'static str,
-    /// A part of the error message.
+    /// A text that the error message contains.
     message: &'static str,
-    /// The line that the message names.
+    /// The line number in the error message.
     line: usize,
 }
 
@@ -56,13 +56,13 @@
     InvalidChange {
         from: "term_ms = 3000",
         to: "term_ms = 6000",
-        message: "check_ms is 8500 at least",
+        message: "check_ms must be at least 8500",
         line: 15,
     },
     InvalidChange {
         from: "term_ms = 3000",
         to: "term_ms = 1",
-        message: "term_ms is 200 at least",
+        message: "term_ms must be between 200 and 600,000",
         line: 15,
     },
     InvalidChange {
@@ -81,7 +81,7 @@
 
 #[test]
 fn example_group_is_valid_without_warning() {
-    let manifest = Manifest::parse(GOOD).unwrap();
+    let manifest = Manifest::parse(EXAMPLE).unwrap();
     let group = manifest.group.unwrap();
     assert_eq!((group.members.len(), group.warning()), (3, None));
 }
@@ -90,8 +90,8 @@
 fn invalid_group_is_an_error_with_its_line() {
     for change in INVALID_CHANGES {
         let InvalidChange { from, line, .. } = change;
-        let text = GOOD.replace(from, change.to);
-        assert_ne!(text, GOOD, "{from}");
+        let text = EXAMPLE.replace(from, change.to);
+        assert_ne!(text, EXAMPLE, "{from}");
         let message = Manifest::parse(&text).unwrap_err().to_string();
         assert!(
             message.contains(change.message) && message.contains(&format!("line {line}")),
@@ -103,7 +103,7 @@
 
 #[test]
 fn even_number_of_voters_is_a_warning() {
-    let even = GOOD.replacen("votes = true", "votes = false", 1);
+    let even = EXAMPLE.replacen("votes = true", "votes = false", 1);
     let warning = Manifest::parse(&even)
         .unwrap()
         .group
@@ -113,10 +113,10 @@
     assert!(warning.starts_with("2 members vote"), "{warning}");
 }
 
-/// Regression: the shortest timeout for such a lease was computed beyond the range of its type.
+/// Regression: the computation of the minimum timeout overflowed for a very long lease.
 #[test]
-fn absurd_lease_is_an_error() {
-    let text = GOOD.replace("term_ms = 3000", &format!("term_ms = {}", i64::MAX));
+fn overlong_lease_is_an_error() {
+    let text = EXAMPLE.replace("term_ms = 3000", &format!("term_ms = {}", i64::MAX));
     let message = Manifest::parse(&text).unwrap_err().to_string();
     assert!(message.contains("term_ms"), "{message}");
     assert!(message.contains("check_ms"), "{message}");
