--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,24 +1,25 @@
-//! The command line's arguments. Without any, the program is one instance on the platform.
+//! The command-line arguments. Without arguments, the program runs as one instance on the platform.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
 /// Delivers outbound messages.
 ///
-/// Without arguments it is one instance on the platform, configured by RELAY_CONFIG; with them it is the operators' tool.
-/// Exit codes: 0 done, 1 what was given is wrong or could not be done, 2 the arguments are wrong.
+/// Without arguments the program runs as one instance on the platform, configured by RELAY_CONFIG. With arguments it is
+/// the operators' tool.
+/// Exit codes: 0 success, 1 the input is invalid or the command failed, 2 the arguments are invalid.
 #[derive(Debug, Parser)]
 #[command(name = "marblefall", version, subcommand_required = true)]
 pub struct Arguments {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What the operators' tool does.
+/// The commands of the operators' tool.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Print what FILE changes against what is applied in HOME, and save it.
+    /// Print how FILE differs from the policy applied in HOME, and save the changes as a plan.
     #[command(
         after_help = "Example:\n  marblefall plan deploy/partners.toml /var/lib/marblefall --out change.plan"
     )]
@@ -27,23 +28,23 @@
         file: PathBuf,
         /// The fleet's folder.
         home: PathBuf,
-        /// Where the plan is saved.
+        /// The file to save the plan in.
         #[arg(long, value_name = "PLAN")]
         out: Option<PathBuf>,
     },
-    /// Put a saved plan in force, unless the applied revision has changed since it was made.
+    /// Put a saved plan in force, unless the applied revision has changed since the plan was made.
     ///
-    /// In a home that is a member of a group the change is proposed to all members: it comes into force at every one of
-    /// them or at none, and the command ends once that is known.
+    /// If the home is a member of a group, the change is proposed to all members. It comes into force at all of them or
+    /// at none, and the command ends once the outcome is known.
     #[command(after_help = "Examples:
   marblefall apply change.plan /var/lib/marblefall
   marblefall apply first.plan /var/lib/marblefall --member north    makes an empty home a member of the file's group")]
     Apply {
-        /// A plan that `plan` saved.
+        /// A plan saved by `plan`.
         plan: PathBuf,
         /// The fleet's folder.
         home: PathBuf,
-        /// In an empty home: the member of the file's group that it becomes.
+        /// For an empty home: the name of the group member that it becomes.
         #[arg(long, value_name = "NAME")]
         member: Option<String>,
     },
@@ -52,17 +53,17 @@
     Run {
         /// The fleet's folder.
         home: PathBuf,
-        /// How log lines look.
+        /// The format of log lines.
         #[arg(long, value_name = "FORM", default_value = "text")]
         log: OutputFormat,
-        /// In a group: where each accepted message and each attempt is written, with the revision that it was under.
+        /// In a group: the file that records each accepted message and each attempt, with the policy revision in force.
         #[arg(long, value_name = "FILE")]
         history: Option<PathBuf>,
-        /// In a group: where its transport listens, if others reach it by the file's address through a proxy.
+        /// In a group: the address to listen at, if the address in the operators' file belongs to a proxy.
         #[arg(long, value_name = "ADDRESS")]
         link: Option<std::net::SocketAddr>,
     },
-    /// Show the state of a group of daemons, and steer it.
+    /// Show and change the state of a group of daemons.
     #[command(subcommand)]
     Group(GroupCommand),
     /// Show the state of destinations, as the instances recorded it within the last second.
@@ -70,10 +71,10 @@
     Destinations {
         /// The fleet's folder.
         home: PathBuf,
-        /// Only those in this state.
+        /// Show only destinations in this state.
         #[arg(long)]
         state: Option<DestinationState>,
-        /// How it is printed.
+        /// The output format.
         #[arg(long, value_name = "FORM", default_value = "text")]
         format: OutputFormat,
     },
@@ -85,12 +86,12 @@
         after_help = "Example:\n  marblefall completions bash > /etc/bash_completion.d/marblefall"
     )]
     Completions {
-        /// The shell.
+        /// The shell to print completions for.
         shell: clap_complete::Shell,
     },
 }
 
-/// Requests to a group. The daemon of the home must run.
+/// Requests to a group. The daemon of the home must be running.
 #[derive(Debug, Subcommand)]
 pub enum GroupCommand {
     /// Show the revision in force, the pending change, and each member.
@@ -100,7 +101,7 @@
     Status {
         /// The fleet's folder.
         home: PathBuf,
-        /// How it is printed.
+        /// The output format.
         #[arg(long, value_name = "FORM", default_value = "text")]
         format: OutputFormat,
     },
@@ -109,7 +110,7 @@
     History {
         /// The fleet's folder.
         home: PathBuf,
-        /// How it is printed.
+        /// The output format.
         #[arg(long, value_name = "FORM", default_value = "text")]
         format: OutputFormat,
     },
@@ -119,11 +120,11 @@
         /// The fleet's folder.
         home: PathBuf,
     },
-    /// Declare a member stopped: changes no longer wait for it, until it asks for a lease again. If it is not stopped, two
-    /// policies are in use at once.
+    /// Declare that a member is stopped: changes no longer wait for it until it requests a lease again. If the member is
+    /// still running, two policies are in use at the same time.
     #[command(after_help = "Example:\n  marblefall group without south /var/lib/marblefall")]
     Without {
-        /// The member.
+        /// The name of the member.
         name: String,
         /// The fleet's folder.
         home: PathBuf,
@@ -133,23 +134,23 @@
 /// The state of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum DestinationState {
-    /// It asked for a backoff that has not ended.
+    /// The destination requested a backoff that has not ended.
     #[value(name = "waiting")]
     InBackoff,
-    /// It is ejected: its calls fail.
+    /// The destination is ejected because its calls failed.
     #[value(name = "out")]
     Ejected,
-    /// It answers again, and its rate is ramped up.
+    /// The destination responds again, and its rate is being ramped up.
     #[value(name = "easing")]
     Recovering,
-    /// It is healthy, and was called lately.
+    /// The destination is healthy and was called recently.
     InUse,
-    /// It was not called lately.
+    /// The destination was not called recently.
     Idle,
 }
 
 impl DestinationState {
-    /// Its name in output.
+    /// Returns the name of the state in output.
     pub fn name(self) -> &'static str {
         match self {
             DestinationState::InBackoff => "waiting",
@@ -161,12 +162,12 @@
     }
 }
 
-/// What is done with endpoint lists.
+/// The commands on endpoint lists.
 #[derive(Debug, Subcommand)]
 pub enum EndpointListCommand {
-    /// Check whether lists would be put in force, and why not; meant for pre-commit jobs.
+    /// Check whether lists would be put in force, and report why not. Meant for pre-commit jobs.
     #[command(after_help = "Examples:
-  marblefall roster check rosters/                              by their form alone
+  marblefall roster check rosters/                              each list by itself
   marblefall roster check bole.toml --fleet partners.toml       also against the operators' file
   marblefall roster check bole.toml --home /var/lib/marblefall  also against what is applied and in force
 
@@ -175,36 +176,36 @@
         /// Endpoint lists, or folders of them.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
-        /// The operators' file whose destinations and limits apply.
+        /// The operators' file with the destinations and limits to check against.
         #[arg(long, value_name = "FILE", conflicts_with = "home")]
         fleet: Option<PathBuf>,
-        /// The fleet's folder, whose applied policy and lists in force apply.
+        /// The fleet's folder with the applied policy and the lists in force to check against.
         #[arg(long)]
         home: Option<PathBuf>,
-        /// How the outcome is printed.
+        /// The output format.
         #[arg(long, value_name = "FORM", default_value = "text")]
         format: OutputFormat,
     },
-    /// Show which lists are in force in HOME, and the state of newer ones.
+    /// Show the lists in force in HOME, and the state of their files.
     #[command(after_help = "Example:\n  marblefall roster show /var/lib/marblefall --endpoints")]
     Show {
         /// The fleet's folder.
         home: PathBuf,
-        /// Each endpoint as well.
+        /// Also show each endpoint.
         #[arg(long)]
         endpoints: bool,
-        /// How it is printed.
+        /// The output format.
         #[arg(long, value_name = "FORM", default_value = "text")]
         format: OutputFormat,
     },
     /// Print the changes from one list to another.
     #[command(after_help = "Example:\n  marblefall roster diff bole.toml.orig bole.toml")]
     Diff {
-        /// The list before.
+        /// The old list.
         old: PathBuf,
-        /// The list after.
+        /// The new list.
         new: PathBuf,
-        /// How it is printed.
+        /// The output format.
         #[arg(long, value_name = "FORM", default_value = "text")]
         format: OutputFormat,
     },
@@ -213,8 +214,8 @@
 /// The format of output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum OutputFormat {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
--- a/crates/cli/src/destinations.rs
+++ b/crates/cli/src/destinations.rs
@@ -17,11 +17,11 @@
     instance: &'a str,
     state: DestinationState,
     record: DestinationRecord,
-    /// Now, by the clock that the instance's records count by, in milliseconds.
+    /// The current time in milliseconds, by the clock that the instance's records use.
     now_ms: i64,
 }
 
-/// Prints the destinations of a home, or those in one state.
+/// Prints all destinations of a home, or only those in one state.
 pub fn show(
     home: &Path,
     state: Option<DestinationState>,
@@ -39,7 +39,7 @@
         OutputFormat::Text => {
             rows.iter().for_each(|row| println!("{}", row_text(row)));
             println!(
-                "{} destinations, {idle} of them idle with nothing to be said",
+                "{} destinations, {idle} of them idle and without a record",
                 names.len()
             );
             if state == Some(DestinationState::Idle) {
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// The records of all instances, by destination and instance.
+/// Reads the records of all instances, sorted by destination and instance.
 fn read_rows<'a>(
     home: &Path,
     applied: &'a CompactApplied,
@@ -109,7 +109,7 @@
     let since = since_ms(record).map_or(String::new(), seconds_ago);
     let backoff_until = record.backoff_until_ms.filter(|until| *until > now);
     let backoff = backoff_until.map_or(String::new(), |until| {
-        format!(", to be left alone for {} ms", until - now)
+        format!(", in backoff for {} ms more", until - now)
     });
     let mean_latency = record.mean_latency_ms;
     let latency = mean_latency.map_or(String::new(), |mean| format!(", {mean:.0} ms a call"));
@@ -124,7 +124,7 @@
     )
 }
 
-/// When its outage or its recovery began.
+/// Returns when the destination's outage or recovery began.
 fn since_ms(record: &DestinationRecord) -> Option<i64> {
     record.ejected_since_ms.or(record.recovering_since_ms)
 }
--- a/crates/cli/src/endpoint_lists.rs
+++ b/crates/cli/src/endpoint_lists.rs
@@ -51,7 +51,7 @@
     Ok(LastGoodLists::read(home, manifest)?)
 }
 
-/// How many endpoints are added, changed and removed, for people.
+/// Returns the numbers of added, changed and removed endpoints as text.
 fn summary(changes: &[EndpointChange]) -> String {
     let count = |kind| changes.iter().filter(|change| change.kind == kind).count();
     let changed = count(ChangeKind::Changed) + count(ChangeKind::Drained);
--- a/crates/cli/src/endpoint_lists/check.rs
+++ b/crates/cli/src/endpoint_lists/check.rs
@@ -10,19 +10,19 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// What lists are checked against.
+/// The policy that lists are checked against.
 #[derive(Clone, Copy)]
 pub enum Reference<'a> {
-    /// Their form alone.
+    /// No policy: only the lists' own form is checked.
     Form,
-    /// The operators' file.
+    /// The policy in the operators' file.
     File(&'a Path),
-    /// What is applied and in force in a home.
+    /// The policy applied in a home, and the lists in force there.
     Home(&'a Path),
 }
 
 impl<'a> Reference<'a> {
-    /// The reference that the arguments give.
+    /// Returns the reference that the arguments select.
     pub fn new(file: Option<&'a Path>, home: Option<&'a Path>) -> Reference<'a> {
         match (file, home) {
             (Some(file), _) => Reference::File(file),
@@ -40,13 +40,13 @@
     }
 }
 
-/// A list's file by the name that reports give it.
+/// The file of a list, with its name in reports.
 struct ListFile {
     name: String,
     path: PathBuf,
 }
 
-/// A file's content.
+/// The content of a list's file.
 struct Content {
     name: String,
     bytes: Vec<u8>,
@@ -58,14 +58,14 @@
     changes: Vec<EndpointChange>,
 }
 
-/// What became of all files.
+/// The outcome of the check of all files.
 #[derive(Default)]
 struct Outcome {
     accepted: Vec<AcceptedList>,
     reports: Vec<Report>,
 }
 
-/// Checks files, and folders of them, together.
+/// Checks files and folders of files together.
 pub fn check(
     paths: &[PathBuf],
     reference: Reference,
@@ -74,7 +74,8 @@
     let mut lists = reference.active_lists()?;
     let files = find_files(paths)?;
     let in_home = matches!(reference, Reference::Home(_));
-    // A list in force of a file that is not given was not meant to be checked; but one may take over from it.
+    // Lists of files that are missing from a given folder can be replaced by a list that takes over their destinations. If
+    // only files are given, other files are not checked and do not count as missing.
     if in_home && paths.iter().any(|path| path.is_dir()) {
         let present: BTreeSet<String> = files.iter().map(|file| file.name.clone()).collect();
         lists.set_present_files(&present);
@@ -113,7 +114,7 @@
     Ok(files)
 }
 
-/// Reads all files; the outcome gets a report of each that cannot be read.
+/// Reads all files, and adds a report to the outcome for each file that cannot be read.
 fn read_files(
     files: Vec<ListFile>,
     in_home: bool,
@@ -122,7 +123,7 @@
 ) -> Vec<Content> {
     let mut contents = Vec::new();
     for ListFile { name, path } in files {
-        // The files in force go by their names; without them, by their paths, which tell equal names apart.
+        // In a home, files are identified by name, as the lists in force are. Elsewhere their paths distinguish equal names.
         let name = if in_home {
             name
         } else {
@@ -140,7 +141,7 @@
     contents
 }
 
-/// Puts lists in force as the daemon does: those that are rejected are tried again once another is in force.
+/// Evaluates lists as the daemon does: rejected lists are evaluated again once another list is in force.
 fn evaluate(lists: &mut ActiveLists, mut pending: Vec<Content>, outcome: &mut Outcome) {
     loop {
         let before = pending.len();
--- a/crates/cli/src/endpoint_lists/show.rs
+++ b/crates/cli/src/endpoint_lists/show.rs
@@ -10,12 +10,12 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// How much is shown of a list.
+/// The level of detail in which a list is shown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Detail {
-    /// Its file, revision and state.
+    /// The file, revision and state of the list.
     Files,
-    /// Each endpoint as well.
+    /// Also each endpoint of the list.
     Endpoints,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The files with a list in force or a known state.
+/// Returns the names of the files that have a list in force or a known state.
 fn file_names<'a>(last_good: &'a LastGoodLists, status: &'a ListStatus) -> BTreeSet<&'a String> {
     let in_force = last_good.lists.lists().keys();
     in_force.chain(status.files.keys()).collect()
@@ -92,7 +92,7 @@
         }
     }
     for report in &last_good.unreadable {
-        println!("kept copy spoilt, put aside:\n{report}");
+        println!("the stored copy of a list is unreadable and was moved aside:\n{report}");
     }
     for name in last_good.lists.destinations_without_list() {
         println!("{name}: no roster lists it: nothing is served there");
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! Errors of commands.
 
 use marblefall_control_plane::group::transport::FrameError;
 use marblefall_control_plane::group::GroupError;
@@ -14,11 +14,11 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Why a command fails.
+/// The error with which a command ends.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The output of the command reports it.
-    #[error("it is reported in the output")]
+    /// The output of the command already reports the failure.
+    #[error("the failure is reported in the output")]
     Reported,
     /// The instance on the platform ended with an error.
     #[error("{}", error_reporter::Report::new(.0))]
@@ -35,7 +35,7 @@
     /// A plan cannot be applied.
     #[error(transparent)]
     Apply(#[from] ApplyError),
-    /// The home is no member of a group, or cannot become one.
+    /// The home is not a member of a group, or cannot become one.
     #[error(transparent)]
     Group(#[from] GroupError),
     /// The last good lists cannot be read.
@@ -47,9 +47,9 @@
     /// A file or folder cannot be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// Which.
+        /// The file or folder.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// An instance's snapshot cannot be read.
@@ -57,34 +57,34 @@
     Snapshot {
         /// The instance's folder.
         folder: PathBuf,
-        /// Why.
+        /// The cause.
         source: snapshot_store::ReadError,
     },
     /// The home is a member under another name.
-    #[error("{}: it is member {member} already", home.display())]
+    #[error("{}: the home is already member {member}", home.display())]
     OtherMember {
         /// The home.
         home: PathBuf,
-        /// Its name in the group.
+        /// The home's name in the group.
         member: String,
     },
-    /// A member was named where none can be founded.
-    #[error("--member goes with an empty home and a file that has [group]")]
+    /// A member is named, but the home is not empty or the file has no group.
+    #[error("--member requires an empty home and a file that has [group]")]
     MemberNotExpected,
-    /// No member was named for an empty home.
-    #[error("the file has [group]: say which member this home is, with --member NAME")]
+    /// The file has a group, and no member is named for the empty home.
+    #[error("the file has [group]: name the member that this home becomes, with --member NAME")]
     MemberExpected,
-    /// The home has a policy of its own.
+    /// The file has a group, but the home already has a policy of its own.
     #[error(
-        "the file has [group]: a home that runs by itself cannot join; begin with an empty one"
+        "the file has [group]: a home that was applied without a group cannot join one; start with an empty home"
     )]
     CannotJoin,
-    /// The home is of no group.
-    #[error("{}: the home is of no group; see `marblefall apply --help`", .0.display())]
+    /// The home is not a member of a group.
+    #[error("{}: the home is not a member of a group; see `marblefall apply --help`", .0.display())]
     NoGroup(PathBuf),
     /// The daemon cannot be connected to.
     #[error(
-        "member {member} does not answer at {address} ({source}); is `marblefall run {}` up?",
+        "member {member} does not respond at {address} ({source}); is `marblefall run {}` running?",
         home.display()
     )]
     DaemonUnreachable {
@@ -94,27 +94,27 @@
         address: SocketAddr,
         /// The home.
         home: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// A request cannot be sent to the daemon.
-    #[error("the daemon of this home does not answer: {0}")]
+    #[error("the request to the daemon of this home could not be sent: {0}")]
     RequestNotSent(#[source] io::Error),
-    /// The daemon's answer cannot be read.
-    #[error("the daemon of this home answers with {0}")]
+    /// The daemon's response cannot be read.
+    #[error("unusable response from the daemon of this home: {0}")]
     Response(#[source] FrameError),
     /// No leader could be reached.
     #[error("nobody leads the group just now: most of its voters cannot be reached from here")]
     NoLeader,
-    /// There is nothing to withdraw.
-    #[error("no change is open")]
+    /// No change is pending that could be withdrawn.
+    #[error("no change is pending")]
     NothingPending,
     /// The group has no such member.
     #[error("the group has no member {member:?}; it has {}", members.join(", "))]
     NoSuchMember {
-        /// The name.
+        /// The name that was given.
         member: String,
-        /// The names of its members.
+        /// The names of the group's members.
         members: Vec<String>,
     },
     /// The plan was made against another revision.
@@ -134,10 +134,10 @@
     #[error("withdrawn everywhere: {0}")]
     Withdrawn(String),
     /// A folder has no endpoint lists.
-    #[error("{}: no file there ends in .toml", .0.display())]
+    #[error("{}: the folder has no file whose name ends in .toml", .0.display())]
     NoLists(PathBuf),
-    /// Endpoint lists are rejected.
-    #[error("{0} refused")]
+    /// This number of endpoint lists is rejected.
+    #[error("endpoint lists rejected: {0}")]
     ListsRejected(usize),
     /// An endpoint list cannot be parsed.
     #[error("\n{0}")]
@@ -145,7 +145,7 @@
 }
 
 impl CommandError {
-    /// An error of a file or folder.
+    /// Returns a function that converts an I/O error into an error of this file or folder.
     pub fn of_file(path: &Path) -> impl Fn(io::Error) -> CommandError + '_ {
         move |source| CommandError::File {
             path: path.to_owned(),
--- a/crates/cli/src/group.rs
+++ b/crates/cli/src/group.rs
@@ -1,4 +1,4 @@
-//! Requests of operators to a group, through the daemon of their home, which passes them on to the leader.
+//! Requests of operators to a group. The daemon of the operator's home forwards them to the leader.
 
 mod connection;
 mod history;
@@ -48,7 +48,7 @@
 fn withdraw(home: &Path) -> Result<(), CommandError> {
     match Connection::open(home)?.request(&Request::Withdraw)?.reply {
         Some(Reply::Accepted) => {
-            println!("taken back, unless it was in force already; see `marblefall group history`");
+            println!("withdrawn, unless it was already in force; see `marblefall group history`");
             Ok(())
         }
         Some(Reply::NothingPending) => Err(CommandError::NothingPending),
@@ -67,7 +67,7 @@
     let request = Request::Exclude(member);
     match connection.request(&request)?.reply {
         Some(Reply::Accepted) => {
-            println!("changes go on without {name}, until it asks again");
+            println!("changes no longer wait for {name} until it requests a lease again");
             Ok(())
         }
         _ => Err(CommandError::NoLeader),
--- a/crates/cli/src/group/connection.rs
+++ b/crates/cli/src/group/connection.rs
@@ -14,20 +14,20 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long a response is waited for. A daemon responds within a second, also while the group has no leader.
+/// Timeout for a response. A daemon responds within a second, even while the group has no leader.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const MICROS_PER_MS: i64 = 1000;
 
-/// The leader's contact with a member.
+/// The state of the leader's contact with a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// It received a request within the duration of a lease.
+    /// The leader received a request from the member within the duration of a lease.
     Recent,
-    /// Its last request is longer ago.
+    /// The member's last request is older than the duration of a lease.
     Lost,
-    /// It never received a request.
+    /// The leader has never received a request from the member.
     Never,
 }
 
@@ -67,12 +67,12 @@
         block_on(read_frame::<OperatorResponse>(&mut stream)).map_err(CommandError::Response)
     }
 
-    /// The home as a member of its group.
+    /// Returns the home's membership in its group.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The leader's contact with a member.
+    /// Returns the state of the leader's contact with a member.
     pub fn contact(&self, member: &MemberStatus) -> Contact {
         let lease_ms = self.membership.group.lease_ms as i64;
         match member.since_last_request {
@@ -82,14 +82,14 @@
         }
     }
 
-    /// A member's name.
+    /// Returns the name of a member, or its number if it has no name.
     pub fn name(&self, member: MemberId) -> String {
         let mut names = self.membership.group.members.keys();
         let name = names.nth(member.0 as usize).cloned();
         name.unwrap_or_else(|| member.0.to_string())
     }
 
-    /// The names of members, for people.
+    /// Returns the names of members, separated by commas.
     pub fn names(&self, members: &[MemberId]) -> String {
         let names: Vec<String> = members.iter().map(|member| self.name(*member)).collect();
         names.join(", ")
--- a/crates/cli/src/group/history.rs
+++ b/crates/cli/src/group/history.rs
@@ -1,4 +1,4 @@
-//! The history of a group's changes, as it is printed.
+//! Output of the history of a group's changes.
 
 use marblefall_coordination::replicated_state::{ChangeOutcome, ResolvedChange};
 use serde_json::{json, Value};
@@ -10,7 +10,7 @@
     }
 }
 
-/// All changes, for programs.
+/// Returns all changes as JSON.
 pub fn to_json(changes: &[ResolvedChange]) -> Value {
     changes.iter().map(change_json).collect()
 }
--- a/crates/cli/src/group/propose.rs
+++ b/crates/cli/src/group/propose.rs
@@ -13,9 +13,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often the outcome of a pending change is requested.
+/// Interval between requests for the outcome of a pending change.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// A change that the group does not know any more is proposed again after this.
+/// Time after which a change that is no longer known to the group is proposed again.
 const PROPOSE_AGAIN_AFTER: Duration = Duration::from_millis(400);
 
 /// Proposes a plan to the group, and waits for its outcome.
@@ -25,7 +25,7 @@
     Proposal::new(plan, connection)?.run()
 }
 
-/// Ends the process at a signal of the operator, and prints where the outcome can be seen.
+/// Exits when the operator sends a signal, and prints how to look up the outcome.
 fn end_on_signal(home: &Path) {
     let home = home.to_owned();
     thread::spawn(move || {
@@ -34,8 +34,8 @@
         };
         if block_on(signals.next()).is_some() {
             eprintln!(
-                "not waited for any more: what becomes of the change is the group's to say; \
-                 ask with `marblefall group history {}`",
+                "stopped waiting; the group still decides the outcome of the change: \
+                 see `marblefall group history {}`",
                 home.display()
             );
             std::process::exit(1);
@@ -43,14 +43,14 @@
     });
 }
 
-/// A change that is proposed.
+/// A proposed change whose outcome is awaited.
 struct Proposal {
     connection: Connection,
     /// The revision that the plan was made against.
     base: u64,
-    /// The request that proposes it.
+    /// The request that proposes the change.
     request: Request,
-    /// Identifies it in requests for its outcome.
+    /// Identifies the change in requests for its outcome.
     key: u64,
     proposed_at: Instant,
     last_printed: String,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Requests the outcome until the change is resolved.
+    /// Proposes the change, and requests its outcome until it is resolved.
     fn run(mut self) -> Result<(), CommandError> {
         let mut request = self.request.clone();
         loop {
@@ -96,11 +96,11 @@
         }
     }
 
-    /// Handles the reply to a change that is not resolved; the request to go on with, if it is another one.
+    /// Handles the reply to a request while the change is not resolved. Returns the next request if it is a different one.
     fn handle(&mut self, reply: Option<Reply>) -> Result<Option<Request>, CommandError> {
         match reply {
             None => {
-                self.print("nobody leads the group just now; the change waits here".to_owned());
+                self.print("the group has no leader at the moment; waiting for one".to_owned());
                 Ok(None)
             }
             Some(Reply::Proposed) => {
@@ -112,7 +112,7 @@
                 self.print_pending(phase, &awaited);
                 Ok(Some(Request::Outcome(self.key)))
             }
-            // It was lost with a leader that had accepted it and not yet written it to the log.
+            // The change was lost with a leader that had accepted it but had not written it to the log.
             Some(Reply::Unknown) if self.proposed_at.elapsed() >= PROPOSE_AGAIN_AFTER => {
                 Ok(Some(self.request.clone()))
             }
@@ -141,13 +141,13 @@
         let line = if awaited.is_empty() {
             phase.to_owned()
         } else {
-            format!("{phase}; waited for: {}", self.connection.names(awaited))
+            format!("{phase}; waiting for: {}", self.connection.names(awaited))
         };
         self.print(line);
     }
 
-    /// Prints the outcome. Where it is in force, members with contact to the leader apply it within moments, and are
-    /// waited for.
+    /// Prints the outcome. If the change is in force, first waits for the members in contact with the leader, which apply
+    /// it within moments.
     fn finish(mut self, change: &ResolvedChange) -> Result<(), CommandError> {
         let revision = match &change.outcome {
             ChangeOutcome::InForce(revision) => *revision,
@@ -166,8 +166,8 @@
         Ok(())
     }
 
-    /// Waits until all members with contact to the leader have applied a revision, at most for a lease. Returns those that
-    /// have not.
+    /// Waits until all members in contact with the leader have applied a revision, but no longer than the duration of a
+    /// lease. Returns the members that have not applied it.
     fn wait_for_members(&mut self, revision: Revision) -> Result<Vec<MemberId>, CommandError> {
         let lease = Duration::from_millis(self.connection.membership().group.lease_ms);
         let deadline = Instant::now() + lease;
@@ -178,7 +178,7 @@
             };
             let is_behind = |member: &&MemberStatus| member.applied < Some(revision);
             let behind: Vec<&MemberStatus> = status.members.iter().filter(is_behind).collect();
-            // A member without contact is not waited for: it applies the revision before it acts.
+            // A member without contact is not awaited, as it applies the revision before it acts again.
             let is_any_awaited = behind
                 .iter()
                 .any(|member| self.connection.contact(member) == Contact::Recent);
--- a/crates/cli/src/group/status.rs
+++ b/crates/cli/src/group/status.rs
@@ -1,4 +1,4 @@
-//! The status of a group, as it is printed.
+//! Output of the status of a group.
 
 use super::connection::{Connection, Contact};
 use marblefall_control_plane::group::transport::{LocalStatus, OperatorResponse};
@@ -6,7 +6,7 @@
 use marblefall_coordination::node::{ChangePhase, GroupStatus, MemberStatus, PendingStatus, Reply};
 use serde_json::{json, Value};
 
-/// Prints it for people.
+/// Prints the status as text.
 pub fn print_text(connection: &Connection, response: &OperatorResponse) {
     print_local(connection, &response.local);
     match group_status(response) {
@@ -15,7 +15,7 @@
     }
 }
 
-/// The status for programs.
+/// Returns the status as JSON.
 pub fn to_json(connection: &Connection, response: &OperatorResponse) -> Value {
     let local = &response.local;
     let votes = local.voting.map(|voting| {
@@ -30,7 +30,7 @@
     })
 }
 
-/// The leader's view of the group, if a leader was reached.
+/// Returns the leader's view of the group, if a leader was reached.
 fn group_status(response: &OperatorResponse) -> Option<&GroupStatus> {
     match &response.reply {
         Some(Reply::Status(status)) => Some(status),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: one instance on the platform, or the operators' tool for a fleet of them.
+//! The program: one instance on the platform, or the operators' tool for a fleet of instances.
 
 #![forbid(unsafe_code)]
 
--- a/crates/cli/src/policy.rs
+++ b/crates/cli/src/policy.rs
@@ -1,4 +1,4 @@
-//! Plans of a change of policy, and their application.
+//! Plans changes of the policy, and applies them.
 
 use crate::error::CommandError;
 use crate::group;
@@ -9,7 +9,7 @@
 use std::fs;
 use std::path::Path;
 
-/// Prints what a file changes against what is applied in a home, and saves it as a plan.
+/// Prints how a file differs from the policy applied in a home, and saves the changes as a plan.
 pub fn plan(file: &Path, home: &Path, out: Option<&Path>) -> Result<(), CommandError> {
     let target = Manifest::read(file)?;
     let plan = Plan::new(Applied::read(home)?, target);
@@ -19,7 +19,7 @@
     fs::write(out, saved).map_err(CommandError::of_file(out))
 }
 
-/// Puts a saved plan in force; in a home that is a member of a group, at all its members.
+/// Puts a saved plan in force. If the home is a member of a group, the change is proposed to all its members.
 pub fn apply(saved: &Path, home: &Path, member: Option<&str>) -> Result<(), CommandError> {
     let plan = read_plan(saved)?;
     if plan.is_empty() {
