--- a/crates/cli/benches/group.rs
+++ b/crates/cli/benches/group.rs
@@ -1,5 +1,6 @@
-//! What a change of the policy costs a group of processes: from `apply` to its end, from proposed to in force by the leader's
-//! clock, how long members are quiesced, and what a member costs at rest. `cargo bench -p marblefall --bench group`.
+//! Measures changes of the policy in a group of processes: the duration of `apply`, the time from proposed to in force by
+//! the leader's clock, the time for which members are quiesced, and the resources of a member at rest.
+//! Run with `cargo bench -p marblefall --bench group`.
 
 #![allow(clippy::unwrap_used, reason = "a failed step ends the measurement")]
 
@@ -16,7 +17,7 @@
 
 const CHANGES: usize = 25;
 const CHANGES_UNDER_TRAFFIC: usize = 15;
-/// How long a group is observed at rest.
+/// Time for which a group is observed at rest.
 const REST: Duration = Duration::from_secs(5);
 
 fn main() {
@@ -30,7 +31,7 @@
     measure_traffic();
 }
 
-/// A running group, and what it needs.
+/// A running group with its endpoint and folder.
 struct RunningGroup {
     group: Group,
     endpoint: TestServer,
@@ -50,7 +51,7 @@
     }
 }
 
-/// Median, 99th percentile and maximum.
+/// Formats the median, 99th percentile and maximum.
 fn spread(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let quantile = |part: f64| {
@@ -88,7 +89,7 @@
     check_single_policy(&group);
 }
 
-/// What each member costs at rest.
+/// Measures the resources that each member uses at rest.
 fn measure_rest(group: &Group) -> String {
     let (before, bytes) = (usages(group), group.links.forwarded_bytes());
     thread::sleep(REST);
@@ -120,7 +121,7 @@
         .sum()
 }
 
-/// Applies changes, and returns how long each `apply` took, in milliseconds.
+/// Applies changes, and returns the duration of each `apply` in milliseconds.
 fn apply_changes(group: &mut Group) -> Vec<f64> {
     let mut durations = Vec::new();
     for number in 1..=CHANGES {
@@ -134,8 +135,8 @@
     durations
 }
 
-/// How long changes took from proposed to in force, in milliseconds. The founding and the first `skipped` changes are left
-/// out.
+/// Returns the times of changes from proposed to in force, in milliseconds, without the founding and the first `skipped`
+/// changes.
 fn durations_to_in_force(group: &Group, skipped: usize) -> Vec<f64> {
     let history = run(&["group", "history", &group.home(0)]).text;
     let duration = |line: &str| {
@@ -149,7 +150,7 @@
         .collect()
 }
 
-/// How long each member was quiesced at each change, in milliseconds.
+/// Returns the times for which each member was quiesced at each change, in milliseconds.
 fn quiesced_durations(group: &Group, members: usize) -> Vec<f64> {
     let mut durations = Vec::new();
     for member in 0..members {
@@ -168,7 +169,7 @@
     durations
 }
 
-/// What clients see of a change: calls in the second around it against those in the second before.
+/// Measures the effect of a change on clients: calls in the second around it, relative to the second before.
 fn measure_traffic() {
     let RunningGroup {
         mut group,
--- a/crates/cli/benches/incarnations.rs
+++ b/crates/cli/benches/incarnations.rs
@@ -1,5 +1,6 @@
-//! How long the replacement of a process delays messages: from SIGTERM to the old process until the new one's first attempt
-//! is at the endpoint, and the longest time without any attempt there. `cargo bench -p marblefall --bench incarnations`.
+//! Measures how long the replacement of a process delays messages: the time from SIGTERM to the old process until the
+//! endpoint receives the new process's first attempt, and the longest time without any attempt there.
+//! Run with `cargo bench -p marblefall --bench incarnations`.
 
 #![allow(clippy::unwrap_used, reason = "a failed step ends the measurement")]
 
@@ -16,6 +17,7 @@
 const CLIENTS: usize = 20;
 /// Pause of a client between two messages.
 const CLIENT_PAUSE: Duration = Duration::from_millis(50);
+/// Time to live of all messages in milliseconds.
 const BUDGET_MS: &str = "9000";
 
 fn main() {
@@ -29,7 +31,7 @@
         clients.wait_for_completions(200).unwrap();
         calm_gaps.push(longest_gap(&endpoint, calm_since, Instant::now()));
         let new = platform.start_standby();
-        // New connections go to the new process, which accepts this message and cannot send it yet.
+        // New connections go to the new process. It accepts this message but cannot send it yet.
         let id = format!("probe-{round}");
         let status = submit_status(address, &id, IDEMPOTENT_CLASS, BUDGET_MS);
         assert_eq!(status, 202);
@@ -59,13 +61,13 @@
     Workers::start(CLIENTS, CLIENT_PAUSE, |client| {
         move |number| {
             let id = format!("c{client}-{number}");
-            // Whatever the response: the measurement is of the attempts.
+            // The response does not matter, as only attempts are measured.
             submit(address, &id, IDEMPOTENT_CLASS, BUDGET_MS);
         }
     })
 }
 
-/// When the first call with a message was received.
+/// Returns when the endpoint received the first call with a message.
 fn received_at(endpoint: &TestServer, id: &str) -> Option<Instant> {
     let calls = endpoint.requests();
     let call = calls.iter().find(|call| message_id(call) == Some(id));
--- a/crates/cli/examples/measure/daemon.rs
+++ b/crates/cli/examples/measure/daemon.rs
@@ -1,4 +1,4 @@
-//! Daemons under measurement, and their manifests.
+//! The daemons that are measured, and their manifests.
 
 use crate::Measured;
 use marblefall_process_harness::{
@@ -9,40 +9,40 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// The class of all messages, as a manifest has it.
+/// The manifest's table for the class of all messages.
 pub const CLASS: &str =
     "[class.status]\nrepeats = \"free\"\nwanted_ms = 2000\ngive_up_ms = 20000\n";
 
-/// The table of one instance on the platform. `numbers` are the numbers of destinations with their names.
+/// Returns the table of one instance on the platform. `numbers` maps numbers of destinations to their names.
 pub fn instance_table(listen: SocketAddr, numbers: &str) -> String {
     format!(
         "[instance.one]\nrelay = {{ listen = \"{listen}\", notices = \"127.0.0.1:9\", numbers = {{ {numbers} }} }}\n"
     )
 }
 
-/// An address whose port the system picks.
+/// Returns a loopback address with port 0, for which the system picks a port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The table of a destination with one endpoint.
+/// Returns the table of a destination with one endpoint.
 pub fn destination_table(name: &str, rate: f64, endpoint: SocketAddr) -> String {
     format!(
         "[destination.{name}]\nrate = {rate}\nendpoints = [{{ name = \"{name}-1\", address = \"{endpoint}\" }}]\n"
     )
 }
 
-/// A daemon. It is killed when this is dropped.
+/// A running daemon, which is killed on drop.
 pub struct Daemon {
     process: Process,
-    /// Where it listens for clients.
+    /// The address at which the daemon listens for clients.
     pub address: SocketAddr,
-    /// How long its start took until it listened.
+    /// Time from the start of the process until it listened.
     pub start_duration: Duration,
 }
 
 impl Daemon {
-    /// Plans and applies a manifest in a folder. Returns how long `plan` took.
+    /// Plans and applies a manifest in a folder. Returns the duration of `plan`.
     pub fn apply(build: &str, folder: &TemporaryFolder, manifest: &str) -> Measured<Duration> {
         let file = folder.write("fleet.toml", manifest)?;
         let (plan, home) = (folder.path().join("plan"), folder.path().join("home"));
@@ -55,7 +55,7 @@
         Ok(plan_duration)
     }
 
-    /// Starts a daemon that runs what is applied in a folder, and waits until it listens.
+    /// Starts a daemon with the policy applied in a folder, and waits until it listens.
     pub fn start(build: &str, folder: &TemporaryFolder) -> Measured<Daemon> {
         let home = folder.path().join("home");
         let home = home.to_str().ok_or("the folder's path is not UTF-8")?;
@@ -69,23 +69,23 @@
         })
     }
 
-    /// Waits until it has logged an address behind a marker.
+    /// Waits until the daemon has logged an address after a marker, and returns the address.
     pub fn logged_address(&self, marker: &str) -> Measured<SocketAddr> {
         Ok(self.process.logged_address(marker, 0)?)
     }
 
-    /// Waits until its log has a text.
+    /// Waits until the daemon's log contains a text.
     pub fn wait_for_log(&self, text: &str) -> Measured<()> {
         Ok(wait_for(text, || self.process.log().contains(text))?)
     }
 
-    /// The resources that it uses.
+    /// Returns the resources that the daemon uses.
     pub fn resource_usage(&self) -> Measured<ResourceUsage> {
         let usage = self.process.resource_usage();
         Ok(usage.ok_or("the daemon has ended")?)
     }
 
-    /// Requests its counters, and returns one of them.
+    /// Makes the daemon log its counters, and returns one of them.
     pub fn counter(&self, name: &str) -> Measured<u64> {
         let marker = format!("{name}=");
         let count = || self.process.log().matches(&marker).count();
--- a/crates/cli/examples/measure/endpoint_lists.rs
+++ b/crates/cli/examples/measure/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! What a large endpoint list costs to plan, to start with, and to put in force while messages are delivered.
+//! Measures the cost of a large endpoint list: to plan it, to start with it, and to put it in force during traffic.
 
 use crate::daemon::{any_port, instance_table, Daemon, CLASS};
 use crate::load::{join, Client, Connections, CountingEndpoint};
@@ -15,9 +15,9 @@
 const DESTINATIONS: usize = 10_000;
 const CLIENTS: usize = 4;
 const LIST_FILE: &str = "roster.toml";
-/// Changes of the list.
+/// Number of changes of the list.
 const CHANGES: u64 = 5;
-/// How long traffic runs before each reading of a counter. A change reaches the engine in parts after it is in force.
+/// Time with traffic before a counter is read. After a change is in force, it reaches the engine in parts.
 const TRAFFIC: Duration = Duration::from_millis(500);
 
 /// Measures one build.
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// Starts clients that submit messages for the one endpoint that exists.
+/// Starts clients that submit messages for the only endpoint that has a server.
 fn start_clients(address: SocketAddr, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<Measured<usize>>> {
     (0..CLIENTS)
         .map(|number| Client {
@@ -74,7 +74,7 @@
         .collect()
 }
 
-/// Puts another revision of the list in force, and prints what that took.
+/// Puts another revision of the list in force, and prints the time and memory that this took.
 fn measure_change(
     daemon: &Daemon,
     endpoint: &CountingEndpoint,
@@ -112,7 +112,7 @@
     manifest + &instance_table(any_port(), "0 = \"clinic-0\"")
 }
 
-/// A list of many destinations with two endpoints each, of which `endpoint` is the first.
+/// Returns a list of [`DESTINATIONS`] with two endpoints each. `endpoint` is the first endpoint of the first destination.
 fn list(revision: u64, endpoint: SocketAddr, weight: u64) -> String {
     let mut text = format!("revision = {revision}\n");
     for number in 0..DESTINATIONS {
--- a/crates/cli/examples/measure/idle.rs
+++ b/crates/cli/examples/measure/idle.rs
@@ -1,4 +1,4 @@
-//! What destinations cost that are never used, and what a message costs beside them.
+//! Measures the cost of destinations that are never used, and the cost of a message among them.
 
 use crate::daemon::{any_port, destination_table, instance_table, Daemon, CLASS};
 use crate::load::{Client, Connections, CountingEndpoint};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const MESSAGES: usize = 10_000;
-/// How long a message waits for an endpoint that is dead.
+/// Time for which a message for a dead endpoint is observed.
 const WAIT: Duration = Duration::from_secs(5);
 
 /// Measures builds with few, many and very many destinations.
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-/// A manifest with an active destination, one whose endpoint is dead, and as many idle ones as are missing.
+/// Returns a manifest with an active destination, one whose endpoint is dead, and idle ones up to the given number.
 fn manifest(active: &str, destinations: usize) -> String {
     let mut manifest = format!("{CLASS}{active}");
     manifest +=
--- a/crates/cli/examples/measure/load.rs
+++ b/crates/cli/examples/measure/load.rs
@@ -1,4 +1,4 @@
-//! Destinations that count calls, and clients that submit messages.
+//! Endpoints that count calls, and clients that submit messages.
 
 use crate::Measured;
 use marblefall_process_harness::http::Message;
@@ -12,18 +12,18 @@
 use std::thread;
 use std::time::Duration;
 
-/// Pause of a client before it submits another message after a rejection.
+/// Pause of a client between a rejection and its next message.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// An endpoint that responds to every call at once, and counts them.
+/// An endpoint that responds to every call at once, and counts the calls.
 pub struct CountingEndpoint {
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
     calls: Arc<AtomicUsize>,
 }
 
 impl CountingEndpoint {
-    /// Starts it on a free port.
+    /// Starts an endpoint on a free port.
     pub fn start() -> Measured<CountingEndpoint> {
         let calls = Arc::<AtomicUsize>::default();
         let counted = Arc::clone(&calls);
@@ -34,42 +34,42 @@
         Ok(CountingEndpoint { address, calls })
     }
 
-    /// Calls until now.
+    /// Returns the number of calls received so far.
     pub fn calls(&self) -> usize {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Waits until it has received this many calls.
+    /// Waits until the endpoint has received this many calls.
     pub fn wait_for_calls(&self, count: usize) -> Measured<()> {
         Ok(wait_for("all calls", || self.calls() >= count)?)
     }
 }
 
-/// Whether a client keeps its connection.
+/// A client's use of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connections {
-    /// One for all messages.
+    /// One connection for all messages.
     Kept,
-    /// One for each message.
+    /// A new connection for each message.
     OnePerMessage,
 }
 
-/// A client.
+/// A client that submits messages to an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Client {
-    /// Its number, which is part of all ids.
+    /// The client's number, which is part of the ids of its messages.
     pub number: usize,
-    /// Where the instance listens.
+    /// The address at which the instance listens.
     pub address: SocketAddr,
-    /// The number of the destination of its messages.
+    /// The number of the destination of the client's messages.
     pub destination: usize,
-    /// Whether it keeps its connection.
+    /// The client's use of connections.
     pub connections: Connections,
 }
 
 impl Client {
-    /// Submits messages one after the other until `is_finished`, which gets the number of the next message. Returns how many
-    /// were accepted.
+    /// Submits messages one after the other until `is_finished` returns true for the number of the next message. Returns the
+    /// number of accepted messages.
     pub fn run(&self, is_finished: impl Fn(usize) -> bool) -> Measured<usize> {
         let mut last: Option<BufReader<TcpStream>> = None;
         let mut accepted = 0;
--- a/crates/cli/examples/measure/main.rs
+++ b/crates/cli/examples/measure/main.rs
@@ -1,4 +1,4 @@
-//! Measures whole processes over loopback, against stand-ins of destinations:
+//! Measures processes over loopback, against simulated destinations:
 //!
 //!     cargo build --release --workspace --bins --examples
 //!     target/release/examples/measure message target/release/marblefall [OTHER ...]
@@ -7,11 +7,13 @@
 //!     target/release/examples/measure return target/release/marblefall
 //!     target/release/examples/measure refusals target/release/marblefall [OTHER ...]
 //!
-//! `message`: CPU and memory for each message, of one build or of several in turn. `roster`: what an endpoint list of 10,000
-//! destinations and 20,000 endpoints costs to plan, to start with, and to put in force while messages are delivered. `idle`:
-//! what destinations cost that are never used. `return`: the recovery ramp of a destination after an outage that three
-//! instances saw, each a process of its own, among 10,000 idle destinations; once as they are, once with one of them killed
-//! during the outage. `refusals`: what a destination gets that rejects every fourth call at random.
+//! - `message`: CPU and memory for each message, for one build or for several in turn.
+//! - `roster`: the cost of an endpoint list of 10,000 destinations and 20,000 endpoints: to plan it, to start with it, and
+//!   to put it in force while messages are delivered.
+//! - `idle`: the cost of destinations that are never used.
+//! - `return`: the recovery ramp of a destination after an outage that three instances observed, among 10,000 idle
+//!   destinations. Each instance is a process. The run is repeated with one instance killed during the outage.
+//! - `refusals`: the traffic of a destination that rejects every fourth call at random.
 
 mod daemon;
 mod endpoint_lists;
@@ -23,7 +25,7 @@
 
 use std::error::Error;
 
-/// The result of a measurement, any failure of which ends the program.
+/// The result of a measurement. Any error ends the program.
 type Measured<T> = Result<T, Box<dyn Error + Send + Sync>>;
 
 fn main() -> Measured<()> {
--- a/crates/cli/examples/measure/message.rs
+++ b/crates/cli/examples/measure/message.rs
@@ -1,4 +1,4 @@
-//! CPU and memory for each message.
+//! Measures CPU and memory for each message.
 
 use crate::daemon::{any_port, destination_table, instance_table, Daemon, CLASS};
 use crate::load::{join, Client, Connections, CountingEndpoint};
@@ -9,10 +9,10 @@
 const ROUNDS: usize = 5;
 const CLIENTS: usize = 8;
 const MESSAGES: usize = 20_000;
-/// A rate that limits nothing.
+/// A rate too high to limit any calls, in calls per second.
 const UNLIMITED_RATE: f64 = 100_000.0;
 
-/// What one round of one build cost.
+/// The cost of one round of one build.
 #[derive(Clone, Copy)]
 struct Cost {
     micros_per_message: f64,
--- a/crates/cli/examples/measure/recovery.rs
+++ b/crates/cli/examples/measure/recovery.rs
@@ -1,4 +1,4 @@
-//! The recovery ramp of destinations after an outage that several instances saw.
+//! Measures the recovery ramp of destinations after an outage that several instances observed.
 
 use crate::daemon::{instance_table, Daemon, CLASS};
 use crate::load::{join, Client, Connections};
@@ -14,41 +14,41 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Instances that see the outage, each a process with a folder of its own.
+/// Instances that observe the outage, each a process with its own folder.
 const INSTANCES: usize = 3;
-/// All destinations, most of them idle.
+/// Number of destinations, most of which are idle.
 const DESTINATIONS: usize = 10_000;
-/// The destinations that have an outage. One name is the beginning of the other.
+/// The destinations that have an outage. One name is a prefix of the other.
 const NAMES: [&str; 2] = ["a", "a-1"];
-/// Calls per second that a destination takes when it is warm.
+/// Capacity of a warm destination, in calls per second.
 const WARM_RATE: f64 = 20.0;
-/// Share of that rate that a destination takes as it recovers.
+/// Capacity of a destination when its recovery begins, as a share of [`WARM_RATE`].
 const COLD_SHARE: f64 = 0.27;
-/// How long a destination warms up, in seconds.
+/// Time in which a destination's capacity rises to [`WARM_RATE`], in seconds.
 const WARM_UP_S: f64 = 10.0;
-/// More than this multiple of what a destination takes overloads it.
+/// A load above this multiple of its capacity overloads a destination.
 const OVERLOAD_FACTOR: f64 = 1.5;
 /// The window in which calls are counted, in seconds.
 const WINDOW_S: f64 = 2.0;
-/// Calls that are submitted, as a multiple of the warm rate.
+/// Submitted calls, as a multiple of [`WARM_RATE`].
 const OFFERED_LOAD: f64 = 1.2;
-/// How long a call takes.
+/// Time that a destination takes for a call.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// How long traffic runs before the outage.
+/// Time with traffic before the outage.
 const BEFORE_OUTAGE: Duration = Duration::from_secs(8);
-/// How long the outage lasts before an instance is killed, and after that.
+/// The parts of the outage before and after the point at which an instance may be killed.
 const OUTAGE: [Duration; 2] = [Duration::from_secs(4), Duration::from_secs(3)];
-/// Seconds after the outage that are observed.
+/// Time after the outage that is observed, in seconds.
 const OBSERVED_S: usize = 18;
 
-/// What happens to the instances during the outage.
+/// The treatment of the instances during the outage.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Variant {
     AllRun,
     OneIsKilled,
 }
 
-/// Measures one build with and without the kill of an instance.
+/// Measures one build, first with all instances running and then with one of them killed.
 pub fn measure(build: &str) -> Measured<()> {
     measure_variant(build, Variant::AllRun)?;
     measure_variant(build, Variant::OneIsKilled)
@@ -61,7 +61,7 @@
     ];
     let tables = destination_tables(&destinations);
     let mut instances = Vec::new();
-    // The addresses are reserved, as they must be the same in the next incarnation.
+    // The addresses are reserved because each instance's next incarnation must have the same one.
     for (number, address) in reserve_addresses(INSTANCES)?.into_iter().enumerate() {
         instances.push(Instance::start(build, number, address, &tables)?);
     }
@@ -123,7 +123,7 @@
         })
     }
 
-    /// The times of all calls since a moment, in seconds.
+    /// Returns the times of all calls since `start`, in seconds after it.
     fn seconds_since(&self, start: Instant) -> Vec<f64> {
         let received_at = self
             .received_at
@@ -145,11 +145,11 @@
     }
 }
 
-/// One instance in a folder of its own.
+/// One instance with its own folder.
 struct Instance {
     folder: TemporaryFolder,
     address: SocketAddr,
-    /// None while it is restarted.
+    /// `None` during a restart.
     daemon: Option<Daemon>,
 }
 
@@ -174,7 +174,7 @@
         })
     }
 
-    /// Kills it, and starts its next incarnation.
+    /// Kills the instance, and starts its next incarnation.
     fn restart(&mut self, build: &str) -> Measured<()> {
         drop(self.daemon.take());
         self.daemon = Some(Daemon::start(build, &self.folder)?);
@@ -201,7 +201,7 @@
     tables
 }
 
-/// Starts a client of each instance for each destination, which together submit more than the destinations take.
+/// Starts one client for each instance and destination. Together the clients submit more than the destinations' capacity.
 fn start_clients(instances: &[Instance], stop: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
     let pause = Duration::from_secs_f64(INSTANCES as f64 / (OFFERED_LOAD * WARM_RATE));
     let mut clients = Vec::new();
@@ -232,7 +232,7 @@
             destination,
             connections: Connections::Kept,
         };
-        // An instance that is restarted breaks the connection, and is connected to again.
+        // The restart of an instance breaks the connection, and the client connects again.
         let _ = client.run(|_| {
             thread::sleep(pause);
             stop.load(Ordering::Relaxed)
@@ -241,9 +241,9 @@
     }
 }
 
-/// Prints how the calls to one destination grew. `calls` are their times after the outage, in seconds.
+/// Prints how the calls to one destination increased. `calls` are their times after the outage, in seconds.
 fn print_recovery(name: &str, calls: &[f64]) {
-    // A destination warms up from its first call on, as one does whose caches are cold.
+    // The destination warms up from its first call on, like a server with cold caches.
     let first = calls.first().copied().unwrap_or(0.0);
     let capacity = |at: f64| {
         let warm = ((at - first) / WARM_UP_S).clamp(0.0, 1.0);
@@ -271,7 +271,7 @@
     );
 }
 
-/// How many calls are in each bin, of which there are `per_second` in a second.
+/// Returns the number of calls in each bin. A second has `per_second` bins.
 fn calls_by_bin(calls: &[f64], per_second: f64, bins: usize) -> Vec<usize> {
     let bin_of = |at: &f64| (*at * per_second) as usize;
     (0..bins)
--- a/crates/cli/examples/measure/rejections.rs
+++ b/crates/cli/examples/measure/rejections.rs
@@ -1,5 +1,5 @@
-//! How a destination is served that rejects every fourth call at random, with 503 and no Retry-After, and has capacity for
-//! more.
+//! Measures deliveries to a destination that rejects every fourth call at random, with 503 and no Retry-After, although it
+//! has capacity for more.
 
 use crate::daemon::{any_port, destination_table, instance_table, Daemon, CLASS};
 use crate::load::join;
@@ -15,13 +15,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Events of a run.
+/// Events in a run.
 const EVENTS: usize = 300;
-/// Clients of a run, each with one connection and one event at a time.
+/// Clients in a run, each with one connection and one event at a time.
 const CLIENTS: usize = 16;
-/// How long a call takes.
+/// Time that the destination takes for a call.
 const SERVICE_TIME: Duration = Duration::from_millis(50);
-/// Calls per second that the destination takes.
+/// The destination's rate in the manifest, in calls per second.
 const RATE: f64 = 20.0;
 
 /// The outcomes of events.
@@ -73,13 +73,13 @@
     Ok(())
 }
 
-/// Decides by a hash of the call's number: the same calls in each run, without any pattern in time.
+/// Returns whether a call is rejected, by a hash of its number: the same calls in each run, without a pattern in time.
 fn is_rejected(call: u64) -> bool {
     let mixed = (call + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     (mixed ^ mixed >> 31).wrapping_mul(0xD134_2543_DE82_EF95) >> 62 == 0
 }
 
-/// Submits a client's share of the events on one connection. A response is the event's final outcome.
+/// Submits a client's share of the events on one connection. Each response is the final outcome of its event.
 fn submit_events(address: SocketAddr, client: usize) -> Measured<Outcomes> {
     let mut outcomes = Outcomes::default();
     let mut connection = BufReader::new(TcpStream::connect(address)?);
--- a/crates/cli/tests/common/clients.rs
+++ b/crates/cli/tests/common/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of an instance on the platform, and checks of what became of their messages.
+//! Clients of an instance on the platform, and checks of the outcomes of their messages.
 
 use super::platform::{message_id, Platform, DESTINATION, KEYED_CLASS};
 use super::{headers, wait_for, Message, TestServer};
@@ -9,29 +9,29 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a client waits for a response.
+/// Time for which a client waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause of a client between two requests: a pace for the load, nothing waits for it.
+/// Pause of a client between two requests. It only sets the request rate; no check depends on it.
 const CLIENT_PAUSE: Duration = Duration::from_millis(40);
-/// With this many accepted messages or fewer a test shows nothing.
+/// A test needs more accepted messages than this to be meaningful.
 const MIN_ACCEPTED: usize = 20;
 
-/// How a request ended for its client.
+/// The result of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionResult {
     /// The message was accepted.
     Accepted,
     /// The message was rejected.
     Rejected,
-    /// Its last byte was written, and there was no response.
+    /// The request was written completely, and there was no response.
     NoResponse,
 }
 
 /// The results of messages by their ids.
 pub type Submissions = BTreeMap<String, SubmissionResult>;
 
-/// Clients that reuse their connections, each with one request at a time. Their submissions are the clock by which faults
-/// are injected.
+/// Clients that reuse their connections, each with one request at a time. Tests inject faults after given numbers of
+/// submissions.
 pub struct Clients(Workers<(String, SubmissionResult)>);
 
 impl Clients {
@@ -48,19 +48,19 @@
         Clients(Workers::start(count, CLIENT_PAUSE, new_client))
     }
 
-    /// Waits until they have submitted this many more messages.
+    /// Waits until the clients have submitted this many more messages.
     pub fn wait_for_submissions(&self, more: usize) {
         self.0.wait_for_completions(more).unwrap();
     }
 
-    /// Stops them, and returns the results of all messages.
+    /// Stops the clients, and returns the results of all messages.
     pub fn stop(self) -> Submissions {
         self.0.stop().into_iter().collect()
     }
 }
 
-/// Submits a message on the reusable connection, or on a new one. Where the reusable one was closed before the request was
-/// read, the message is sent once more, as the platform's clients do.
+/// Submits a message on the reusable connection, or on a new one. If the reusable connection was closed before the request
+/// was read, the message is sent once more on a new connection, as the platform's clients do.
 fn submit_on(
     reusable: &mut Option<BufReader<TcpStream>>,
     address: SocketAddr,
@@ -89,8 +89,8 @@
     result
 }
 
-/// Sends a request on a connection. Returns its result, and the connection if it can be used again; `None` where the
-/// connection ended before the request was read. A response that does not come in time is a result.
+/// Sends a request on a connection. Returns the result, and the connection if it can be reused. Returns `None` if the
+/// connection ended before the request was read. A timeout counts as a result, [`SubmissionResult::NoResponse`].
 fn exchange_on(
     mut reader: BufReader<TcpStream>,
     request: &[u8],
@@ -109,7 +109,7 @@
     Some((result, is_reusable.then_some(reader)))
 }
 
-/// How often each message was executed at the endpoint.
+/// Returns how often each message was executed at the endpoint.
 pub fn executions(calls: &[Message]) -> BTreeMap<String, usize> {
     let mut executions = BTreeMap::new();
     for call in calls {
@@ -119,7 +119,7 @@
     executions
 }
 
-/// Checks that every message that was accepted is executed or ended by a notice.
+/// Checks that every accepted message is executed or has a notice.
 pub fn check_outcomes(platform: &Platform, endpoint: &TestServer, submissions: &Submissions) {
     let accepted: Vec<&String> = submissions
         .iter()
@@ -140,7 +140,7 @@
     });
 }
 
-/// How many requests had no response.
+/// Returns the number of requests without a response.
 pub fn count_without_response(submissions: &Submissions) -> usize {
     submissions
         .values()
--- a/crates/cli/tests/common/group.rs
+++ b/crates/cli/tests/common/group.rs
@@ -14,7 +14,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How many members of a group vote.
+/// Number of members of a group that vote.
 const VOTERS: usize = 3;
 /// The duration of a lease in milliseconds.
 const LEASE_MS: u64 = 1000;
@@ -38,14 +38,14 @@
     .unwrap()
 }
 
-/// The history of a member.
+/// Returns the history of a member.
 pub fn history(group: &Group, member: usize) -> Vec<HistoryEvent> {
-    // A member that never ran has no history.
+    // A member that never ran has no history file.
     let text = fs::read_to_string(group.history_file(member)).unwrap_or_default();
     HistoryEvent::parse_all(&text)
 }
 
-/// Checks that no member acted under a revision once any acted under a later one. Returns the events of all members.
+/// Checks that no member acted under a revision after any member acted under a later one. Returns the events of all members.
 pub fn check_single_policy(group: &Group) -> Vec<HistoryEvent> {
     let events = (0..group.member_count())
         .flat_map(|member| history(group, member))
@@ -63,15 +63,15 @@
     observation.events
 }
 
-/// One test of a file at a time: each runs several processes, and some hold them to a lease.
+/// Runs the tests of a file one at a time, as each runs several processes and some check lease deadlines.
 static SERIAL: Mutex<()> = Mutex::new(());
 
-/// Waits until no other test of the file runs.
+/// Waits until no other test of the file runs, and keeps others from running until the guard is dropped.
 pub fn serial() -> MutexGuard<'static, ()> {
     SERIAL.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Founds a group in memory, which goes with the folder.
+/// Founds a group whose folder is in memory and is removed on drop.
 pub fn found_in_memory(
     name: &str,
     members: usize,
@@ -88,7 +88,7 @@
     (group, folder)
 }
 
-/// A destination that responds at once, and deduplicates events by their keys.
+/// Starts a destination that responds at once, and deduplicates events by their keys.
 pub fn start_destination() -> Destination {
     Destination::start(Duration::ZERO).unwrap()
 }
@@ -103,7 +103,7 @@
     })
 }
 
-/// Checks that every event whose response says that it was delivered was executed, and none twice.
+/// Checks that every event reported as delivered was executed, and that no event was executed twice.
 pub fn check_executions(destination: &Destination, submissions: &[Submission]) {
     let mut executions: BTreeMap<String, usize> = BTreeMap::new();
     for call in destination.calls().into_iter().filter(|call| call.executed) {
@@ -115,12 +115,12 @@
     for submission in submissions.iter().filter(|one| one.status == 204) {
         assert!(
             executions.contains_key(&submission.id),
-            "{submission:?} and it was never executed"
+            "reported as delivered but never executed: {submission:?}"
         );
     }
 }
 
-/// Applies a plan at a member in a thread.
+/// Starts a thread that applies a plan at the home of a member.
 pub fn start_applying(plan: String, home: String) -> JoinHandle<CommandOutput> {
     thread::spawn(move || run(&["apply", &plan, &home]))
 }
--- a/crates/cli/tests/common/lists.rs
+++ b/crates/cli/tests/common/lists.rs
@@ -12,7 +12,7 @@
 /// Rules under which a list may remove everything.
 pub const LOOSE_RULES: &str = "max_kb = 64\nmost_weight_lost = 1.0\nmost_endpoints_lost = 1.0";
 
-/// The manifest of one instance for two listed destinations. `rules` are further lines of the table of the lists.
+/// Returns the manifest of one instance for two listed destinations. `rules` are further lines of the `[roster]` table.
 pub fn listed_manifest(path: &str, rules: &str) -> String {
     format!(
         r#"[limits]
@@ -35,7 +35,7 @@
     )
 }
 
-/// An endpoint of a list.
+/// Returns an endpoint of a list.
 pub fn endpoint(name: &str, address: SocketAddr, weight: f64) -> Endpoint {
     Endpoint {
         name: name.to_owned(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// A list of destinations with their endpoints.
+/// Returns a list of destinations with their endpoints.
 pub fn endpoint_list(revision: u64, destinations: &[(&str, Vec<Endpoint>)]) -> EndpointList {
     let destination = |(name, endpoints): &(&str, Vec<Endpoint>)| {
         let endpoints = endpoints.clone();
@@ -59,17 +59,17 @@
     }
 }
 
-/// A list in which both destinations have one endpoint at this address.
+/// Returns a list in which both destinations have one endpoint, at this address.
 pub fn list_with_one_endpoint(revision: u64, address: SocketAddr) -> String {
     let destinations = LISTED_DESTINATIONS.map(|name| (name, vec![endpoint("only", address, 1.0)]));
     endpoint_list(revision, &destinations).to_toml()
 }
 
-/// Waits until the text of a file's list is stored as the last good one, and so about to be in force.
+/// Waits until a list is stored as the last good list of its file. The list comes into force right after that.
 pub fn wait_until_stored(folder: &TemporaryFolder, file: &str, text: &str) {
     let stored = home(folder).join("rosters").join(format!("{file}.good"));
     wait_for("the list to be stored", || {
-        // Before the first list there is no file.
+        // There is no file before the first list.
         fs::read_to_string(&stored).is_ok_and(|stored| stored == text)
     });
 }
--- a/crates/cli/tests/common/manifests.rs
+++ b/crates/cli/tests/common/manifests.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-/// The manifest of one instance with a destination `a` that takes binary mode and a destination `b` that takes structured
-/// mode.
+/// Returns the manifest of one instance with a destination `a` for events in binary mode and a destination `b` for events in
+/// structured mode.
 pub fn event_manifest(binary: SocketAddr, structured: SocketAddr, window_ms: u64) -> String {
     format!(
         r#"[class.order]
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the program share: the program as a process, stand-ins of the systems around it, and clients.
-//! Every wait is for a condition, within a bound that only a failure reaches.
+//! Shared code of the program's tests: the program as a process, simulated systems around it, and clients.
+//! Every wait is for a condition, with a time limit that is only reached in a failure.
 #![allow(dead_code)]
 
 pub mod clients;
@@ -27,11 +27,11 @@
     monotonic_ms, CommandOutput, Signal, TemporaryFolder, WAIT_LIMIT,
 };
 
-/// What the program logs before the address at which it accepts events.
+/// The text that the program logs before the address at which it accepts events.
 pub const EVENTS_MARKER: &str = "takes events at ";
-/// Asks whether a process is ready.
+/// The request for the readiness of a process.
 pub const READY_REQUEST: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
-/// Connections that are opened at once to outnumber the places of a process.
+/// Number of connections opened at once, more than a process can serve.
 const MANY_CONNECTIONS: usize = 200;
 
 /// Waits until a condition holds.
@@ -49,7 +49,7 @@
     start_server(|_| Reply::ok())
 }
 
-/// Starts a server that responds to nothing until it is opened.
+/// Starts a server that does not respond to requests until `open` is set.
 pub fn start_server_silent_until(open: &Arc<AtomicBool>) -> TestServer {
     let open = open.clone();
     start_server(move |_| {
@@ -61,7 +61,7 @@
     })
 }
 
-/// Starts a server that rejects all requests until it is opened.
+/// Starts a server that rejects all requests until `open` is set.
 pub fn start_server_rejecting_until(open: &Arc<AtomicBool>) -> TestServer {
     let open = open.clone();
     start_server(move |_| {
@@ -73,29 +73,29 @@
     })
 }
 
-/// The first request that a server received.
+/// Returns the first request that a server received.
 pub fn first_request(server: &TestServer) -> Message {
     server.requests()[0].clone()
 }
 
-/// An address at which nobody listens.
+/// Returns an address at which no process listens.
 pub fn unused_address() -> SocketAddr {
     marblefall_process_harness::network::unused_address().unwrap()
 }
 
-/// The response of an exchange; `None` where there is none, for a reason that the output of a failed test shows.
+/// Returns the response of an exchange, or `None` after an error, which is printed for the output of a failed test.
 pub fn response_of(exchanged: Result<Message, ExchangeError>) -> Option<Message> {
     exchanged
         .inspect_err(|error| eprintln!("{}", Report::new(error)))
         .ok()
 }
 
-/// Sends raw bytes on a connection of their own, and returns the response if there is one.
+/// Sends raw bytes on a new connection, and returns the response if there is one.
 pub fn exchange(address: SocketAddr, bytes: &[u8]) -> Option<Message> {
     response_of(http::exchange(address, bytes, WAIT_LIMIT))
 }
 
-/// Posts a body with header fields.
+/// Sends a POST request with header fields and a body.
 pub fn post(
     address: SocketAddr,
     path: &str,
@@ -109,7 +109,7 @@
     response_of(request.send(address, WAIT_LIMIT))
 }
 
-/// Submits an event in binary mode, and waits for its outcome; `None` where the connection breaks first.
+/// Submits an event in binary mode, and waits for its outcome. Returns `None` if the connection breaks first.
 pub fn submit_event(
     address: SocketAddr,
     id: &str,
@@ -128,16 +128,16 @@
     response_of(event.submit(address, WAIT_LIMIT))
 }
 
-/// Misbehaving clients must neither keep others from the process nor the responses from themselves.
+/// Checks that misbehaving clients neither block other clients nor miss the responses to their own requests.
 pub fn check_misbehaving_clients_do_no_harm(address: SocketAddr, path: &str) {
     let ready_status = || exchange(address, READY_REQUEST).map(|response| response.status());
-    // More silent connections than there are places, and then half requests.
+    // More silent connections than the process can serve, and then as many with half a request.
     for sent in ["", "POST /"] {
         let connections: Vec<TcpStream> = (0..MANY_CONNECTIONS)
             .map(|_| TcpStream::connect(address).unwrap())
             .collect();
         for mut connection in &connections {
-            // One that was closed already cannot be written to.
+            // The write fails if the connection was closed already.
             let _ = connection.write(sent.as_bytes());
         }
         assert_eq!(
@@ -151,7 +151,7 @@
     assert_eq!(ready_status(), Some(200));
 }
 
-/// A client that writes all it has before it reads anything.
+/// Checks that a client that writes a large request before it reads receives the rejection.
 fn check_large_request_is_rejected(address: SocketAddr, path: &str) {
     const LARGE: usize = 60_000_000;
     let head = format!("POST {path} HTTP/1.1\r\nContent-Length: {LARGE}\r\n\r\n");
@@ -160,7 +160,7 @@
     assert_eq!(response.map(|response| response.status()), Some(413));
 }
 
-/// Clients that send one request and stay give way where they are many.
+/// Checks that idle connections are closed when there are many.
 fn check_idle_connections_give_way(address: SocketAddr) {
     let open = |_| {
         let mut stream = TcpStream::connect(address).unwrap();
@@ -177,12 +177,12 @@
     });
 }
 
-/// The path of the program under test.
+/// Returns the path of the program under test.
 pub fn program_path() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_marblefall"))
 }
 
-/// The program under test; killed with the test.
+/// A process of the program under test, which is killed on drop.
 pub struct Program(Process);
 
 impl Program {
@@ -191,32 +191,32 @@
         Program(Process::start(program_path(), arguments, environment).unwrap())
     }
 
-    /// Its log until now.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         self.0.log()
     }
 
-    /// Waits until it has logged an address behind a marker, and returns the address of this index.
+    /// Waits for the log line with this index among those with a marker and an address, and returns the address.
     pub fn address(&self, marker: &str, index: usize) -> SocketAddr {
         self.0.logged_address(marker, index).unwrap()
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub fn kill(mut self) {
         self.0.kill().unwrap();
     }
 
-    /// Sends a signal, which must be delivered.
+    /// Sends a signal to the process, which must still run.
     pub fn signal(&self, signal: Signal) {
         assert!(self.0.signal(signal));
     }
 
-    /// Waits until it has ended by itself, and returns whether it succeeded.
+    /// Waits until the process has exited, and returns whether it succeeded.
     pub fn wait_for_exit(&mut self) -> bool {
         self.0.wait_for_exit().unwrap().success()
     }
 
-    /// Requests its counters, and waits until its log has a text.
+    /// Makes the process log its counters until the log contains this text.
     pub fn wait_for_counter(&self, counter: &str) {
         wait_for(counter, || {
             self.signal(Signal::USR1);
@@ -224,18 +224,18 @@
         });
     }
 
-    /// The resources that it uses.
+    /// Returns the resources that the process uses.
     pub fn resource_usage(&self) -> ResourceUsage {
         self.0.resource_usage().unwrap()
     }
 }
 
-/// Runs the program to its end.
+/// Runs the program until it exits, and returns its output.
 pub fn run(arguments: &[&str]) -> CommandOutput {
     run_command(Command::new(program_path()).args(arguments)).unwrap()
 }
 
-/// Plans and applies a manifest in a folder, and returns what the plan says.
+/// Plans and applies a manifest in a folder, and returns the output of `plan`.
 pub fn apply(folder: &TemporaryFolder, manifest: &str) -> String {
     let file = write_file(folder, "fleet.toml", manifest);
     let (plan, home) = (folder.path().join("plan"), home(folder));
@@ -246,22 +246,22 @@
     planned.text
 }
 
-/// The home in a folder.
+/// Returns the path of the home in a folder.
 pub fn home(folder: &TemporaryFolder) -> PathBuf {
     folder.path().join("home")
 }
 
-/// Starts a daemon that runs what is applied in a folder.
+/// Starts a daemon with the policy applied in a folder.
 pub fn start_daemon(folder: &TemporaryFolder) -> Program {
     Program::start(&["run", text(&home(folder))], &[])
 }
 
-/// Creates an empty folder that is removed with the test.
+/// Creates an empty folder that is removed on drop.
 pub fn new_folder(name: &str) -> TemporaryFolder {
     TemporaryFolder::new(name).unwrap()
 }
 
-/// Creates an empty folder in memory: for tests that hold a process to a time.
+/// Creates an empty folder in memory, for tests with time limits that a slow disk would break.
 pub fn new_folder_in_memory(name: &str) -> TemporaryFolder {
     TemporaryFolder::in_memory(name).unwrap()
 }
@@ -271,7 +271,7 @@
     folder.write(name, text).unwrap()
 }
 
-/// A path as an argument.
+/// Returns a path as a command-line argument.
 pub fn text(path: &Path) -> &str {
     path.to_str().unwrap()
 }
--- a/crates/cli/tests/common/platform.rs
+++ b/crates/cli/tests/common/platform.rs
@@ -1,4 +1,4 @@
-//! The platform around one instance: discovery with its notices, the configuration, and a client.
+//! A simulated platform around one instance: discovery, which also receives notices, the configuration, and a client.
 
 use super::shim;
 use super::{new_folder, response_of, text, write_file, Message, Program, WAIT_LIMIT};
@@ -27,10 +27,10 @@
 pub const KEYED_CLASS: &str = "refill-order";
 /// The name of the class of idempotent messages.
 pub const IDEMPOTENT_CLASS: &str = "refill-status";
-/// How often a watch looks for lists to send.
+/// Interval at which a watch checks for lists to send.
 const WATCH_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a test lets discovery send and acknowledge.
+/// The lists that discovery sends, and the notices that it receives, as set by a test.
 #[derive(Default)]
 struct Script {
     pending_lines: Mutex<Vec<u8>>,
@@ -68,14 +68,14 @@
     }
 }
 
-/// A discovery that does what a test says.
+/// A discovery service that a test controls.
 pub struct TestDiscovery {
     discovery: Discovery,
     script: Arc<Script>,
 }
 
 impl TestDiscovery {
-    /// Starts one that does not acknowledge the first notices.
+    /// Starts a discovery service that rejects the first `rejected_notices` requests with notices.
     pub fn start(rejected_notices: usize) -> TestDiscovery {
         let script = Arc::new(Script::default());
         *script.rejections_left.lock().unwrap() = rejected_notices;
@@ -83,12 +83,12 @@
         TestDiscovery { discovery, script }
     }
 
-    /// Where it listens.
+    /// Returns the address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.discovery.address()
     }
 
-    /// Its server.
+    /// Returns its HTTP server.
     pub fn server(&self) -> &TestServer {
         &self.discovery.server
     }
@@ -100,28 +100,28 @@
         pending.extend(line.into_bytes());
     }
 
-    /// Sets the complete list for requests without a watch, which get no response before.
+    /// Sets the complete list for requests without a watch, which have no response until then.
     pub fn set_complete_list(&self, list: EndpointList) {
         *self.script.complete_list.lock().unwrap() = Some(list);
     }
 
-    /// All notices that were acknowledged.
+    /// Returns all notices that were acknowledged.
     pub fn notices(&self) -> String {
         self.script.notices.lock().unwrap().clone()
     }
 
-    /// Whether a notice of a message was acknowledged.
+    /// Returns whether a notice of a message was acknowledged.
     pub fn has_notice_of(&self, id: &str) -> bool {
         self.notices().contains(&format!("\"{id}\""))
     }
 }
 
-/// The one endpoint in a list.
+/// Returns the only endpoint of a list.
 pub fn one_endpoint(address: SocketAddr, phase: EndpointPhase) -> ListedEndpoint {
     ListedEndpoint::new("s-1", address, DESTINATION, 4.0).in_phase(phase)
 }
 
-/// A list of one endpoint.
+/// Returns a list of one endpoint.
 pub fn list_of(revision: u64, is_complete: bool, endpoint: ListedEndpoint) -> EndpointList {
     EndpointList {
         revision,
@@ -139,25 +139,26 @@
     "host_types":["clinic"],"peers_total":1,"rules":{"cold_from":0.27,"cold_ms":10000.0,"fall_multiple":1.5,
     "tip_after_ms":2000.0},"tick_ms":5.0,"weights":"rough","zones":["a"]}"#;
 
-/// The platform around one instance, which may be several processes at a time.
+/// A simulated platform around one instance, of which several processes may run at the same time.
 pub struct Platform {
-    /// The folder with its configuration and state.
+    /// The folder with the instance's configuration and state.
     pub folder: TemporaryFolder,
-    /// Its discovery.
+    /// The discovery service.
     pub discovery: TestDiscovery,
     endpoint: SocketAddr,
     window_ms: &'static str,
-    /// Where processes listen for clients: a port that the system picks for the first, which its successors share.
+    /// The address at which processes listen for clients. The system picks the port of the first process, which its
+    /// successors share.
     listen: Cell<SocketAddr>,
 }
 
 impl Platform {
-    /// Sets it up for an instance with one endpoint. The window is that of the keyed class.
+    /// Sets up the platform for an instance with one endpoint. `window_ms` is the deduplication window of the keyed class.
     pub fn new(name: &str, endpoint: SocketAddr, window_ms: &'static str) -> Platform {
         Platform::with_rejected_notices(name, endpoint, window_ms, 0)
     }
 
-    /// The same with a discovery that does not acknowledge the first notices.
+    /// Like [`Platform::new`], with a discovery service that rejects the first `rejected_notices` requests with notices.
     pub fn with_rejected_notices(
         name: &str,
         endpoint: SocketAddr,
@@ -175,7 +176,7 @@
         platform
     }
 
-    /// Writes the configuration with the address of a discovery.
+    /// Writes the configuration with the address of a discovery service.
     pub fn configure(&self, discovery: &TestDiscovery) {
         let config = InstanceConfig {
             name: "n0".to_owned(),
@@ -190,22 +191,22 @@
         write_file(&self.folder, "config.json", &config.to_json());
     }
 
-    /// The state folder of the instance.
+    /// Returns the state folder of the instance.
     pub fn state_folder(&self) -> PathBuf {
         self.folder.path().join("state")
     }
 
-    /// Starts a process.
+    /// Starts a process of the instance.
     pub fn start(&self) -> Program {
         self.start_with(&[])
     }
 
-    /// Starts a process into whose system calls faults are injected.
+    /// Starts a process with faults injected into its system calls.
     pub fn start_with_faults(&self, faults: &[Fault]) -> (Program, FaultShim) {
         self.start_with_faults_in(&self.state_folder(), faults)
     }
 
-    /// The same for a process whose files in another folder may fail.
+    /// Like [`Platform::start_with_faults`], with file faults in `folder` instead of the state folder.
     pub fn start_with_faults_in(&self, folder: &Path, faults: &[Fault]) -> (Program, FaultShim) {
         let shim = shim::new_shim(&self.folder, folder, faults);
         let program = self.start_with(&shim.environment());
@@ -214,7 +215,7 @@
 
     fn start_with(&self, more: &[(&str, &str)]) -> Program {
         let (config, state) = (self.folder.path().join("config.json"), self.state_folder());
-        // The environment keeps the first address, whatever the file says later.
+        // The environment always has the first address, even if the file is changed later.
         let discovery = self.discovery.address().to_string();
         let mut environment = vec![
             (CONFIG_VARIABLE, text(&config)),
@@ -240,16 +241,16 @@
         (program, address)
     }
 
-    /// Starts a process beside those that run, and waits until it listens.
+    /// Starts a process in addition to those that run, and waits until it listens.
     pub fn start_standby(&self) -> Program {
         self.start_listening().0
     }
 }
 
-/// The body of all messages, which is not text.
+/// The body of all messages, which is not valid UTF-8.
 pub const BODY: &[u8] = b"two boxes\0\xff";
 
-/// Submits a message; `None` where there is no response.
+/// Submits a message, and returns the response if there is one.
 pub fn submit(address: SocketAddr, id: &str, class: &str, budget_ms: &str) -> Option<Message> {
     let message = PlatformMessage {
         id,
@@ -267,7 +268,7 @@
     submit(address, id, class, budget_ms).unwrap().status()
 }
 
-/// The id of the message that a call carries.
+/// Returns the id of the message in a call.
 pub fn message_id(call: &Message) -> Option<&str> {
     call.header(super::headers::CALL_ID)
 }
--- a/crates/cli/tests/common/shim.rs
+++ b/crates/cli/tests/common/shim.rs
@@ -1,4 +1,4 @@
-//! The fault shim for processes under test: built once, and preloaded with a plan.
+//! The fault shim for processes under test, a preloaded library that is built once and injects faults by a plan.
 
 use super::{monotonic_ms, program_path};
 use marblefall_fault_plan::{Fault, FaultKind};
@@ -9,18 +9,18 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// An hour, by which the wall clock is stepped.
+/// The step of the wall clock in tests: an hour in milliseconds.
 pub const HOUR_MS: i64 = 3_600_000;
-/// No delay: the fault is active at once.
+/// The delay of a fault that is active at once.
 pub const NOW: Duration = Duration::ZERO;
-/// Longer than any test.
+/// The duration of a fault that outlasts any test.
 pub const LONG: Duration = Duration::from_secs(3600);
-/// The amount of a fault that is injected into half of all calls.
+/// The amount of a fault that is injected into half of all calls, in thousandths.
 pub const HALF_OF_CALLS: i64 = 500;
-/// The seed of the shim's draws.
+/// The seed of the shim's random numbers.
 const SEED: u64 = 7;
 
-/// The library, which `cargo` builds if it is not there yet.
+/// Returns the path of the library, which `cargo` builds if necessary.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -37,7 +37,7 @@
     })
 }
 
-/// A fault that becomes active after a delay from now. The library is built before, which on a clean checkout takes
+/// Returns a fault that becomes active after a delay from now. The library is built first, as on a clean checkout that takes
 /// longer than most faults last.
 pub fn fault(kind: FaultKind, delay: Duration, duration: Duration, amount: i64) -> Fault {
     library();
@@ -50,7 +50,7 @@
     }
 }
 
-/// A shim with a plan, for a process whose files in `failing_folder` may fail.
+/// Returns a shim with a plan. File faults are injected only in `failing_folder`.
 pub fn new_shim(folder: &TemporaryFolder, failing_folder: &Path, faults: &[Fault]) -> FaultShim {
     let shim = FaultShim::new(library(), folder.path(), "shim", failing_folder).with_seed(SEED);
     shim.write_plan(faults).unwrap();
