--- a/crates/cli/tests/clock_faults.rs
+++ b/crates/cli/tests/clock_faults.rs
@@ -1,6 +1,6 @@
-//! A process on the platform whose wall clock steps, by a preloaded shim.
+//! Steps of the wall clock in a process on the platform, injected by a preloaded shim.
 //!
-//! A test whose fault was never injected fails.
+//! Each test also checks that its fault was injected.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -33,7 +33,11 @@
     wait_for("the message's attempt or notice", || {
         endpoint.request_count() > before || !platform.discovery.notices().is_empty()
     });
-    assert_eq!(platform.discovery.notices(), "", "the message had 20 s");
+    assert_eq!(
+        platform.discovery.notices(),
+        "",
+        "a notice before the deadline of 20 s"
+    );
     assert!(shim.injected(FaultKind::WallClockStepped) > 0);
 }
 
@@ -52,6 +56,10 @@
     wait_for("its notice or a repeat", || {
         endpoint.request_count() > 1 || platform.discovery.has_notice_of("order")
     });
-    assert_eq!(endpoint.request_count(), 1, "its window was over");
+    assert_eq!(
+        endpoint.request_count(),
+        1,
+        "a repeat after the deduplication window"
+    );
     assert!(shim.injected(FaultKind::WallClockStepped) > 0);
 }
--- a/crates/cli/tests/cloudevents.rs
+++ b/crates/cli/tests/cloudevents.rs
@@ -1,4 +1,4 @@
-//! CloudEvents over HTTP, from a client's request to its response.
+//! CloudEvents over HTTP, from a client's request to the response.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -129,7 +129,7 @@
     let submit = |id: &'static str, key: &'static str| {
         thread::spawn(move || submit_event(address, id, "order", "a", key, b"1"))
     };
-    // The same identity; another identity under the same key, which the receiver would not tell apart.
+    // Two events with the same id, and one with another id under the same key, which the receiver would treat as a repeat.
     let together = [submit("1", "k"), submit("1", "k"), submit("2", "k")];
     // The first attempt is in flight until the others are submitted.
     program.wait_for_counter("offered=3 ");
@@ -142,7 +142,7 @@
     assert_eq!(
         event_status(address, "1", "order", "a", "k"),
         204,
-        "also after its final outcome"
+        "a repeat after the final outcome"
     );
     assert_eq!(event_status(address, "1", "order", "a", "other"), 409);
     assert_eq!(a.request_count(), 1);
@@ -152,7 +152,7 @@
     assert_eq!(
         event_status(address, "1", "order", "a", "k"),
         204,
-        "also by the next incarnation"
+        "a repeat at the next incarnation"
     );
     assert_eq!(event_status(address, "1", "order", "a", "other"), 409);
     assert_eq!(a.request_count(), 1);
@@ -165,7 +165,7 @@
     apply(&folder, &event_manifest(a.address, a.address, 6000));
     let program = start_daemon(&folder);
     let address = program.address(EVENTS_MARKER, 0);
-    // The Retry-After is longer than the event may take.
+    // The Retry-After is longer than the event's time to live.
     let answer = submit_event(address, "1", "status", "a", "", b"1").unwrap();
     assert_eq!(answer.status(), 503);
     assert!(
@@ -176,13 +176,13 @@
             .unwrap()
             >= 1
     );
-    // Submitted again, it is a new event. It is rejected as long as the Retry-After lasts.
+    // When it is submitted again, the event counts as new. It is rejected until the Retry-After has passed.
     let again = submit_event(address, "1", "status", "a", "", b"1").unwrap();
     assert!([429, 503].contains(&again.status()) && again.header(headers::RETRY_AFTER).is_some());
     assert_eq!(a.request_count(), 1, "no call within the Retry-After");
 }
 
-/// Regression: such an event was retried until its deadline.
+/// Regression: an event that the destination rejected permanently was retried until its deadline.
 #[test]
 fn permanently_rejected_event_ends_at_once() {
     let a = start_server(|attempt| match attempt.header(headers::EVENT_ID) {
@@ -197,7 +197,7 @@
     assert_eq!(
         event_status(address, "bad", "status", "a", ""),
         502,
-        "known, and not retried"
+        "the outcome of a repeat, without a retry"
     );
     assert_eq!(event_status(address, "good", "status", "a", ""), 204);
     assert_eq!(a.request_count(), 2);
@@ -217,7 +217,7 @@
     let program = start_daemon(&folder);
     let address = program.address(EVENTS_MARKER, 0);
     check_misbehaving_clients_do_no_harm(address, EVENTS_PATH);
-    // A connection may carry several requests at once; each is served.
+    // Clients may pipeline requests on a connection. Each request is served.
     let fields = "ce-specversion: 1.0\r\nce-source: /s\r\nce-type: status\r\nce-clinic: a";
     let one = |id| {
         format!("POST /events HTTP/1.1\r\n{fields}\r\nce-id: {id}\r\nContent-Length: 1\r\n\r\nx")
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -31,7 +31,7 @@
 pub const EVENTS_MARKER: &str = "takes events at ";
 /// The request for the readiness of a process.
 pub const READY_REQUEST: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
-/// Number of connections opened at once, more than a process can serve.
+/// Number of connections opened at once, more than a process's limit for clients.
 const MANY_CONNECTIONS: usize = 200;
 
 /// Waits until a condition holds.
@@ -131,7 +131,7 @@
 /// Checks that misbehaving clients neither block other clients nor miss the responses to their own requests.
 pub fn check_misbehaving_clients_do_no_harm(address: SocketAddr, path: &str) {
     let ready_status = || exchange(address, READY_REQUEST).map(|response| response.status());
-    // More silent connections than the process can serve, and then as many with half a request.
+    // More silent connections than the limit for clients, and then as many with half a request.
     for sent in ["", "POST /"] {
         let connections: Vec<TcpStream> = (0..MANY_CONNECTIONS)
             .map(|_| TcpStream::connect(address).unwrap())
--- a/crates/cli/tests/destinations.rs
+++ b/crates/cli/tests/destinations.rs
@@ -1,4 +1,4 @@
-//! `marblefall destinations`, while the daemon runs and while it is down.
+//! Output of `marblefall destinations` while the daemon runs and while it is down.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// A class, and an instance that takes events.
+/// A manifest's tables of one class and one instance with an events frontend.
 const ONE_INSTANCE: &str = r#"[class.status]
 repeats = "free"
 wanted_ms = 1000
@@ -21,7 +21,10 @@
 "#;
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "each step needs the ones before")]
+#[allow(
+    clippy::too_many_lines,
+    reason = "each step depends on the steps before"
+)]
 fn ejected_destination_is_shown_also_when_daemon_is_down() {
     let well = start_healthy_server();
     let dead = unused_address();
@@ -67,10 +70,10 @@
         "{output}"
     );
     for submission in submissions {
-        // The last attempt must begin some milliseconds before the deadline: on a busy machine it may be past.
+        // The last attempt must begin some milliseconds before the deadline. On a busy machine it may be too late.
         assert!(
             matches!(submission.join().unwrap(), Some(503 | 504)),
-            "each has an outcome"
+            "each event has an outcome"
         );
     }
 
@@ -81,12 +84,12 @@
     assert_eq!(printed["destinations"][0]["destination"], "dead");
     assert_eq!(printed["idle"], 100);
 
-    // The next incarnation knows it as well, before anything was sent there.
+    // The next incarnation also shows the ejection, before it has sent any call to the destination.
     let program = start_daemon(&folder);
     program.address(EVENTS_MARKER, 0);
     assert!(show(&["--state", "out"]).text.contains("dead at one"));
     program.kill();
-    // An instance serves also with a torn snapshot.
+    // An instance also starts with a torn snapshot.
     let path = home.join("instances/one/destinations.bin");
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, &bytes[..bytes.len() - 1]).unwrap();
@@ -107,7 +110,7 @@
     wait_for("a new snapshot", || show(&[]).text.contains("well at one"));
 }
 
-/// Regression: records count by a clock that does not step, and their age was computed by the wall clock.
+/// Regression: records have times of a clock without steps, but their age was computed with the wall clock.
 #[test]
 fn outage_is_shown_as_old_as_it_is_after_a_step_of_the_clock() {
     let dead = unused_address();
@@ -117,7 +120,7 @@
     );
     apply(&folder, &format!("{ONE_INSTANCE}{destination}"));
     let home = home(&folder);
-    // Its wall clock is an hour ahead of that of the command.
+    // The daemon's wall clock is an hour ahead of the command's.
     let hour = Duration::from_secs(3600);
     let stepped = fault(FaultKind::WallClockStepped, Duration::ZERO, hour, HOUR_MS);
     let shim = new_shim(&folder, &home, &[stepped]);
@@ -141,6 +144,9 @@
     });
     assert!(shim.injected(FaultKind::WallClockStepped) > 0, "{shown}");
     for submission in submissions {
-        assert!(submission.join().unwrap().is_some(), "each has an outcome");
+        assert!(
+            submission.join().unwrap().is_some(),
+            "each event has an outcome"
+        );
     }
 }
--- a/crates/cli/tests/disk_faults.rs
+++ b/crates/cli/tests/disk_faults.rs
@@ -1,6 +1,6 @@
-//! A process on the platform whose disk fails for a while, by a preloaded shim.
+//! Disk faults of limited duration in a process on the platform, injected by a preloaded shim.
 //!
-//! A test whose fault was never injected fails.
+//! Most tests also check that their fault was injected.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Processor time that a process may use in the 3 s of a fault.
+/// Limit of the processor time used during a fault of 3 s.
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(1);
 
 #[test]
@@ -29,15 +29,17 @@
     let failing = fault(FaultKind::DiskError, lasts, lasts, EVERY_CALL);
     let (program, shim) = platform.start_with_faults(&[failing]);
     let address = program.address(LISTENING_MARKER, 0);
-    // Messages that were accepted before would use up the instance's capacity.
-    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
+    // Messages accepted before the fault would use up the instance's capacity.
+    wait_for("the start of the fault", || {
+        failing.is_active(monotonic_ms())
+    });
     wait_for("the fault", || {
         submit(address, "in-fault", IDEMPOTENT_CLASS, "20000").unwrap();
         shim.injected(FaultKind::DiskError) > 8
     });
     let mut accepted = 0;
     let mut n = 0;
-    wait_for("the disk to take messages again", || {
+    wait_for("messages to be accepted again", || {
         n += 1;
         let answer = submit(address, &format!("m-{n}"), IDEMPOTENT_CLASS, "20000").unwrap();
         accepted += usize::from(answer.status() == 202);
@@ -54,7 +56,10 @@
         .nth(1)
         .and_then(|rest| rest.split(' ').next()?.parse().ok())
         .unwrap();
-    assert!(resumed >= accepted, "{resumed} of {accepted}");
+    assert!(
+        resumed >= accepted,
+        "{resumed} of {accepted} accepted messages were resumed"
+    );
 }
 
 #[test]
@@ -128,7 +133,9 @@
     let (program, shim) = platform.start_with_faults(&[failing]);
     let address = program.address(LISTENING_MARKER, 0);
     assert_eq!(submit_status(address, "m", IDEMPOTENT_CLASS, "20000"), 202);
-    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
+    wait_for("the start of the fault", || {
+        failing.is_active(monotonic_ms())
+    });
     open.store(true, Ordering::SeqCst);
     program.wait_for_counter("delivered=1 ");
     assert!(shim.injected(FaultKind::DiskError) > 0);
@@ -186,7 +193,7 @@
         platform.start_with_faults(&[fault(FaultKind::DiskFull, NOW, lasts, EVERY_CALL)]);
     program.address(LISTENING_MARKER, 0);
     assert!(shim.injected(FaultKind::DiskFull) > 0);
-    wait_for("an answer about the destination", || {
+    wait_for("an accepted message or a call", || {
         let answer = submit(address, "new", IDEMPOTENT_CLASS, "1500").unwrap();
         answer.status() == 202 || endpoint.request_count() > before
     });
@@ -210,8 +217,10 @@
     for n in 0..20 {
         submit(address, &format!("held-{n}"), IDEMPOTENT_CLASS, "20000").unwrap();
     }
-    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
-    // What is delivered now cannot be journalled.
+    wait_for("the start of the fault", || {
+        failing.is_active(monotonic_ms())
+    });
+    // Deliveries from now on cannot be written to the journal.
     open.store(true, Ordering::SeqCst);
     let before = program.resource_usage().processor_time;
     let mut n = 0;
--- a/crates/cli/tests/endpoint_list_commands.rs
+++ b/crates/cli/tests/endpoint_list_commands.rs
@@ -1,4 +1,4 @@
-//! `marblefall roster`: what its commands print, and their exit codes.
+//! Output and exit codes of the `marblefall roster` commands.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -9,7 +9,10 @@
 use std::net::SocketAddr;
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "a table of calls and their output")]
+#[allow(
+    clippy::too_many_lines,
+    reason = "a sequence of commands with their output"
+)]
 fn list_commands_print_and_exit_as_documented() {
     let folder = new_folder("words");
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
--- a/crates/cli/tests/endpoint_list_traffic.rs
+++ b/crates/cli/tests/endpoint_list_traffic.rs
@@ -1,4 +1,4 @@
-//! Traffic follows the list in force and no other, while lists are rewritten or drain an endpoint.
+//! Calls go only to endpoints of the list in force, while lists are rewritten or drain an endpoint.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -20,27 +20,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// One test at a time: both hold the program to a grace period under as much load as they can make, and would measure each
-/// other's load.
+/// Runs one test at a time. Both check a grace period under maximum load, and each would be disturbed by the other's load.
 static SERIAL: Mutex<()> = Mutex::new(());
 
-/// How long a list that was replaced may still be followed.
+/// Time for which calls may still go to endpoints of a replaced list.
 const GRACE: Duration = Duration::from_millis(250);
-/// Pause of a client between two events: a pace for the load, nothing waits for it.
+/// Pause of a client between two events. It only sets the request rate; no check depends on it.
 const CLIENT_PAUSE: Duration = Duration::from_millis(3);
-/// Endpoints of each destination.
+/// Number of endpoints of each destination.
 const ENDPOINTS_EACH: usize = 3;
 
-/// How a file is replaced, as editors and scripts do it.
+/// A way to replace a file that editors and scripts use.
 #[derive(Clone, Copy)]
 enum Replacement {
-    /// Written over from the start.
+    /// The file is truncated and written again.
     Overwrite,
-    /// Written beside it, and renamed.
+    /// A new file is written next to it, and renamed.
     Rename,
-    /// Removed, and written again.
+    /// The file is removed, and written again.
     Recreate,
-    /// Written in place and piece by piece, and cut to its length at the end.
+    /// The file is overwritten in pieces, and truncated to its new length at the end.
     InPieces,
 }
 
@@ -79,9 +78,10 @@
     }
 }
 
-/// A list that must be rejected, made from a good one. Where it keeps the layout of the good one, the two mix at any byte.
+/// Returns a list that must be rejected, made from a valid list. If it has the layout of the valid list, a reader during the
+/// replacement may see a mix of both, split at any byte.
 ///
-/// All its endpoints are at the address `trap`.
+/// All endpoints of the list are at the address `trap`.
 fn invalid_list(
     rng: &mut Pcg64,
     good: &EndpointList,
@@ -101,11 +101,11 @@
     let ends: Vec<usize> = text.match_indices('\n').map(|(at, _)| at + 1).collect();
     match rng.random_range(0..8) {
         0 => text.as_bytes()[..rng.random_range(0..text.len())].to_vec(),
-        // Cut between two lines, most of these are valid TOML.
+        // A text that is cut between two lines is usually valid TOML.
         1 => text.as_bytes()[..ends[rng.random_range(0..ends.len() - 1)]].to_vec(),
         2 => {
-            // The start of the new list and the end of the old one, cut behind the line with the revision and before the
-            // last line.
+            // The start of the new list and the end of the old one, split between the line with the revision and the last
+            // line.
             let at = rng.random_range(ends[0]..ends[ends.len() - 2]);
             [
                 &text.as_bytes()[..at],
@@ -137,7 +137,7 @@
     }
 }
 
-/// Servers of two destinations: the first half of them are endpoints of `a`, the others of `b`.
+/// Servers of two destinations. The first half are the endpoints of `a`, the second half those of `b`.
 struct Endpoints(Vec<TestServer>);
 
 impl Endpoints {
@@ -146,7 +146,7 @@
         Endpoints((0..count).map(|_| start_healthy_server()).collect())
     }
 
-    /// Draws a valid list of some of them.
+    /// Draws a valid list of some of the servers.
     fn draw_list(&self, rng: &mut Pcg64, revision: u64) -> EndpointList {
         let a = self.draw_endpoints(rng, 0);
         let b = self.draw_endpoints(rng, ENDPOINTS_EACH);
@@ -170,7 +170,7 @@
         }
     }
 
-    /// All calls that they received.
+    /// Returns all calls that the servers received.
     fn calls(&self) -> Vec<Call> {
         let calls_of = |server: &TestServer| {
             let requests = server.requests();
@@ -185,19 +185,19 @@
     }
 }
 
-/// One call at an endpoint.
+/// A call that an endpoint received.
 struct Call {
     endpoint: SocketAddr,
     received_at: Instant,
     id: String,
 }
 
-/// A valid list that was written.
+/// A valid list that was written to its file.
 struct WrittenList {
     list: EndpointList,
-    /// When it was written: earliest time at which it may be followed.
+    /// The time when the list was written, before which no call may go to its endpoints.
     written_at: Instant,
-    /// When it was stored. The list before may be followed until [`GRACE`] later.
+    /// The time when the list was stored. Calls may go to endpoints of the previous list until [`GRACE`] later.
     stored_at: Instant,
 }
 
@@ -246,7 +246,7 @@
     for turn in 0..500 {
         let replacement = REPLACEMENTS[turn % REPLACEMENTS.len()];
         let last = lists.last().unwrap();
-        // Each valid list stays alone for a while, or the grace period of its successor would hide any delay.
+        // Each valid list stays in force for a while. Otherwise the grace period of its successor would hide delays.
         if last.stored_at.elapsed() > 2 * GRACE {
             let revision = last.list.revision + 1 + rng.random_range(0..3);
             let list = endpoints.draw_list(&mut rng, revision);
@@ -262,7 +262,7 @@
         } else {
             let invalid = invalid_list(&mut rng, &last.list, &last_text, trap.address);
             replace(&path, &invalid, replacement);
-            // Some follow each other at once, most meet traffic.
+            // Most invalid lists stay for some traffic; the others are replaced at once.
             if rng.random_bool(0.7) {
                 clients.wait_for_completions(40).unwrap();
             }
@@ -270,7 +270,7 @@
     }
     let submitted = clients.stop().len();
 
-    assert_eq!(trap.request_count(), 0, "an invalid list was followed");
+    assert_eq!(trap.request_count(), 0, "a call by an invalid list");
     assert!(lists.len() > 20, "too few lists: {}", lists.len());
     assert!(submitted > 500, "too little traffic: {submitted}");
     let calls = endpoints.calls();
@@ -309,10 +309,13 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "each step needs the ones before")]
+#[allow(
+    clippy::too_many_lines,
+    reason = "each step depends on the steps before"
+)]
 fn drain_lets_64_attempts_finish_and_starts_none() {
     let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
-    // The service time keeps an attempt of every caller in flight. Without responses the route would be ejected.
+    // The service time keeps an attempt of every caller in flight. The server must respond, or its route would be ejected.
     let one = start_server(|_| {
         thread::sleep(Duration::from_millis(60));
         Reply::ok()
@@ -331,7 +334,7 @@
         )
         .to_toml()
     };
-    // Nearly all weight is on the first endpoint, so that it gets all calls.
+    // Nearly all weight is on the first endpoint, so it receives all calls.
     let first = list(1, 1000.0).replace("weight = 1.0", "weight = 0.001");
     fs::write(&path, &first).unwrap();
     apply(
@@ -340,7 +343,7 @@
     );
     let program = start_daemon(&folder);
     let address = program.address(EVENTS_MARKER, 0);
-    // A route that was called before is not limited to the few calls of a new one.
+    // A new route is limited to a few calls, so the route is called once before.
     assert_eq!(event_status(address, "first", "status", "a", ""), 204);
     let mut connection = TcpStream::connect(address).unwrap();
     let mut submit_on_same = |id: &str| {
@@ -375,7 +378,7 @@
     fs::write(&path, &second).unwrap();
     wait_until_stored(&folder, "roster.toml", &second);
     let drained_at = Instant::now() + GRACE;
-    // As much traffic again, with all callers at the second endpoint.
+    // The callers send as much traffic again, all to the second endpoint.
     wait_for("traffic after the grace period", || {
         Instant::now() > drained_at + 2 * GRACE && two.request_count() > before + 640
     });
--- a/crates/cli/tests/endpoint_lists.rs
+++ b/crates/cli/tests/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Watched endpoint lists over whole processes: the last good list stays in force, whatever happens to its file.
+//! Watched endpoint lists with running daemons: the last good list stays in force, whatever happens to its file.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -9,10 +9,11 @@
 use std::fs;
 use std::net::SocketAddr;
 
-/// Checks that an event for destination `a` is delivered to this server. A list is stored a moment before it is in force.
+/// Checks that events for destination `a` are delivered to this server. It submits several if necessary, as a list is
+/// stored a moment before it is in force.
 fn check_called(address: SocketAddr, id: &str, server: &TestServer) {
     let mut submissions = 0;
-    wait_for("the right endpoint", || {
+    wait_for("a call at the expected endpoint", || {
         let before = server.request_count();
         submissions += 1;
         let id = format!("{id}-{submissions}");
@@ -23,12 +24,15 @@
 }
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "each step needs the ones before")]
+#[allow(
+    clippy::too_many_lines,
+    reason = "each step depends on the steps before"
+)]
 fn last_good_list_stays_whatever_happens_to_its_file() {
     let (one, two) = (start_healthy_server(), start_healthy_server());
     let folder = new_folder("ways");
     let rosters = folder.path().join("rosters");
-    // As a cluster mounts its files: a link to a folder behind a link that is swapped whole.
+    // The layout of files mounted by Kubernetes: a link to a file in a folder that is itself a link, replaced atomically.
     let version = |name: &str, revision: u64, address: SocketAddr| {
         fs::create_dir_all(rosters.join(name)).unwrap();
         let text = list_with_one_endpoint(revision, address);
@@ -52,7 +56,7 @@
     wait_until_stored(&folder, "all.toml", &second);
     check_called(address, "swapped", &two);
 
-    // Each of these leaves the list in force, is logged by the daemon, and shown to operators.
+    // Each of these faults leaves the list in force, is logged by the daemon, and is shown to operators.
     let link = rosters.join("all.toml");
     let shown = || run(&["roster", "show", text(&home(&folder))]).text;
     fs::remove_file(&link).unwrap();
@@ -92,7 +96,7 @@
     });
     check_called(address, "gone", &two);
 
-    // The list stays in force across a restart after SIGKILL, without any file.
+    // The list stays in force across a restart after SIGKILL, although its file is missing.
     program.kill();
     program = start_daemon(&folder);
     address = program.address(EVENTS_MARKER, 0);
@@ -104,7 +108,7 @@
     wait_until_stored(&folder, "all.toml", &third);
     check_called(address, "back", &one);
 
-    // Renamed: the list of the missing file passes to the new file, which may then change it.
+    // After a rename, the new file takes over the destinations of the missing file, and may change them.
     let fourth = list_with_one_endpoint(1, two.address);
     fs::remove_file(&link).unwrap();
     fs::write(rosters.join("renamed.toml"), &fourth).unwrap();
@@ -124,7 +128,7 @@
         program.log().matches("nothing is served there").count() == 2
     });
     let answer = submit_event(address, "1", "status", "a", "", b"").unwrap();
-    assert_eq!(answer.status(), 429, "rejected for now, not for good");
+    assert_eq!(answer.status(), 429, "the rejection is not permanent");
     assert!(answer.header(headers::RETRY_AFTER).is_some());
     // The folder appears later, with a file for one destination.
     fs::create_dir(folder.path().join("rosters")).unwrap();
--- a/crates/cli/tests/event_recovery.rs
+++ b/crates/cli/tests/event_recovery.rs
@@ -13,29 +13,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The deduplication window in the instance's settings.
+/// The deduplication window in the instance's manifest.
 const CONFIGURED_WINDOW: Duration = Duration::from_millis(3000);
-/// The window of the destination. It is longer, since a busy machine may delay an attempt.
+/// The deduplication window of the destination. It is longer because a busy machine may delay an attempt.
 const DESTINATION_WINDOW: Duration = Duration::from_millis(4000);
-/// How long a delayed response takes.
+/// Delay of a late response.
 const SLOW_RESPONSE: Duration = Duration::from_millis(150);
 /// Pause of a client before it submits an event again.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Clients of the test, each with one event.
+/// Number of clients, each with one event.
 const CLIENTS: usize = 16;
 
-/// What the destination does with a call. Each call in turn gets the next one.
+/// The destination's treatment of a call. Successive calls go through [`BEHAVIOURS`] in turn.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Behaviour {
-    /// Rejects it without executing it.
+    /// Rejects the call without executing it.
     Reject,
-    /// Executes it, and closes the connection.
+    /// Executes the call, and closes the connection.
     Close,
-    /// Executes it, and responds with an error.
+    /// Executes the call, and responds with an error.
     Fail,
-    /// Executes it, and responds late.
+    /// Executes the call, and responds late.
     RespondLate,
-    /// Executes it, and responds.
+    /// Executes the call, and responds.
     Respond,
 }
 
@@ -47,28 +47,29 @@
     Behaviour::Respond,
 ];
 
-/// What a destination recorded.
+/// The record of calls at a destination.
 #[derive(Default)]
 struct State {
     violations: Vec<String>,
-    /// How often each event was executed.
+    /// Number of executions of each event.
     executions: HashMap<String, usize>,
-    /// When each idempotency key was executed last.
+    /// Time of the last execution under each idempotency key.
     executed_at: HashMap<String, Instant>,
     /// Events whose final outcome a client received.
     finished: HashSet<String>,
-    /// Calls that were responded to, by the instance's incarnation.
+    /// Calls with a response, as pairs of the instance's incarnation and the event.
     responded: HashSet<(usize, String)>,
-    /// Calls in flight, by the instance's incarnation.
+    /// Calls in flight, as pairs of the instance's incarnation and the event.
     in_flight: HashSet<(usize, String)>,
 }
 
-/// A destination that misbehaves in turns. An event with a key is executed unless its key was seen within the window; one
-/// without may be repeated until a client has received its final outcome. Within an incarnation of the instance, one
-/// attempt of an event is in flight at a time, and none follows a response.
+/// A destination that goes through [`BEHAVIOURS`], and checks the calls that it receives. An event with a key is executed
+/// unless its key was executed within the window. An event without a key may be repeated until a client has received its
+/// final outcome. Within an incarnation of the instance, at most one attempt of an event is in flight at a time, and no
+/// attempt follows a response.
 ///
-/// Each incarnation finds the destination at an address of its own: what a killed instance left in its connections may be
-/// read long after its end, and must count for its own incarnation.
+/// Each incarnation has its own address of the destination. Data left in the connections of a killed instance may be read
+/// long after its end, and must be attributed to its own incarnation.
 #[derive(Default)]
 struct FaultyDestination {
     state: Mutex<State>,
@@ -145,7 +146,7 @@
 /// A client with one event. Events with even numbers have an idempotency key.
 struct Client {
     number: usize,
-    /// Where the instance listens now.
+    /// The current address of the instance; `None` before its first start.
     instance: Arc<Mutex<Option<SocketAddr>>>,
     destination: Arc<FaultyDestination>,
 }
@@ -155,7 +156,7 @@
         number.is_multiple_of(2)
     }
 
-    /// Submits its event until a response is final, and returns the status.
+    /// Submits the client's event until a response is final, and returns its status.
     fn run(&self) -> Option<u16> {
         let id = format!("e{}", self.number);
         let (event_type, key) = if Client::has_key(self.number) {
@@ -205,7 +206,7 @@
             thread::spawn(move || client.run())
         })
         .collect();
-    // Three incarnations end while attempts are in flight; the last one serves the rest.
+    // Three incarnations are killed while attempts are in flight. The last incarnation serves the remaining events.
     for incarnation in 1..=3 {
         let (program, server) = start_incarnation(incarnation);
         wait_for("attempts of this incarnation", || {
--- a/crates/cli/tests/fault_injection.rs
+++ b/crates/cli/tests/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Scenarios for processes under schedules from fixed seeds: whatever faults are injected, all invariants hold. More seeds,
-//! longer, are played by `marblefall-simulation hunt --on processes`.
+//! Process scenarios with fault schedules from fixed seeds: all invariants hold, whatever faults are injected.
+//! `marblefall-simulation hunt --on processes` runs more seeds for longer.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -10,9 +10,9 @@
 use marblefall_process_experiment::schedule::{ProcessScenario, Schedule};
 use std::path::Path;
 
-/// Seconds of each run: enough for some ten changes and as many faults.
+/// Duration of each run in seconds, enough for about ten changes and as many faults.
 const SECONDS: f64 = 9.0;
-/// A run with fewer events in the members' histories shows nothing.
+/// A run needs more events than this in the members' histories to be meaningful.
 const MIN_EVENTS: usize = 500;
 
 fn check_invariants(scenario: &str, seed: u64) {
@@ -33,7 +33,7 @@
     );
     assert!(
         report.events > MIN_EVENTS,
-        "too little was done: {} events",
+        "too few events: {}",
         report.events
     );
 }
--- a/crates/cli/tests/fleet_faults.rs
+++ b/crates/cli/tests/fleet_faults.rs
@@ -1,4 +1,4 @@
-//! A daemon whose system calls fail, by a preloaded shim. A test whose fault was never injected fails.
+//! Failures of system calls in a daemon, injected by a preloaded shim. Each test also checks that its fault was injected.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -12,15 +12,15 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Any free port.
+/// A loopback address with a port that the system picks.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// A manifest with these instances.
+/// Returns a manifest with these instances.
 fn manifest(instances: &[&str]) -> String {
     manifest_at(ANY_PORT, instances)
 }
 
-/// A manifest with these instances, each of which listens at an address.
+/// Returns a manifest with these instances, each of which listens at the given address.
 fn manifest_at(listen: &str, instances: &[&str]) -> String {
     let mut file = r#"[class.status]
 repeats = "free"
@@ -40,7 +40,7 @@
     file
 }
 
-/// A manifest with one instance, whose destination is in the endpoint lists of the folder `lists`.
+/// Returns a manifest with one instance, whose destination is in the endpoint lists of the folder `lists`.
 fn manifest_with_lists() -> String {
     manifest(&["one"]).replace(
         "[destination.well]\nendpoints = [{ name = \"well-1\", address = \"127.0.0.1:9\" }]\n",
@@ -48,7 +48,7 @@
     )
 }
 
-/// Regression: the daemon read the applied manifest once, could not open it, and did not retry.
+/// Regression: the daemon did not retry when it could not open the applied manifest.
 #[test]
 fn manifest_applied_while_no_file_opens_is_put_in_force_later() {
     let folder = new_folder("applied-later");
@@ -59,7 +59,9 @@
     let shim = new_shim(&folder, &home, &[failing]);
     let program = Program::start(&["run", text(&home)], &shim.environment());
     program.address(EVENTS_MARKER, 0);
-    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
+    wait_for("the start of the fault", || {
+        failing.is_active(monotonic_ms())
+    });
     apply(&folder, &manifest(&["one", "two"]));
     program.address(EVENTS_MARKER, 1);
     assert!(
@@ -69,8 +71,8 @@
     );
 }
 
-/// Regression: a list in force that could not be stored was not stored later either, and the next start found the one
-/// before.
+/// Regression: a list in force that could not be stored was not stored later either, so the next start used the previous
+/// list.
 #[test]
 fn list_that_could_not_be_stored_is_stored_later() {
     let folder = new_folder("stored-later");
@@ -97,7 +99,9 @@
         text.contains(&format!("revision = {revision}\n"))
     };
     wait_for("the first list", || is_stored(1));
-    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
+    wait_for("the start of the fault", || {
+        failing.is_active(monotonic_ms())
+    });
     write_list(2);
     wait_for("the second list in force", || {
         assert!(failing.is_active(monotonic_ms()), "{}", program.log());
@@ -108,8 +112,8 @@
     assert!(shim.injected(FaultKind::DiskError) > 0, "{}", program.log());
 }
 
-/// Regression: the supervisor listened before the instance had its state folder, and clients had no response for as long
-/// as the disk failed.
+/// Regression: the supervisor listened before the instance had its state folder, so clients had no response while the disk
+/// failed.
 #[test]
 fn instance_that_waits_for_its_disk_refuses_connections() {
     let folder = new_folder("instance-waits");
@@ -128,7 +132,7 @@
     assert!(TcpStream::connect(listen).is_err(), "{}", program.log());
 }
 
-/// Regression: a daemon that could not open its home for a moment exited.
+/// Regression: a daemon exited if it could not open its home for a moment.
 #[test]
 fn daemon_that_cannot_open_its_home_for_a_moment_starts_later() {
     let folder = new_folder("home-later");
@@ -168,7 +172,7 @@
     assert!(program.wait_for_exit(), "{}", program.log());
 }
 
-/// Regression: a daemon whose last good lists did not open at its start went on without any list.
+/// Regression: a daemon that could not open its last good lists at its start ran without any list.
 #[test]
 fn lists_that_cannot_be_opened_at_the_start_are_in_force_later() {
     let endpoint = start_healthy_server();
@@ -198,7 +202,7 @@
     let program = Program::start(&["run", text(&home)], &shim.environment());
     let address = program.address(EVENTS_MARKER, 0);
     let mut n = 0;
-    wait_for("a delivery by the list", || {
+    wait_for("a delivery to the listed endpoint", || {
         n += 1;
         event_status(address, &n.to_string(), "status", "well", "") == 204
     });
--- a/crates/cli/tests/group_changes.rs
+++ b/crates/cli/tests/group_changes.rs
@@ -1,4 +1,4 @@
-//! A group of daemons changes its policy at every member or at none.
+//! Policy changes in a group of daemons take effect at every member or at none.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -60,7 +60,7 @@
 #[test]
 fn one_rejection_withdraws_a_change_everywhere() {
     let _serial = serial();
-    // Destination b does not respond, so that messages for it stay pending.
+    // Destination `b` does not respond, so messages for it stay pending.
     let endpoint = start_server(|message| match message.header(headers::EVENT_DESTINATION) {
         Some("b") => Reply::Hang,
         _ => Reply::ok(),
@@ -105,7 +105,7 @@
     for member in 0..3 {
         group.wait_until_acting(member, 1).unwrap();
     }
-    // A change that every member accepts still comes into force.
+    // A later change that every member accepts comes into force.
     let output = group.change(2, &group.changed_manifest(1)).unwrap();
     assert!(output.is_success(), "{output}");
     drop(endpoint);
--- a/crates/cli/tests/group_links.rs
+++ b/crates/cli/tests/group_links.rs
@@ -1,4 +1,4 @@
-//! Changes of a group's policy while links between its members are cut, slow or sent malformed frames.
+//! Policy changes in a group while links between its members are cut or slow, or carry malformed frames.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -32,7 +32,7 @@
             "{state:?}: {output}\n{}",
             group.recent_logs()
         );
-        // The member that is cut off rejects events with Retry-After.
+        // The partitioned member rejects events with Retry-After.
         wait_for("the end of its lease", || {
             group.status(cut)["standing"] == "shut"
         });
@@ -58,7 +58,7 @@
             .set_between(&[cut], &[0, 1, 2, 3], LinkState::Open);
         group.wait_until_acting(cut, round as u64 + 2).unwrap();
     }
-    // In one direction only: it receives everything and nothing of it is received, and the other way round.
+    // The partition is in one direction only: first the member can receive but not send, then it can send but not receive.
     for (round, (from, to)) in [(vec![1], vec![0, 2, 3]), (vec![0, 2, 3], vec![1])]
         .into_iter()
         .enumerate()
@@ -102,7 +102,7 @@
             .unwrap();
         let home = group.home((cut + 1) % 3);
         let applying = start_applying(plan, home);
-        // The links are opened at whatever stage the change is by then.
+        // The links are opened again at a different phase of the change in each round.
         thread::sleep(Duration::from_millis(60 * n as u64));
         group.links.set_between(&[cut], &[0, 1, 2], LinkState::Open);
         let output = applying.join().unwrap();
@@ -131,8 +131,8 @@
     let (mut group, _folder) = found_in_memory("serve", 3, "serve", destination.addresses[0]);
     group.start_all().unwrap();
     group.links.set_between(&[2], &[0, 1], LinkState::Blackhole);
-    // It continues to serve after the end of its lease.
-    wait_for("the others to report it", || {
+    // The partitioned member continues to serve after the end of its lease.
+    wait_for("the partition to be reported", || {
         let state = group.status(0)["group"]["members"][2]["state"].clone();
         state == "cut off" || state == "not heard"
     });
@@ -146,7 +146,7 @@
     wait_for("the change to wait", || {
         group.status(1)["group"]["open"]["waits_for"] == serde_json::json!(["m02"])
     });
-    // It is stopped before an operator declares it stopped.
+    // The member is stopped before an operator declares it stopped.
     group.kill(2);
     let output = run(&["group", "without", "m02", &group.home(1)]);
     assert!(output.is_success(), "{output}");
@@ -207,7 +207,7 @@
     {
         let mut stream = TcpStream::connect(link).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
-        // The connection may be closed before all is written.
+        // The connection may be closed before all bytes are written.
         let _ = stream.write_all(&bytes);
         assert!(
             matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_)),
--- a/crates/cli/tests/group_restarts.rs
+++ b/crates/cli/tests/group_restarts.rs
@@ -1,4 +1,4 @@
-//! Changes of a group's policy while its members are suspended, killed or lose their storage.
+//! Policy changes in a group while members are suspended or killed, or lose their storage.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -82,7 +82,7 @@
         }
         group.start(1).unwrap();
         group.wait_until_acting(1, revision).unwrap();
-        wait_for("it to vote again", || {
+        wait_for("the member to vote again", || {
             group.status(1)["votes"]["takes_part"] == true
         });
         let log = group.log(1);
@@ -90,7 +90,7 @@
             log.contains("storage-amnesia") && log.contains("voter-admitted"),
             "{fault}: {log}"
         );
-        // It votes: with another voter down the change still has a majority.
+        // The member votes: with another voter down, the change still has a majority.
         group.kill(2);
         let output = group.change(1, &group.changed_manifest(round + 2)).unwrap();
         assert!(
@@ -124,7 +124,7 @@
         for member in [[2, 1, 0], [0, 2, 1], [1, 0, 2]][round % 3] {
             group.start(member).unwrap();
         }
-        // Whatever it printed: the group decides the outcome.
+        // The command's output does not matter, as the group decides the outcome.
         drop(applying.join().unwrap());
         wait_for("a leader", || {
             group.status(0)["group"]["revision"]
--- a/crates/cli/tests/hot_restart.rs
+++ b/crates/cli/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Processes that replace each other over one folder and one address, while clients submit messages.
+//! Hot restarts with one state folder and one address, while clients submit messages.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -40,7 +40,7 @@
         executions(&endpoint.requests())
             .values()
             .all(|count| *count == 1),
-        "nothing failed, so nothing is sent twice"
+        "a message was executed twice although no call failed"
     );
 }
 
@@ -56,7 +56,7 @@
         .for_each(|one| assert_eq!(one.address(LISTENING_MARKER, 0), address));
     old.signal(Signal::TERM);
     assert!(old.wait_for_exit(), "{}", old.log());
-    // The earlier of the two hands over to the later, or ends without having served.
+    // The earlier of the two hands over to the later, or exits without having served.
     let mut ended = None;
     wait_for("one of the two to hand over", || {
         ended = two
@@ -68,7 +68,7 @@
     assert!(two[first].wait_for_exit(), "{}", two[first].log());
     let before = endpoint.request_count();
     clients.wait_for_submissions(60);
-    wait_for("attempts of the one that is left", || {
+    wait_for("attempts of the remaining process", || {
         endpoint.request_count() > before + 40
     });
     let submissions = clients.stop();
@@ -88,7 +88,7 @@
     let platform = Platform::new("marks", endpoint.address, "6000");
     let state = platform.state_folder();
     std::fs::create_dir_all(&state).unwrap();
-    // Marks of processes that do not run, and files that an earlier version left.
+    // Marks of processes that no longer run, and files of an earlier version.
     for name in ["life-3", "life.lock", "life.next"] {
         std::fs::write(state.join(name), "bo").unwrap();
     }
@@ -105,7 +105,7 @@
     assert!(program.wait_for_exit(), "{}", program.log());
     assert!(
         !program.log().contains("handed-over"),
-        "nobody was there to take over: {}",
+        "a handover without a successor: {}",
         program.log()
     );
     let (mut next, address) = platform.start_first();
--- a/crates/cli/tests/hot_restart_faults.rs
+++ b/crates/cli/tests/hot_restart_faults.rs
@@ -1,4 +1,4 @@
-//! Processes that replace each other while they are suspended, killed or rejected by the endpoint.
+//! Hot restarts while processes are suspended or killed, or the endpoint rejects their calls.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -15,12 +15,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The body of messages that fill the journal, in bytes.
+/// Size of the body of messages that fill the journal, in bytes.
 const LARGE_BODY_BYTES: usize = 60_000;
 
 #[test]
 fn suspended_process_is_fenced_and_does_no_harm_when_continued() {
-    // Suspended before SIGTERM, or right after it.
+    // The process is suspended before SIGTERM, or right after it.
     for terminated_first in [false, true] {
         let endpoint = start_healthy_server();
         let platform = Platform::new(
@@ -45,7 +45,7 @@
             log.contains("code=\"fenced-off\"") && log.contains("code=\"takes-over\"")
         });
         let before = endpoint.request_count();
-        wait_for("attempts of the new one", || {
+        wait_for("attempts of the new process", || {
             endpoint.request_count() > before + 20
         });
         old.signal(Signal::CONT);
@@ -60,7 +60,7 @@
             .into_values()
             .filter(|count| *count > 1)
             .count();
-        assert_eq!(duplicates, 0, "a fenced process sends nothing again");
+        assert_eq!(duplicates, 0, "messages sent again by the fenced process");
     }
 }
 
@@ -79,14 +79,14 @@
         let act = rng.random_range(0..5);
         trace.push(format!("round {round}: {act}"));
         match act {
-            // The old one is killed, before or after SIGTERM.
+            // The old process is killed, before or after SIGTERM.
             0 => old.kill(),
             1 => {
                 old.signal(Signal::TERM);
                 clients.wait_for_submissions(rng.random_range(0..10));
                 old.kill();
             }
-            // The new one is killed before SIGTERM; the old one continues with what the new one accepted.
+            // The new process is killed before SIGTERM. The old one continues with the messages that the new one accepted.
             2 => {
                 new.kill();
                 clients.wait_for_submissions(rng.random_range(20..60));
@@ -96,7 +96,7 @@
                 old = next;
                 continue;
             }
-            // The new one is killed after the takeover, at once or while the old one drains its clients.
+            // The new process is killed after the takeover, at once or while the old process drains its clients.
             3 => {
                 old.signal(Signal::TERM);
                 clients.wait_for_submissions(rng.random_range(0..30));
@@ -106,7 +106,7 @@
                 old = next;
                 continue;
             }
-            // Both are killed.
+            // Both processes are killed.
             _ => {
                 old.kill();
                 new.kill();
@@ -119,21 +119,21 @@
     clients.wait_for_submissions(60);
     let submissions = clients.stop();
     check_outcomes(&platform, &endpoint, &submissions);
-    // The endpoint drops a repeat under the same key only within its window.
+    // The endpoint deduplicates a repeat under the same key only within its window.
     let mut first: BTreeMap<String, Instant> = BTreeMap::new();
     for call in endpoint.requests().iter() {
         let (id, received_at) = (message_id(call).unwrap(), call.received_at.unwrap());
         let first = *first.entry(id.to_owned()).or_insert(received_at);
         assert!(
             received_at - first < Duration::from_secs(6),
-            "{id} again after its window; {trace:?}"
+            "{id} was repeated after its window; {trace:?}"
         );
     }
 }
 
 #[test]
 fn backoff_learned_after_handover_binds_the_new_process() {
-    // The first call is answered once the new process decides; those after it at once.
+    // The response to the first call is delayed until the new process has taken over. Later calls have immediate responses.
     let release = Arc::<AtomicBool>::default();
     let rejected_at = Arc::<Mutex<Option<Instant>>>::default();
     let (released, rejection) = (release.clone(), rejected_at.clone());
@@ -153,7 +153,7 @@
             .status(),
         202
     );
-    // It is recorded only once it is answered, so the attempt is seen by the process's counter.
+    // The endpoint records a request only with its response, so the process's counter shows that the attempt has begun.
     old.wait_for_counter(" legs=1 ");
     let new = platform.start_standby();
     old.signal(Signal::TERM);
@@ -203,7 +203,11 @@
         .map(|n| format!("m{n}"))
         .filter(is_accepted)
         .collect();
-    assert!(accepted.len() > 15, "the journal holds {}", accepted.len());
+    assert!(
+        accepted.len() > 15,
+        "too few messages were accepted: {}",
+        accepted.len()
+    );
     let new = platform.start_standby();
     old.signal(Signal::TERM);
     assert!(old.wait_for_exit(), "{}", old.log());
@@ -218,7 +222,7 @@
     assert!(size <= 3_000_000, "{size} bytes in the folder");
     let rejected = endpoint.request_count();
     open.store(true, Ordering::SeqCst);
-    wait_for("an outcome of each", || {
+    wait_for("an outcome of each message", || {
         let served = executions(&endpoint.requests()[rejected..]);
         let notices = platform.discovery.notices();
         accepted
@@ -226,6 +230,6 @@
             .all(|id| served.contains_key(id) || notices.contains(&format!("\"{id}\"")))
     });
     let served = executions(&endpoint.requests()[rejected..]);
-    // A call that was on its way when the endpoint opened may have been rejected still.
+    // A call in flight when the endpoint opened may still have been rejected, and its message was sent again.
     assert!(served.values().all(|count| *count <= 2), "{served:?}");
 }
--- a/crates/cli/tests/open_faults.rs
+++ b/crates/cli/tests/open_faults.rs
@@ -1,6 +1,6 @@
-//! A process on the platform that can open and lock files only at times, by a preloaded shim.
+//! Failures to open and lock files in a process on the platform, injected by a preloaded shim.
 //!
-//! A test whose fault was never injected fails.
+//! Most tests also check that their fault was injected.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -43,7 +43,7 @@
         202
     );
     program.kill();
-    // Each process leaves a file of its own.
+    // Each process leaves its own file in the state folder.
     for _ in 0..5 {
         let program = platform.start();
         program.address(LISTENING_MARKER, 0);
@@ -127,7 +127,7 @@
         let id = format!("m-{n}");
         assert_eq!(submit_status(address, &id, IDEMPOTENT_CLASS, "20000"), 202);
         standby.kill();
-        wait_for("its delivery", || {
+        wait_for("the delivery of the message", || {
             let seen = endpoint.requests();
             let mut attempts = seen.iter();
             attempts.any(|attempt| message_id(attempt) == Some(&id))
@@ -135,7 +135,7 @@
     }
 }
 
-/// Regression: a process that could not open its configuration for a moment exited.
+/// Regression: a process exited if it could not open its configuration for a moment.
 #[test]
 fn process_that_cannot_open_its_configuration_for_a_moment_starts_later() {
     let endpoint = start_healthy_server();
@@ -147,7 +147,7 @@
     assert!(shim.injected(FaultKind::OpenNoFiles) > 0);
 }
 
-/// Regression: a configuration that could not be opened at SIGHUP was not read again, and discovery stayed where it was.
+/// Regression: a configuration that could not be opened at SIGHUP was not read again, and discovery kept its old address.
 #[test]
 fn configuration_that_cannot_be_opened_at_a_reload_is_read_later() {
     let endpoint = start_healthy_server();
@@ -158,7 +158,9 @@
     program.address(LISTENING_MARKER, 0);
     let second = TestDiscovery::start(0);
     platform.configure(&second);
-    wait_for("the fault's time", || failing.is_active(monotonic_ms()));
+    wait_for("the start of the fault", || {
+        failing.is_active(monotonic_ms())
+    });
     program.signal(Signal::HUP);
     wait_for("the fault", || shim.injected(FaultKind::OpenNoFiles) > 0);
     wait_for("a request at the new address", || {
@@ -166,8 +168,9 @@
     });
 }
 
-/// A process that is shut down before it takes over must leave the active one in charge. One that has waited for files claims
-/// its folder later than the one that was started to replace it, asks that to hand over, and both end.
+/// Guards against a shutdown that ends two processes. A process that waited for files claims the state folder later than the
+/// process started to replace it, and requests a handover from it. If the waiting process is shut down first, the other one
+/// must stay active.
 #[test]
 fn process_that_is_shut_down_as_a_standby_leaves_the_active_one_in_charge() {
     let open = Arc::new(AtomicBool::new(false));
@@ -184,7 +187,7 @@
     let replacement = platform.start();
     replacement.address(LISTENING_MARKER, 0);
     waiting.address(LISTENING_MARKER, 0);
-    // The later listener has all new connections; what it has accepted keeps it from ending at once.
+    // The process that listens last receives all new connections. Its accepted message keeps it from exiting at once.
     assert_eq!(
         submit_status(address, "held", IDEMPOTENT_CLASS, "20000"),
         202
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol over sockets: the program as a process between stand-ins.
+//! The platform's protocol over sockets, with the program as a process between a simulated discovery and endpoint.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -50,7 +50,7 @@
     assert_eq!(
         platform.discovery.notices(),
         "",
-        "a delivered message needs no notice"
+        "a notice of a delivered message"
     );
 }
 
@@ -70,7 +70,7 @@
 
 #[test]
 fn accepted_message_outlives_the_process_and_is_repeated_only_as_its_class_permits() {
-    // The attempts of the first incarnation get no response; those of the next do.
+    // The endpoint does not respond to attempts of the first incarnation, but to those of the next.
     let silent = Arc::new(Mutex::new(true));
     let is_silent = silent.clone();
     let endpoint = start_server(move |_| {
@@ -80,7 +80,7 @@
             Reply::ok()
         }
     });
-    // The keyed class's window is over by the time the instance is back, so its message must not go out again.
+    // The window of the keyed class has passed when the instance runs again, so its message must not be sent again.
     let platform = Platform::new("outlives", endpoint.address, "1");
     let (program, address) = platform.start_listening();
     assert_eq!(submit_status(address, "order", KEYED_CLASS, "20000"), 202);
@@ -92,16 +92,17 @@
     program.kill();
     *silent.lock().unwrap() = false;
     let (program, address) = platform.start_listening();
-    wait_for("the idempotent one's retry", || {
+    wait_for("the retry of the idempotent message", || {
         endpoint.request_count() == 3
     });
-    wait_for("the keyed one's outcome", || {
+    wait_for("the outcome of the keyed message", || {
         platform.discovery.has_notice_of("order")
     });
     assert_eq!(message_id(&endpoint.requests()[2]), Some("status"));
-    // Killed before it has noted the answer that the endpoint gave, it would rightly resume what may have run.
+    // If it were killed before it recorded the endpoint's response, it would correctly resume a message that may have been
+    // executed.
     program.wait_for_counter("delivered=1 ");
-    // What is submitted now is handled after that answer.
+    // This submission is handled after that response.
     let fields = [
         (headers::CALL_ID, "nowhere"),
         (headers::CALL_CLASS, IDEMPOTENT_CLASS),
@@ -113,7 +114,7 @@
         503
     );
     program.kill();
-    // All have outcomes: a third incarnation has nothing to do.
+    // All messages have outcomes, so a third incarnation resumes none.
     let mut program = platform.start();
     program.address(LISTENING_MARKER, 0);
     program.signal(Signal::TERM);
@@ -131,13 +132,13 @@
         submit_status(address, "owed", IDEMPOTENT_CLASS, "3000"),
         202
     );
-    wait_for("a notice that is not taken", || {
+    wait_for("a notice that is rejected", || {
         program.log().contains("notices not taken")
     });
-    // One that cannot be read changes nothing.
+    // A configuration that cannot be parsed has no effect.
     write_file(&platform.folder, "config.json", "{");
     program.signal(Signal::HUP);
-    wait_for("the failed reading", || {
+    wait_for("the failed reload", || {
         program.log().contains("configuration kept as it was")
     });
     assert_eq!(exchange(address, READY_REQUEST).unwrap().status(), 200);
@@ -159,7 +160,7 @@
         .requests()
         .iter()
         .any(|seen| seen.start_line.contains("since=0 ")));
-    // Once the list was received, its endpoint is the one that is called.
+    // After the list was received, its endpoint is called.
     let mut n = 0;
     wait_for("an attempt to the endpoint listed there", || {
         n += 1;
@@ -167,7 +168,7 @@
         endpoint.request_count() > 0
     });
 
-    // The next incarnation starts from the file, not from the environment that names the first address.
+    // The next incarnation uses the address in the file, not the first address, which is in the environment.
     let before = second.server().request_count();
     program.kill();
     let program = platform.start();
@@ -199,7 +200,7 @@
     assert_eq!(endpoint.request_count(), before);
 }
 
-/// Responds, closes the connection without having announced it, and counts that.
+/// Responds, closes the connection without a `Connection: close` field, and counts the closed connections.
 fn respond_and_close(closed: &Arc<AtomicUsize>) -> Responder {
     let closed = closed.clone();
     Box::new(move |stream| {
@@ -222,7 +223,7 @@
             submit_status(address, &format!("m-{n}"), KEYED_CLASS, "9000"),
             202
         );
-        // The next attempt starts once the connection is closed.
+        // The next message is submitted after the connection was closed.
         wait_for("the connection's end", || {
             closed.load(Ordering::SeqCst) == n
         });
@@ -269,14 +270,14 @@
     assert_eq!(platform.discovery.notices(), "");
 }
 
-/// Regression: connections in the listener's queue, or opened in the last moments, were reset when the process ended.
+/// Regression: connections in the listener's queue, or opened just before the process exited, were reset.
 #[test]
 fn process_stops_listening_and_answers_all_that_wait_before_exit() {
     let endpoint = start_healthy_server();
     for busy in [true, false] {
         let platform = Platform::new("last-clients", endpoint.address, "6000");
         let (mut program, address) = platform.start_listening();
-        // Half a request keeps the process until its shutdown limit.
+        // Half a request keeps the process running until its shutdown limit.
         let mut half = TcpStream::connect(address).unwrap();
         half.write_all(if busy { b"POST /api HTTP/1.1\r\n" } else { b"" })
             .unwrap();
@@ -284,7 +285,7 @@
             drop(half);
         }
         program.signal(Signal::TERM);
-        // A request before that is answered.
+        // A request before the listener is closed has a response.
         let answer = submit(address, "late", IDEMPOTENT_CLASS, "20000").unwrap();
         assert!([202, 503].contains(&answer.status()));
         wait_for("its listener to be closed", || {
@@ -292,7 +293,7 @@
         });
         assert!(
             TcpStream::connect(address).is_err(),
-            "it still listens after it has logged that it does not"
+            "it still listens after it logged the end of listening"
         );
         assert!(program.wait_for_exit(), "{}", program.log());
     }
@@ -304,7 +305,7 @@
     let platform = Platform::new("manners", endpoint.address, "6000");
     let (_program, address) = platform.start_listening();
     check_misbehaving_clients_do_no_harm(address, SUBMIT_PATH);
-    // Here clients send one request at a time: bytes behind one make it malformed.
+    // In this protocol clients send one request at a time: bytes after a request make it malformed.
     let fields =
         "X-Call-Id: c\r\nX-Call-Class: refill-status\r\nX-Budget-Ms: 900\r\nX-Envelope: dest=3";
     let one = format!("POST /api HTTP/1.1\r\n{fields}\r\nContent-Length: 1\r\n\r\nx");
@@ -407,7 +408,11 @@
     });
     program.signal(Signal::TERM);
     program.signal(Signal::INT);
-    assert_eq!(ready(), Some(200), "clients that were not notified yet");
+    assert_eq!(
+        ready(),
+        Some(200),
+        "the response to a client that connects during the shutdown"
+    );
     assert!(program.wait_for_exit());
     assert_eq!(program.log().matches("shutdown requested").count(), 1);
 }
--- a/crates/cli/tests/policy_change.rs
+++ b/crates/cli/tests/policy_change.rs
@@ -1,4 +1,4 @@
-//! Changes of the manifest while an instance runs.
+//! Policy changes while an instance runs.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -9,7 +9,10 @@
 use std::net::TcpStream;
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "each step needs the ones before")]
+#[allow(
+    clippy::too_many_lines,
+    reason = "each step depends on the steps before"
+)]
 fn running_instance_applies_planned_change() {
     let (old, new) = (start_healthy_server(), start_healthy_server());
     let folder = new_folder("takes-up");
@@ -22,9 +25,9 @@
     let address = program.address(EVENTS_MARKER, 0);
     assert_eq!(event_status(address, "1", "order", "a", "k"), 204);
 
-    // Reading the applied manifest again changes nothing.
+    // A reload of the unchanged manifest has no effect.
     program.signal(Signal::HUP);
-    // A plan made now is stale once another one was applied.
+    // This plan becomes stale when another plan is applied.
     let home = home(&folder);
     let (path, stale) = (
         write_file(
@@ -47,7 +50,7 @@
         "{applied}"
     );
 
-    // Where a destination is reached changes while the instance runs.
+    // A destination's endpoint changes while the instance runs.
     let mut number = 1;
     wait_for("the change", || {
         number += 1;
@@ -67,7 +70,7 @@
         program.log()
     );
 
-    // A class changes while the instance runs, without another incarnation.
+    // A class changes without a new incarnation.
     apply(&folder, &event_manifest(new.address, old.address, 5500));
     wait_for("the change of a class", || {
         program.log().contains("policy-in-force")
@@ -76,10 +79,10 @@
     assert_eq!(
         event_status(address, "1", "order", "a", "k"),
         204,
-        "known across the change"
+        "the outcome is kept across the change"
     );
-    // The limit of its folder changes with another incarnation. The port was picked by the system: the listener stays open,
-    // and the address is the same.
+    // The size limit of the instance's folder changes with a new incarnation. The port was picked by the system. As the
+    // listener stays open, the address is the same.
     apply(
         &folder,
         &format!(
@@ -92,7 +95,7 @@
     assert_eq!(
         event_status(address, "1", "order", "a", "k"),
         204,
-        "known across the change"
+        "the outcome is kept across the change"
     );
     assert_eq!((old.request_count(), new.request_count()), (before, 2));
     let without_instance = event_manifest(new.address, old.address, 6000)
--- a/crates/cli/tests/socket_faults.rs
+++ b/crates/cli/tests/socket_faults.rs
@@ -1,6 +1,6 @@
-//! A process on the platform whose calls on sockets fail, as Linux documents it, by a preloaded shim.
+//! Failures of socket calls that Linux documents, injected into a process on the platform by a preloaded shim.
 //!
-//! A test whose fault was never injected fails.
+//! Each test also checks that its fault was injected.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
