--- a/crates/cli/benches/group.rs
+++ b/crates/cli/benches/group.rs
@@ -194,7 +194,10 @@
         shares.push(busy / calm);
     }
     let submissions = clients.stop();
-    let rejected = submissions.iter().filter(|one| one.status != 204).count();
+    let rejected = submissions
+        .iter()
+        .filter(|submission| submission.status != 204)
+        .count();
     shares.sort_by(f64::total_cmp);
     println!(
         "\nunder traffic, {CHANGES_UNDER_TRAFFIC} changes: {} submissions, {rejected} rejected; goodput in the second of a \
--- a/crates/cli/examples/measure/idle.rs
+++ b/crates/cli/examples/measure/idle.rs
@@ -11,7 +11,7 @@
 
 const MESSAGES: usize = 10_000;
 /// Time for which a message for a dead endpoint is observed.
-const WAIT: Duration = Duration::from_secs(5);
+const PENDING_TIME: Duration = Duration::from_secs(5);
 
 /// Measures builds with few, many and very many destinations.
 pub fn measure(builds: &[String]) -> Measured<()> {
@@ -60,7 +60,7 @@
         body: b"",
     };
     pending.submit(daemon.address, WAIT_LIMIT)?;
-    thread::sleep(WAIT);
+    thread::sleep(PENDING_TIME);
     let waited = daemon.resource_usage()?;
     println!(
         "    {:.2} s of CPU while one message waits 5 s; resident {} kB",
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -70,10 +70,10 @@
     },
     /// A member is named, but the home is not empty or the file has no group.
     #[error("--member requires an empty home and a file that has [group]")]
-    MemberNotExpected,
+    UnexpectedMember,
     /// The file has a group, and no member is named for the empty home.
     #[error("the file has [group]: name the member that this home becomes, with --member NAME")]
-    MemberExpected,
+    MissingMember,
     /// The file has a group, but the home already has a policy of its own.
     #[error(
         "the file has [group]: a home that was applied without a group cannot join one; start with an empty home"
--- a/crates/cli/src/policy.rs
+++ b/crates/cli/src/policy.rs
@@ -54,7 +54,7 @@
 fn found_member(plan: &Plan, home: &Path, name: &str) -> Result<(), CommandError> {
     let group = match &plan.target.group {
         Some(group) if plan.base.revision == 0 => group,
-        _ => return Err(CommandError::MemberNotExpected),
+        _ => return Err(CommandError::UnexpectedMember),
     };
     Membership::create(home, name, &plan.target)?;
     println!("founded as member {name} of group {}", group.name);
@@ -69,7 +69,7 @@
     if plan.target.group.is_some() {
         let is_new_home = plan.base.revision == 0;
         return Err(if is_new_home {
-            CommandError::MemberExpected
+            CommandError::MissingMember
         } else {
             CommandError::CannotJoin
         });
--- a/crates/cli/tests/clock_faults.rs
+++ b/crates/cli/tests/clock_faults.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 #[test]
-fn wall_clock_an_hour_ahead_after_a_restart_expires_nothing() {
+fn wall_clock_an_hour_ahead_after_a_restart_expires_no_message() {
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = start_server_rejecting_until(&open);
     let platform = Platform::new("ahead", endpoint.address, "6000");
@@ -28,8 +28,12 @@
     open.store(true, Ordering::SeqCst);
     endpoint.wait_until_disconnected().unwrap();
     let before = endpoint.request_count();
-    let (_program, shim) =
-        platform.start_with_faults(&[fault(FaultKind::WallClockStepped, NOW, LONG, HOUR_MS)]);
+    let (_program, shim) = platform.start_with_faults(&[fault(
+        FaultKind::WallClockStepped,
+        NO_DELAY,
+        UNTIL_TEST_END,
+        HOUR_MS,
+    )]);
     wait_for("the message's attempt or notice", || {
         endpoint.request_count() > before || !platform.discovery.notices().is_empty()
     });
@@ -42,7 +46,7 @@
 }
 
 #[test]
-fn wall_clock_an_hour_back_after_a_restart_does_not_reopen_a_window() {
+fn wall_clock_an_hour_behind_after_a_restart_reopens_no_window() {
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = start_server_silent_until(&open);
     let platform = Platform::new("back", endpoint.address, "1");
@@ -51,8 +55,12 @@
     wait_for("its attempt", || endpoint.request_count() == 1);
     program.kill();
     open.store(true, Ordering::SeqCst);
-    let (_program, shim) =
-        platform.start_with_faults(&[fault(FaultKind::WallClockStepped, NOW, LONG, -HOUR_MS)]);
+    let (_program, shim) = platform.start_with_faults(&[fault(
+        FaultKind::WallClockStepped,
+        NO_DELAY,
+        UNTIL_TEST_END,
+        -HOUR_MS,
+    )]);
     wait_for("its notice or a repeat", || {
         endpoint.request_count() > 1 || platform.discovery.has_notice_of("order")
     });
--- a/crates/cli/tests/cloudevents.rs
+++ b/crates/cli/tests/cloudevents.rs
@@ -15,7 +15,7 @@
 const STRUCTURED: (&str, &str) = (headers::CONTENT_TYPE, "application/cloudevents+json");
 
 #[test]
-fn event_keeps_its_meaning_in_either_content_mode() {
+fn event_attributes_and_data_are_preserved_in_both_content_modes() {
     let (a, b) = (start_healthy_server(), start_server(|_| Reply::status(204)));
     let folder = new_folder("modes");
     apply(&folder, &event_manifest(a.address, b.address, 6000));
@@ -23,14 +23,14 @@
     let address = program.address(EVENTS_MARKER, 0);
 
     let body = r#"{"specversion":"1.0","id":"é 1","source":"/s","type":"order","clinic":"a","ext":true,"data":{"n":1}}"#;
-    let answer = post(
+    let response = post(
         address,
         EVENTS_PATH,
         &[STRUCTURED, (headers::IDEMPOTENCY_KEY, "key/1")],
         body.as_bytes(),
     )
     .unwrap();
-    assert_eq!(answer.status(), 204);
+    assert_eq!(response.status(), 204);
     let attempt = first_request(&a);
     assert_eq!(attempt.start_line, "POST /in HTTP/1.1");
     let fields = [
@@ -65,22 +65,22 @@
         Some("application/cloudevents+json; charset=utf-8")
     );
     let event: serde_json::Value = serde_json::from_slice(&attempt.body).unwrap();
-    let want = r#"{"specversion":"1.0","id":"é 2","source":"/clinic","type":"status","clinic":"b",
+    let expected = r#"{"specversion":"1.0","id":"é 2","source":"/clinic","type":"status","clinic":"b",
         "datacontenttype":"application/json","data":[1]}"#;
     assert_eq!(
         event,
-        serde_json::from_str::<serde_json::Value>(want).unwrap()
+        serde_json::from_str::<serde_json::Value>(expected).unwrap()
     );
 }
 
 #[test]
-fn unacceptable_event_is_rejected_with_reason() {
+fn invalid_event_is_rejected_with_the_matching_status() {
     let a = start_healthy_server();
     let folder = new_folder("rejects");
     apply(&folder, &event_manifest(a.address, a.address, 6000));
     let program = start_daemon(&folder);
     let address = program.address(EVENTS_MARKER, 0);
-    let status = |answer: Option<Message>| answer.unwrap().status();
+    let status = |response: Option<Message>| response.unwrap().status();
     let batch = (headers::CONTENT_TYPE, "application/cloudevents-batch+json");
     assert_eq!(status(post(address, EVENTS_PATH, &[batch], b"[]")), 415);
     assert_eq!(
@@ -101,25 +101,35 @@
         400,
         "a keyed class needs its key"
     );
-    let late = r#"{"specversion":"1.0","id":"1","source":"/s","type":"status","clinic":"a","expirytime":"2020-01-01T00:00:00Z"}"#;
+    let expired_event = r#"{"specversion":"1.0","id":"1","source":"/s","type":"status","clinic":"a","expirytime":"2020-01-01T00:00:00Z"}"#;
     assert_eq!(
-        status(post(address, EVENTS_PATH, &[STRUCTURED], late.as_bytes())),
+        status(post(
+            address,
+            EVENTS_PATH,
+            &[STRUCTURED],
+            expired_event.as_bytes()
+        )),
         504
     );
-    let odd = late.replace("2020-01-01T00:00:00Z", "tomorrow");
+    let event_with_invalid_expiry = expired_event.replace("2020-01-01T00:00:00Z", "tomorrow");
     assert_eq!(
-        status(post(address, EVENTS_PATH, &[STRUCTURED], odd.as_bytes())),
+        status(post(
+            address,
+            EVENTS_PATH,
+            &[STRUCTURED],
+            event_with_invalid_expiry.as_bytes()
+        )),
         400
     );
     assert_eq!(a.request_count(), 0);
 }
 
 #[test]
-fn repeated_event_joins_the_first_without_another_attempt() {
-    let gate = Arc::new(AtomicBool::new(false));
-    let opened = gate.clone();
+fn repeated_event_shares_the_outcome_without_another_attempt() {
+    let release = Arc::new(AtomicBool::new(false));
+    let released = release.clone();
     let a = start_server(move |_| {
-        wait_for("the gate", || opened.load(Ordering::SeqCst));
+        wait_for("the release", || released.load(Ordering::SeqCst));
         Reply::ok()
     });
     let folder = new_folder("joins");
@@ -133,10 +143,10 @@
     let together = [submit("1", "k"), submit("1", "k"), submit("2", "k")];
     // The first attempt is in flight until the others are submitted.
     program.wait_for_counter("offered=3 ");
-    gate.store(true, Ordering::SeqCst);
+    release.store(true, Ordering::SeqCst);
     let statuses: Vec<u16> = together
         .into_iter()
-        .map(|one| one.join().unwrap().unwrap().status())
+        .map(|submission| submission.join().unwrap().unwrap().status())
         .collect();
     assert_eq!(statuses, [204, 204, 204]);
     assert_eq!(
@@ -159,17 +169,17 @@
 }
 
 #[test]
-fn returned_event_is_answered_at_once_with_retry_after() {
+fn returned_event_has_an_immediate_response_with_retry_after() {
     let a = start_server(|_| Reply::retry_after(429, "40"));
     let folder = new_folder("given-up-event");
     apply(&folder, &event_manifest(a.address, a.address, 6000));
     let program = start_daemon(&folder);
     let address = program.address(EVENTS_MARKER, 0);
     // The Retry-After is longer than the event's time to live.
-    let answer = submit_event(address, "1", "status", "a", "", b"1").unwrap();
-    assert_eq!(answer.status(), 503);
+    let response = submit_event(address, "1", "status", "a", "", b"1").unwrap();
+    assert_eq!(response.status(), 503);
     assert!(
-        answer
+        response
             .header(headers::RETRY_AFTER)
             .unwrap()
             .parse::<u64>()
@@ -184,7 +194,7 @@
 
 /// Regression: an event that the destination rejected permanently was retried until its deadline.
 #[test]
-fn permanently_rejected_event_ends_at_once() {
+fn permanently_rejected_event_fails_without_a_retry() {
     let a = start_server(|attempt| match attempt.header(headers::EVENT_ID) {
         Some("bad") => Reply::status(422),
         _ => Reply::ok(),
@@ -206,7 +216,7 @@
 #[test]
 fn misbehaving_clients_do_not_starve_others() {
     let endpoint = start_healthy_server();
-    let folder = new_folder("manners");
+    let folder = new_folder("misbehaving-clients");
     apply(
         &folder,
         &format!(
@@ -219,13 +229,16 @@
     check_misbehaving_clients_do_no_harm(address, EVENTS_PATH);
     // Clients may pipeline requests on a connection. Each request is served.
     let fields = "ce-specversion: 1.0\r\nce-source: /s\r\nce-type: status\r\nce-clinic: a";
-    let one = |id| {
+    let pipelined_request = |id| {
         format!("POST /events HTTP/1.1\r\n{fields}\r\nce-id: {id}\r\nContent-Length: 1\r\n\r\nx")
     };
     assert_eq!(
-        exchange(address, format!("{}{}", one(1), one(2)).as_bytes())
-            .unwrap()
-            .status(),
+        exchange(
+            address,
+            format!("{}{}", pipelined_request(1), pipelined_request(2)).as_bytes()
+        )
+        .unwrap()
+        .status(),
         204
     );
     wait_for("both attempts", || endpoint.request_count() == 2);
--- a/crates/cli/tests/common/group.rs
+++ b/crates/cli/tests/common/group.rs
@@ -112,7 +112,10 @@
     let is_duplicate = |(_, count): &(&String, &usize)| **count > 1;
     let duplicates: Vec<_> = executions.iter().filter(is_duplicate).collect();
     assert!(duplicates.is_empty(), "duplicates: {duplicates:?}");
-    for submission in submissions.iter().filter(|one| one.status == 204) {
+    for submission in submissions
+        .iter()
+        .filter(|submission| submission.status == 204)
+    {
         assert!(
             executions.contains_key(&submission.id),
             "reported as delivered but never executed: {submission:?}"
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -147,7 +147,7 @@
         );
     }
     check_large_request_is_rejected(address, path);
-    check_idle_connections_give_way(address);
+    check_idle_connections_are_evicted(address);
     assert_eq!(ready_status(), Some(200));
 }
 
@@ -161,7 +161,7 @@
 }
 
 /// Checks that idle connections are closed when there are many.
-fn check_idle_connections_give_way(address: SocketAddr) {
+fn check_idle_connections_are_evicted(address: SocketAddr) {
     let open = |_| {
         let mut stream = TcpStream::connect(address).unwrap();
         stream.write_all(READY_REQUEST).unwrap();
@@ -239,9 +239,15 @@
 pub fn apply(folder: &TemporaryFolder, manifest: &str) -> String {
     let file = write_file(folder, "fleet.toml", manifest);
     let (plan, home) = (folder.path().join("plan"), home(folder));
-    let planned = run(&["plan", text(&file), text(&home), "--out", text(&plan)]);
+    let planned = run(&[
+        "plan",
+        path_str(&file),
+        path_str(&home),
+        "--out",
+        path_str(&plan),
+    ]);
     assert!(planned.is_success(), "{planned}");
-    let applied = run(&["apply", text(&plan), text(&home)]);
+    let applied = run(&["apply", path_str(&plan), path_str(&home)]);
     assert!(applied.is_success(), "{applied}");
     planned.text
 }
@@ -253,7 +259,7 @@
 
 /// Starts a daemon with the policy applied in a folder.
 pub fn start_daemon(folder: &TemporaryFolder) -> Program {
-    Program::start(&["run", text(&home(folder))], &[])
+    Program::start(&["run", path_str(&home(folder))], &[])
 }
 
 /// Creates an empty folder that is removed on drop.
@@ -272,7 +278,7 @@
 }
 
 /// Returns a path as a command-line argument.
-pub fn text(path: &Path) -> &str {
+pub fn path_str(path: &Path) -> &str {
     path.to_str().unwrap()
 }
 
--- a/crates/cli/tests/common/platform.rs
+++ b/crates/cli/tests/common/platform.rs
@@ -1,7 +1,7 @@
 //! A simulated platform around one instance: discovery, which also receives notices, the configuration, and a client.
 
 use super::shim;
-use super::{new_folder, response_of, text, write_file, Message, Program, WAIT_LIMIT};
+use super::{new_folder, path_str, response_of, write_file, Message, Program, WAIT_LIMIT};
 use marblefall_fault_plan::Fault;
 use marblefall_process_harness::discovery::{
     Discovery, DiscoverySource, EndpointList, EndpointPhase, ListedEndpoint, Watch,
@@ -218,8 +218,8 @@
         // The environment always has the first address, even if the file is changed later.
         let discovery = self.discovery.address().to_string();
         let mut environment = vec![
-            (CONFIG_VARIABLE, text(&config)),
-            (STATE_VARIABLE, text(&state)),
+            (CONFIG_VARIABLE, path_str(&config)),
+            (STATE_VARIABLE, path_str(&state)),
             (DISCOVERY_VARIABLE, discovery.as_str()),
         ];
         environment.extend(more);
--- a/crates/cli/tests/common/shim.rs
+++ b/crates/cli/tests/common/shim.rs
@@ -12,9 +12,9 @@
 /// The step of the wall clock in tests: an hour in milliseconds.
 pub const HOUR_MS: i64 = 3_600_000;
 /// The delay of a fault that is active at once.
-pub const NOW: Duration = Duration::ZERO;
+pub const NO_DELAY: Duration = Duration::ZERO;
 /// The duration of a fault that outlasts any test.
-pub const LONG: Duration = Duration::from_secs(3600);
+pub const UNTIL_TEST_END: Duration = Duration::from_secs(3600);
 /// The amount of a fault that is injected into half of all calls, in thousandths.
 pub const HALF_OF_CALLS: i64 = 500;
 /// The seed of the shim's random numbers.
--- a/crates/cli/tests/destinations.rs
+++ b/crates/cli/tests/destinations.rs
@@ -25,12 +25,12 @@
     clippy::too_many_lines,
     reason = "each step depends on the steps before"
 )]
-fn ejected_destination_is_shown_also_when_daemon_is_down() {
+fn ejected_destination_is_shown_with_and_without_a_running_daemon() {
     let well = start_healthy_server();
     let dead = unused_address();
     let folder = new_folder("destinations");
-    let mut file = String::from(ONE_INSTANCE);
-    file += &format!(
+    let mut manifest = String::from(ONE_INSTANCE);
+    manifest += &format!(
         r#"[destination.well]
 endpoints = [{{ name = "well-1", address = "{}" }}]
 [destination.dead]
@@ -39,11 +39,11 @@
         well.address
     );
     for number in 0..100 {
-        file += &format!(
+        manifest += &format!(
             "[destination.idle-{number}]\nendpoints = [{{ name = \"i{number}\", address = \"{dead}\" }}]\n"
         );
     }
-    apply(&folder, &file);
+    apply(&folder, &manifest);
     let program = start_daemon(&folder);
     let address = program.address(EVENTS_MARKER, 0);
     assert_eq!(event_status(address, "1", "status", "well", ""), 204);
@@ -56,7 +56,7 @@
         })
         .collect();
     let home = home(&folder);
-    let show = |arguments: &[&str]| run(&[&["destinations", text(&home)], arguments].concat());
+    let show = |arguments: &[&str]| run(&[&["destinations", path_str(&home)], arguments].concat());
     wait_for("the ejection", || {
         show(&["--state", "out"]).text.contains("dead at one: out")
     });
@@ -112,7 +112,7 @@
 
 /// Regression: records have times of a clock without steps, but their age was computed with the wall clock.
 #[test]
-fn outage_is_shown_as_old_as_it_is_after_a_step_of_the_clock() {
+fn age_of_outage_is_correct_after_a_step_of_the_wall_clock() {
     let dead = unused_address();
     let folder = new_folder("outage-age");
     let destination = format!(
@@ -122,9 +122,9 @@
     let home = home(&folder);
     // The daemon's wall clock is an hour ahead of the command's.
     let hour = Duration::from_secs(3600);
-    let stepped = fault(FaultKind::WallClockStepped, Duration::ZERO, hour, HOUR_MS);
-    let shim = new_shim(&folder, &home, &[stepped]);
-    let program = Program::start(&["run", text(&home)], &shim.environment());
+    let clock_fault = fault(FaultKind::WallClockStepped, Duration::ZERO, hour, HOUR_MS);
+    let shim = new_shim(&folder, &home, &[clock_fault]);
+    let program = Program::start(&["run", path_str(&home)], &shim.environment());
     let address = program.address(EVENTS_MARKER, 0);
     let submissions: Vec<_> = (0..4)
         .map(|n| {
@@ -135,7 +135,7 @@
         .collect();
     let mut shown = String::new();
     wait_for("an outage of some seconds", || {
-        shown = run(&["destinations", text(&home)]).text;
+        shown = run(&["destinations", path_str(&home)]).text;
         let seconds = shown
             .split("dead at one: out for ")
             .nth(1)
--- a/crates/cli/tests/disk_faults.rs
+++ b/crates/cli/tests/disk_faults.rs
@@ -21,17 +21,17 @@
 const MAX_PROCESSOR_TIME: Duration = Duration::from_secs(1);
 
 #[test]
-fn messages_accepted_after_a_disk_fault_outlive_the_process() {
+fn messages_accepted_after_a_disk_fault_survive_a_kill() {
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = start_server_rejecting_until(&open);
     let platform = Platform::new("disk", endpoint.address, "6000");
-    let lasts = Duration::from_millis(1500);
-    let failing = fault(FaultKind::DiskError, lasts, lasts, EVERY_CALL);
-    let (program, shim) = platform.start_with_faults(&[failing]);
+    let duration = Duration::from_millis(1500);
+    let disk_fault = fault(FaultKind::DiskError, duration, duration, EVERY_CALL);
+    let (program, shim) = platform.start_with_faults(&[disk_fault]);
     let address = program.address(LISTENING_MARKER, 0);
     // Messages accepted before the fault would use up the instance's capacity.
     wait_for("the start of the fault", || {
-        failing.is_active(monotonic_ms())
+        disk_fault.is_active(monotonic_ms())
     });
     wait_for("the fault", || {
         submit(address, "in-fault", IDEMPOTENT_CLASS, "20000").unwrap();
@@ -41,8 +41,8 @@
     let mut n = 0;
     wait_for("messages to be accepted again", || {
         n += 1;
-        let answer = submit(address, &format!("m-{n}"), IDEMPOTENT_CLASS, "20000").unwrap();
-        accepted += usize::from(answer.status() == 202);
+        let response = submit(address, &format!("m-{n}"), IDEMPOTENT_CLASS, "20000").unwrap();
+        accepted += usize::from(response.status() == 202);
         accepted >= 5
     });
     program.kill();
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn held_messages_keep_their_attempts_through_a_disk_fault() {
+fn pending_messages_are_delivered_despite_a_disk_fault() {
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = start_server_rejecting_until(&open);
     let platform = Platform::new("held", endpoint.address, "6000");
-    let after = Duration::from_millis(1000);
-    let lasts = Duration::from_millis(1500);
+    let delay = Duration::from_millis(1000);
+    let duration = Duration::from_millis(1500);
     let (program, shim) =
-        platform.start_with_faults(&[fault(FaultKind::DiskFull, after, lasts, EVERY_CALL)]);
+        platform.start_with_faults(&[fault(FaultKind::DiskFull, delay, duration, EVERY_CALL)]);
     let address = program.address(LISTENING_MARKER, 0);
     for n in 0..3 {
         assert_eq!(
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn process_that_starts_on_a_failing_disk_waits_for_it() {
+fn process_started_on_a_failing_disk_waits_until_it_works() {
     let endpoint = start_healthy_server();
     for kind in [FaultKind::DiskFull, FaultKind::DiskError] {
         let platform = Platform::new("starts", endpoint.address, "6000");
         let (program, shim) = platform.start_with_faults(&[fault(
             kind,
-            NOW,
+            NO_DELAY,
             Duration::from_millis(1200),
             EVERY_CALL,
         )]);
@@ -106,11 +106,15 @@
 }
 
 #[test]
-fn process_that_is_shut_down_before_its_disk_works_ends_cleanly() {
+fn process_shut_down_while_waiting_for_its_disk_exits_cleanly() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("term-early", endpoint.address, "6000");
-    let (mut program, shim) =
-        platform.start_with_faults(&[fault(FaultKind::DiskFull, NOW, LONG, EVERY_CALL)]);
+    let (mut program, shim) = platform.start_with_faults(&[fault(
+        FaultKind::DiskFull,
+        NO_DELAY,
+        UNTIL_TEST_END,
+        EVERY_CALL,
+    )]);
     wait_for("the fault", || {
         shim.is_loaded() && shim.injected(FaultKind::DiskFull) > 0
     });
@@ -119,29 +123,29 @@
 }
 
 #[test]
-fn delivery_answered_during_a_disk_fault_is_not_repeated_after_a_restart() {
+fn delivery_during_a_disk_fault_is_not_repeated_after_a_restart() {
     let open = Arc::new(AtomicBool::new(false));
-    let answering = open.clone();
+    let is_open = open.clone();
     let endpoint = start_server(move |_| {
-        wait_for("the fault", || answering.load(Ordering::SeqCst));
+        wait_for("the fault", || is_open.load(Ordering::SeqCst));
         Reply::ok()
     });
     let platform = Platform::new("ends", endpoint.address, "6000");
-    let after = Duration::from_millis(1200);
-    let lasts = Duration::from_millis(1200);
-    let failing = fault(FaultKind::DiskError, after, lasts, EVERY_CALL);
-    let (program, shim) = platform.start_with_faults(&[failing]);
+    let delay = Duration::from_millis(1200);
+    let duration = Duration::from_millis(1200);
+    let disk_fault = fault(FaultKind::DiskError, delay, duration, EVERY_CALL);
+    let (program, shim) = platform.start_with_faults(&[disk_fault]);
     let address = program.address(LISTENING_MARKER, 0);
     assert_eq!(submit_status(address, "m", IDEMPOTENT_CLASS, "20000"), 202);
     wait_for("the start of the fault", || {
-        failing.is_active(monotonic_ms())
+        disk_fault.is_active(monotonic_ms())
     });
     open.store(true, Ordering::SeqCst);
     program.wait_for_counter("delivered=1 ");
     assert!(shim.injected(FaultKind::DiskError) > 0);
     wait_for("the disk to work again", || {
-        let answer = submit(address, "after", IDEMPOTENT_CLASS, "20000").unwrap();
-        answer.status() == 202
+        let response = submit(address, "after", IDEMPOTENT_CLASS, "20000").unwrap();
+        response.status() == 202
     });
     program.wait_for_counter("delivered=2 ");
     program.kill();
@@ -149,21 +153,25 @@
     program.address(LISTENING_MARKER, 0);
     program.signal(Signal::TERM);
     assert!(program.wait_for_exit());
-    let seen = endpoint.requests();
-    let of_first = seen
+    let requests = endpoint.requests();
+    let of_first = requests
         .iter()
         .filter(|attempt| message_id(attempt) == Some("m"));
     assert_eq!(of_first.count(), 1);
 }
 
 #[test]
-fn process_that_waits_for_its_disk_refuses_connections() {
+fn process_waiting_for_its_disk_refuses_connections() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("refuses", endpoint.address, "6000");
     let (first, address) = platform.start_first();
     first.kill();
-    let (_program, shim) =
-        platform.start_with_faults(&[fault(FaultKind::DiskFull, NOW, LONG, EVERY_CALL)]);
+    let (_program, shim) = platform.start_with_faults(&[fault(
+        FaultKind::DiskFull,
+        NO_DELAY,
+        UNTIL_TEST_END,
+        EVERY_CALL,
+    )]);
     wait_for("the fault", || {
         shim.is_loaded() && shim.injected(FaultKind::DiskFull) > 2
     });
@@ -171,7 +179,7 @@
 }
 
 #[test]
-fn process_that_has_waited_for_its_disk_calls_no_endpoint_that_drained_meanwhile() {
+fn process_that_waited_for_its_disk_does_not_call_a_draining_endpoint() {
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = start_server_rejecting_until(&open);
     let platform = Platform::new("stale", endpoint.address, "6000");
@@ -188,14 +196,14 @@
         .set_complete_list(list_of(42, true, draining));
     endpoint.wait_until_disconnected().unwrap();
     let before = endpoint.request_count();
-    let lasts = Duration::from_millis(1500);
+    let duration = Duration::from_millis(1500);
     let (program, shim) =
-        platform.start_with_faults(&[fault(FaultKind::DiskFull, NOW, lasts, EVERY_CALL)]);
+        platform.start_with_faults(&[fault(FaultKind::DiskFull, NO_DELAY, duration, EVERY_CALL)]);
     program.address(LISTENING_MARKER, 0);
     assert!(shim.injected(FaultKind::DiskFull) > 0);
     wait_for("an accepted message or a call", || {
-        let answer = submit(address, "new", IDEMPOTENT_CLASS, "1500").unwrap();
-        answer.status() == 202 || endpoint.request_count() > before
+        let response = submit(address, "new", IDEMPOTENT_CLASS, "1500").unwrap();
+        response.status() == 202 || endpoint.request_count() > before
     });
     assert_eq!(endpoint.request_count(), before);
 }
@@ -203,22 +211,22 @@
 #[test]
 fn failing_disk_does_not_keep_the_processor_busy() {
     let open = Arc::new(AtomicBool::new(false));
-    let answering = open.clone();
+    let is_open = open.clone();
     let endpoint = start_server(move |_| {
-        wait_for("the fault", || answering.load(Ordering::SeqCst));
+        wait_for("the fault", || is_open.load(Ordering::SeqCst));
         Reply::ok()
     });
     let platform = Platform::new("busy", endpoint.address, "6000");
-    let after = Duration::from_millis(1000);
-    let lasts = Duration::from_millis(3000);
-    let failing = fault(FaultKind::DiskError, after, lasts, EVERY_CALL);
-    let (program, _shim) = platform.start_with_faults(&[failing]);
+    let delay = Duration::from_millis(1000);
+    let duration = Duration::from_millis(3000);
+    let disk_fault = fault(FaultKind::DiskError, delay, duration, EVERY_CALL);
+    let (program, _shim) = platform.start_with_faults(&[disk_fault]);
     let address = program.address(LISTENING_MARKER, 0);
     for n in 0..20 {
         submit(address, &format!("held-{n}"), IDEMPOTENT_CLASS, "20000").unwrap();
     }
     wait_for("the start of the fault", || {
-        failing.is_active(monotonic_ms())
+        disk_fault.is_active(monotonic_ms())
     });
     // Deliveries from now on cannot be written to the journal.
     open.store(true, Ordering::SeqCst);
@@ -227,7 +235,7 @@
     wait_for("the end of the fault", || {
         n += 1;
         let _ = submit(address, &format!("in-fault-{n}"), IDEMPOTENT_CLASS, "20000");
-        !failing.is_active(monotonic_ms())
+        !disk_fault.is_active(monotonic_ms())
     });
     let used = program.resource_usage().processor_time - before;
     assert!(used < MAX_PROCESSOR_TIME, "{used:?} of 3 s, {n} requests");
--- a/crates/cli/tests/endpoint_list_commands.rs
+++ b/crates/cli/tests/endpoint_list_commands.rs
@@ -13,8 +13,8 @@
     clippy::too_many_lines,
     reason = "a sequence of commands with their output"
 )]
-fn list_commands_print_and_exit_as_documented() {
-    let folder = new_folder("words");
+fn list_commands_have_the_expected_output_and_exit_codes() {
+    let folder = new_folder("list-commands");
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let list = |revision, weight| {
         endpoint_list(
@@ -37,18 +37,24 @@
             .replace("127.0.0.1:10", "127.0.0.1:0"),
     );
 
-    let output = run(&["roster", "diff", text(&old), text(&new)]);
+    let output = run(&["roster", "diff", path_str(&old), path_str(&new)]);
     assert_eq!(output.code, Some(0));
     assert_eq!(
         output.text,
         "~ a/x weight 1 -> 3\nrevision 1 to 2: 0 to add, 1 to change, 0 to remove\n"
     );
-    let output = run(&["roster", "check", text(&old), "--fleet", text(&fleet)]);
+    let output = run(&[
+        "roster",
+        "check",
+        path_str(&old),
+        "--fleet",
+        path_str(&fleet),
+    ]);
     assert!(
         output.code == Some(0) && output.text.contains("old.toml: good"),
         "{output}"
     );
-    let output = run(&["roster", "check", text(&bad), text(&old)]);
+    let output = run(&["roster", "check", path_str(&bad), path_str(&old)]);
     assert!(
         output.code == Some(1)
             && output.text.contains("bad.toml:6")
@@ -56,12 +62,12 @@
             && output.text.contains("old.toml: good"),
         "{output}"
     );
-    let output = run(&["roster", "check", text(&old), text(&new)]);
+    let output = run(&["roster", "check", path_str(&old), path_str(&new)]);
     assert!(
         output.code == Some(1) && output.text.contains("stands in"),
         "a destination in two files: {output}"
     );
-    let output = run(&["roster", "check", "--format", "json", text(&bad)]);
+    let output = run(&["roster", "check", "--format", "json", path_str(&bad)]);
     let reported: serde_json::Value = serde_json::from_str(&output.text).unwrap();
     assert_eq!(
         (output.code, &reported["reports"][0]["faults"][0]["code"]),
--- a/crates/cli/tests/endpoint_list_traffic.rs
+++ b/crates/cli/tests/endpoint_list_traffic.rs
@@ -118,7 +118,7 @@
                 .destinations
                 .values_mut()
                 .flat_map(|to| &mut to.endpoints)
-                .for_each(|one| one.weight = 0.0);
+                .for_each(|endpoint| endpoint.weight = 0.0);
             invalid.to_toml().into_bytes()
         }
         4 => {
@@ -316,21 +316,24 @@
 fn drain_lets_64_attempts_finish_and_starts_none() {
     let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
     // The service time keeps an attempt of every caller in flight. The server must respond, or its route would be ejected.
-    let one = start_server(|_| {
+    let drained_server = start_server(|_| {
         thread::sleep(Duration::from_millis(60));
         Reply::ok()
     });
-    let two = start_healthy_server();
+    let other_server = start_healthy_server();
     let folder = new_folder_in_memory("drain");
     let path = folder.path().join("roster.toml");
     let list = |revision, weight: f64| {
         let both = vec![
-            endpoint("one", one.address, weight),
-            endpoint("two", two.address, 1.0),
+            endpoint("one", drained_server.address, weight),
+            endpoint("two", other_server.address, 1.0),
         ];
         endpoint_list(
             revision,
-            &[("a", both), ("b", vec![endpoint("b", two.address, 1.0)])],
+            &[
+                ("a", both),
+                ("b", vec![endpoint("b", other_server.address, 1.0)]),
+            ],
         )
         .to_toml()
     };
@@ -371,16 +374,16 @@
         }
     });
     wait_for("64 attempts in flight, repeatedly", || {
-        one.request_count() > 640
+        drained_server.request_count() > 640
     });
-    let before = two.request_count();
+    let before = other_server.request_count();
     let second = list(2, 0.0);
     fs::write(&path, &second).unwrap();
     wait_until_stored(&folder, "roster.toml", &second);
     let drained_at = Instant::now() + GRACE;
     // The callers send as much traffic again, all to the second endpoint.
     wait_for("traffic after the grace period", || {
-        Instant::now() > drained_at + 2 * GRACE && two.request_count() > before + 640
+        Instant::now() > drained_at + 2 * GRACE && other_server.request_count() > before + 640
     });
     let mut statuses: BTreeMap<usize, BTreeSet<u16>> = BTreeMap::new();
     for (caller, status) in callers.stop() {
@@ -396,7 +399,7 @@
         204,
         "the client's connection stays open"
     );
-    let late = one
+    let late = drained_server
         .requests()
         .iter()
         .filter(|call| call.received_at.unwrap() > drained_at)
--- a/crates/cli/tests/event_recovery.rs
+++ b/crates/cli/tests/event_recovery.rs
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn nothing_is_executed_twice_through_resets_errors_and_kills() {
+fn no_event_is_executed_twice_despite_resets_errors_and_kills() {
     let destination = Arc::new(FaultyDestination::default());
     let folder = new_folder("duplicates");
     let instance = Arc::new(Mutex::new(None::<SocketAddr>));
--- a/crates/cli/tests/fleet_faults.rs
+++ b/crates/cli/tests/fleet_faults.rs
@@ -22,7 +22,7 @@
 
 /// Returns a manifest with these instances, each of which listens at the given address.
 fn manifest_at(listen: &str, instances: &[&str]) -> String {
-    let mut file = r#"[class.status]
+    let mut manifest = r#"[class.status]
 repeats = "free"
 wanted_ms = 1000
 give_up_ms = 8000
@@ -31,13 +31,13 @@
 "#
     .to_owned();
     for name in instances {
-        file += &format!(
+        manifest += &format!(
             r#"[instance.{name}]
 events = {{ listen = "{listen}", path = "/events", destination_attribute = "clinic", types = {{ status = "status" }} }}
 "#
         );
     }
-    file
+    manifest
 }
 
 /// Returns a manifest with one instance, whose destination is in the endpoint lists of the folder `lists`.
@@ -50,17 +50,17 @@
 
 /// Regression: the daemon did not retry when it could not open the applied manifest.
 #[test]
-fn manifest_applied_while_no_file_opens_is_put_in_force_later() {
+fn manifest_applied_while_opens_fail_comes_into_force_later() {
     let folder = new_folder("applied-later");
     apply(&folder, &manifest(&["one"]));
     let home = home(&folder);
-    let (after, lasts) = (Duration::from_secs(3), Duration::from_secs(4));
-    let failing = fault(FaultKind::OpenNoFiles, after, lasts, EVERY_CALL);
-    let shim = new_shim(&folder, &home, &[failing]);
-    let program = Program::start(&["run", text(&home)], &shim.environment());
+    let (delay, duration) = (Duration::from_secs(3), Duration::from_secs(4));
+    let open_fault = fault(FaultKind::OpenNoFiles, delay, duration, EVERY_CALL);
+    let shim = new_shim(&folder, &home, &[open_fault]);
+    let program = Program::start(&["run", path_str(&home)], &shim.environment());
     program.address(EVENTS_MARKER, 0);
     wait_for("the start of the fault", || {
-        failing.is_active(monotonic_ms())
+        open_fault.is_active(monotonic_ms())
     });
     apply(&folder, &manifest(&["one", "two"]));
     program.address(EVENTS_MARKER, 1);
@@ -90,21 +90,21 @@
         home(&folder),
         folder.path().join("home/rosters/all.toml.good"),
     );
-    let (after, lasts) = (Duration::from_secs(3), Duration::from_secs(3));
-    let failing = fault(FaultKind::DiskError, after, lasts, EVERY_CALL);
-    let shim = new_shim(&folder, &home.join("rosters"), &[failing]);
-    let program = Program::start(&["run", text(&home)], &shim.environment());
+    let (delay, duration) = (Duration::from_secs(3), Duration::from_secs(3));
+    let disk_fault = fault(FaultKind::DiskError, delay, duration, EVERY_CALL);
+    let shim = new_shim(&folder, &home.join("rosters"), &[disk_fault]);
+    let program = Program::start(&["run", path_str(&home)], &shim.environment());
     let is_stored = |revision: u32| {
         let text = fs::read_to_string(&stored).unwrap_or_default();
         text.contains(&format!("revision = {revision}\n"))
     };
     wait_for("the first list", || is_stored(1));
     wait_for("the start of the fault", || {
-        failing.is_active(monotonic_ms())
+        disk_fault.is_active(monotonic_ms())
     });
     write_list(2);
     wait_for("the second list in force", || {
-        assert!(failing.is_active(monotonic_ms()), "{}", program.log());
+        assert!(disk_fault.is_active(monotonic_ms()), "{}", program.log());
         program.log().contains("last-good-list-not-written")
     });
     assert!(!is_stored(2));
@@ -115,7 +115,7 @@
 /// Regression: the supervisor listened before the instance had its state folder, so clients had no response while the disk
 /// failed.
 #[test]
-fn instance_that_waits_for_its_disk_refuses_connections() {
+fn instance_waiting_for_its_disk_refuses_connections() {
     let folder = new_folder("instance-waits");
     let listen = reserve_addresses(1).unwrap()[0];
     apply(&folder, &manifest_at(&listen.to_string(), &["one"]));
@@ -123,9 +123,14 @@
     let shim = new_shim(
         &folder,
         &home.join("instances"),
-        &[fault(FaultKind::DiskFull, NOW, LONG, EVERY_CALL)],
+        &[fault(
+            FaultKind::DiskFull,
+            NO_DELAY,
+            UNTIL_TEST_END,
+            EVERY_CALL,
+        )],
     );
-    let program = Program::start(&["run", text(&home)], &shim.environment());
+    let program = Program::start(&["run", path_str(&home)], &shim.environment());
     wait_for("the fault", || {
         shim.is_loaded() && shim.injected(FaultKind::DiskFull) > 2
     });
@@ -134,17 +139,22 @@
 
 /// Regression: a daemon exited if it could not open its home for a moment.
 #[test]
-fn daemon_that_cannot_open_its_home_for_a_moment_starts_later() {
+fn daemon_starts_once_its_home_can_be_opened() {
     let folder = new_folder("home-later");
     apply(&folder, &manifest(&["one"]));
     let home = home(&folder);
-    let lasts = Duration::from_millis(1200);
+    let duration = Duration::from_millis(1200);
     let shim = new_shim(
         &folder,
         &home,
-        &[fault(FaultKind::OpenNoFiles, NOW, lasts, EVERY_CALL)],
+        &[fault(
+            FaultKind::OpenNoFiles,
+            NO_DELAY,
+            duration,
+            EVERY_CALL,
+        )],
     );
-    let program = Program::start(&["run", text(&home)], &shim.environment());
+    let program = Program::start(&["run", path_str(&home)], &shim.environment());
     let address = program.address(EVENTS_MARKER, 0);
     assert_eq!(exchange(address, READY_REQUEST).unwrap().status(), 200);
     assert!(
@@ -155,16 +165,21 @@
 }
 
 #[test]
-fn daemon_that_is_shut_down_before_its_home_opens_ends_cleanly() {
+fn daemon_shut_down_before_its_home_opens_exits_cleanly() {
     let folder = new_folder("home-never");
     apply(&folder, &manifest(&["one"]));
     let home = home(&folder);
     let shim = new_shim(
         &folder,
         &home,
-        &[fault(FaultKind::OpenNoFiles, NOW, LONG, EVERY_CALL)],
+        &[fault(
+            FaultKind::OpenNoFiles,
+            NO_DELAY,
+            UNTIL_TEST_END,
+            EVERY_CALL,
+        )],
     );
-    let mut program = Program::start(&["run", text(&home)], &shim.environment());
+    let mut program = Program::start(&["run", path_str(&home)], &shim.environment());
     wait_for("the fault", || {
         shim.is_loaded() && shim.injected(FaultKind::OpenNoFiles) > 2
     });
@@ -174,7 +189,7 @@
 
 /// Regression: a daemon that could not open its last good lists at its start ran without any list.
 #[test]
-fn lists_that_cannot_be_opened_at_the_start_are_in_force_later() {
+fn lists_unreadable_at_start_come_into_force_later() {
     let endpoint = start_healthy_server();
     let folder = new_folder("lists-later");
     let lists = folder.path().join("lists");
@@ -193,13 +208,18 @@
     wait_for("the list on disk", || stored.exists());
     first.kill();
     fs::remove_dir_all(&lists).unwrap();
-    let lasts = Duration::from_millis(1500);
+    let duration = Duration::from_millis(1500);
     let shim = new_shim(
         &folder,
         &home.join("rosters"),
-        &[fault(FaultKind::OpenNoFiles, NOW, lasts, EVERY_CALL)],
+        &[fault(
+            FaultKind::OpenNoFiles,
+            NO_DELAY,
+            duration,
+            EVERY_CALL,
+        )],
     );
-    let program = Program::start(&["run", text(&home)], &shim.environment());
+    let program = Program::start(&["run", path_str(&home)], &shim.environment());
     let address = program.address(EVENTS_MARKER, 0);
     let mut n = 0;
     wait_for("a delivery to the listed endpoint", || {
--- a/crates/cli/tests/group_changes.rs
+++ b/crates/cli/tests/group_changes.rs
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn one_rejection_withdraws_a_change_everywhere() {
+fn change_rejected_by_one_member_is_withdrawn_everywhere() {
     let _serial = serial();
     // Destination `b` does not respond, so messages for it stay pending.
     let endpoint = start_server(|message| match message.header(headers::EVENT_DESTINATION) {
         Some("b") => Reply::Hang,
         _ => Reply::ok(),
     });
-    let (mut group, _folder) = found_in_memory("no", 3, "stop", endpoint.address);
+    let (mut group, _folder) = found_in_memory("rejection", 3, "stop", endpoint.address);
     group.start_all().unwrap();
     let address = group.event_addresses()[1];
     let pending =
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn of_two_concurrent_changes_one_is_applied_and_stale_plan_is_rejected() {
+fn one_of_concurrent_changes_is_applied_and_stale_plan_is_rejected() {
     let _serial = serial();
     let endpoint = start_healthy_server();
     let (mut group, _folder) = found_in_memory("operators", 3, "stop", endpoint.address);
--- a/crates/cli/tests/group_links.rs
+++ b/crates/cli/tests/group_links.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 #[test]
-fn partitioned_member_stops_at_its_lease_and_others_change_without_it() {
+fn partitioned_member_stops_when_its_lease_ends_and_others_change_policy() {
     let _serial = serial();
     let destination = start_destination();
     let (mut group, _folder) = found_in_memory("cut", 4, "stop", destination.addresses[0]);
@@ -36,7 +36,7 @@
         wait_for("the end of its lease", || {
             group.status(cut)["standing"] == "shut"
         });
-        let answer = submit_event(
+        let response = submit_event(
             group.event_addresses()[cut],
             &format!("cut-{round}"),
             "order",
@@ -45,8 +45,8 @@
             b"{}",
         )
         .unwrap();
-        assert_eq!(answer.status(), 429);
-        assert!(answer.header(headers::RETRY_AFTER).is_some());
+        assert_eq!(response.status(), 429);
+        assert!(response.header(headers::RETRY_AFTER).is_some());
         let output = run(&["group", "history", &group.home(cut)]);
         assert!(
             !output.is_success() && output.text.contains("nobody leads"),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn slow_or_flapping_links_delay_a_change_and_do_not_mix_policies() {
+fn slow_or_flapping_links_never_mix_policies() {
     let _serial = serial();
     let destination = start_destination();
     let (mut group, _folder) = found_in_memory("flaps", 3, "stop", destination.addresses[0]);
@@ -136,8 +136,9 @@
         let state = group.status(0)["group"]["members"][2]["state"].clone();
         state == "cut off" || state == "not heard"
     });
-    let answer = submit_event(group.event_addresses()[2], "on", "order", "a", "on", b"{}").unwrap();
-    assert_eq!(answer.status(), 204);
+    let response =
+        submit_event(group.event_addresses()[2], "on", "order", "a", "on", b"{}").unwrap();
+    assert_eq!(response.status(), 204);
     let (plan, home) = (
         group.plan(0, &group.changed_manifest(1)).unwrap(),
         group.home(0),
@@ -182,18 +183,18 @@
 }
 
 #[test]
-fn malformed_frame_closes_its_connection_only() {
+fn malformed_frame_closes_only_its_connection() {
     let _serial = serial();
     let endpoint = start_healthy_server();
-    let (mut group, _folder) = found_in_memory("noise", 3, "stop", endpoint.address);
+    let (mut group, _folder) = found_in_memory("malformed-frames", 3, "stop", endpoint.address);
     group.start_all().unwrap();
     let link = group.link_address(0);
-    let other = encode_frame(&Hello::from_operator("strangers"));
-    let later = encode_frame(&(9u16, "clinics", 1u8));
+    let other_group = encode_frame(&Hello::from_operator("strangers"));
+    let later_version = encode_frame(&(9u16, "clinics", 1u8));
     let mut corrupted = encode_frame(&Hello::from_operator("clinics"));
     *corrupted.last_mut().unwrap() ^= 1;
-    let long = [u32::MAX.to_le_bytes(), [0; 4]].concat();
-    let stranger = encode_frame(&Hello::from_member("clinics", MemberId(77)));
+    let overlong = [u32::MAX.to_le_bytes(), [0; 4]].concat();
+    let unknown_member = encode_frame(&Hello::from_member("clinics", MemberId(77)));
     let codes = [
         "link-other-group",
         "link-version",
@@ -201,9 +202,15 @@
         "frame-too-long",
         "link-no-member",
     ];
-    for (bytes, code) in [other, later, corrupted, long, stranger]
-        .into_iter()
-        .zip(codes)
+    for (bytes, code) in [
+        other_group,
+        later_version,
+        corrupted,
+        overlong,
+        unknown_member,
+    ]
+    .into_iter()
+    .zip(codes)
     {
         let mut stream = TcpStream::connect(link).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
--- a/crates/cli/tests/group_restarts.rs
+++ b/crates/cli/tests/group_restarts.rs
@@ -17,29 +17,32 @@
     let (mut group, _folder) = found_in_memory("down", 3, "stop", destination.addresses[0]);
     group.start_all().unwrap();
     for round in 0..3usize {
-        let (down, at) = (round % 3, (round + 1) % 3);
+        let (stopped, proposer) = (round % 3, (round + 1) % 3);
         let clients = start_clients(&group, 6, 5, 2);
-        group.kill(down);
+        group.kill(stopped);
         let output = group
-            .change(at, &group.changed_manifest(round + 1))
+            .change(proposer, &group.changed_manifest(round + 1))
             .unwrap();
         assert!(output.is_success(), "{output}\n{}", group.recent_logs());
         let revision = round as u64 + 2;
-        group.start(down).unwrap();
-        group.wait_until_acting(down, revision).unwrap();
+        group.start(stopped).unwrap();
+        group.wait_until_acting(stopped, revision).unwrap();
         let submissions = clients.stop();
         check_executions(&destination, &submissions);
-        let last: BTreeMap<&String, u16> = submissions
+        let statuses: BTreeMap<&String, u16> = submissions
             .iter()
             .map(|submission| (&submission.id, submission.status))
             .collect();
-        assert!(last.values().all(|status| *status == 204), "{last:?}");
+        assert!(
+            statuses.values().all(|status| *status == 204),
+            "{statuses:?}"
+        );
     }
     check_single_policy(&group);
 }
 
 #[test]
-fn member_suspended_across_a_change_does_nothing_under_the_old_policy() {
+fn member_suspended_during_a_change_never_acts_under_the_old_policy() {
     let _serial = serial();
     let destination = start_destination();
     let (mut group, _folder) = found_in_memory("stopped", 4, "stop", destination.addresses[0]);
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn lost_old_or_torn_storage_does_not_vote_and_is_readmitted() {
+fn member_with_lost_old_or_torn_storage_is_readmitted_as_voter() {
     let _serial = serial();
     let destination = start_destination();
     let (mut group, _folder) = found_in_memory("folders", 3, "stop", destination.addresses[0]);
@@ -106,7 +109,7 @@
 }
 
 #[test]
-fn group_killed_within_a_change_recovers_in_any_order_with_one_outcome() {
+fn group_killed_during_a_change_recovers_with_one_outcome() {
     let _serial = serial();
     let destination = start_destination();
     let (mut group, _folder) = found_in_memory("killed", 3, "stop", destination.addresses[0]);
--- a/crates/cli/tests/hot_restart.rs
+++ b/crates/cli/tests/hot_restart.rs
@@ -45,27 +45,32 @@
 }
 
 #[test]
-fn of_two_concurrent_starts_one_serves() {
+fn one_of_two_concurrent_starts_serves() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("two", endpoint.address, "6000");
     let (mut old, address) = platform.start_first();
     let clients = Clients::start(address, 8);
     clients.wait_for_submissions(30);
-    let mut two = [platform.start(), platform.start()];
-    two.iter()
-        .for_each(|one| assert_eq!(one.address(LISTENING_MARKER, 0), address));
+    let mut standbys = [platform.start(), platform.start()];
+    standbys
+        .iter()
+        .for_each(|standby| assert_eq!(standby.address(LISTENING_MARKER, 0), address));
     old.signal(Signal::TERM);
     assert!(old.wait_for_exit(), "{}", old.log());
     // The earlier of the two hands over to the later, or exits without having served.
-    let mut ended = None;
+    let mut earlier = None;
     wait_for("one of the two to hand over", || {
-        ended = two
+        earlier = standbys
             .iter()
-            .position(|one| one.log().contains("handover requested"));
-        ended.is_some()
+            .position(|standby| standby.log().contains("handover requested"));
+        earlier.is_some()
     });
-    let first = ended.unwrap();
-    assert!(two[first].wait_for_exit(), "{}", two[first].log());
+    let earlier_index = earlier.unwrap();
+    assert!(
+        standbys[earlier_index].wait_for_exit(),
+        "{}",
+        standbys[earlier_index].log()
+    );
     let before = endpoint.request_count();
     clients.wait_for_submissions(60);
     wait_for("attempts of the remaining process", || {
@@ -83,7 +88,7 @@
 }
 
 #[test]
-fn marks_of_exited_processes_delay_nobody() {
+fn marks_of_exited_processes_do_not_delay_a_start() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("marks", endpoint.address, "6000");
     let state = platform.state_folder();
--- a/crates/cli/tests/hot_restart_faults.rs
+++ b/crates/cli/tests/hot_restart_faults.rs
@@ -19,7 +19,7 @@
 const LARGE_BODY_BYTES: usize = 60_000;
 
 #[test]
-fn suspended_process_is_fenced_and_does_no_harm_when_continued() {
+fn suspended_process_is_fenced_and_sends_nothing_when_resumed() {
     // The process is suspended before SIGTERM, or right after it.
     for terminated_first in [false, true] {
         let endpoint = start_healthy_server();
@@ -67,7 +67,7 @@
 #[test]
 fn every_message_has_an_outcome_whichever_process_is_killed() {
     let endpoint = start_healthy_server();
-    let platform = Platform::new("dies", endpoint.address, "6000");
+    let platform = Platform::new("kills", endpoint.address, "6000");
     let (mut old, address) = platform.start_first();
     let clients = Clients::start(address, 12);
     let mut rng = Pcg64::seed_from_u64(22);
@@ -76,9 +76,9 @@
         clients.wait_for_submissions(rng.random_range(5..40));
         let new = platform.start_standby();
         clients.wait_for_submissions(rng.random_range(0..20));
-        let act = rng.random_range(0..5);
-        trace.push(format!("round {round}: {act}"));
-        match act {
+        let action = rng.random_range(0..5);
+        trace.push(format!("round {round}: {action}"));
+        match action {
             // The old process is killed, before or after SIGTERM.
             0 => old.kill(),
             1 => {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn backoff_learned_after_handover_binds_the_new_process() {
+fn backoff_received_after_handover_applies_to_the_new_process() {
     // The response to the first call is delayed until the new process has taken over. Later calls have immediate responses.
     let release = Arc::<AtomicBool>::default();
     let rejected_at = Arc::<Mutex<Option<Instant>>>::default();
@@ -145,7 +145,7 @@
         *rejection.lock().unwrap() = Some(Instant::now());
         Reply::retry_after(429, "2.5")
     });
-    let platform = Platform::new("wait", endpoint.address, "6000");
+    let platform = Platform::new("backoff", endpoint.address, "6000");
     let (mut old, address) = platform.start_first();
     assert_eq!(
         submit(address, "first", IDEMPOTENT_CLASS, "15000")
@@ -169,10 +169,10 @@
     wait_for("both deliveries", || endpoint.request_count() == 3);
     let rejected_at = rejected_at.lock().unwrap().unwrap();
     for call in &endpoint.requests()[1..] {
-        let after = call.received_at.unwrap() - rejected_at;
+        let elapsed = call.received_at.unwrap() - rejected_at;
         assert!(
-            after >= Duration::from_millis(2500),
-            "sent {after:?} after a Retry-After of 2.5 s"
+            elapsed >= Duration::from_millis(2500),
+            "sent {elapsed:?} after a Retry-After of 2.5 s"
         );
     }
 }
--- a/crates/cli/tests/open_faults.rs
+++ b/crates/cli/tests/open_faults.rs
@@ -16,13 +16,13 @@
 use std::time::Duration;
 
 #[test]
-fn process_that_gets_no_lock_for_a_moment_does_not_act_beside_the_active_one() {
+fn process_without_lock_does_not_take_over_from_the_active_one() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("locks", endpoint.address, "6000");
     let (mut old, _) = platform.start_first();
-    let lasts = Duration::from_millis(400);
+    let duration = Duration::from_millis(400);
     let (new, shim) =
-        platform.start_with_faults(&[fault(FaultKind::LockFails, NOW, lasts, EVERY_CALL)]);
+        platform.start_with_faults(&[fault(FaultKind::LockFails, NO_DELAY, duration, EVERY_CALL)]);
     new.address(LISTENING_MARKER, 0);
     assert!(shim.injected(FaultKind::LockFails) > 0);
     assert_eq!(new.log().matches("takes-over").count(), 0, "{}", new.log());
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn process_that_can_open_files_only_at_times_starts_with_its_messages() {
+fn process_with_failing_opens_starts_with_its_pending_messages() {
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = start_server_rejecting_until(&open);
     let platform = Platform::new("opens", endpoint.address, "6000");
@@ -52,9 +52,13 @@
     open.store(true, Ordering::SeqCst);
     endpoint.wait_until_disconnected().unwrap();
     let before = endpoint.request_count();
-    let lasts = Duration::from_secs(4);
-    let (_program, shim) =
-        platform.start_with_faults(&[fault(FaultKind::OpenNoFiles, NOW, lasts, HALF_OF_CALLS)]);
+    let duration = Duration::from_secs(4);
+    let (_program, shim) = platform.start_with_faults(&[fault(
+        FaultKind::OpenNoFiles,
+        NO_DELAY,
+        duration,
+        HALF_OF_CALLS,
+    )]);
     wait_for("the message's attempt", || {
         endpoint.request_count() > before
     });
@@ -62,16 +66,20 @@
 }
 
 #[test]
-fn disabled_endpoint_stays_disabled_where_its_file_opens_only_at_times() {
+fn disabled_endpoint_stays_disabled_while_opens_fail_at_random() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("disabled", endpoint.address, "6000");
     let (program, address) = platform.start_first();
     program.kill();
     std::fs::write(platform.state_folder().join("held-out.txt"), "s-1\n").unwrap();
     for n in 0..8 {
-        let lasts = Duration::from_secs(4);
-        let (mut program, _shim) =
-            platform.start_with_faults(&[fault(FaultKind::OpenNoFiles, NOW, lasts, HALF_OF_CALLS)]);
+        let duration = Duration::from_secs(4);
+        let (mut program, _shim) = platform.start_with_faults(&[fault(
+            FaultKind::OpenNoFiles,
+            NO_DELAY,
+            duration,
+            HALF_OF_CALLS,
+        )]);
         program.address(LISTENING_MARKER, 0);
         submit(address, &format!("m-{n}"), IDEMPOTENT_CLASS, "700").unwrap();
         program.signal(Signal::TERM);
@@ -81,7 +89,7 @@
 }
 
 #[test]
-fn standby_that_can_open_files_only_at_times_takes_over_all_messages() {
+fn standby_with_failing_opens_takes_over_all_messages() {
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = start_server_rejecting_until(&open);
     let platform = Platform::new("standby-opens", endpoint.address, "6000");
@@ -96,9 +104,13 @@
     let mut old = platform.start();
     old.address(LISTENING_MARKER, 0);
     submit("of-old".to_owned());
-    let lasts = Duration::from_secs(6);
-    let (new, shim) =
-        platform.start_with_faults(&[fault(FaultKind::OpenNoFiles, NOW, lasts, HALF_OF_CALLS)]);
+    let duration = Duration::from_secs(6);
+    let (new, shim) = platform.start_with_faults(&[fault(
+        FaultKind::OpenNoFiles,
+        NO_DELAY,
+        duration,
+        HALF_OF_CALLS,
+    )]);
     new.address(LISTENING_MARKER, 0);
     submit("of-either".to_owned());
     old.signal(Signal::TERM);
@@ -106,8 +118,8 @@
     open.store(true, Ordering::SeqCst);
     let before = endpoint.request_count();
     let is_delivered = |id: &String| {
-        let seen = endpoint.requests();
-        let mut later = seen[before..].iter();
+        let requests = endpoint.requests();
+        let mut later = requests[before..].iter();
         later.any(|attempt| message_id(attempt) == Some(id))
     };
     wait_for("all messages", || accepted.iter().all(is_delivered));
@@ -115,21 +127,25 @@
 }
 
 #[test]
-fn standby_that_can_open_files_only_at_times_is_adopted_when_it_dies() {
+fn killed_standby_with_failing_opens_is_adopted() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("unannounced", endpoint.address, "6000");
     let (_active, address) = platform.start_first();
     for n in 0..6 {
-        let lasts = Duration::from_secs(4);
-        let (standby, _shim) =
-            platform.start_with_faults(&[fault(FaultKind::OpenNoFiles, NOW, lasts, HALF_OF_CALLS)]);
+        let duration = Duration::from_secs(4);
+        let (standby, _shim) = platform.start_with_faults(&[fault(
+            FaultKind::OpenNoFiles,
+            NO_DELAY,
+            duration,
+            HALF_OF_CALLS,
+        )]);
         standby.address(LISTENING_MARKER, 0);
         let id = format!("m-{n}");
         assert_eq!(submit_status(address, &id, IDEMPOTENT_CLASS, "20000"), 202);
         standby.kill();
         wait_for("the delivery of the message", || {
-            let seen = endpoint.requests();
-            let mut attempts = seen.iter();
+            let requests = endpoint.requests();
+            let mut attempts = requests.iter();
             attempts.any(|attempt| message_id(attempt) == Some(&id))
         });
     }
@@ -137,29 +153,29 @@
 
 /// Regression: a process exited if it could not open its configuration for a moment.
 #[test]
-fn process_that_cannot_open_its_configuration_for_a_moment_starts_later() {
+fn process_starts_once_its_configuration_can_be_opened() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("config-later", endpoint.address, "6000");
-    let lasts = Duration::from_millis(800);
-    let failing = fault(FaultKind::OpenNoFiles, NOW, lasts, EVERY_CALL);
-    let (program, shim) = platform.start_with_faults_in(platform.folder.path(), &[failing]);
+    let duration = Duration::from_millis(800);
+    let open_fault = fault(FaultKind::OpenNoFiles, NO_DELAY, duration, EVERY_CALL);
+    let (program, shim) = platform.start_with_faults_in(platform.folder.path(), &[open_fault]);
     program.address(LISTENING_MARKER, 0);
     assert!(shim.injected(FaultKind::OpenNoFiles) > 0);
 }
 
 /// Regression: a configuration that could not be opened at SIGHUP was not read again, and discovery kept its old address.
 #[test]
-fn configuration_that_cannot_be_opened_at_a_reload_is_read_later() {
+fn configuration_unreadable_at_reload_is_read_later() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("reload-later", endpoint.address, "6000");
-    let (after, lasts) = (Duration::from_millis(1500), Duration::from_millis(1500));
-    let failing = fault(FaultKind::OpenNoFiles, after, lasts, EVERY_CALL);
-    let (program, shim) = platform.start_with_faults_in(platform.folder.path(), &[failing]);
+    let (delay, duration) = (Duration::from_millis(1500), Duration::from_millis(1500));
+    let open_fault = fault(FaultKind::OpenNoFiles, delay, duration, EVERY_CALL);
+    let (program, shim) = platform.start_with_faults_in(platform.folder.path(), &[open_fault]);
     program.address(LISTENING_MARKER, 0);
     let second = TestDiscovery::start(0);
     platform.configure(&second);
     wait_for("the start of the fault", || {
-        failing.is_active(monotonic_ms())
+        open_fault.is_active(monotonic_ms())
     });
     program.signal(Signal::HUP);
     wait_for("the fault", || shim.injected(FaultKind::OpenNoFiles) > 0);
@@ -172,15 +188,19 @@
 /// process started to replace it, and requests a handover from it. If the waiting process is shut down first, the other one
 /// must stay active.
 #[test]
-fn process_that_is_shut_down_as_a_standby_leaves_the_active_one_in_charge() {
+fn shutdown_of_a_standby_does_not_end_the_active_process() {
     let open = Arc::new(AtomicBool::new(false));
     let endpoint = start_server_rejecting_until(&open);
     let platform = Platform::new("both-end", endpoint.address, "6000");
     let (first, address) = platform.start_first();
     first.kill();
-    let lasts = Duration::from_millis(1500);
-    let (mut waiting, shim) =
-        platform.start_with_faults(&[fault(FaultKind::OpenNoFiles, NOW, lasts, EVERY_CALL)]);
+    let duration = Duration::from_millis(1500);
+    let (mut waiting, shim) = platform.start_with_faults(&[fault(
+        FaultKind::OpenNoFiles,
+        NO_DELAY,
+        duration,
+        EVERY_CALL,
+    )]);
     wait_for("the fault", || {
         shim.is_loaded() && shim.injected(FaultKind::OpenNoFiles) > 0
     });
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 
 #[test]
-fn message_passes_unchanged_and_program_ends_cleanly() {
+fn message_is_delivered_unchanged_and_program_exits_cleanly() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("passes", endpoint.address, "6000");
     let (mut program, address) = platform.start_listening();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn returned_message_is_notified_at_once_until_acknowledged() {
+fn notice_of_returned_message_is_sent_until_acknowledged() {
     let closed = unused_address();
     let platform = Platform::with_rejected_notices("given-up", closed, "6000", 2);
     let (_program, address) = platform.start_listening();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn accepted_message_outlives_the_process_and_is_repeated_only_as_its_class_permits() {
+fn accepted_message_survives_a_kill_and_is_repeated_only_if_its_class_permits() {
     // The endpoint does not respond to attempts of the first incarnation, but to those of the next.
     let silent = Arc::new(Mutex::new(true));
     let is_silent = silent.clone();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn new_configuration_moves_discovery_without_losing_pending_messages() {
+fn new_configuration_moves_discovery_without_losing_notices() {
     let refusing = unused_address();
     let platform = Platform::with_rejected_notices("moves", refusing, "6000", usize::MAX);
     let (program, address) = platform.start_listening();
@@ -159,7 +159,7 @@
         .server()
         .requests()
         .iter()
-        .any(|seen| seen.start_line.contains("since=0 ")));
+        .any(|request| request.start_line.contains("since=0 ")));
     // After the list was received, its endpoint is called.
     let mut n = 0;
     wait_for("an attempt to the endpoint listed there", || {
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn connection_closed_by_peer_carries_no_further_attempt() {
+fn connection_closed_by_peer_is_not_reused() {
     let closed = Arc::<AtomicUsize>::default();
     let closing = closed.clone();
     let endpoint = start_server(move |_| Reply::Custom(respond_and_close(&closing)));
@@ -272,22 +272,23 @@
 
 /// Regression: connections in the listener's queue, or opened just before the process exited, were reset.
 #[test]
-fn process_stops_listening_and_answers_all_that_wait_before_exit() {
+fn process_closes_its_listener_and_serves_waiting_clients_before_exit() {
     let endpoint = start_healthy_server();
     for busy in [true, false] {
         let platform = Platform::new("last-clients", endpoint.address, "6000");
         let (mut program, address) = platform.start_listening();
         // Half a request keeps the process running until its shutdown limit.
-        let mut half = TcpStream::connect(address).unwrap();
-        half.write_all(if busy { b"POST /api HTTP/1.1\r\n" } else { b"" })
+        let mut half_request = TcpStream::connect(address).unwrap();
+        half_request
+            .write_all(if busy { b"POST /api HTTP/1.1\r\n" } else { b"" })
             .unwrap();
         if !busy {
-            drop(half);
+            drop(half_request);
         }
         program.signal(Signal::TERM);
         // A request before the listener is closed has a response.
-        let answer = submit(address, "late", IDEMPOTENT_CLASS, "20000").unwrap();
-        assert!([202, 503].contains(&answer.status()));
+        let response = submit(address, "late", IDEMPOTENT_CLASS, "20000").unwrap();
+        assert!([202, 503].contains(&response.status()));
         wait_for("its listener to be closed", || {
             program.log().contains("no longer accepts connections")
         });
@@ -302,23 +303,23 @@
 #[test]
 fn misbehaving_clients_do_not_starve_others() {
     let endpoint = start_healthy_server();
-    let platform = Platform::new("manners", endpoint.address, "6000");
+    let platform = Platform::new("misbehaving-clients", endpoint.address, "6000");
     let (_program, address) = platform.start_listening();
     check_misbehaving_clients_do_no_harm(address, SUBMIT_PATH);
     // In this protocol clients send one request at a time: bytes after a request make it malformed.
     let fields =
         "X-Call-Id: c\r\nX-Call-Class: refill-status\r\nX-Budget-Ms: 900\r\nX-Envelope: dest=3";
-    let one = format!("POST /api HTTP/1.1\r\n{fields}\r\nContent-Length: 1\r\n\r\nx");
-    for more in ["y".to_owned(), one.repeat(300)] {
+    let request = format!("POST /api HTTP/1.1\r\n{fields}\r\nContent-Length: 1\r\n\r\nx");
+    for extra in ["y".to_owned(), request.repeat(300)] {
         assert_eq!(
-            exchange(address, format!("{one}{more}").as_bytes())
+            exchange(address, format!("{request}{extra}").as_bytes())
                 .unwrap()
                 .status(),
             400
         );
     }
     assert_eq!(endpoint.request_count(), 0);
-    assert_eq!(exchange(address, one.as_bytes()).unwrap().status(), 202);
+    assert_eq!(exchange(address, request.as_bytes()).unwrap().status(), 202);
     wait_for("the attempt", || endpoint.request_count() == 1);
 }
 
@@ -335,7 +336,7 @@
 ];
 
 #[test]
-fn malformed_request_is_answered_and_harms_nobody() {
+fn malformed_request_is_rejected_without_affecting_others() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("bad", endpoint.address, "6000");
     let (_program, address) = platform.start_listening();
@@ -344,9 +345,9 @@
         .into_iter()
         .chain([(long.as_bytes(), 431)])
     {
-        let answer = exchange(address, bytes).map(|answer| answer.status());
+        let response = exchange(address, bytes).map(|response| response.status());
         assert_eq!(
-            answer,
+            response,
             Some(status),
             "{}",
             String::from_utf8_lossy(&bytes[..bytes.len().min(80)])
@@ -392,7 +393,7 @@
 }
 
 #[test]
-fn second_sigterm_changes_nothing_of_the_shutdown() {
+fn second_sigterm_does_not_affect_the_shutdown() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("twice", endpoint.address, "6000");
     let (mut program, address) = platform.start_listening();
@@ -400,7 +401,7 @@
         let mut stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         stream.write_all(READY_REQUEST).unwrap();
-        Message::read(&mut BufReader::new(stream)).map(|answer| answer.status())
+        Message::read(&mut BufReader::new(stream)).map(|response| response.status())
     };
     program.signal(Signal::TERM);
     wait_for("the first signal", || {
--- a/crates/cli/tests/policy_change.rs
+++ b/crates/cli/tests/policy_change.rs
@@ -15,7 +15,7 @@
 )]
 fn running_instance_applies_planned_change() {
     let (old, new) = (start_healthy_server(), start_healthy_server());
-    let folder = new_folder("takes-up");
+    let folder = new_folder("planned-change");
     let plan = apply(&folder, &event_manifest(old.address, old.address, 6000));
     assert!(
         plan.contains("+ instance one") && plan.contains("6 to add, 0 to change, 0 to remove"),
@@ -37,14 +37,20 @@
         ),
         folder.path().join("stale"),
     );
-    let planned = run(&["plan", text(&path), text(&home), "--out", text(&stale)]);
+    let planned = run(&[
+        "plan",
+        path_str(&path),
+        path_str(&home),
+        "--out",
+        path_str(&stale),
+    ]);
     assert!(planned.is_success(), "{planned}");
     let plan = apply(&folder, &event_manifest(new.address, old.address, 6000));
     assert!(
         plan.contains("~ destination a") && plan.contains("0 to add, 1 to change, 0 to remove"),
         "{plan}"
     );
-    let applied = run(&["apply", text(&stale), text(&home)]);
+    let applied = run(&["apply", path_str(&stale), path_str(&home)]);
     assert!(
         !applied.is_success() && applied.text.contains("stale"),
         "{applied}"
--- a/crates/cli/tests/socket_faults.rs
+++ b/crates/cli/tests/socket_faults.rs
@@ -16,21 +16,21 @@
 use std::time::Duration;
 
 #[test]
-fn interrupted_and_short_transfers_lose_nothing() {
+fn interrupted_and_short_transfers_lose_no_message() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("short", endpoint.address, "6000");
     let plan = [
-        fault(FaultKind::ReceiveInterrupted, NOW, LONG, 300),
-        fault(FaultKind::ReceiveShort, NOW, LONG, 300),
-        fault(FaultKind::SendInterrupted, NOW, LONG, 300),
-        fault(FaultKind::SendShort, NOW, LONG, 300),
+        fault(FaultKind::ReceiveInterrupted, NO_DELAY, UNTIL_TEST_END, 300),
+        fault(FaultKind::ReceiveShort, NO_DELAY, UNTIL_TEST_END, 300),
+        fault(FaultKind::SendInterrupted, NO_DELAY, UNTIL_TEST_END, 300),
+        fault(FaultKind::SendShort, NO_DELAY, UNTIL_TEST_END, 300),
     ];
     let (program, shim) = platform.start_with_faults(&plan);
     let address = program.address(LISTENING_MARKER, 0);
     for n in 0..20 {
-        let answer = submit(address, &format!("m-{n}"), KEYED_CLASS, "9000");
+        let response = submit(address, &format!("m-{n}"), KEYED_CLASS, "9000");
         assert_eq!(
-            answer.map(|answer| answer.status()),
+            response.map(|response| response.status()),
             Some(202),
             "message {n}"
         );
@@ -44,12 +44,16 @@
 }
 
 #[test]
-fn signals_are_taken_after_an_interrupted_read() {
+fn signals_are_handled_after_an_interrupted_read() {
     let endpoint = start_healthy_server();
     let platform = Platform::new("signals", endpoint.address, "6000");
-    let lasts = Duration::from_millis(2500);
-    let (mut program, shim) =
-        platform.start_with_faults(&[fault(FaultKind::ReceiveInterrupted, NOW, lasts, 500)]);
+    let duration = Duration::from_millis(2500);
+    let (mut program, shim) = platform.start_with_faults(&[fault(
+        FaultKind::ReceiveInterrupted,
+        NO_DELAY,
+        duration,
+        500,
+    )]);
     program.address(LISTENING_MARKER, 0);
     let injected = shim.injected(FaultKind::ReceiveInterrupted);
     for _ in 0..20 {
@@ -65,7 +69,7 @@
 }
 
 #[test]
-fn connections_that_wait_at_the_end_survive_failing_accepts() {
+fn queued_connections_are_served_at_shutdown_despite_failing_accepts() {
     let endpoint = start_healthy_server();
     for (kind, amount) in [
         (FaultKind::AcceptNoFiles, EVERY_CALL),
@@ -93,9 +97,9 @@
             stream.write_all(request).unwrap();
         }
         for (n, stream) in waiting.iter().enumerate() {
-            let answer = Message::read(&mut BufReader::new(stream));
+            let response = Message::read(&mut BufReader::new(stream));
             assert!(
-                answer.is_some(),
+                response.is_some(),
                 "{kind:?}, connection {n}: {}",
                 program.log()
             );
