--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -56,17 +56,17 @@
         /// The format of log lines.
         #[arg(long, value_name = "FORM", default_value = "text")]
         log: OutputFormat,
-        /// In a group: the file that records each accepted message and each attempt, with the policy revision in force.
+        /// In a group: the file to which each accepted message and each attempt is written, with its policy revision.
         #[arg(long, value_name = "FILE")]
         history: Option<PathBuf>,
-        /// In a group: the address to listen at, if the address in the operators' file belongs to a proxy.
+        /// In a group: the address at which to listen for other members, if the operators' file has the address of a proxy.
         #[arg(long, value_name = "ADDRESS")]
         link: Option<std::net::SocketAddr>,
     },
     /// Show and change the state of a group of daemons.
     #[command(subcommand)]
     Group(GroupCommand),
-    /// Show the state of destinations, as the instances recorded it within the last second.
+    /// Show the state of destinations, which each running instance records once a second.
     #[command(after_help = "Example:\n  marblefall destinations /var/lib/marblefall --state out")]
     Destinations {
         /// The fleet's folder.
@@ -167,7 +167,7 @@
 pub enum EndpointListCommand {
     /// Check whether lists would be put in force, and report why not. Meant for pre-commit jobs.
     #[command(after_help = "Examples:
-  marblefall roster check rosters/                              each list by itself
+  marblefall roster check rosters/                              only the lists themselves
   marblefall roster check bole.toml --fleet partners.toml       also against the operators' file
   marblefall roster check bole.toml --home /var/lib/marblefall  also against what is applied and in force
 
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -83,7 +83,7 @@
     marblefall_process_harness::network::unused_address().unwrap()
 }
 
-/// Returns the response of an exchange, or `None` after an error, which is printed for the output of a failed test.
+/// Returns the response of an exchange. An error is printed, so that the output of a failed test shows it.
 pub fn response_of(exchanged: Result<Message, ExchangeError>) -> Option<Message> {
     exchanged
         .inspect_err(|error| eprintln!("{}", Report::new(error)))
@@ -196,7 +196,7 @@
         self.0.log()
     }
 
-    /// Waits for the log line with this index among those with a marker and an address, and returns the address.
+    /// Waits until the log has a line with this index among those with `marker`, and returns the address after the marker.
     pub fn address(&self, marker: &str, index: usize) -> SocketAddr {
         self.0.logged_address(marker, index).unwrap()
     }
--- a/crates/cli/tests/disk_faults.rs
+++ b/crates/cli/tests/disk_faults.rs
@@ -127,7 +127,7 @@
     let open = Arc::new(AtomicBool::new(false));
     let is_open = open.clone();
     let endpoint = start_server(move |_| {
-        wait_for("the fault", || is_open.load(Ordering::SeqCst));
+        wait_for("the endpoint to respond", || is_open.load(Ordering::SeqCst));
         Reply::ok()
     });
     let platform = Platform::new("ends", endpoint.address, "6000");
@@ -213,7 +213,7 @@
     let open = Arc::new(AtomicBool::new(false));
     let is_open = open.clone();
     let endpoint = start_server(move |_| {
-        wait_for("the fault", || is_open.load(Ordering::SeqCst));
+        wait_for("the endpoint to respond", || is_open.load(Ordering::SeqCst));
         Reply::ok()
     });
     let platform = Platform::new("busy", endpoint.address, "6000");
--- a/crates/cli/tests/endpoint_lists.rs
+++ b/crates/cli/tests/endpoint_lists.rs
@@ -83,7 +83,9 @@
     )
     .unwrap();
     fs::write(&link, &second[..second.len() / 2]).unwrap();
-    wait_for("the cut file", || shown().contains("the file is refused"));
+    wait_for("the truncated file", || {
+        shown().contains("the file is refused")
+    });
     assert!(
         shown().contains("all.toml: revision 2 with 2 destinations"),
         "{}",
