--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -99,8 +99,8 @@
         platform.discovery.has_notice_of("order")
     });
     assert_eq!(message_id(&endpoint.requests()[2]), Some("status"));
-    // If it were killed before it recorded the endpoint's response, it would correctly resume a message that may have been
-    // executed.
+    // If the process were killed before it recorded the endpoint's response, it would correctly resume a message that may
+    // have been executed.
     program.wait_for_counter("delivered=1 ");
     // This submission is handled after that response.
     let fields = [
