--- a/crates/cli/tests/destinations.rs
+++ b/crates/cli/tests/destinations.rs
@@ -1,4 +1,4 @@
-//! `marblefall destinations`, while the daemon runs and while it is down.
+//! Output of `marblefall destinations` while the daemon runs and while it is down.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// A class, and an instance that takes events.
+/// A manifest's tables of one class and one instance with an events frontend.
 const ONE_INSTANCE: &str = r#"[class.status]
 repeats = "free"
 wanted_ms = 1000
@@ -21,13 +21,16 @@
 "#;
 
 #[test]
-#[allow(clippy::too_many_lines, reason = "each step needs the ones before")]
-fn ejected_destination_is_shown_also_when_daemon_is_down() {
+#[allow(
+    clippy::too_many_lines,
+    reason = "each step depends on the steps before"
+)]
+fn ejected_destination_is_shown_with_and_without_a_running_daemon() {
     let well = start_healthy_server();
     let dead = unused_address();
     let folder = new_folder("destinations");
-    let mut file = String::from(ONE_INSTANCE);
-    file += &format!(
+    let mut manifest = String::from(ONE_INSTANCE);
+    manifest += &format!(
         r#"[destination.well]
 endpoints = [{{ name = "well-1", address = "{}" }}]
 [destination.dead]
@@ -36,11 +39,11 @@
         well.address
     );
     for number in 0..100 {
-        file += &format!(
+        manifest += &format!(
             "[destination.idle-{number}]\nendpoints = [{{ name = \"i{number}\", address = \"{dead}\" }}]\n"
         );
     }
-    apply(&folder, &file);
+    apply(&folder, &manifest);
     let program = start_daemon(&folder);
     let address = program.address(EVENTS_MARKER, 0);
     assert_eq!(event_status(address, "1", "status", "well", ""), 204);
@@ -53,7 +56,7 @@
         })
         .collect();
     let home = home(&folder);
-    let show = |arguments: &[&str]| run(&[&["destinations", text(&home)], arguments].concat());
+    let show = |arguments: &[&str]| run(&[&["destinations", path_str(&home)], arguments].concat());
     wait_for("the ejection", || {
         show(&["--state", "out"]).text.contains("dead at one: out")
     });
@@ -67,10 +70,10 @@
         "{output}"
     );
     for submission in submissions {
-        // The last attempt must begin some milliseconds before the deadline: on a busy machine it may be past.
+        // The last attempt must begin some milliseconds before the deadline. On a busy machine it may be too late.
         assert!(
             matches!(submission.join().unwrap(), Some(503 | 504)),
-            "each has an outcome"
+            "each event has an outcome"
         );
     }
 
@@ -81,12 +84,12 @@
     assert_eq!(printed["destinations"][0]["destination"], "dead");
     assert_eq!(printed["idle"], 100);
 
-    // The next incarnation knows it as well, before anything was sent there.
+    // The next incarnation also shows the ejection, before it has sent any call to the destination.
     let program = start_daemon(&folder);
     program.address(EVENTS_MARKER, 0);
     assert!(show(&["--state", "out"]).text.contains("dead at one"));
     program.kill();
-    // An instance serves also with a torn snapshot.
+    // An instance also starts with a torn snapshot.
     let path = home.join("instances/one/destinations.bin");
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, &bytes[..bytes.len() - 1]).unwrap();
@@ -107,9 +110,9 @@
     wait_for("a new snapshot", || show(&[]).text.contains("well at one"));
 }
 
-/// Regression: records count by a clock that does not step, and their age was computed by the wall clock.
+/// Regression: records have times of a clock without steps, but their age was computed with the wall clock.
 #[test]
-fn outage_is_shown_as_old_as_it_is_after_a_step_of_the_clock() {
+fn age_of_outage_is_correct_after_a_step_of_the_wall_clock() {
     let dead = unused_address();
     let folder = new_folder("outage-age");
     let destination = format!(
@@ -117,11 +120,11 @@
     );
     apply(&folder, &format!("{ONE_INSTANCE}{destination}"));
     let home = home(&folder);
-    // Its wall clock is an hour ahead of that of the command.
+    // The daemon's wall clock is an hour ahead of the command's.
     let hour = Duration::from_secs(3600);
-    let stepped = fault(FaultKind::WallClockStepped, Duration::ZERO, hour, HOUR_MS);
-    let shim = new_shim(&folder, &home, &[stepped]);
-    let program = Program::start(&["run", text(&home)], &shim.environment());
+    let clock_fault = fault(FaultKind::WallClockStepped, Duration::ZERO, hour, HOUR_MS);
+    let shim = new_shim(&folder, &home, &[clock_fault]);
+    let program = Program::start(&["run", path_str(&home)], &shim.environment());
     let address = program.address(EVENTS_MARKER, 0);
     let submissions: Vec<_> = (0..4)
         .map(|n| {
@@ -132,7 +135,7 @@
         .collect();
     let mut shown = String::new();
     wait_for("an outage of some seconds", || {
-        shown = run(&["destinations", text(&home)]).text;
+        shown = run(&["destinations", path_str(&home)]).text;
         let seconds = shown
             .split("dead at one: out for ")
             .nth(1)
@@ -141,6 +144,9 @@
     });
     assert!(shim.injected(FaultKind::WallClockStepped) > 0, "{shown}");
     for submission in submissions {
-        assert!(submission.join().unwrap().is_some(), "each has an outcome");
+        assert!(
+            submission.join().unwrap().is_some(),
+            "each event has an outcome"
+        );
     }
 }
--- a/crates/cli/tests/group_links.rs
+++ b/crates/cli/tests/group_links.rs
@@ -1,4 +1,4 @@
-//! Changes of a group's policy while links between its members are cut, slow or sent malformed frames.
+//! Policy changes in a group while links between its members are cut or slow, or carry malformed frames.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 #[test]
-fn partitioned_member_stops_at_its_lease_and_others_change_without_it() {
+fn partitioned_member_stops_when_its_lease_ends_and_others_change_policy() {
     let _serial = serial();
     let destination = start_destination();
     let (mut group, _folder) = found_in_memory("cut", 4, "stop", destination.addresses[0]);
@@ -32,11 +32,11 @@
             "{state:?}: {output}\n{}",
             group.recent_logs()
         );
-        // The member that is cut off rejects events with Retry-After.
+        // The partitioned member rejects events with Retry-After.
         wait_for("the end of its lease", || {
             group.status(cut)["standing"] == "shut"
         });
-        let answer = submit_event(
+        let response = submit_event(
             group.event_addresses()[cut],
             &format!("cut-{round}"),
             "order",
@@ -45,8 +45,8 @@
             b"{}",
         )
         .unwrap();
-        assert_eq!(answer.status(), 429);
-        assert!(answer.header(headers::RETRY_AFTER).is_some());
+        assert_eq!(response.status(), 429);
+        assert!(response.header(headers::RETRY_AFTER).is_some());
         let output = run(&["group", "history", &group.home(cut)]);
         assert!(
             !output.is_success() && output.text.contains("nobody leads"),
@@ -58,7 +58,7 @@
             .set_between(&[cut], &[0, 1, 2, 3], LinkState::Open);
         group.wait_until_acting(cut, round as u64 + 2).unwrap();
     }
-    // In one direction only: it receives everything and nothing of it is received, and the other way round.
+    // The partition is in one direction only: first the member can receive but not send, then it can send but not receive.
     for (round, (from, to)) in [(vec![1], vec![0, 2, 3]), (vec![0, 2, 3], vec![1])]
         .into_iter()
         .enumerate()
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn slow_or_flapping_links_delay_a_change_and_do_not_mix_policies() {
+fn slow_or_flapping_links_never_mix_policies() {
     let _serial = serial();
     let destination = start_destination();
     let (mut group, _folder) = found_in_memory("flaps", 3, "stop", destination.addresses[0]);
@@ -102,7 +102,7 @@
             .unwrap();
         let home = group.home((cut + 1) % 3);
         let applying = start_applying(plan, home);
-        // The links are opened at whatever stage the change is by then.
+        // The links are opened again at a different phase of the change in each round.
         thread::sleep(Duration::from_millis(60 * n as u64));
         group.links.set_between(&[cut], &[0, 1, 2], LinkState::Open);
         let output = applying.join().unwrap();
@@ -131,13 +131,14 @@
     let (mut group, _folder) = found_in_memory("serve", 3, "serve", destination.addresses[0]);
     group.start_all().unwrap();
     group.links.set_between(&[2], &[0, 1], LinkState::Blackhole);
-    // It continues to serve after the end of its lease.
-    wait_for("the others to report it", || {
+    // The partitioned member continues to serve after the end of its lease.
+    wait_for("the partition to be reported", || {
         let state = group.status(0)["group"]["members"][2]["state"].clone();
         state == "cut off" || state == "not heard"
     });
-    let answer = submit_event(group.event_addresses()[2], "on", "order", "a", "on", b"{}").unwrap();
-    assert_eq!(answer.status(), 204);
+    let response =
+        submit_event(group.event_addresses()[2], "on", "order", "a", "on", b"{}").unwrap();
+    assert_eq!(response.status(), 204);
     let (plan, home) = (
         group.plan(0, &group.changed_manifest(1)).unwrap(),
         group.home(0),
@@ -146,7 +147,7 @@
     wait_for("the change to wait", || {
         group.status(1)["group"]["open"]["waits_for"] == serde_json::json!(["m02"])
     });
-    // It is stopped before an operator declares it stopped.
+    // The member is stopped before an operator declares it stopped.
     group.kill(2);
     let output = run(&["group", "without", "m02", &group.home(1)]);
     assert!(output.is_success(), "{output}");
@@ -182,18 +183,18 @@
 }
 
 #[test]
-fn malformed_frame_closes_its_connection_only() {
+fn malformed_frame_closes_only_its_connection() {
     let _serial = serial();
     let endpoint = start_healthy_server();
-    let (mut group, _folder) = found_in_memory("noise", 3, "stop", endpoint.address);
+    let (mut group, _folder) = found_in_memory("malformed-frames", 3, "stop", endpoint.address);
     group.start_all().unwrap();
     let link = group.link_address(0);
-    let other = encode_frame(&Hello::from_operator("strangers"));
-    let later = encode_frame(&(9u16, "clinics", 1u8));
+    let other_group = encode_frame(&Hello::from_operator("strangers"));
+    let later_version = encode_frame(&(9u16, "clinics", 1u8));
     let mut corrupted = encode_frame(&Hello::from_operator("clinics"));
     *corrupted.last_mut().unwrap() ^= 1;
-    let long = [u32::MAX.to_le_bytes(), [0; 4]].concat();
-    let stranger = encode_frame(&Hello::from_member("clinics", MemberId(77)));
+    let overlong = [u32::MAX.to_le_bytes(), [0; 4]].concat();
+    let unknown_member = encode_frame(&Hello::from_member("clinics", MemberId(77)));
     let codes = [
         "link-other-group",
         "link-version",
@@ -201,13 +202,19 @@
         "frame-too-long",
         "link-no-member",
     ];
-    for (bytes, code) in [other, later, corrupted, long, stranger]
-        .into_iter()
-        .zip(codes)
+    for (bytes, code) in [
+        other_group,
+        later_version,
+        corrupted,
+        overlong,
+        unknown_member,
+    ]
+    .into_iter()
+    .zip(codes)
     {
         let mut stream = TcpStream::connect(link).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
-        // The connection may be closed before all is written.
+        // The connection may be closed before all bytes are written.
         let _ = stream.write_all(&bytes);
         assert!(
             matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_)),
