--- a/crates/process-harness/src/discovery/tests.rs
+++ b/crates/process-harness/src/discovery/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn list_has_the_field_names_of_the_wire() {
+fn endpoint_list_is_serialized_with_its_wire_names() {
     let address = SocketAddr::from(([127, 0, 0, 1], 80));
     let endpoint = ListedEndpoint::new("s-1", address, 3, 4.0).in_phase(EndpointPhase::Draining);
     let list = EndpointList {
--- a/crates/process-harness/src/fault_shim.rs
+++ b/crates/process-harness/src/fault_shim.rs
@@ -27,12 +27,12 @@
     /// Sets up the shim of a process whose files in `failing_folder` may fail. Its plan and counts are files in
     /// `folder` with the name `name`.
     pub fn new(library: &Path, folder: &Path, name: &str, failing_folder: &Path) -> FaultShim {
-        let text = |path: PathBuf| path.display().to_string();
+        let to_text = |path: PathBuf| path.display().to_string();
         FaultShim {
-            library: text(library.to_owned()),
-            plan: text(folder.join(format!("{name}.plan"))),
-            counts: text(folder.join(format!("{name}.counts"))),
-            folder: text(failing_folder.to_owned()),
+            library: to_text(library.to_owned()),
+            plan: to_text(folder.join(format!("{name}.plan"))),
+            counts: to_text(folder.join(format!("{name}.counts"))),
+            folder: to_text(failing_folder.to_owned()),
             seed: "0".to_owned(),
         }
     }
--- a/crates/process-harness/src/group.rs
+++ b/crates/process-harness/src/group.rs
@@ -53,7 +53,7 @@
     /// The states of the links between its members.
     pub links: Links,
     members: Vec<Member>,
-    plans: usize,
+    plan_count: usize,
 }
 
 /// The name of a member. Names sort like numbers.
@@ -90,7 +90,7 @@
             settings,
             links,
             members,
-            plans: 0,
+            plan_count: 0,
         };
         let manifest = group.manifest(&[]);
         for member in 0..group.members.len() {
@@ -232,8 +232,8 @@
     /// # Errors
     /// The program rejects the manifest.
     pub fn plan(&mut self, member: usize, manifest: &str) -> Result<String, HarnessError> {
-        self.plans += 1;
-        let name = format!("change-{}.toml", self.plans);
+        self.plan_count += 1;
+        let name = format!("change-{}.toml", self.plan_count);
         let path = self.settings.folder.join(name);
         fs::write(&path, manifest).map_err(HarnessError::io(path.display().to_string()))?;
         let plan = path.with_extension("plan").display().to_string();
@@ -274,8 +274,8 @@
     /// Whether a member acts under a revision, and accepts connections of clients.
     pub fn is_acting(&self, member: usize, revision: u64) -> bool {
         let status = self.status(member);
-        let accepts = TcpStream::connect(self.members[member].event_address).is_ok();
-        status["revision"] == revision && status["standing"] == "acts" && accepts
+        let accepts_connections = TcpStream::connect(self.members[member].event_address).is_ok();
+        status["revision"] == revision && status["standing"] == "acts" && accepts_connections
     }
 
     /// Waits until a member acts under a revision.
--- a/crates/process-harness/src/http/tests.rs
+++ b/crates/process-harness/src/http/tests.rs
@@ -8,7 +8,7 @@
 use crate::WAIT_LIMIT;
 
 #[test]
-fn request_and_response_survive_the_wire() {
+fn request_and_response_arrive_unchanged() {
     let server = TestServer::start(|_| Reply::retry_after(429, "1.5")).unwrap();
     let request = Request::post("/api")
         .header("X-Field", "value")
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn closed_connection_has_no_response() {
+fn exchange_fails_at_read_when_the_server_closes() {
     let server = TestServer::start(|_| Reply::Close).unwrap();
     let error = Request::get("/")
         .send(server.address, WAIT_LIMIT)
@@ -34,15 +34,17 @@
 }
 
 #[test]
-fn message_without_its_whole_body_is_not_read() {
+fn message_with_a_truncated_body_is_not_returned() {
     let mut bytes: &[u8] = b"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab";
     assert!(Message::read(&mut bytes).is_none());
 }
 
 #[test]
-fn refused_connection_is_told_from_a_closed_one() {
-    let refusing = unused_address().unwrap();
-    let error = Request::get("/").send(refusing, WAIT_LIMIT).unwrap_err();
+fn exchange_fails_at_connect_when_refused() {
+    let refusing_address = unused_address().unwrap();
+    let error = Request::get("/")
+        .send(refusing_address, WAIT_LIMIT)
+        .unwrap_err();
     assert_eq!(error.step, ExchangeStep::Connect);
     assert_eq!(error.source.kind(), io::ErrorKind::ConnectionRefused);
 }
@@ -66,7 +68,7 @@
 /// Regression: a client took an interrupted read for the end of its connection, and a test failed beside others that
 /// started and ended processes.
 #[test]
-fn interrupted_read_is_repeated() {
+fn interrupted_read_is_retried() {
     let reader = InterruptedOnce {
         rest: b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
         was_interrupted: false,
--- a/crates/process-harness/src/process.rs
+++ b/crates/process-harness/src/process.rs
@@ -139,10 +139,10 @@
     }
 }
 
-fn collect_lines(from: impl Read + Send + 'static, into: Arc<Mutex<String>>) -> JoinHandle<()> {
+fn collect_lines(source: impl Read + Send + 'static, log: Arc<Mutex<String>>) -> JoinHandle<()> {
     thread::spawn(move || {
-        for line in BufReader::new(from).lines().map_while(Result::ok) {
-            let mut log = into.lock().unwrap_or_else(PoisonError::into_inner);
+        for line in BufReader::new(source).lines().map_while(Result::ok) {
+            let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
             log.push_str(&line);
             log.push('\n');
         }
--- a/crates/process-harness/src/process/tests.rs
+++ b/crates/process-harness/src/process/tests.rs
@@ -7,23 +7,26 @@
 use std::time::Duration;
 
 /// A wait that is too short for nothing but a wait that returns at once.
-const MOMENT: Duration = Duration::from_millis(300);
+const SHORT_WAIT: Duration = Duration::from_millis(300);
 
 /// Regression: the last lines of a process were missing from its log right after its exit.
 #[test]
-fn exit_is_awaited_until_the_log_is_complete() {
+fn wait_for_exit_includes_the_last_log_lines() {
     let mut process = Process::start(Path::new("/bin/sh"), &["-c", "echo last >&2"], &[]).unwrap();
     let log = Arc::clone(&process.log);
     let (exited_sender, exited) = mpsc::channel();
     // The collector cannot add a line meanwhile.
-    let held = log.lock().unwrap();
+    let log_guard = log.lock().unwrap();
     let waiting = thread::spawn(move || {
         let status = process.wait_for_exit().unwrap();
         exited_sender.send(()).unwrap();
         (status, process)
     });
-    assert!(exited.recv_timeout(MOMENT).is_err(), "the log lacks a line");
-    drop(held);
+    assert!(
+        exited.recv_timeout(SHORT_WAIT).is_err(),
+        "the log lacks a line"
+    );
+    drop(log_guard);
     let (status, process) = waiting.join().unwrap();
     assert!(status.success());
     assert_eq!(process.log(), "last\n");
--- a/crates/process-harness/src/workers.rs
+++ b/crates/process-harness/src/workers.rs
@@ -25,11 +25,11 @@
         let completed = Arc::<AtomicUsize>::default();
         let start_worker = |worker: usize| {
             let (stop, completed) = (Arc::clone(&stop), Arc::clone(&completed));
-            let mut work = new_worker(worker);
+            let mut run = new_worker(worker);
             thread::spawn(move || {
                 let mut results = Vec::new();
                 while !stop.load(Ordering::SeqCst) {
-                    results.push(work(results.len()));
+                    results.push(run(results.len()));
                     completed.fetch_add(1, Ordering::SeqCst);
                     thread::sleep(pause);
                 }
