--- a/crates/process-harness/src/client.rs
+++ b/crates/process-harness/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that submit events one after the other, follow the responses, and record them.
+//! Clients that submit events one after another, retry them as the responses demand, and record every submission.
 
 use crate::cloud_events::CloudEvent;
 use crate::Workers;
@@ -6,53 +6,53 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a client waits for the outcome of an event.
+/// Maximum time that a client waits for the response to a submission.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Submissions of one event, at most.
+/// Maximum number of submissions of one event.
 const MAX_SUBMISSIONS: usize = 150;
 /// Delay after which an event without a final outcome is submitted again, whatever `Retry-After` says.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The status of a submission without a response.
+/// The status recorded for a submission that got no response.
 pub const NO_RESPONSE: u16 = 0;
-/// The destinations that events are for in turn.
+/// The names of the destinations; the events of a client alternate between them.
 const DESTINATIONS: [&str; 2] = ["a", "b"];
 
-/// One submission of an event, and the response to it.
+/// One submission of an event and the status of its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
-    /// The event's id.
+    /// The id of the event.
     pub id: String,
-    /// The number of the member that it was submitted to.
+    /// The number of the group member that received the submission.
     pub member: usize,
-    /// The status of the response, or [`NO_RESPONSE`].
+    /// The HTTP status of the response, or [`NO_RESPONSE`].
     pub status: u16,
 }
 
 impl Submission {
-    /// Whether the response is final: the event needs no other submission.
+    /// Returns whether the response is final, which means that the event is not submitted again.
     pub fn is_final(&self) -> bool {
         !matches!(self.status, NO_RESPONSE | 429 | 503)
     }
 }
 
-/// The load of a run.
+/// The load that the clients of a run generate.
 #[derive(Clone, Debug)]
 pub struct ClientLoad {
-    /// Where members accept events.
+    /// The addresses at which the members accept events, by member number.
     pub addresses: Vec<SocketAddr>,
-    /// How many clients run. They are spread over the members.
+    /// Number of clients. They are distributed evenly over the members.
     pub clients: usize,
-    /// Pause of a client between two events.
+    /// Time that a client pauses after each event.
     pub pause: Duration,
-    /// Part of all event ids, so that they differ between runs.
+    /// A number that is part of all event ids, which makes them unique across runs.
     pub run: u64,
 }
 
-/// Running clients.
+/// A set of running clients.
 pub struct Clients(Workers<Vec<Submission>>);
 
 impl Clients {
-    /// Starts clients.
+    /// Starts the clients of a load.
     pub fn start(load: &ClientLoad) -> Clients {
         let new_client = |client: usize| {
             let load = load.clone();
@@ -61,17 +61,17 @@
         Clients(Workers::start(load.clients, load.pause, new_client))
     }
 
-    /// Stops them. Returns all submissions, those of one event in their order.
+    /// Stops the clients and returns all submissions; those of the same event are in the order in which they were made.
     ///
     /// # Panics
-    /// If a client has panicked.
+    /// Panics if a client has panicked.
     pub fn stop(self) -> Vec<Submission> {
         self.0.stop().into_iter().flatten().collect()
     }
 }
 
 impl ClientLoad {
-    /// Submits the next event of a client until a response is final.
+    /// Submits event `number` of a client until a response is final or [`MAX_SUBMISSIONS`] is reached.
     fn submit_event(&self, client: usize, number: usize) -> Vec<Submission> {
         let id = format!("e{}-{client}-{number}", self.run);
         let event = CloudEvent {
@@ -85,8 +85,8 @@
     }
 }
 
-/// Submits an event until a response is final: to the next member where it was rejected, and to the same one where it
-/// may have been accepted.
+/// Submits an event until a response is final or [`MAX_SUBMISSIONS`] is reached. After a rejection the next submission
+/// goes to the next member. Without a response it goes to the same member, which may have accepted the event.
 fn submit_until_final(
     event: &CloudEvent,
     first_member: usize,
--- a/crates/process-harness/src/clock.rs
+++ b/crates/process-harness/src/clock.rs
@@ -2,19 +2,19 @@
 
 use rustix::time::{clock_gettime, ClockId};
 
-/// Microseconds of the machine's monotonic clock.
+/// A time or a duration in microseconds of the machine's monotonic clock.
 pub type Micros = i64;
 
-/// One millisecond.
+/// One millisecond in [`Micros`].
 pub const MILLISECOND: Micros = 1000;
 
-/// The time now in microseconds. It is the same in all processes of the machine.
+/// Returns the current time in microseconds. All processes of the machine read the same clock.
 pub fn monotonic_micros() -> Micros {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec * 1_000_000 + now.tv_nsec / 1000
 }
 
-/// The time now in milliseconds.
+/// Returns the current time in milliseconds.
 pub fn monotonic_ms() -> i64 {
     monotonic_micros() / MILLISECOND
 }
--- a/crates/process-harness/src/cloud_events.rs
+++ b/crates/process-harness/src/cloud_events.rs
@@ -1,32 +1,32 @@
-//! CloudEvents over HTTP, as clients submit them in binary mode.
+//! CloudEvents over HTTP in binary mode, as clients submit them.
 
 use crate::headers;
 use crate::http::{ExchangeError, Message, Request};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The path that the manifests of the harness give to events.
+/// The path at which instances accept events, as configured in the manifests of the harness.
 pub const EVENTS_PATH: &str = "/events";
-/// The source of all events.
+/// The `source` attribute of all events.
 const SOURCE: &str = "/clinic";
 
-/// An event.
+/// A CloudEvent to be submitted.
 #[derive(Clone, Copy, Debug)]
 pub struct CloudEvent<'a> {
-    /// Its id.
+    /// The `id` attribute.
     pub id: &'a str,
-    /// Its type.
+    /// The `type` attribute.
     pub event_type: &'a str,
-    /// The name of its destination.
+    /// The name of the destination.
     pub destination: &'a str,
-    /// Its idempotency key; empty for none.
+    /// The idempotency key; empty if the event has none.
     pub idempotency_key: &'a str,
-    /// Its data.
+    /// The event data, sent as the body.
     pub data: &'a [u8],
 }
 
 impl CloudEvent<'_> {
-    /// The request that submits it.
+    /// Returns the request that submits the event.
     pub fn to_request(&self) -> Request {
         Request::post(EVENTS_PATH)
             .header(headers::EVENT_SPEC_VERSION, "1.0")
@@ -39,10 +39,10 @@
             .body(self.data)
     }
 
-    /// Submits it, and waits for its outcome.
+    /// Submits the event and returns the response, which reports its outcome.
     ///
     /// # Errors
-    /// No response is received, or not within a timeout.
+    /// The exchange fails, or `timeout` expires before the response is complete.
     pub fn submit(&self, address: SocketAddr, timeout: Duration) -> Result<Message, ExchangeError> {
         self.to_request().send(address, timeout)
     }
--- a/crates/process-harness/src/destination.rs
+++ b/crates/process-harness/src/destination.rs
@@ -9,23 +9,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// Endpoints of a destination.
+/// Number of endpoints of a destination.
 pub const ENDPOINT_COUNT: usize = 2;
-/// How long a destination recognises a key.
+/// The deduplication window: the time for which a destination remembers an executed idempotency key.
 pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(6000);
 
-/// A call that was answered, with its times on the machine's monotonic clock.
+/// An answered call, with times on the machine's monotonic clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// The message's idempotency key.
+    /// The idempotency key of the message; empty if it has none.
     pub key: String,
-    /// The endpoint's number.
+    /// The number of the endpoint that received the call.
     pub endpoint: usize,
-    /// When it was read.
+    /// Time at which the request had been read.
     pub started_at: Micros,
-    /// When it was answered.
+    /// Time at which the response was about to be sent.
     pub ended_at: Micros,
-    /// Whether it was executed, which it is unless its key was recognised.
+    /// Whether the message was executed. A message whose key was executed within the deduplication window is not.
     pub executed: bool,
 }
 
@@ -35,16 +35,16 @@
     executed_at: HashMap<String, Micros>,
 }
 
-/// A destination.
+/// A running destination, shared by all its clones.
 #[derive(Clone, Debug)]
 pub struct Destination {
-    /// Where its endpoints listen.
+    /// The addresses of the endpoints, by endpoint number.
     pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
 }
 
 impl Destination {
-    /// Starts the endpoints, at which each call takes `service_time`.
+    /// Starts the endpoints. Each call takes `service_time`.
     ///
     /// # Errors
     /// No port is free.
@@ -52,7 +52,7 @@
         let state = Arc::<Mutex<State>>::default();
         let start_endpoint = |endpoint: usize| {
             let state = Arc::clone(&state);
-            server::start("a destination's port", move |request: &Message| {
+            server::start("port of a destination", move |request: &Message| {
                 let started_at = monotonic_micros();
                 thread::sleep(service_time);
                 lock(&state).execute(request, endpoint, started_at);
@@ -65,7 +65,7 @@
         Ok(Destination { addresses, state })
     }
 
-    /// All calls that were answered until now.
+    /// Returns all calls answered so far.
     pub fn calls(&self) -> Vec<Call> {
         lock(&self.state).calls.clone()
     }
--- a/crates/process-harness/src/discovery.rs
+++ b/crates/process-harness/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's discovery: it serves the endpoint list, watches of it, and notices.
+//! A stand-in for the platform's discovery service: it serves the endpoint list and watches of it, and accepts notices.
 
 use crate::http::{start_chunked_response, write_chunk, Message};
 use crate::server::{Reply, TestServer};
@@ -14,46 +14,46 @@
 /// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum EndpointPhase {
-    /// It takes calls.
+    /// The endpoint accepts calls.
     #[serde(rename = "SERVING")]
     Serving,
-    /// It takes no new calls.
+    /// The endpoint accepts no new calls.
     #[serde(rename = "DRAINING")]
     Draining,
-    /// It has left the list.
+    /// The endpoint has been removed from the list.
     #[serde(rename = "DELETED")]
     Deleted,
 }
 
-/// An endpoint in the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct ListedEndpoint {
-    /// Its id.
+    /// The id of the endpoint.
     pub id: String,
-    /// Its address.
+    /// The address at which the endpoint accepts calls.
     #[serde(rename = "host_port")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the endpoint.
     #[serde(rename = "locality")]
     pub zone: &'static str,
-    /// Its kind.
+    /// The kind of the endpoint.
     #[serde(rename = "flavor")]
     pub kind: &'static str,
-    /// The number of its destination.
+    /// The number of the destination that the endpoint belongs to.
     #[serde(rename = "cell")]
     pub destination: usize,
-    /// Its state.
+    /// The state of the endpoint.
     pub phase: EndpointPhase,
-    /// Calls per second that its destination takes.
+    /// Maximum calls per second of the destination.
     #[serde(rename = "size")]
     pub rate: f64,
-    /// When it was started, in milliseconds of Unix time.
+    /// Start time of the endpoint, in milliseconds of Unix time.
     #[serde(rename = "up_since_ms")]
     pub started_at_ms: i64,
 }
 
 impl ListedEndpoint {
-    /// An endpoint in the one zone and of the one kind that the settings of the harness have.
+    /// Creates a serving endpoint with the only zone and the only kind that the settings of the harness define.
     pub fn new(id: &str, address: SocketAddr, destination: usize, rate: f64) -> ListedEndpoint {
         ListedEndpoint {
             id: id.to_owned(),
@@ -67,92 +67,92 @@
         }
     }
 
-    /// The same in another state.
+    /// Returns the endpoint with its state replaced.
     #[must_use]
     pub fn in_phase(self, phase: EndpointPhase) -> ListedEndpoint {
         ListedEndpoint { phase, ..self }
     }
 }
 
-/// The endpoint list, or a change of it.
+/// The complete endpoint list, or a change to it.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointList {
-    /// Its revision.
+    /// The revision of the list.
     pub revision: u64,
-    /// Whether it holds all endpoints, and not only those that changed.
+    /// Whether the list is complete. Otherwise it contains only the endpoints that changed.
     #[serde(rename = "complete")]
     pub is_complete: bool,
-    /// The endpoints.
+    /// The listed endpoints.
     #[serde(rename = "members")]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl EndpointList {
-    /// Its text on the wire, without a line end.
+    /// Returns the list as it is sent, without a line end.
     pub fn to_json(&self) -> String {
-        // A structure of strings and numbers always has a text.
+        // The serialization of strings and numbers cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
-/// A watch of the endpoint list.
+/// The server's side of a client's watch of the endpoint list.
 pub struct Watch<'a> {
     stream: &'a mut TcpStream,
 }
 
 impl Watch<'_> {
-    /// Sends lines, each with its end.
+    /// Sends complete lines, each with its line end.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The write to the connection fails.
     pub fn send(&mut self, lines: &[u8]) -> io::Result<()> {
         write_chunk(self.stream, lines)
     }
 
-    /// Sends a list or a change of it.
+    /// Sends a complete list or a change to it.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The write to the connection fails.
     pub fn send_list(&mut self, list: &EndpointList) -> io::Result<()> {
         self.send(format!("{}\n", list.to_json()).as_bytes())
     }
 
-    /// Sends an empty line, which says that nothing has changed.
+    /// Sends an empty line, the heartbeat of a watch without changes.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// The write to the connection fails.
     pub fn send_heartbeat(&mut self) -> io::Result<()> {
         self.send(b"\n")
     }
 }
 
-/// What discovery serves.
+/// The behaviour of a [`Discovery`], provided by a test.
 pub trait DiscoverySource: Send + Sync + 'static {
-    /// The complete list as text; `None` to close the connection without a response.
+    /// Returns the complete list as text, or `None` to close the connection without a response.
     fn complete_list(&self) -> Option<String>;
 
-    /// Waits until a watch may begin.
+    /// Blocks until a watch may begin. Returns at once by default.
     fn wait_for_watch(&self) {}
 
     /// Serves a watch until it ends.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// A write to the connection fails.
     fn watch(&self, watch: &mut Watch) -> io::Result<()>;
 
-    /// Receives notices, one a line. Returns whether they are acknowledged; otherwise the connection is closed.
+    /// Receives notices, one per line. Returns `true` to acknowledge them, or `false` to close the connection.
     fn receive_notices(&self, notices: &str) -> bool;
 }
 
-/// A running discovery.
+/// A running stand-in for discovery.
 #[derive(Clone, Debug)]
 pub struct Discovery {
-    /// Its server, which records all requests.
+    /// The HTTP server, which records all requests.
     pub server: TestServer,
 }
 
 impl Discovery {
-    /// Starts it on a free port.
+    /// Starts the server on a free port.
     ///
     /// # Errors
     /// No port is free.
@@ -161,7 +161,7 @@
         Ok(Discovery { server })
     }
 
-    /// Where it listens.
+    /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
--- a/crates/process-harness/src/discovery/tests.rs
+++ b/crates/process-harness/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the wire of discovery.
+//! Tests of the wire format of discovery.
 
 use super::*;
 
--- a/crates/process-harness/src/error.rs
+++ b/crates/process-harness/src/error.rs
@@ -1,34 +1,34 @@
-//! Why the harness cannot go on.
+//! The errors of the harness.
 
 use std::io;
 
-/// Why the harness cannot go on. The run is then inconclusive: it shows nothing about the program under test.
+/// An error that stops a run. The run is then inconclusive: it shows nothing about the program under test.
 #[derive(Debug, thiserror::Error)]
 pub enum HarnessError {
-    /// The operating system refused something.
+    /// An operating system call failed.
     #[error("{subject}: {source}")]
     Io {
-        /// The file, port or program that was used.
+        /// The file, port, address or program that the operation was for.
         subject: String,
-        /// What the operating system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A command of the program under test failed.
     #[error("{output}")]
     CommandFailed {
-        /// What the command printed.
+        /// The output of the command.
         output: String,
     },
     /// A condition did not hold within [`WAIT_LIMIT`](crate::WAIT_LIMIT).
-    #[error("waited in vain for {condition}")]
+    #[error("timed out waiting for {condition}")]
     TimedOut {
-        /// The condition.
+        /// A description of the condition.
         condition: String,
     },
 }
 
 impl HarnessError {
-    /// Makes the error of an operation on a file, port or program.
+    /// Returns a function that wraps the I/O error of an operation on `subject`, for use with `map_err`.
     pub fn io(subject: impl Into<String>) -> impl FnOnce(io::Error) -> HarnessError {
         let subject = subject.into();
         move |source| HarnessError::Io { subject, source }
--- a/crates/process-harness/src/fault_shim.rs
+++ b/crates/process-harness/src/fault_shim.rs
@@ -1,5 +1,5 @@
-//! The fault shim of one process: the plan that it reads, the environment that preloads it, and the counts that it
-//! writes.
+//! The fault shim of a process: the fault plan that the shim reads, the environment variables that preload it, and the
+//! counts that it writes.
 
 use crate::HarnessError;
 use marblefall_fault_plan::{
@@ -8,15 +8,17 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The environment variable of the dynamic linker that names libraries to preload.
+/// The environment variable that lists the libraries for the dynamic linker to preload.
 const PRELOAD_VARIABLE: &str = "LD_PRELOAD";
 
-/// The fault shim of one process.
+/// The fault shim of a process under test.
 #[derive(Clone, Debug)]
 pub struct FaultShim {
-    /// The library to preload.
+    /// Path of the shim library.
     library: String,
+    /// Path of the plan.
     plan: String,
+    /// Path of the counts.
     counts: String,
     /// The folder whose files fail.
     folder: String,
@@ -24,8 +26,8 @@
 }
 
 impl FaultShim {
-    /// Sets up the shim of a process whose files in `failing_folder` may fail. Its plan and counts are files in
-    /// `folder` with the name `name`.
+    /// Creates the shim of a process for which operations on files in `failing_folder` may fail. The plan and the
+    /// counts are the files `NAME.plan` and `NAME.counts` in `folder`. The seed is 0.
     pub fn new(library: &Path, folder: &Path, name: &str, failing_folder: &Path) -> FaultShim {
         let to_text = |path: PathBuf| path.display().to_string();
         FaultShim {
@@ -37,7 +39,7 @@
         }
     }
 
-    /// The same with another seed of its random draws.
+    /// Returns the shim with the seed of its random draws replaced.
     #[must_use]
     pub fn with_seed(self, seed: u64) -> FaultShim {
         FaultShim {
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Writes the plan, which a process reads as it starts.
+    /// Writes the plan, which the shim reads when the process starts.
     ///
     /// # Errors
     /// The plan cannot be written.
@@ -55,7 +57,7 @@
         fs::write(&self.plan, lines).map_err(HarnessError::io(&self.plan))
     }
 
-    /// The variables to add to the process's environment.
+    /// Returns the variables to add to the environment of the process.
     pub fn environment(&self) -> [(&'static str, &str); 5] {
         [
             (PRELOAD_VARIABLE, &self.library),
@@ -66,18 +68,18 @@
         ]
     }
 
-    /// Whether a process has read the plan.
+    /// Returns whether a process has loaded the shim, which then creates the file of counts.
     pub fn is_loaded(&self) -> bool {
         Path::new(&self.counts).exists()
     }
 
-    /// The counts of all processes that were started with it.
+    /// Returns the counts of all processes that were started with the shim.
     pub fn counts(&self) -> Counts {
-        // Before a process has started there is no file, and nothing was counted.
+        // The file does not exist before a process has started. All counts are then zero.
         Counts::read(&fs::read(&self.counts).unwrap_or_default())
     }
 
-    /// How often a kind of fault was injected.
+    /// Returns how many faults of a kind were injected.
     pub fn injected(&self, kind: FaultKind) -> u64 {
         self.counts().of(kind).injected
     }
--- a/crates/process-harness/src/folder.rs
+++ b/crates/process-harness/src/folder.rs
@@ -1,31 +1,32 @@
-//! Temporary folders.
+//! Temporary folders of tests.
 
 use crate::HarnessError;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A file system in memory, where the machine has one.
+/// The mount point of a file system in memory, on machines that have one.
 const MEMORY_FILE_SYSTEM: &str = "/dev/shm";
 
-/// A folder of this process, removed when it is dropped.
+/// A temporary folder of the test process. It is removed on drop.
 #[derive(Debug)]
 pub struct TemporaryFolder {
     path: PathBuf,
 }
 
 impl TemporaryFolder {
-    /// Creates an empty folder.
+    /// Creates an empty folder in the system's folder for temporary files.
     ///
     /// # Errors
-    /// It cannot be created.
+    /// The folder cannot be created.
     pub fn new(name: &str) -> Result<TemporaryFolder, HarnessError> {
         TemporaryFolder::under(&std::env::temp_dir(), name)
     }
 
-    /// Creates an empty folder in memory, where no sync of a disk delays a process, if the machine has such a place.
+    /// Creates an empty folder in memory, where syncs to disk do not delay the process under test. On a machine without
+    /// a file system in memory, the same as [`new`](TemporaryFolder::new).
     ///
     /// # Errors
-    /// It cannot be created.
+    /// The folder cannot be created.
     pub fn in_memory(name: &str) -> Result<TemporaryFolder, HarnessError> {
         let memory = Path::new(MEMORY_FILE_SYSTEM);
         if memory.is_dir() {
@@ -37,18 +38,18 @@
 
     fn under(root: &Path, name: &str) -> Result<TemporaryFolder, HarnessError> {
         let path = root.join(format!("marblefall-{}-{name}", std::process::id()));
-        // An earlier process with this id may have left one behind.
+        // An earlier process with the same id may have left this folder behind.
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).map_err(HarnessError::io(path.display().to_string()))?;
         Ok(TemporaryFolder { path })
     }
 
-    /// Its path.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Writes a file in it, and returns its path.
+    /// Writes a file in the folder and returns the path of the file.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -61,7 +62,7 @@
 
 impl Drop for TemporaryFolder {
     fn drop(&mut self) {
-        // What cannot be removed stays in the machine's folder for temporary files.
+        // A failure only leaves files behind in a folder for temporary files.
         let _ = fs::remove_dir_all(&self.path);
     }
 }
--- a/crates/process-harness/src/group.rs
+++ b/crates/process-harness/src/group.rs
@@ -1,4 +1,4 @@
-//! A group of daemons as processes, with a proxy on every link between them.
+//! A group of daemons, each a process, with a link proxy in front of every member.
 
 mod manifest;
 
@@ -11,63 +11,65 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Lines of each member's log that [`Group::recent_logs`] returns.
+/// Number of lines of each member's log that [`Group::recent_logs`] returns.
 const RECENT_LOG_LINES: usize = 40;
 
-/// What a group consists of.
+/// The configuration of a group.
 #[derive(Clone, Debug)]
 pub struct GroupSettings {
     /// The program under test.
     pub program: PathBuf,
-    /// The folder of its homes and histories, which is created anew.
+    /// The folder for homes, histories and manifests. Anything that it contains is removed.
     pub folder: PathBuf,
-    /// How many daemons it has, each with one instance.
+    /// Number of members. Each is a daemon with one instance.
     pub members: usize,
-    /// How many of them vote: the first ones.
+    /// Number of voters. The members with the lowest numbers vote.
     pub voters: usize,
-    /// The partition policy, as the manifest has it: `stop` or `serve`.
+    /// The partition policy as written in the manifest: `stop` or `serve`.
     pub partition_policy: String,
-    /// The duration of a lease in milliseconds.
+    /// Duration of a lease, in milliseconds.
     pub lease_ms: u64,
-    /// Where the endpoints of both destinations listen.
+    /// The addresses of the endpoints, which both destinations share.
     pub endpoints: Vec<SocketAddr>,
 }
 
 /// A member of a group.
 struct Member {
-    /// Where it accepts events.
+    /// The address at which the member accepts events.
     event_address: SocketAddr,
-    /// Where its transport listens.
+    /// The address at which the member's transport listens.
     link_address: SocketAddr,
-    /// Where other members reach its transport.
+    /// The address of the link proxy through which the other members connect to the transport.
     proxy_address: SocketAddr,
+    /// The running daemon; `None` while the member is down.
     process: Option<Process>,
-    /// The logs of its processes that have ended.
+    /// The logs of the member's earlier processes.
     ended_logs: String,
 }
 
-/// A group of daemons. Their processes are killed when it is dropped.
+/// A group of daemons. Dropping the group kills the processes.
 pub struct Group {
-    /// What it consists of.
+    /// The configuration of the group.
     pub settings: GroupSettings,
-    /// The states of the links between its members.
+    /// The states of the links between the members.
     pub links: Links,
     members: Vec<Member>,
+    /// Number of plans made so far.
     plan_count: usize,
 }
 
-/// The name of a member. Names sort like numbers.
+/// Returns the name of a member. The names sort in the order of the numbers.
 pub fn member_name(member: usize) -> String {
     format!("m{member:02}")
 }
 
 impl Group {
-    /// Founds a group without starting it.
+    /// Founds a group without starting its daemons.
     ///
     /// # Errors
-    /// A folder or port cannot be had, or the program rejects the manifest.
+    /// A folder cannot be created, no port is free, or the program rejects the manifest.
     pub fn found(settings: GroupSettings) -> Result<Group, HarnessError> {
-        // What an earlier run left there does not belong to this group.
+        // Files of an earlier run do not belong to this group.
         let _ = fs::remove_dir_all(&settings.folder);
         fs::create_dir_all(&settings.folder)
             .map_err(HarnessError::io(settings.folder.display().to_string()))?;
@@ -99,7 +101,7 @@
         Ok(group)
     }
 
-    /// Makes the empty home of a member part of the group.
+    /// Founds the group in the empty home of a member.
     ///
     /// # Errors
     /// The program rejects the manifest.
@@ -110,34 +112,34 @@
         Ok(())
     }
 
-    /// How many members it has.
+    /// Returns the number of members.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
-    /// Where members accept events, by their numbers.
+    /// Returns the addresses at which the members accept events, by member number.
     pub fn event_addresses(&self) -> Vec<SocketAddr> {
         let members = self.members.iter();
         members.map(|member| member.event_address).collect()
     }
 
-    /// The home of a member.
+    /// Returns the path of a member's home.
     pub fn home(&self, member: usize) -> String {
         let home = self.settings.folder.join(member_name(member));
         home.display().to_string()
     }
 
-    /// Where the transport of a member listens, behind its proxy.
+    /// Returns the address of a member's transport itself, behind the link proxy.
     pub fn link_address(&self, member: usize) -> SocketAddr {
         self.members[member].link_address
     }
 
-    /// The file in which a member records what it does.
+    /// Returns the path of the file in which a member records its history.
     pub fn history_file(&self, member: usize) -> PathBuf {
         self.settings.folder.join(format!("{member}.history"))
     }
 
-    /// The file in which a voter stores its votes.
+    /// Returns the path of the file in which a voter stores its votes.
     pub fn vote_file(&self, member: usize) -> PathBuf {
         let home = self.settings.folder.join(member_name(member));
         home.join("group/votes")
@@ -146,7 +148,7 @@
     /// Starts the daemon of a member.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The program cannot be started.
     pub fn start(&mut self, member: usize) -> Result<(), HarnessError> {
         let history = self.history_file(member).display().to_string();
         let link = self.link_address(member).to_string();
@@ -157,10 +159,10 @@
         Ok(())
     }
 
-    /// Starts all daemons, and waits until all act under the first revision.
+    /// Starts all daemons and waits until all members act under the first revision.
     ///
     /// # Errors
-    /// One cannot be started, or does not act in time.
+    /// A daemon cannot be started, or a member does not act within [`WAIT_LIMIT`](crate::WAIT_LIMIT).
     pub fn start_all(&mut self) -> Result<(), HarnessError> {
         for member in 0..self.members.len() {
             self.start(member)?;
@@ -168,7 +170,7 @@
         (0..self.members.len()).try_for_each(|member| self.wait_until_acting(member, 1))
     }
 
-    /// Kills the daemon of a member, if it runs.
+    /// Kills the daemon of a member if it is running.
     pub fn kill(&mut self, member: usize) {
         let member = &mut self.members[member];
         if let Some(process) = member.process.take() {
@@ -176,25 +178,25 @@
         }
     }
 
-    /// The process of a member, if it runs.
+    /// Returns the running process of a member, if any.
     pub fn process(&self, member: usize) -> Option<&Process> {
         self.members[member].process.as_ref()
     }
 
-    /// The processes that run.
+    /// Returns all running processes.
     pub fn processes(&self) -> impl Iterator<Item = &Process> {
         let members = self.members.iter();
         members.filter_map(|member| member.process.as_ref())
     }
 
-    /// The log of a member over all its incarnations.
+    /// Returns the log of a member over all its incarnations.
     pub fn log(&self, member: usize) -> String {
         let member = &self.members[member];
         let current = member.process.as_ref().map(Process::log);
         format!("{}{}", member.ended_logs, current.unwrap_or_default())
     }
 
-    /// The last lines of all logs.
+    /// Returns the last lines of each member's log.
     pub fn recent_logs(&self) -> String {
         let recent = |member: usize| {
             let log = self.log(member);
@@ -209,7 +211,7 @@
         (0..self.members.len()).map(recent).collect()
     }
 
-    /// Runs a command of the program to its end.
+    /// Runs a command of the program and waits until it exits.
     ///
     /// # Errors
     /// The program cannot be started.
@@ -227,10 +229,10 @@
         }
     }
 
-    /// Plans a change to a manifest at a member, and returns the path of the plan.
+    /// Plans the change from the applied policy to a manifest at a member. Returns the path of the plan.
     ///
     /// # Errors
-    /// The program rejects the manifest.
+    /// The manifest cannot be written, or the program rejects it.
     pub fn plan(&mut self, member: usize, manifest: &str) -> Result<String, HarnessError> {
         self.plan_count += 1;
         let name = format!("change-{}.toml", self.plan_count);
@@ -242,21 +244,22 @@
         Ok(plan)
     }
 
-    /// Plans a change to a manifest at a member, and applies it.
+    /// Plans the change to a manifest at a member and applies it. Returns the output of `apply`, whatever its exit code.
     ///
     /// # Errors
-    /// It cannot be planned.
+    /// The plan cannot be made, or the program cannot be started.
     pub fn change(&mut self, member: usize, manifest: &str) -> Result<CommandOutput, HarnessError> {
         let plan = self.plan(member, manifest)?;
         self.run(&["apply", &plan, &self.home(member)])
     }
 
-    /// The status of the group, as the daemon of a member reports it; null where it does not.
+    /// Returns the status of the group as the daemon of a member reports it, or null if it reports none.
     pub fn status(&self, member: usize) -> Value {
         self.report(member, "status")
     }
 
-    /// The changes of the group and their outcomes, as the daemon of a member reports them; null where it does not.
+    /// Returns the changes of the group and their outcomes as the daemon of a member reports them, or null if it reports
+    /// none.
     pub fn change_history(&self, member: usize) -> Value {
         self.report(member, "history")
     }
@@ -271,19 +274,19 @@
         }
     }
 
-    /// Whether a member acts under a revision, and accepts connections of clients.
+    /// Returns whether a member acts under a revision and accepts connections of clients.
     pub fn is_acting(&self, member: usize, revision: u64) -> bool {
         let status = self.status(member);
         let accepts_connections = TcpStream::connect(self.members[member].event_address).is_ok();
         status["revision"] == revision && status["standing"] == "acts" && accepts_connections
     }
 
-    /// Waits until a member acts under a revision.
+    /// Waits until a member acts under a revision and accepts connections of clients.
     ///
     /// # Errors
-    /// It does not in time.
+    /// The condition does not hold within [`WAIT_LIMIT`](crate::WAIT_LIMIT).
     pub fn wait_until_acting(&self, member: usize, revision: u64) -> Result<(), HarnessError> {
-        let description = format!("{} under revision {revision}", member_name(member));
+        let description = format!("{} to act under revision {revision}", member_name(member));
         wait_for(&description, || self.is_acting(member, revision))
     }
 }
--- a/crates/process-harness/src/group/manifest.rs
+++ b/crates/process-harness/src/group/manifest.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// The limits, and the one class of messages.
+/// The limits and the only class of messages.
 const LIMITS_AND_CLASS: &str = r#"[limits]
 slots = 16
 max_open = 200
@@ -15,11 +15,11 @@
 wanted_ms = 2500
 give_up_ms = 24000
 "#;
-/// The destinations, both of which have the same endpoints.
+/// The names of the destinations, which share the same endpoints.
 const DESTINATIONS: [&str; 2] = ["a", "b"];
 
 impl Group {
-    /// The manifest of the group, with texts replaced by others.
+    /// Returns the manifest of the group after the given text replacements, each a pair of old and new text.
     pub fn manifest(&self, replacements: &[(&str, &str)]) -> String {
         let mut manifest = LIMITS_AND_CLASS.to_owned();
         for destination in DESTINATIONS {
@@ -37,14 +37,13 @@
             .fold(manifest, |text, (from, to)| text.replace(from, to))
     }
 
-    /// The manifest with another latency objective: a change that differs for each `number`, and that every member can
-    /// take up.
+    /// Returns the manifest with a different latency objective for each `number`, a change that every member can apply.
     pub fn changed_manifest(&self, number: usize) -> String {
         let objective = format!("wanted_ms = {}", 2500 + number);
         self.manifest(&[("wanted_ms = 2500", &objective)])
     }
 
-    /// A manifest in which an endpoint of both destinations is draining.
+    /// Returns `manifest` with one endpoint of each destination set to draining.
     pub fn drain_endpoint(&self, manifest: &str, endpoint: usize) -> String {
         let mut manifest = manifest.to_owned();
         for destination in DESTINATIONS {
--- a/crates/process-harness/src/http.rs
+++ b/crates/process-harness/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of HTTP/1.1 as stand-ins and clients need.
+//! The subset of HTTP/1.1 that the servers and clients of the harness need.
 
 mod exchange;
 
@@ -9,44 +9,44 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A request or a response that was received.
+/// A received request or response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// The request line or the status line.
     pub start_line: String,
-    /// The header fields in their order.
+    /// The names and values of the header fields, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body; empty if the head declares no length.
     pub body: Vec<u8>,
-    /// When its first byte could be read.
+    /// Time at which the first byte could be read; `None` if the message was not read from a connection.
     pub received_at: Option<Instant>,
 }
 
 impl Message {
-    /// Returns the value of a header field.
+    /// Returns the value of the first header field with a name, in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut fields = self.headers.iter();
         let field = fields.find(|(known, _)| known.eq_ignore_ascii_case(name));
         field.map(|(_, value)| value.as_str())
     }
 
-    /// Returns the status of a response, and 0 where there is none.
+    /// Returns the status code of a response, or 0 if the start line has none.
     pub fn status(&self) -> u16 {
         let code = self.start_line.split(' ').nth(1);
         code.and_then(|code| code.parse().ok()).unwrap_or(0)
     }
 
-    /// Reads one message, whose body has the length that its head declares; `None` where the connection ends first.
+    /// Reads one message with the body length that its head declares. Returns `None` if that fails.
     pub fn read(reader: &mut impl BufRead) -> Option<Message> {
         Message::try_read(reader).ok()
     }
 
-    /// Reads one message, whose body has the length that its head declares.
+    /// Reads one message with the body length that its head declares.
     ///
     /// # Errors
-    /// The connection fails, or ends before the message does.
+    /// The connection fails or is closed before the message is complete, or a header line is malformed.
     pub fn try_read(reader: &mut impl BufRead) -> io::Result<Message> {
-        // Unlike the other reads of a `BufRead`, this one does not repeat an interrupted call itself.
+        // Unlike `read_line` and `read_exact`, `fill_buf` does not retry an interrupted call itself.
         uninterrupted(|| reader.fill_buf().map(drop))?;
         let received_at = Some(Instant::now());
         let start_line = read_line(reader)?;
@@ -93,12 +93,12 @@
 }
 
 impl Request {
-    /// A GET request.
+    /// Creates a GET request.
     pub fn get(path: &str) -> Request {
         Request::new("GET", path)
     }
 
-    /// A POST request without a body.
+    /// Creates a POST request with an empty body.
     pub fn post(path: &str) -> Request {
         Request::new("POST", path)
     }
@@ -136,7 +136,7 @@
         self
     }
 
-    /// Its bytes on the wire.
+    /// Returns the request as it is sent.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut head = format!(
             "{} {} HTTP/1.1\r\nHost: marblefall\r\n",
@@ -156,22 +156,22 @@
         [head.as_bytes(), &self.body].concat()
     }
 
-    /// Sends it on a connection of its own, and returns the response.
+    /// Sends the request on a new connection and returns the response.
     ///
     /// # Errors
-    /// No response is received, or not within a timeout.
+    /// The exchange fails, or `timeout` expires before the response is complete.
     pub fn send(&self, address: SocketAddr, timeout: Duration) -> Result<Message, ExchangeError> {
         exchange(address, &self.to_bytes(), timeout)
     }
 }
 
-/// A status that has no body and declares no length.
+/// The status of a response that has no body and declares no length.
 const NO_CONTENT: u16 = 204;
 
-/// Writes a response. `header_lines` are complete lines with their ends.
+/// Writes a response. `header_lines` are complete lines with their line ends.
 ///
 /// # Errors
-/// The connection is broken.
+/// The write fails.
 pub fn write_response(
     writer: &mut impl Write,
     status: u16,
@@ -190,21 +190,21 @@
 /// Writes the head of a response with a chunked body.
 ///
 /// # Errors
-/// The connection is broken.
+/// The write fails.
 pub fn start_chunked_response(writer: &mut impl Write) -> io::Result<()> {
     writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-/// Writes one chunk of a body.
+/// Writes one chunk of a chunked body.
 ///
 /// # Errors
-/// The connection is broken.
+/// The write fails.
 pub fn write_chunk(writer: &mut impl Write, bytes: &[u8]) -> io::Result<()> {
     let length = format!("{:x}\r\n", bytes.len());
     writer.write_all(&[length.as_bytes(), bytes, b"\r\n"].concat())
 }
 
-/// Whether an error says that nothing was read within the timeout of a socket.
+/// Returns whether an error means that a read timeout of a socket expired.
 pub fn is_timeout(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/process-harness/src/http/exchange.rs
+++ b/crates/process-harness/src/http/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection of their own.
+//! The exchange of one request and its response on a new connection.
 
 use super::Message;
 use std::fmt;
@@ -6,14 +6,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The step at which an exchange failed.
+/// A step of an exchange, which may fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeStep {
-    /// The connection was being opened.
+    /// Opening the connection.
     Connect,
-    /// The request was being written.
+    /// Writing the request.
     Write,
-    /// The response was being read.
+    /// Reading the response.
     Read,
 }
 
@@ -27,26 +27,26 @@
     }
 }
 
-/// Why an exchange brought no response.
+/// The failure of an exchange to return a response.
 #[derive(Debug, thiserror::Error)]
-#[error("no response of {address} at local port {local_port}: {step} failed after {} ms", elapsed.as_millis())]
+#[error("no response from {address} at local port {local_port}: {step} failed after {} ms", elapsed.as_millis())]
 pub struct ExchangeError {
     /// The address of the server.
     pub address: SocketAddr,
-    /// The client's port; 0 where no connection was opened.
+    /// The client's port; 0 if no connection was opened.
     pub local_port: u16,
     /// The step that failed.
     pub step: ExchangeStep,
-    /// How long the exchange had taken by then.
+    /// Time from the start of the exchange to the failure.
     pub elapsed: Duration,
-    /// What the operating system reported.
+    /// The I/O error of the step.
     pub source: io::Error,
 }
 
-/// Sends bytes on a connection of their own, and returns the response.
+/// Sends bytes on a new connection and returns the response. `timeout` applies to the connect and to each read.
 ///
 /// # Errors
-/// No response is received, or not within a timeout.
+/// A step fails or exceeds the timeout.
 pub fn exchange(
     address: SocketAddr,
     bytes: &[u8],
--- a/crates/process-harness/src/http/tests.rs
+++ b/crates/process-harness/src/http/tests.rs
@@ -1,4 +1,4 @@
-//! Requests and responses over a connection.
+//! Tests of requests and responses over a connection.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -49,7 +49,7 @@
     assert_eq!(error.source.kind(), io::ErrorKind::ConnectionRefused);
 }
 
-/// A reader whose first read a signal interrupts.
+/// A reader whose first read fails as if a signal had interrupted it.
 struct InterruptedOnce<'a> {
     rest: &'a [u8],
     was_interrupted: bool,
@@ -65,8 +65,8 @@
     }
 }
 
-/// Regression: a client took an interrupted read for the end of its connection, and a test failed beside others that
-/// started and ended processes.
+/// Regression: a client mistook an interrupted read for the end of its connection. Signals from processes that other
+/// tests start and end can interrupt a read.
 #[test]
 fn interrupted_read_is_retried() {
     let reader = InterruptedOnce {
--- a/crates/process-harness/src/lib.rs
+++ b/crates/process-harness/src/lib.rs
@@ -1,8 +1,9 @@
-//! The harness of real processes: it starts, signals and ends the program under test on loopback, and provides
-//! stand-ins of the systems around it.
+//! A test harness for real processes: it starts, signals and ends the program under test on loopback, and provides
+//! stand-ins for the systems that the program talks to.
 //!
-//! Every wait is for a condition and bounded by [`WAIT_LIMIT`]. Processes, folders and proxies are released when their
-//! owners are dropped. The harness knows neither scenarios nor what a correct run is: its users decide both.
+//! Every wait is for a condition and bounded by [`WAIT_LIMIT`]. Processes and temporary folders are released when their
+//! owners are dropped; listeners, servers and proxies run until the test process ends. The harness defines neither
+//! scenarios nor the criteria of a correct run: its users provide both.
 
 #![forbid(unsafe_code)]
 
--- a/crates/process-harness/src/link_proxy.rs
+++ b/crates/process-harness/src/link_proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies in front of the members of a group, which disturb what one member sends to another.
+//! Proxies in front of the members of a group, which disturb the traffic between members.
 
 use crate::{uninterrupted, HarnessError, Listener};
 use futures_lite::future::block_on;
@@ -13,36 +13,37 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a read waits before a proxy looks at the state of its link again.
+/// Maximum time that a read blocks before a proxy checks the state of its link again.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Delay of each piece on a throttled link.
+/// Delay of each piece of data on a throttled link.
 const THROTTLE_DELAY: Duration = Duration::from_millis(10);
+/// Maximum size of a piece of data, in bytes.
 const BUFFER_BYTES: usize = 4096;
 
-/// What a link does with what one member sends to another.
+/// The way in which a link treats the data that one member sends to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkState {
-    /// It forwards everything.
+    /// All data is forwarded.
     #[serde(rename = "passes")]
     Open,
-    /// It accepts everything and forwards nothing, in either direction.
+    /// Connections stay open and all data is read, but none is forwarded in either direction.
     #[serde(rename = "swallows")]
     Blackhole,
-    /// It closes connections, and accepts none.
+    /// Connections are closed, and new ones are closed at once.
     #[serde(rename = "refuses")]
     Refuse,
-    /// It delays each piece by this many milliseconds.
+    /// Each piece of data is delayed by this many milliseconds.
     #[serde(rename = "delays")]
     Delay(u64),
-    /// It delays each piece of this many bytes by a hundredth of a second.
+    /// Data is forwarded in pieces of at most this many bytes, each delayed by 10 ms.
     #[serde(rename = "throttles")]
     Throttle(usize),
-    /// It closes connections in the middle of a frame.
+    /// Connections are closed in the middle of a frame.
     #[serde(rename = "cuts-frames")]
     CutFrames,
 }
 
-/// The states of all links, by the numbers of the two members. A link that is not set is open.
+/// The states of all links by the numbers of the sending and the receiving member. Links without a state are open.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     states: Arc<Mutex<BTreeMap<(u32, u32), LinkState>>>,
@@ -55,14 +56,14 @@
         self.states().insert((from as u32, to as u32), state);
     }
 
-    /// Sets the links from some members to others, in this direction.
+    /// Sets the links from each member of `from` to each member of `to`.
     pub fn set_one_way(&self, from: &[usize], to: &[usize], state: LinkState) {
         for from in from {
             to.iter().for_each(|to| self.set(*from, *to, state));
         }
     }
 
-    /// Sets the links between some members and others, in both directions.
+    /// Sets the links between each member of `some` and each member of `others`, in both directions.
     pub fn set_between(&self, some: &[usize], others: &[usize], state: LinkState) {
         for one in some {
             for other in others.iter().filter(|other| *other != one) {
@@ -77,11 +78,12 @@
         self.states().clear();
     }
 
-    /// Bytes forwarded until now.
+    /// Returns the number of bytes forwarded so far.
     pub fn forwarded_bytes(&self) -> usize {
         self.forwarded_bytes.load(Ordering::SeqCst)
     }
 
+    /// Returns the state of a link; [`LinkState::Open`] if the sender is unknown.
     fn state(&self, from: Option<u32>, to: u32) -> LinkState {
         let states = self.states();
         from.and_then(|from| states.get(&(from, to)).copied())
@@ -103,14 +105,14 @@
     links: &Links,
 ) -> Result<SocketAddr, HarnessError> {
     let links = links.clone();
-    let listener = Listener::start("a link proxy's port", move |stream| {
-        // A broken connection is opened again by the member that needs it.
+    let listener = Listener::start("port of a link proxy", move |stream| {
+        // An error ends only this connection. The member that needs the connection opens it again.
         let _ = forward(stream, member as u32, member_address, &links);
     })?;
     Ok(listener.address)
 }
 
-/// Forwards one connection. Its first frame names the member that opened it.
+/// Forwards one connection, whose first frame identifies the member that opened it.
 fn forward(
     mut client: TcpStream,
     to: u32,
@@ -140,7 +142,7 @@
 }
 
 fn copy(mut from: TcpStream, mut to: TcpStream, state: impl Fn() -> LinkState, links: &Links) {
-    // Either end may be gone already: then there is nothing left to copy or to close.
+    // Errors mean that one end is already closed: nothing is left to copy or to close.
     let _ = copy_until_closed(&mut from, &mut to, state, links);
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
--- a/crates/process-harness/src/listener.rs
+++ b/crates/process-harness/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listener on a free loopback port that serves each connection in a thread.
+//! A TCP listener on a free loopback port.
 
 use crate::{uninterrupted, wait_for, HarnessError};
 use std::io::Read;
@@ -7,16 +7,16 @@
 use std::sync::Arc;
 use std::thread;
 
-/// A listener that serves each connection in a thread of its own, until the process ends.
+/// A listener that serves each connection in its own thread until the test process ends.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// Where it listens.
+    /// The address of the listener.
     pub address: SocketAddr,
     open_connections: Arc<AtomicUsize>,
 }
 
 impl Listener {
-    /// Listens on a free port. `subject` names it in errors.
+    /// Starts to listen on a free port. `subject` describes the port in errors.
     ///
     /// # Errors
     /// No port is free.
@@ -31,7 +31,7 @@
         let serve = Arc::new(serve);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                // Counted as it is accepted, and not once its thread runs.
+                // The connection is counted here, because its thread may start late.
                 let connection = OpenConnection::new(&counter);
                 let serve = Arc::clone(&serve);
                 thread::spawn(move || {
@@ -46,12 +46,13 @@
         })
     }
 
-    /// Waits until all connections that were opened before are closed, and all that was sent on them was served.
+    /// Waits until all connections opened before this call are closed and all data sent on them has been served.
     ///
     /// # Errors
-    /// One is not closed in time, or no connection can be opened.
+    /// A connection is not closed within [`WAIT_LIMIT`](crate::WAIT_LIMIT), or no connection can be opened.
     pub fn wait_until_disconnected(&self) -> Result<(), HarnessError> {
-        // Connections are accepted in their order: once this one is closed, all before it were accepted.
+        // Connections are accepted in the order in which they were opened. Once the probe is closed, all earlier ones have
+        // been accepted and counted.
         let probe = TcpStream::connect(self.address);
         probe
             .and_then(|mut probe| {
--- a/crates/process-harness/src/platform.rs
+++ b/crates/process-harness/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol, as clients of an instance speak it.
+//! The client side of the platform's protocol, and the configuration of instances on the platform.
 
 use crate::discovery::{EndpointList, ListedEndpoint};
 use crate::headers;
@@ -6,39 +6,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where messages are submitted.
+/// The path at which messages are submitted.
 pub const SUBMIT_PATH: &str = "/api";
-/// Where an instance reports whether it is ready.
+/// The path at which an instance reports whether it is ready.
 pub const READY_PATH: &str = "/ready";
-/// What an instance logs before the address at which it listens for clients of the platform.
+/// The text in an instance's log that precedes the address at which it listens for clients of the platform.
 pub const LISTENING_MARKER: &str = "listens at ";
 
-/// Environment variable with the path of an instance's configuration.
+/// Environment variable with the path of the configuration file of an instance.
 pub const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Environment variable with the path of an instance's state folder.
+/// Environment variable with the path of the state folder of an instance.
 pub const STATE_VARIABLE: &str = "RELAY_STATE";
 /// Environment variable with the address of discovery.
 pub const DISCOVERY_VARIABLE: &str = "RELAY_DISCOVERY";
 
-/// A message.
+/// A message to be submitted.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformMessage<'a> {
-    /// Its id.
+    /// The id of the message.
     pub id: &'a str,
-    /// The name of its class.
+    /// The name of the message's class.
     pub class: &'a str,
-    /// How many milliseconds it may take, as the header has it.
+    /// Time to live in milliseconds, as the text of the header field.
     pub budget_ms: &'a str,
-    /// The number of its destination.
+    /// The number of the destination.
     pub destination: usize,
-    /// Its idempotency key; empty for none.
+    /// The idempotency key; empty if the message has none.
     pub idempotency_key: &'a str,
-    /// Its body.
+    /// The body of the message.
     pub body: &'a [u8],
 }
 
 impl PlatformMessage<'_> {
-    /// The request that submits it.
+    /// Returns the request that submits the message.
     pub fn to_request(&self) -> Request {
         Request::post(SUBMIT_PATH)
             .header(headers::CALL_ID, self.id)
@@ -49,16 +49,16 @@
             .body(self.body)
     }
 
-    /// Submits it, and returns the response.
+    /// Submits the message and returns the response.
     ///
     /// # Errors
-    /// No response is received, or not within a timeout.
+    /// The exchange fails, or `timeout` expires before the response is complete.
     pub fn submit(&self, address: SocketAddr, timeout: Duration) -> Result<Message, ExchangeError> {
         self.to_request().send(address, timeout)
     }
 }
 
-/// Whether an instance reports that it is ready.
+/// Returns whether an instance reports that it is ready.
 pub fn is_ready(address: SocketAddr, timeout: Duration) -> bool {
     let response = Request::get(READY_PATH).send(address, timeout);
     response.is_ok_and(|response| response.status() == 200)
@@ -67,29 +67,29 @@
 /// The configuration of an instance on the platform.
 #[derive(Clone, Debug)]
 pub struct InstanceConfig {
-    /// Its name.
+    /// The name of the instance.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address at which the instance listens for clients.
     pub listen: SocketAddr,
-    /// The address of its discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of its random draws, as a hexadecimal number.
+    /// The seed of the instance's random draws, as a hexadecimal number.
     pub seed: String,
-    /// Memory that it may take, in megabytes.
+    /// Memory limit in megabytes.
     pub memory_mb: u32,
-    /// Descriptors that it may hold.
+    /// Maximum number of open socket descriptors.
     pub sockets: usize,
-    /// The endpoints that it starts with.
+    /// The endpoints that the instance knows at its start.
     pub endpoints: Vec<ListedEndpoint>,
-    /// Its settings as JSON.
+    /// The settings of the instance as JSON.
     pub settings: String,
 }
 
-/// The revision of the endpoints in a configuration.
+/// The revision of the endpoint list in a configuration.
 const CONFIGURED_REVISION: u64 = 41;
 
 impl InstanceConfig {
-    /// The text of the file that [`CONFIG_VARIABLE`] names.
+    /// Returns the text of the configuration file, whose path is the value of [`CONFIG_VARIABLE`].
     pub fn to_json(&self) -> String {
         let known = EndpointList {
             revision: CONFIGURED_REVISION,
--- a/crates/process-harness/src/process.rs
+++ b/crates/process-harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A process under test.
+//! Processes under test and commands that run to completion.
 
 mod resources;
 
@@ -15,17 +15,17 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread::{self, JoinHandle};
 
-/// A process whose log is collected. It is killed when this is dropped.
+/// A running process whose standard error is collected as its log. Dropping this value kills the process.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     log: Arc<Mutex<String>>,
-    /// The thread that collects the log; it ends with the last writer of the process's standard error.
+    /// The thread that collects the log. It ends when the last process that holds the standard error open has closed it.
     log_collector: Option<JoinHandle<()>>,
 }
 
 impl Process {
-    /// Starts a program with arguments, and with variables added to the environment.
+    /// Starts a program with arguments and with additional environment variables.
     ///
     /// # Errors
     /// The program cannot be started.
@@ -53,20 +53,21 @@
         })
     }
 
-    /// Its log until now.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         let log = self.log.lock().unwrap_or_else(PoisonError::into_inner);
         log.clone()
     }
 
-    /// Waits until its log has a line with `marker` and an address behind it, and returns the address. Of several such
-    /// lines it is the one of this index.
+    /// Waits until the log has more than `index` lines in which an address follows `marker`. Returns the address in the
+    /// line with this index.
     ///
     /// # Errors
-    /// No such line is logged in time.
+    /// The line is not logged within [`WAIT_LIMIT`](crate::WAIT_LIMIT).
     pub fn logged_address(&self, marker: &str, index: usize) -> Result<SocketAddr, HarnessError> {
+        let description = format!("a log line with an address after {marker:?}");
         let mut address = None;
-        wait_for(marker, || {
+        wait_for(&description, || {
             let log = self.log();
             let mut addresses = log
                 .lines()
@@ -74,59 +75,60 @@
             address = addresses.nth(index);
             address.is_some()
         })?;
-        address.ok_or_else(|| HarnessError::TimedOut {
-            condition: marker.to_owned(),
+        address.ok_or(HarnessError::TimedOut {
+            condition: description,
         })
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal. Returns whether it was delivered.
+    /// Sends a signal. Returns whether the signal was sent.
     pub fn signal(&self, signal: Signal) -> bool {
         let pid = i32::try_from(self.pid()).ok().and_then(Pid::from_raw);
         pid.is_some_and(|pid| kill_process(pid, signal).is_ok())
     }
 
-    /// Kills it, and waits for its end.
+    /// Kills the process and waits until it has exited.
     ///
     /// # Errors
-    /// The operating system refuses.
+    /// The operating system rejects the signal or the wait.
     pub fn kill(&mut self) -> Result<(), HarnessError> {
         let killed = self.child.kill().and_then(|()| self.child.wait());
         killed
             .map(drop)
-            .map_err(HarnessError::io("a process's end"))
+            .map_err(HarnessError::io("kill of a process"))
     }
 
-    /// Its exit status, if it has ended.
+    /// Returns the exit status if the process has exited.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
-        // A process whose state cannot be read counts as running, which the caller's limit ends.
+        // If the status cannot be read, the process counts as running, and the time limit of the caller ends the wait.
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits until it has ended by itself and its log is complete, and returns its exit status.
+    /// Waits until the process has exited by itself and the log is complete. Returns the exit status.
     ///
     /// # Errors
-    /// It does not end in time, or another process holds its standard error open.
+    /// The process does not exit within [`WAIT_LIMIT`](crate::WAIT_LIMIT), or another process keeps its standard error
+    /// open.
     pub fn wait_for_exit(&mut self) -> Result<ExitStatus, HarnessError> {
         let mut status = None;
-        wait_for("the program's end", || {
+        wait_for("the program to exit", || {
             status = self.exit_status();
             status.is_some()
         })?;
-        wait_for("the end of the program's log", || {
+        wait_for("the end of the program's standard error", || {
             let mut collector = self.log_collector.iter();
             collector.all(JoinHandle::is_finished)
         })?;
         status.ok_or_else(|| HarnessError::TimedOut {
-            condition: "the program's end".to_owned(),
+            condition: "the program to exit".to_owned(),
         })
     }
 
-    /// The resources that it uses.
+    /// Returns the resources that the process uses, or `None` if it has exited.
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
         ResourceUsage::of_process(self.pid())
     }
@@ -134,11 +136,12 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // One that has ended meanwhile cannot be killed and is gone as well.
+        // An error means that the process has already exited.
         let _ = self.kill();
     }
 }
 
+/// Appends all lines of `source` to `log` in a new thread.
 fn collect_lines(source: impl Read + Send + 'static, log: Arc<Mutex<String>>) -> JoinHandle<()> {
     thread::spawn(move || {
         for line in BufReader::new(source).lines().map_while(Result::ok) {
@@ -149,23 +152,23 @@
     })
 }
 
-/// How a command ended.
+/// The exit code and the output of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandOutput {
-    /// Its exit code; `None` where a signal ended it.
+    /// The exit code; `None` if a signal ended the command.
     pub code: Option<i32>,
-    /// What it printed on standard output, followed by what it printed on standard error.
+    /// The standard output followed by the standard error.
     pub text: String,
 }
 
 impl CommandOutput {
-    /// Whether it ended with exit code 0.
+    /// Returns whether the exit code is 0.
     pub fn is_success(&self) -> bool {
         self.code == Some(0)
     }
 }
 
-/// Runs a program to its end.
+/// Runs a program and waits until it exits.
 ///
 /// # Errors
 /// The program cannot be started.
--- a/crates/process-harness/src/process/resources.rs
+++ b/crates/process-harness/src/process/resources.rs
@@ -1,27 +1,27 @@
-//! The resources that a process uses, as `/proc` reports them.
+//! The resource usage of a process, as reported by `/proc`.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The unit in which `/proc` counts processor time: fixed for programs on Linux.
+/// The unit of processor time in `/proc`, which is fixed for programs on Linux.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
-/// Fields of `/proc/PID/stat` behind the program's name with the ticks in user mode and in the kernel.
+/// Indexes of the ticks in user mode and in kernel mode among the fields of `/proc/PID/stat` after the program's name.
 const TICK_FIELDS: [usize; 2] = [11, 12];
 
-/// The resources that a process uses.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Processor time since its start.
+    /// Processor time since the start of the process.
     pub processor_time: Duration,
     /// Resident memory in kilobytes.
     pub resident_kb: u64,
-    /// Open file descriptors.
+    /// Number of open file descriptors.
     pub open_files: usize,
 }
 
 impl ResourceUsage {
-    /// The usage of a process; `None` where it has ended.
+    /// Returns the usage of a process, or `None` if it has exited.
     pub fn of_process(pid: u32) -> Option<ResourceUsage> {
         let process = PathBuf::from(format!("/proc/{pid}"));
         Some(ResourceUsage {
--- a/crates/process-harness/src/process/tests.rs
+++ b/crates/process-harness/src/process/tests.rs
@@ -1,4 +1,4 @@
-//! Processes that end.
+//! Tests of processes that exit.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -6,16 +6,16 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// A wait that is too short for nothing but a wait that returns at once.
+/// Time within which a wait that ignores the incomplete log would have returned.
 const SHORT_WAIT: Duration = Duration::from_millis(300);
 
-/// Regression: the last lines of a process were missing from its log right after its exit.
+/// Regression: the last lines of a process were missing from its log right after it had exited.
 #[test]
 fn wait_for_exit_includes_the_last_log_lines() {
     let mut process = Process::start(Path::new("/bin/sh"), &["-c", "echo last >&2"], &[]).unwrap();
     let log = Arc::clone(&process.log);
     let (exited_sender, exited) = mpsc::channel();
-    // The collector cannot add a line meanwhile.
+    // The held lock keeps the collector from adding the line.
     let log_guard = log.lock().unwrap();
     let waiting = thread::spawn(move || {
         let status = process.wait_for_exit().unwrap();
--- a/crates/process-harness/src/server.rs
+++ b/crates/process-harness/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server in place of a system outside.
+//! HTTP servers that stand in for systems outside the program under test.
 
 use crate::http::{is_timeout, write_response, Message};
 use crate::{uninterrupted, HarnessError, Listener};
@@ -7,38 +7,38 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long a request may take from its first byte to its last, at a server that is polled.
+/// Maximum time that a read of a request blocks after the first byte has arrived, at a server with a poll interval.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Writes a response itself. An error closes the connection.
+/// A function that writes a response itself. An error closes the connection.
 pub type Responder = Box<dyn FnOnce(&mut TcpStream) -> io::Result<()> + Send>;
 
-/// What a server does with a request.
+/// The reaction of a server to a request.
 pub enum Reply {
     /// Responds without a body.
     Status {
-        /// The status.
+        /// The status code.
         status: u16,
-        /// Complete header lines with their ends.
+        /// Complete header lines with their line ends.
         header_lines: String,
     },
     /// Responds with status 200 and a body.
     Body(String),
     /// Closes the connection without a response.
     Close,
-    /// Sends nothing until the client closes the connection or sends more.
+    /// Sends no response. The connection is served again after the client sends more data.
     Hang,
-    /// Responds in a way of its own.
+    /// Calls a function that writes the response.
     Custom(Responder),
 }
 
 impl Reply {
-    /// Status 200 without a body.
+    /// Returns a response with status 200 and without a body.
     pub fn ok() -> Reply {
         Reply::status(200)
     }
 
-    /// A status without a body.
+    /// Returns a response with a status and without a body.
     pub fn status(status: u16) -> Reply {
         Reply::Status {
             status,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A status with `Retry-After`, as its value in seconds.
+    /// Returns a response with a status and a `Retry-After` field, whose value is in seconds.
     pub fn retry_after(status: u16, seconds: &str) -> Reply {
         Reply::Status {
             status,
@@ -55,17 +55,17 @@
     }
 }
 
-/// Handles the requests of a server.
+/// The behaviour of a server, provided by a test.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Decides what is done with a request.
+    /// Returns the reaction to a request.
     fn handle(&self, request: &Message) -> Reply;
 
-    /// How often idle connections ask [`is_down`](RequestHandler::is_down); `None` if never.
+    /// Returns the interval at which idle connections check [`is_down`](RequestHandler::is_down), or `None` to never check.
     fn poll_interval(&self) -> Option<Duration> {
         None
     }
 
-    /// Whether the server closes its idle connections now.
+    /// Returns whether the server currently closes its idle connections.
     fn is_down(&self) -> bool {
         false
     }
@@ -77,7 +77,8 @@
     }
 }
 
-/// Starts a server on a free port, which runs until the process ends. Returns its address.
+/// Starts a server on a free port and returns its address. The server runs until the test process ends. `subject`
+/// describes the port in errors.
 ///
 /// # Errors
 /// No port is free.
@@ -87,7 +88,7 @@
 
 fn start_listener(subject: &str, handler: impl RequestHandler) -> Result<Listener, HarnessError> {
     Listener::start(subject, move |stream| {
-        // A broken connection is the client's matter.
+        // An error ends only this connection, and the client handles it.
         let _ = serve(stream, &handler);
     })
 }
@@ -111,7 +112,7 @@
     Ok(())
 }
 
-/// Waits for the next request; `None` once the connection has ended or the server is down.
+/// Waits for the next request. Returns `None` once the connection has ended or the server is down.
 fn next_request(
     reader: &mut BufReader<TcpStream>,
     handler: &impl RequestHandler,
@@ -137,10 +138,10 @@
     Ok(request)
 }
 
-/// A server that records the requests that it received.
+/// A server that records all requests.
 #[derive(Clone, Debug)]
 pub struct TestServer {
-    /// Where it listens.
+    /// The address of the server.
     pub address: SocketAddr,
     listener: Listener,
     requests: Arc<Mutex<Vec<Message>>>,
@@ -156,8 +157,9 @@
     ) -> Result<TestServer, HarnessError> {
         let requests = Arc::<Mutex<Vec<Message>>>::default();
         let recorded = Arc::clone(&requests);
-        let listener = start_listener("a stand-in's port", move |request: &Message| {
-            // Decided before it is recorded, so that whoever waits for the record also sees what was done.
+        let listener = start_listener("port of a test server", move |request: &Message| {
+            // The handler runs before the request is recorded: a test that waits for the record then sees the handler's
+            // effects.
             let reply = respond(request);
             lock(&recorded).push(request.clone());
             reply
@@ -169,21 +171,21 @@
         })
     }
 
-    /// The requests received until now, in their order.
+    /// Returns the requests received so far, in order.
     pub fn requests(&self) -> MutexGuard<'_, Vec<Message>> {
         lock(&self.requests)
     }
 
-    /// Waits until all connections that clients opened before are closed, and what was sent on them is recorded. After a
-    /// client was killed, what it left in its connections is read only then.
+    /// Waits until all connections opened before this call are closed and all requests sent on them are recorded. Without
+    /// this wait, requests that a killed client has left in its connections may not yet have been read.
     ///
     /// # Errors
-    /// One is not closed in time.
+    /// A connection is not closed within [`WAIT_LIMIT`](crate::WAIT_LIMIT), or no connection can be opened.
     pub fn wait_until_disconnected(&self) -> Result<(), HarnessError> {
         self.listener.wait_until_disconnected()
     }
 
-    /// How many requests were received.
+    /// Returns the number of requests received so far.
     pub fn request_count(&self) -> usize {
         self.requests().len()
     }
--- a/crates/process-harness/src/wait.rs
+++ b/crates/process-harness/src/wait.rs
@@ -4,15 +4,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The limit of every wait. Only a failed run reaches it.
+/// Maximum time of every wait. Only failed runs reach it.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(40);
-/// How often a condition is checked.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until a condition holds.
+/// Waits until a condition holds. `description` describes the condition in the error.
 ///
 /// # Errors
-/// It does not hold within [`WAIT_LIMIT`].
+/// The condition does not hold within [`WAIT_LIMIT`].
 pub fn wait_for(
     description: &str,
     mut condition: impl FnMut() -> bool,
--- a/crates/process-harness/src/workers.rs
+++ b/crates/process-harness/src/workers.rs
@@ -1,4 +1,4 @@
-//! Threads that do the same work again and again until they are stopped: the clients of a test.
+//! Threads that repeat the same work until they are stopped, such as the clients of a test.
 
 use crate::{wait_for, HarnessError};
 use std::panic;
@@ -7,7 +7,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Running workers, which return a value for each piece of work.
+/// A set of running workers. Each call of a worker's function returns one result.
 pub struct Workers<T> {
     stop: Arc<AtomicBool>,
     completed: Arc<AtomicUsize>,
@@ -15,8 +15,8 @@
 }
 
 impl<T: Send + 'static> Workers<T> {
-    /// Starts workers. `new_worker` gets the number of a worker and returns its work, which gets the number of each piece;
-    /// the worker pauses after each.
+    /// Starts `count` workers. `new_worker` receives the number of a worker and returns its function, which is called with
+    /// 0, 1, 2 and so on. The worker pauses after each call.
     pub fn start<W>(count: usize, pause: Duration, new_worker: impl Fn(usize) -> W) -> Workers<T>
     where
         W: FnMut(usize) -> T + Send + 'static,
@@ -44,24 +44,24 @@
         }
     }
 
-    /// How many pieces of work all workers have completed.
+    /// Returns the number of completed calls of all workers.
     pub fn completed(&self) -> usize {
         self.completed.load(Ordering::SeqCst)
     }
 
-    /// Waits until they have completed this many more.
+    /// Waits until the workers have completed `more` additional calls in total.
     ///
     /// # Errors
-    /// They have not in time.
+    /// The calls are not completed within [`WAIT_LIMIT`](crate::WAIT_LIMIT).
     pub fn wait_for_completions(&self, more: usize) -> Result<(), HarnessError> {
         let target = self.completed() + more;
-        wait_for("the workers", || self.completed() >= target)
+        wait_for("more results of the workers", || self.completed() >= target)
     }
 
-    /// Stops them. Returns the values of all pieces of work, those of one worker in their order.
+    /// Stops the workers and returns all results; those of the same worker are in order.
     ///
     /// # Panics
-    /// If a worker has panicked.
+    /// Panics if a worker has panicked.
     pub fn stop(self) -> Vec<T> {
         self.stop.store(true, Ordering::SeqCst);
         let results = self.threads.into_iter().flat_map(|thread| {
