--- a/crates/process-experiment/src/experiment.rs
+++ b/crates/process-experiment/src/experiment.rs
@@ -79,7 +79,9 @@
         changes: driver.change_counts(),
         trace: driver.into_trace(),
         events: observation.events.len(),
-        repeated_submissions: submissions.filter(|one| !one.is_final()).count(),
+        repeated_submissions: submissions
+            .filter(|submission| !submission.is_final())
+            .count(),
         submissions: observation.submissions.len(),
     })
 }
--- a/crates/process-experiment/src/experiment/changes.rs
+++ b/crates/process-experiment/src/experiment/changes.rs
@@ -1,6 +1,6 @@
 //! Changes of the policy, which operators apply beside everything else that happens.
 
-use crate::observation::Outcomes;
+use crate::observation::ChangeOutcomes;
 use marblefall_process_harness::run_command;
 use std::path::PathBuf;
 use std::process::Command;
@@ -8,9 +8,9 @@
 use std::thread::{self, JoinHandle};
 
 /// What `apply` prints before the revision of a change in force.
-const IN_FORCE: &str = "in force everywhere as revision ";
+const IN_FORCE_PREFIX: &str = "in force everywhere as revision ";
 /// What `apply` prints of a change that was withdrawn.
-const WITHDRAWN: &str = "withdrawn everywhere";
+const WITHDRAWN_TEXT: &str = "withdrawn everywhere";
 
 /// The operator's name for a change: the program takes it from the environment.
 pub fn operator_name(number: u64) -> String {
@@ -37,8 +37,8 @@
 /// The changes of a run.
 #[derive(Default)]
 pub struct Changes {
-    running: Vec<JoinHandle<()>>,
-    outcomes: Arc<Mutex<Outcomes>>,
+    appliers: Vec<JoinHandle<()>>,
+    outcomes: Arc<Mutex<ChangeOutcomes>>,
     applied: usize,
 }
 
@@ -47,7 +47,7 @@
     pub fn apply(&mut self, change: PlannedChange) {
         self.applied += 1;
         let outcomes = Arc::clone(&self.outcomes);
-        self.running.push(thread::spawn(move || {
+        self.appliers.push(thread::spawn(move || {
             let name = operator_name(change.number);
             if let Some(outcome) = change.apply(&name) {
                 let mut outcomes = outcomes.lock().unwrap_or_else(PoisonError::into_inner);
@@ -58,9 +58,9 @@
 
     /// Waits until `apply` has ended for all changes.
     pub fn wait_for_all(&mut self) {
-        for change in self.running.drain(..) {
+        for applier in self.appliers.drain(..) {
             // The outcome of a thread that panicked is missing, as that of an `apply` that failed.
-            let _ = change.join();
+            let _ = applier.join();
         }
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// The outcomes that `apply` printed.
-    pub fn outcomes(&self) -> Outcomes {
+    pub fn outcomes(&self) -> ChangeOutcomes {
         let outcomes = self.outcomes.lock().unwrap_or_else(PoisonError::into_inner);
         outcomes.clone()
     }
@@ -85,9 +85,9 @@
             .args(["apply", &self.plan, &self.home])
             .env("USER", operator);
         let output = run_command(&mut command).ok()?;
-        match output.text.split(IN_FORCE).nth(1) {
+        match output.text.split(IN_FORCE_PREFIX).nth(1) {
             Some(revision) => Some(revision.trim().parse().ok()),
-            None if output.text.contains(WITHDRAWN) => Some(None),
+            None if output.text.contains(WITHDRAWN_TEXT) => Some(None),
             None => None,
         }
     }
--- a/crates/process-experiment/src/experiment/driver.rs
+++ b/crates/process-experiment/src/experiment/driver.rs
@@ -41,14 +41,14 @@
     /// The manifest that the group was founded with.
     pub(super) founding_manifest: String,
     /// The votes of voters as they were at the start.
-    pub(super) old_votes: BTreeMap<usize, Vec<u8>>,
+    pub(super) initial_votes: BTreeMap<usize, Vec<u8>>,
 }
 
 impl<'a> Driver<'a> {
     /// A driver of a group whose members all run. The schedule starts now.
     pub fn new(group: Group, schedule: &'a Schedule) -> Driver<'a> {
         let voters = 0..schedule.processes.voters;
-        let old_votes = voters
+        let initial_votes = voters
             .filter_map(|voter| Some((voter, fs::read(group.vote_file(voter)).ok()?)))
             .collect();
         Driver {
@@ -60,7 +60,7 @@
             reversals: Vec::new(),
             suspended: BTreeSet::new(),
             changes: Changes::default(),
-            old_votes,
+            initial_votes,
         }
     }
 
--- a/crates/process-experiment/src/experiment/folder_faults.rs
+++ b/crates/process-experiment/src/experiment/folder_faults.rs
@@ -40,8 +40,8 @@
         match fault {
             FolderFault::None => Ok(()),
             FolderFault::Lost => self.lose_folder(member),
-            FolderFault::Old => match self.old_votes.get(&member) {
-                Some(old) => write(&votes, old),
+            FolderFault::Old => match self.initial_votes.get(&member) {
+                Some(initial) => write(&votes, initial),
                 None => Ok(()),
             },
             FolderFault::Torn => {
--- a/crates/process-experiment/src/experiment/observe.rs
+++ b/crates/process-experiment/src/experiment/observe.rs
@@ -3,7 +3,7 @@
 use super::changes::{is_operator_name, operator_name};
 use super::driver::Driver;
 use super::ChangeCounts;
-use crate::observation::{HistoryEvent, Observation, Outcomes};
+use crate::observation::{ChangeOutcomes, HistoryEvent, Observation};
 use crate::schedule::Action;
 use std::collections::{BTreeMap, HashSet};
 use std::fs;
@@ -33,8 +33,8 @@
     }
 
     /// The outcomes of this run's changes, as a member reports them.
-    fn reported_outcomes(&self, member: usize) -> Outcomes {
-        let mut outcomes = Outcomes::new();
+    fn reported_outcomes(&self, member: usize) -> ChangeOutcomes {
+        let mut outcomes = ChangeOutcomes::new();
         let history = self.group.change_history(member);
         for change in history.as_array().into_iter().flatten() {
             let author = change["by"].as_str().unwrap_or_default();
@@ -47,7 +47,7 @@
     }
 
     /// The endpoints that revisions drain, by the first member that reports the change as in force.
-    fn drained_endpoints(&self, reported: &[Outcomes]) -> BTreeMap<u64, HashSet<usize>> {
+    fn drained_endpoints(&self, reported: &[ChangeOutcomes]) -> BTreeMap<u64, HashSet<usize>> {
         let mut drained = BTreeMap::new();
         for step in &self.schedule.steps {
             let Action::Change {
--- a/crates/process-experiment/src/invariants.rs
+++ b/crates/process-experiment/src/invariants.rs
@@ -9,7 +9,7 @@
 /// How long after a revision is in force a call that was on its way may still arrive.
 const DRAIN_GRACE: Micros = 250 * MILLISECOND;
 /// Violations of each invariant that are reported.
-const MAX_REPORTED: usize = 3;
+const MAX_REPORTED_PER_INVARIANT: usize = 3;
 /// The status of an event that was delivered.
 const DELIVERED: u16 = 204;
 
@@ -89,7 +89,7 @@
     fn report(&mut self, invariant: Invariant, observed: String) {
         let reported = self.violations.iter();
         let reported = reported.filter(|violation| violation.invariant == invariant);
-        if reported.count() < MAX_REPORTED {
+        if reported.count() < MAX_REPORTED_PER_INVARIANT {
             self.violations.push(Violation {
                 invariant,
                 observed,
--- a/crates/process-experiment/src/invariants/tests.rs
+++ b/crates/process-experiment/src/invariants/tests.rs
@@ -1,7 +1,7 @@
 //! Each check finds the violation that it is for, and nothing in a correct run.
 
 use super::*;
-use crate::observation::Outcomes;
+use crate::observation::ChangeOutcomes;
 use marblefall_process_harness::client::Submission;
 use std::collections::HashSet;
 
@@ -33,7 +33,7 @@
 }
 
 fn correct_run() -> Observation {
-    let outcomes: Outcomes = [("one".to_owned(), Some(2)), ("two".to_owned(), None)].into();
+    let outcomes: ChangeOutcomes = [("one".to_owned(), Some(2)), ("two".to_owned(), None)].into();
     Observation {
         events: vec![
             event(10, "takes", 1),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn each_violation_is_found() {
+fn each_violation_is_reported_as_its_invariant() {
     assert_eq!(check(&correct_run()), []);
     type Mutation = fn(&mut Observation);
     let mutations: [(Invariant, Mutation); 10] = [
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn half_written_history_lines_are_ignored() {
+fn incomplete_history_lines_are_ignored() {
     assert_eq!(
         HistoryEvent::parse_all("12 a takes 3\n13 a le"),
         [HistoryEvent {
--- a/crates/process-experiment/src/observation.rs
+++ b/crates/process-experiment/src/observation.rs
@@ -50,7 +50,7 @@
 
 /// Outcomes of changes by the operators' names for them: the revision of a change in force, none where it was
 /// withdrawn.
-pub type Outcomes = BTreeMap<String, Option<u64>>;
+pub type ChangeOutcomes = BTreeMap<String, Option<u64>>;
 
 /// All that was recorded in a run.
 #[derive(Clone, Debug, Default)]
@@ -62,9 +62,9 @@
     /// The clients' submissions, those of one event in their order.
     pub submissions: Vec<Submission>,
     /// The outcomes that each member reports.
-    pub reported_outcomes: Vec<Outcomes>,
+    pub reported_outcomes: Vec<ChangeOutcomes>,
     /// The outcomes that `apply` printed.
-    pub applied_outcomes: Outcomes,
+    pub applied_outcomes: ChangeOutcomes,
     /// Which members act under the last revision in the end.
     pub caught_up: Vec<bool>,
     /// The endpoints that a revision drains.
--- a/crates/process-experiment/src/schedule.rs
+++ b/crates/process-experiment/src/schedule.rs
@@ -183,7 +183,7 @@
 
 impl Schedule {
     /// The same without `count` steps from the index `first` on.
-    pub fn without(&self, first: usize, count: usize) -> Schedule {
+    pub fn without_steps(&self, first: usize, count: usize) -> Schedule {
         let mut smaller = self.clone();
         let end = (first + count).min(self.steps.len());
         smaller.steps.drain(first..end);
--- a/crates/process-experiment/src/schedule/tests.rs
+++ b/crates/process-experiment/src/schedule/tests.rs
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn schedule_is_determined_by_its_seed_and_survives_storing() {
+fn schedule_is_deterministic_and_round_trips_through_toml() {
     let drawn = Schedule::draw(&settings(), 7);
     assert_eq!(drawn, Schedule::draw(&settings(), 7));
     assert_ne!(drawn.steps, Schedule::draw(&settings(), 8).steps);
     assert!(drawn.steps.len() > 60 && drawn.steps.is_sorted_by_key(|step| step.at_ms));
     let text = toml::to_string(&drawn).unwrap();
     assert_eq!(toml::from_str::<Schedule>(&text).unwrap(), drawn);
-    assert_eq!(drawn.without(3, 5).steps.len(), drawn.steps.len() - 5);
+    assert_eq!(drawn.without_steps(3, 5).steps.len(), drawn.steps.len() - 5);
 }
 
 #[test]
--- a/crates/process-experiment/src/shrink.rs
+++ b/crates/process-experiment/src/shrink.rs
@@ -16,7 +16,7 @@
     while count > 0 {
         let mut first = 0;
         while first < smallest.steps.len() && runs_left > 0 {
-            let smaller = smallest.without(first, count);
+            let smaller = smallest.without_steps(first, count);
             runs_left -= 1;
             if play(&smaller).contains(&invariant) {
                 smallest = smaller;
--- a/crates/process-experiment/src/shrink/tests.rs
+++ b/crates/process-experiment/src/shrink/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn schedule_shrinks_to_the_steps_of_the_violation() {
+fn shrinking_keeps_only_the_steps_that_cause_the_violation() {
     let schedule = Schedule {
         seed: 1,
         processes: settings(),
@@ -39,8 +39,8 @@
     };
     // Two steps together violate it.
     let violates = |schedule: &Schedule| {
-        let has = |at: u64| schedule.steps.iter().any(|step| step.at_ms == at);
-        if has(7) && has(31) {
+        let has_step_at = |at_ms: u64| schedule.steps.iter().any(|step| step.at_ms == at_ms);
+        if has_step_at(7) && has_step_at(31) {
             vec![Invariant::SinglePolicy]
         } else {
             Vec::new()
