--- a/crates/process-experiment/src/experiment.rs
+++ b/crates/process-experiment/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Plays a schedule on a group of processes, and checks what was observed.
+//! Plays a schedule on a group of processes and checks the invariants on the observations.
 
 mod changes;
 mod driver;
@@ -15,38 +15,39 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// The violations, sorted by invariant.
     pub violations: Vec<Violation>,
-    /// What was done when. After a violation also the last lines of the members' logs.
+    /// The actions of the run with their times. If there are violations, also the last lines of the members' logs.
     pub trace: Vec<String>,
-    /// Events in the members' histories.
+    /// Number of events in the members' histories.
     pub events: usize,
-    /// Submissions of clients.
+    /// Number of submissions of clients, repeated ones included.
     pub submissions: usize,
-    /// Submissions that clients repeated.
+    /// Number of submissions without a final response, which clients repeat.
     pub repeated_submissions: usize,
-    /// Changes that were applied.
+    /// The changes of the policy by outcome.
     pub changes: ChangeCounts,
 }
 
-/// How many changes of the policy had which outcome.
+/// Numbers of changes of the policy, by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChangeCounts {
-    /// Changes that operators applied.
+    /// Changes for which operators ran `apply`.
     pub applied: usize,
-    /// Those that `apply` reported to be in force.
+    /// Changes that `apply` reported as in force.
     pub in_force: usize,
-    /// Those that `apply` reported to be withdrawn.
+    /// Changes that `apply` reported as withdrawn.
     pub withdrawn: usize,
 }
 
-/// Plays a schedule with a program in a folder.
+/// Plays a schedule with the program under test in a folder, and checks the invariants. An error during the schedule or
+/// the recovery ends the run early and is added to the trace.
 ///
 /// # Errors
-/// The processes cannot be set up or observed. The run then is inconclusive.
+/// The processes cannot be set up. The run is then inconclusive.
 pub fn play(schedule: &Schedule, program: &Path, folder: &Path) -> Result<Report, HarnessError> {
     let settings = &schedule.processes;
     let destination = Destination::start(Duration::from_millis(settings.service_ms))?;
--- a/crates/process-experiment/src/experiment/driver.rs
+++ b/crates/process-experiment/src/experiment/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a schedule, and ends each fault at its time.
+//! Carries out the steps of a schedule and ends each fault when its duration is over.
 
 use super::changes::{Changes, PlannedChange};
 use super::folder_faults::new_vote_file;
@@ -11,41 +11,49 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a member that got SIGTERM has before it is killed, at most.
+/// Maximum time from SIGTERM to SIGKILL of a member, in milliseconds.
 const MAX_SHUTDOWN_MS: u64 = 500;
-/// Delay between the starts of two members after all were killed.
+/// Delay between the starts of two members after all were killed, in milliseconds.
 const START_INTERVAL_MS: u64 = 20;
-/// What ends a fault.
+
+/// An operation that ends a fault.
 pub(super) enum Reversal {
+    /// Damages the folder of a member that is down, and starts the member.
     Start(usize, FolderFault),
+    /// Resumes a suspended member.
     Continue(usize),
+    /// Opens links, each given by the numbers of the sending and the receiving member.
     OpenLinks(Vec<(usize, usize)>),
+    /// Lets a voter store its votes again.
     RepairDisk(usize),
 }
 
-/// A reversal with its time in the run.
+/// A reversal and the time at which it is due.
 pub(super) struct DueReversal {
+    /// Milliseconds after the start of the run.
     at_ms: u64,
     pub(super) reversal: Reversal,
 }
 
-/// Carries out a schedule.
+/// Carries out a schedule on a group.
 pub struct Driver<'a> {
     pub(super) group: Group,
     pub(super) schedule: &'a Schedule,
     started_at: Instant,
     trace: Vec<String>,
+    /// The reversals of all current faults.
     pub(super) reversals: Vec<DueReversal>,
+    /// The members that are suspended.
     pub(super) suspended: BTreeSet<usize>,
     pub(super) changes: Changes,
-    /// The manifest that the group was founded with.
+    /// The manifest with which the group was founded.
     pub(super) founding_manifest: String,
-    /// The votes of voters as they were at the start.
+    /// The contents of the voters' vote files at the start of the run.
     pub(super) initial_votes: BTreeMap<usize, Vec<u8>>,
 }
 
 impl<'a> Driver<'a> {
-    /// A driver of a group whose members all run. The schedule starts now.
+    /// Creates the driver of a group whose members all run. The time of the run starts here.
     pub fn new(group: Group, schedule: &'a Schedule) -> Driver<'a> {
         let voters = 0..schedule.processes.voters;
         let initial_votes = voters
@@ -64,7 +72,7 @@
         }
     }
 
-    /// Carries out all steps at their times.
+    /// Carries out all steps at their times and waits for the end of the schedule.
     pub fn play(&mut self) -> Result<(), HarnessError> {
         let schedule = self.schedule;
         for step in &schedule.steps {
@@ -74,16 +82,16 @@
         self.run_until((schedule.processes.seconds * 1000.0) as u64)
     }
 
-    /// Ends all faults, and waits until all members act under one policy.
+    /// Ends all faults and waits until all members act under the revision in force.
     pub fn recover(&mut self) -> Result<(), HarnessError> {
         for due in std::mem::take(&mut self.reversals) {
             self.reverse(due.reversal)?;
         }
         self.group.links.open_all();
         self.note("all faults have ended".to_owned());
-        // Each `apply` ends once its change has an outcome, which now is soon.
+        // Without faults, each change soon has an outcome, and its `apply` exits.
         self.changes.wait_for_all();
-        wait_for("all to act under one policy", || {
+        wait_for("all members to act under one revision", || {
             let revision = self.group.status(0)["group"]["revision"].as_u64();
             revision.is_some_and(|revision| {
                 let mut members = 0..self.group.member_count();
@@ -92,22 +100,22 @@
         })
     }
 
-    /// Notes that the run did not come to its end.
+    /// Adds the error that ended the run early to the trace.
     pub fn note_failure(&mut self, error: &HarnessError) {
-        self.trace
-            .push(format!("the run did not come to its end: {error}"));
+        self.trace.push(format!("the run ended early: {error}"));
     }
 
-    /// Notes the last lines of all logs.
+    /// Adds the last lines of all logs to the trace.
     pub fn note_logs(&mut self) {
         self.trace.push(self.group.recent_logs());
     }
 
-    /// What was noted.
+    /// Returns the trace.
     pub fn into_trace(self) -> Vec<String> {
         self.trace
     }
 
+    /// Adds a line with the current time to the trace.
     fn note(&mut self, text: String) {
         let seconds = self.started_at.elapsed().as_secs_f64();
         self.trace.push(format!("{seconds:8.3} s {text}"));
@@ -117,7 +125,7 @@
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Waits for a time of the run, and carries out the reversals that are due until then.
+    /// Waits until a time of the run and carries out the reversals that become due before.
     fn run_until(&mut self, at_ms: u64) -> Result<(), HarnessError> {
         loop {
             let reversals = self.reversals.iter().enumerate();
@@ -183,7 +191,7 @@
             process.signal(Signal::TERM);
         }
         self.note(format!(
-            "{} ends, gracefully {gracefully}, folder {folder:?}, for {down_ms} ms",
+            "{} is down for {down_ms} ms, gracefully {gracefully}, folder fault {folder:?}",
             member_name(member)
         ));
         if gracefully {
@@ -215,15 +223,16 @@
         self.reverse_at(now_ms + ms, Reversal::OpenLinks(pairs.to_vec()));
     }
 
-    /// Makes the writing of votes fail, by a folder in the place of the file that is written first.
+    /// Makes writes of votes fail: a folder takes the path of the temporary file that a voter writes before it replaces
+    /// its votes.
     fn fill_disk(&mut self, member: usize, ms: u64) {
         let now_ms = self.now_ms();
         let blocker = new_vote_file(&self.group.vote_file(member));
-        // A file that is left there would keep the folder from being created.
+        // A leftover file at this path would prevent the creation of the folder.
         let _ = fs::remove_file(&blocker);
         if fs::create_dir(&blocker).is_ok() {
             self.note(format!(
-                "the disk of {} takes no votes for {ms} ms",
+                "the disk of {} rejects votes for {ms} ms",
                 member_name(member)
             ));
             self.reverse_at(now_ms + ms, Reversal::RepairDisk(member));
@@ -233,7 +242,7 @@
     fn kill_all(&mut self, down_ms: u64, order: &[usize]) {
         let now_ms = self.now_ms();
         self.note(format!(
-            "all are killed for {down_ms} ms, and start as {order:?}"
+            "all members are killed for {down_ms} ms and start in the order {order:?}"
         ));
         let mut start_ms = now_ms + down_ms;
         for member in order {
@@ -281,7 +290,7 @@
                 let process = self.group.process(member);
                 if let Some(process) = process.filter(|_| self.suspended.remove(&member)) {
                     process.signal(Signal::CONT);
-                    self.note(format!("{} continues", member_name(member)));
+                    self.note(format!("{} is resumed", member_name(member)));
                 }
             }
             Reversal::OpenLinks(pairs) => {
@@ -291,15 +300,19 @@
                 self.note(format!("links {pairs:?} are open"));
             }
             Reversal::RepairDisk(member) => {
-                // The daemon may have removed it meanwhile.
+                // The daemon may have removed the folder in the meantime.
                 let _ = fs::remove_dir(new_vote_file(&self.group.vote_file(member)));
-                self.note(format!("the disk of {} works again", member_name(member)));
+                self.note(format!(
+                    "the disk of {} accepts votes again",
+                    member_name(member)
+                ));
             }
         }
         Ok(())
     }
 }
 
+/// Returns the links from each member of `from` to each member of `to`, and the opposite links if `both` is set.
 fn link_pairs(from: &[usize], to: &[usize], both: bool) -> Vec<(usize, usize)> {
     let forward = from
         .iter()
--- a/crates/process-experiment/src/experiment/folder_faults.rs
+++ b/crates/process-experiment/src/experiment/folder_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the folders of voters.
+//! Folder faults: loss or damage of the files of a voter that is down.
 
 use super::driver::{Driver, DueReversal, Reversal};
 use crate::schedule::FolderFault;
@@ -6,14 +6,15 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Bytes that are removed from a torn file.
+/// Number of bytes that are removed from the end of a torn file.
 const TORN_BYTES: usize = 5;
-/// Voters of which one may lose its votes while a majority of the others remains.
+/// Minimum number of voters of a group for one voter to lose its votes while the other voters are still a majority.
 const MIN_VOTERS_FOR_FOLDER_FAULT: usize = 3;
 
 impl Driver<'_> {
-    /// Whether a voter's folder may be damaged now. Only one is at a time, and only while all voters run, vote and reach
-    /// each other: otherwise it could not be known what a majority has acknowledged.
+    /// Returns whether the folder of a voter may be damaged now. At most one folder is damaged at a time, and only while
+    /// all voters run, vote and can reach each other. Otherwise it could not be determined what a majority has
+    /// acknowledged.
     pub(super) fn may_inject_folder_fault(&self, member: usize) -> bool {
         let is_harmless = |due: &DueReversal| {
             matches!(
@@ -53,18 +54,18 @@
         }
     }
 
-    /// Removes the group's part of a home, and founds it again. The journal stays: messages that an instance accepted are
-    /// another matter than what a voter acknowledged.
+    /// Removes the files of the group from a home and founds the group there again. The journal stays, because the fault
+    /// is the loss of what a voter has acknowledged, not of messages that an instance has accepted.
     fn lose_folder(&mut self, member: usize) -> Result<(), HarnessError> {
         let home = PathBuf::from(self.group.home(member));
-        // What is not there need not be removed.
+        // The folder and the file may not exist.
         let _ = fs::remove_dir_all(home.join("group"));
         let _ = fs::remove_file(home.join("applied.json"));
         self.group.found_member(member, &self.founding_manifest)
     }
 }
 
-/// The file that a voter writes before it replaces its votes.
+/// Returns the path of the temporary file that a voter writes before it replaces its votes.
 pub(super) fn new_vote_file(votes: &Path) -> PathBuf {
     votes.with_file_name("votes.new")
 }
--- a/crates/process-experiment/src/experiment/observe.rs
+++ b/crates/process-experiment/src/experiment/observe.rs
@@ -1,4 +1,4 @@
-//! Gathers what members recorded and report.
+//! Collects the histories and the status reports of the members.
 
 use super::changes::{is_operator_name, operator_name};
 use super::driver::Driver;
@@ -9,7 +9,7 @@
 use std::fs;
 
 impl Driver<'_> {
-    /// Returns what members recorded and report. The destination and clients are not part of it.
+    /// Returns the observations of the members. The caller adds the calls of the destination and the submissions.
     pub fn observe(&self) -> Observation {
         let mut observation = Observation {
             applied_outcomes: self.changes.outcomes(),
@@ -32,7 +32,7 @@
         observation
     }
 
-    /// The outcomes of this run's changes, as a member reports them.
+    /// Returns the outcomes of the run's changes as a member reports them.
     fn reported_outcomes(&self, member: usize) -> ChangeOutcomes {
         let mut outcomes = ChangeOutcomes::new();
         let history = self.group.change_history(member);
@@ -46,7 +46,8 @@
         outcomes
     }
 
-    /// The endpoints that revisions drain, by the first member that reports the change as in force.
+    /// Returns the drained endpoints by revision. The revision of a change is taken from the first member that reports
+    /// the change as in force.
     fn drained_endpoints(&self, reported: &[ChangeOutcomes]) -> BTreeMap<u64, HashSet<usize>> {
         let mut drained = BTreeMap::new();
         for step in &self.schedule.steps {
@@ -69,7 +70,7 @@
         drained
     }
 
-    /// How many changes had which outcome.
+    /// Returns the numbers of changes by outcome.
     pub fn change_counts(&self) -> ChangeCounts {
         let outcomes = self.changes.outcomes();
         let in_force = outcomes.values().flatten().count();
--- a/crates/process-experiment/src/invariants.rs
+++ b/crates/process-experiment/src/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants of a group, checked on what was observed from outside.
+//! The invariants of a group, checked on observations from outside the processes.
 
 use crate::observation::{HistoryEvent, Observation};
 use marblefall_process_harness::destination::Call;
@@ -6,14 +6,14 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// How long after a revision is in force a call that was on its way may still arrive.
+/// Time after a revision is in force in which calls that were already in flight may still arrive at a drained endpoint.
 const DRAIN_GRACE: Micros = 250 * MILLISECOND;
-/// Violations of each invariant that are reported.
+/// Maximum number of violations that are reported of each invariant.
 const MAX_REPORTED_PER_INVARIANT: usize = 3;
 /// The status of an event that was delivered.
 const DELIVERED: u16 = 204;
 
-/// An invariant.
+/// An invariant of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// Once an instance has acted under a revision, none acts under an earlier one.
@@ -24,13 +24,13 @@
     AllCaughtUp,
     /// Each event that was accepted has one final outcome.
     FinalOutcome,
-    /// Each event whose response says that it was delivered was executed.
+    /// Each event that is reported as delivered was executed.
     Delivered,
     /// No event is executed twice, except as its class permits.
     NoDuplicate,
-    /// An event has one attempt in flight at a time.
+    /// An event has at most one attempt in flight at a time.
     SingleAttempt,
-    /// A drained endpoint gets no new calls after the grace period.
+    /// A drained endpoint receives no new calls after the grace period.
     DrainKept,
 }
 
@@ -52,9 +52,9 @@
 /// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The invariant.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// What was observed.
+    /// A description of the observation.
     pub observed: String,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Checks all invariants. Returns the first violations of each.
+/// Checks all invariants. Returns the first violations of each, at most `MAX_REPORTED_PER_INVARIANT`.
 pub fn check(observation: &Observation) -> Vec<Violation> {
     let mut checker = Checker {
         observation,
@@ -184,7 +184,7 @@
     }
 
     fn check_drains(&mut self) {
-        // A revision is surely in force once an instance has acted under it.
+        // The first event of an instance under a revision proves that the revision is in force.
         let mut in_force_since: BTreeMap<u64, Micros> = BTreeMap::new();
         for event in self.observation.instance_events() {
             in_force_since.entry(event.revision).or_insert(event.at);
--- a/crates/process-experiment/src/invariants/tests.rs
+++ b/crates/process-experiment/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Each check finds the violation that it is for, and nothing in a correct run.
+//! Tests that each check reports the violation of its invariant and that a correct run has no violations.
 
 use super::*;
 use crate::observation::ChangeOutcomes;
--- a/crates/process-experiment/src/lib.rs
+++ b/crates/process-experiment/src/lib.rs
@@ -1,9 +1,11 @@
-//! Experiments on groups of real processes: faults drawn from one seed are injected while clients submit events and
-//! operators change the policy, and the invariants of a group are checked from outside.
+//! Experiments on groups of real processes: faults drawn from a seed are injected while clients submit events and
+//! operators change the policy. The invariants of the group are checked on observations from outside the processes.
 //!
-//! A [`schedule`] says what happens and can be stored and played again; [`experiment`] plays it; [`observation`] holds
-//! what members, the destination and clients recorded; [`invariants`] checks it; [`shrink`](mod@shrink) removes the
-//! steps that a violation does not need.
+//! - [`schedule`] draws, stores and loads the steps of a run.
+//! - [`experiment`] plays a schedule.
+//! - [`observation`] holds the records of the members, the destination and the clients.
+//! - [`invariants`] checks an observation.
+//! - [`shrink`](mod@shrink) removes the steps of a schedule that are not needed for a violation.
 
 #![forbid(unsafe_code)]
 
--- a/crates/process-experiment/src/observation.rs
+++ b/crates/process-experiment/src/observation.rs
@@ -1,28 +1,28 @@
-//! What members, the destination and clients recorded in a run, on the machine's monotonic clock.
+//! The records of members, the destination and clients in a run, with times on the machine's monotonic clock.
 
 use marblefall_process_harness::client::Submission;
 use marblefall_process_harness::destination::Call;
 use marblefall_process_harness::Micros;
 use std::collections::{BTreeMap, HashSet};
 
-/// The instance in events of a daemon's lease guard, which holds for all its instances.
+/// The instance name in events of a daemon's lease guard, which applies to all instances of the daemon.
 const LEASE_GUARD: &str = "-";
 
 /// One line of a member's history.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HistoryEvent {
-    /// When it happened.
+    /// Time of the event.
     pub at: Micros,
-    /// The instance.
+    /// The name of the instance, or `-` for an event of the lease guard.
     pub instance: String,
-    /// What happened: `takes`, `leg`, or the state of the lease guard.
+    /// The action: `takes` or `leg` of an instance, or the new state of the lease guard.
     pub action: String,
-    /// The revision that it happened under.
+    /// The revision under which the event happened.
     pub revision: u64,
 }
 
 impl HistoryEvent {
-    /// Parses a line; `None` where it is half written or something else.
+    /// Parses a line. Returns `None` if the line is incomplete or not an event.
     pub fn parse(line: &str) -> Option<HistoryEvent> {
         let mut words = line.split(' ');
         let at = words.next()?.parse().ok()?;
@@ -37,42 +37,42 @@
         })
     }
 
-    /// Parses a whole history.
+    /// Parses all events of a history and skips other lines.
     pub fn parse_all(text: &str) -> Vec<HistoryEvent> {
         text.lines().filter_map(HistoryEvent::parse).collect()
     }
 
-    /// Whether it is an event of the lease guard, and not of an instance.
+    /// Returns whether the event is one of the lease guard rather than of an instance.
     pub fn is_of_lease_guard(&self) -> bool {
         self.instance == LEASE_GUARD
     }
 }
 
-/// Outcomes of changes by the operators' names for them: the revision of a change in force, none where it was
-/// withdrawn.
+/// Outcomes of changes by the operators' names under which they were applied: the revision of a change in force, or
+/// `None` if the change was withdrawn.
 pub type ChangeOutcomes = BTreeMap<String, Option<u64>>;
 
-/// All that was recorded in a run.
+/// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Observation {
-    /// The histories of all members.
+    /// The events in the histories of all members.
     pub events: Vec<HistoryEvent>,
-    /// The destination's calls.
+    /// The calls that the destination answered.
     pub calls: Vec<Call>,
-    /// The clients' submissions, those of one event in their order.
+    /// The submissions of the clients; those of the same event are in the order in which they were made.
     pub submissions: Vec<Submission>,
-    /// The outcomes that each member reports.
+    /// The outcomes of changes that each member reports, by member number.
     pub reported_outcomes: Vec<ChangeOutcomes>,
     /// The outcomes that `apply` printed.
     pub applied_outcomes: ChangeOutcomes,
-    /// Which members act under the last revision in the end.
+    /// Whether each member acts under the last revision at the end of the run, by member number.
     pub caught_up: Vec<bool>,
-    /// The endpoints that a revision drains.
+    /// The numbers of the endpoints that each revision drains.
     pub drained_endpoints: BTreeMap<u64, HashSet<usize>>,
 }
 
 impl Observation {
-    /// The events of instances, in the order of their times.
+    /// Returns the events of instances, ordered by time.
     pub fn instance_events(&self) -> Vec<&HistoryEvent> {
         let events = self.events.iter();
         let mut events: Vec<&HistoryEvent> =
--- a/crates/process-experiment/src/schedule.rs
+++ b/crates/process-experiment/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, drawn from one seed. A schedule can be stored, played again and shrunk.
+//! Schedules: the steps of a run, drawn from a seed. A schedule can be stored, played again and shrunk.
 
 mod draw;
 mod scenario;
@@ -12,33 +12,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// SIGKILL, and a restart some time later.
+    /// A member gets SIGKILL and restarts some time later.
     Kill,
-    /// SIGTERM, and a restart once the process has ended.
+    /// A member gets SIGTERM, is killed if it has not exited soon after, and restarts some time later.
     Term,
-    /// SIGSTOP, and SIGCONT some time later.
+    /// A member gets SIGSTOP, and SIGCONT some time later.
     Stop,
-    /// One member is cut off from all others.
+    /// The links between one member and all others are cut.
     Cut,
-    /// What one member sends to the others does not arrive, or the other way round.
+    /// The links between one member and all others are cut in one direction.
     OneWay,
     /// The members are partitioned into two or three parts.
     Split,
-    /// One member's links are cut for a moment.
+    /// The links of one member are cut for a short time.
     Flap,
-    /// One member's links are slow or narrow.
+    /// The links of one member are delayed or throttled.
     Slow,
-    /// One member's links are closed in the middle of frames.
+    /// The connections of one member are closed in the middle of frames.
     CutFrames,
-    /// A voter restarts with an empty folder.
+    /// A voter is killed and restarts without the files of its group.
     LoseFolder,
-    /// A voter restarts with an old copy of its votes.
+    /// A voter is killed and restarts with the votes from the start of the run.
     OldFolder,
-    /// A voter restarts with the last bytes of its votes missing.
+    /// A voter is killed and restarts without the last bytes of its votes.
     TornFolder,
-    /// A voter's disk is full for a while.
+    /// A voter cannot store votes for a while.
     FullDisk,
-    /// All members are killed at once, and restart in any order.
+    /// All members are killed at once and restart in a random order.
     KillAll,
 }
 
@@ -46,36 +46,36 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessSettings {
-    /// How many members, 2 to 40.
+    /// Number of members, 2 to 40.
     pub members: usize,
-    /// How many of them vote.
+    /// Number of voters, 1 to 9 and at most the number of members.
     pub voters: usize,
     /// The partition policy: `stop` or `serve`.
     #[serde(rename = "on_cut")]
     pub partition_policy: String,
-    /// The duration of a lease in milliseconds.
+    /// Duration of a lease, in milliseconds, 200 to 3000.
     #[serde(rename = "term_ms")]
     pub lease_ms: u64,
-    /// How long steps happen, in seconds.
+    /// Duration of the schedule, in seconds, 1 to 7200.
     pub seconds: f64,
-    /// How many clients submit events.
+    /// Number of clients that submit events, at most 64.
     pub clients: usize,
-    /// Pause of a client between two events, in milliseconds.
+    /// Time that a client pauses after each event, in milliseconds.
     #[serde(rename = "rest_ms")]
     pub pause_ms: u64,
-    /// How long a call takes at the destination, in milliseconds.
+    /// Duration of a call at the destination, in milliseconds.
     #[serde(rename = "call_ms")]
     pub service_ms: u64,
-    /// Mean interval between two changes of the policy, in milliseconds.
+    /// Mean interval between two changes of the policy, in milliseconds, at least 50.
     #[serde(rename = "change_every_ms")]
     pub change_interval_ms: u64,
-    /// Mean interval between two faults, in milliseconds.
+    /// Mean interval between two faults, in milliseconds, at least 50.
     #[serde(rename = "fault_every_ms")]
     pub fault_interval_ms: u64,
-    /// The longest duration of a fault, in milliseconds.
+    /// Maximum duration of a fault, in milliseconds, at least 10.
     #[serde(rename = "longest_ms")]
     pub max_fault_ms: u64,
-    /// The faults that may be injected.
+    /// The kinds of faults that may be injected.
     #[serde(default)]
     pub faults: Vec<FaultKind>,
 }
@@ -84,16 +84,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
 pub enum Action {
-    /// A member is ended and restarted.
+    /// A member is stopped and restarted.
     Restart {
         /// The member.
         member: usize,
-        /// Whether it gets SIGTERM instead of SIGKILL.
+        /// Whether the member gets SIGTERM before SIGKILL.
         #[serde(rename = "politely")]
         gracefully: bool,
-        /// How long it is down, in milliseconds.
+        /// Time that the member is down, in milliseconds.
         down_ms: u64,
-        /// What is done to its folder meanwhile.
+        /// The fault of the member's folder while the member is down.
         folder: FolderFault,
     },
     /// A member is suspended for a while.
@@ -101,35 +101,35 @@
     Suspend {
         /// The member.
         member: usize,
-        /// For how many milliseconds.
+        /// Duration in milliseconds.
         ms: u64,
     },
-    /// Links get a state for a while.
+    /// Links are in a state for a while.
     Links {
         /// The members that send.
         from: Vec<usize>,
         /// The members that receive.
         to: Vec<usize>,
-        /// Whether the links in the other direction get the state too.
+        /// Whether the links in the opposite direction are in the state too.
         both: bool,
-        /// The state.
+        /// The state of the links.
         #[serde(rename = "does")]
         state: LinkState,
-        /// For how many milliseconds.
+        /// Duration in milliseconds.
         ms: u64,
     },
-    /// The disk of a voter is full for a while.
+    /// A voter cannot store votes for a while.
     FullDisk {
-        /// The member.
+        /// The voter's number.
         member: usize,
-        /// For how many milliseconds.
+        /// Duration in milliseconds.
         ms: u64,
     },
     /// All members are killed and restarted.
     KillAll {
-        /// How long they are down, in milliseconds.
+        /// Time from the kill to the first restart, in milliseconds.
         down_ms: u64,
-        /// The order in which they restart.
+        /// The members in the order in which they restart.
         order: Vec<usize>,
     },
     /// A change of the policy is applied at a member.
@@ -138,20 +138,20 @@
         member: usize,
         /// The number of the change in the run.
         number: u64,
-        /// The endpoint that the change drains.
+        /// The endpoint that the change drains; `None` if it drains none.
         #[serde(rename = "drains")]
         drained_endpoint: Option<usize>,
     },
 }
 
-/// What is done to the folder of a member while it is down.
+/// A fault of the folder of a member that is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FolderFault {
-    /// Nothing.
+    /// The folder stays as it is.
     #[serde(rename = "nothing")]
     None,
-    /// The group's part is removed, and the home is founded again.
+    /// The files of the group are removed, and the group is founded again in the home.
     Lost,
     /// The votes are replaced by a copy from the start of the run.
     Old,
@@ -159,30 +159,30 @@
     Torn,
 }
 
-/// An action with its time.
+/// An action and its time in the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     /// Milliseconds after the start of the run.
     pub at_ms: u64,
-    /// The action.
+    /// The action at this time.
     #[serde(flatten)]
     pub action: Action,
 }
 
-/// What happens in a run.
+/// The settings and the steps of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The seed that it was drawn from.
+    /// The seed from which the schedule was drawn.
     pub seed: u64,
-    /// The processes and the load.
+    /// The processes, the load and the kinds of faults.
     pub processes: ProcessSettings,
-    /// The steps in the order of their times.
+    /// The steps, ordered by time.
     #[serde(default)]
     pub steps: Vec<Step>,
 }
 
 impl Schedule {
-    /// The same without `count` steps from the index `first` on.
+    /// Returns the schedule without the `count` steps that start at index `first`, or fewer at the end of the steps.
     pub fn without_steps(&self, first: usize, count: usize) -> Schedule {
         let mut smaller = self.clone();
         let end = (first + count).min(self.steps.len());
--- a/crates/process-experiment/src/schedule/draw.rs
+++ b/crates/process-experiment/src/schedule/draw.rs
@@ -1,19 +1,19 @@
-//! Draws schedules. The order of the random draws is part of what a seed means.
+//! Draws schedules. The schedule of a seed depends on the order of the random draws, which must not change.
 
 use super::{Action, FaultKind, FolderFault, ProcessSettings, Schedule, Step};
 use marblefall_process_harness::link_proxy::LinkState;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// The longest cut of a flapping link, in milliseconds.
+/// Maximum duration of a cut of a flapping link, in milliseconds.
 const MAX_FLAP_MS: u64 = 400;
-/// Bytes that a throttled link forwards at once.
+/// Maximum number of bytes that a throttled link forwards at once.
 const THROTTLED_BYTES: usize = 64;
-/// The longest time for which all members are down, in milliseconds.
+/// Maximum time for which all members are down, in milliseconds.
 const MAX_ALL_DOWN_MS: u64 = 500;
 
 impl Schedule {
-    /// Draws what happens in a scenario.
+    /// Draws the schedule of a run with these settings from a seed.
     pub fn draw(processes: &ProcessSettings, seed: u64) -> Schedule {
         let mut rng = Pcg64::seed_from_u64(seed);
         let end_ms = (processes.seconds * 1000.0) as u64;
@@ -59,18 +59,23 @@
     steps
 }
 
+/// Draws an interval from half to one and a half times the mean.
 fn draw_interval_ms(mean_ms: u64, rng: &mut Pcg64) -> u64 {
     rng.random_range(mean_ms / 2..=mean_ms * 3 / 2)
 }
 
-/// What is drawn for a fault of any kind.
+/// The values drawn for every fault. All are drawn whatever the kind of the fault needs.
 struct FaultDraw<'a> {
     rng: &'a mut Pcg64,
+    /// The numbers of all members.
     members: Vec<usize>,
+    /// The affected member.
     member: usize,
+    /// The affected voter.
     voter: usize,
+    /// Duration of the fault in milliseconds.
     ms: u64,
-    /// How links are cut.
+    /// The state of cut links: blackhole or refuse.
     cut: LinkState,
 }
 
@@ -156,7 +161,7 @@
         }
     }
 
-    /// Cuts all links between two or three parts of the members.
+    /// Assigns the members to two or three parts at random, and cuts all links between different parts.
     fn partition(&mut self) -> Vec<Action> {
         let parts = self.rng.random_range(2..=3usize);
         let part_of: Vec<usize> = (0..self.members.len())
--- a/crates/process-experiment/src/schedule/scenario.rs
+++ b/crates/process-experiment/src/schedule/scenario.rs
@@ -1,26 +1,26 @@
-//! Scenario files for experiments on processes.
+//! Scenario files of experiments on processes.
 
 use super::ProcessSettings;
 use serde::Deserialize;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The most members of a group.
+/// Maximum number of members of a group.
 const MAX_MEMBERS: usize = 40;
-/// The most voters of a group.
+/// Maximum number of voters of a group.
 const MAX_VOTERS: usize = 9;
 
-/// A scenario for processes, as its file has it.
+/// A scenario for processes, as written in its file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessScenario {
-    /// What it is about.
+    /// A short description of the scenario.
     pub title: String,
-    /// The processes, the load and the faults.
+    /// The processes, the load and the kinds of faults.
     pub processes: ProcessSettings,
 }
 
-/// Why a scenario cannot be used.
+/// An error of reading a scenario or a schedule.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
@@ -28,7 +28,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The file is not a scenario or schedule.
@@ -36,24 +36,24 @@
     Parse {
         /// The file.
         path: PathBuf,
-        /// The line, and why.
+        /// The position and the cause.
         source: Box<toml::de::Error>,
     },
-    /// A value is out of its range.
+    /// A setting is out of range.
     #[error("{}: processes: {problem}", path.display())]
     OutOfRange {
         /// The file.
         path: PathBuf,
-        /// The range.
+        /// The allowed range.
         problem: &'static str,
     },
 }
 
 impl ProcessScenario {
-    /// Reads a scenario's file.
+    /// Reads a scenario from a file and checks the ranges of its settings.
     ///
     /// # Errors
-    /// The file cannot be read, is not a scenario, or has a value out of its range.
+    /// The file cannot be read, is not a scenario, or has a setting out of range.
     pub fn read(path: &Path) -> Result<ProcessScenario, ScenarioError> {
         let scenario: ProcessScenario = read_toml(path)?;
         match scenario.processes.problem() {
@@ -67,7 +67,7 @@
 }
 
 impl super::Schedule {
-    /// Reads a stored schedule.
+    /// Reads a schedule from a file. The ranges of its settings are not checked.
     ///
     /// # Errors
     /// The file cannot be read, or is not a schedule.
@@ -88,6 +88,7 @@
 }
 
 impl ProcessSettings {
+    /// Returns the allowed range of a setting that is out of range, if any.
     fn problem(&self) -> Option<&'static str> {
         if !(2..=MAX_MEMBERS).contains(&self.members)
             || self.voters == 0
--- a/crates/process-experiment/src/shrink.rs
+++ b/crates/process-experiment/src/shrink.rs
@@ -1,10 +1,11 @@
-//! Shrinks schedules that violate an invariant.
+//! Shrinking of schedules that violate an invariant.
 
 use crate::invariants::Invariant;
 use crate::schedule::Schedule;
 
-/// Removes steps from a schedule as long as it still violates the invariant: halves first, then fewer. Plays at most
-/// `max_runs` schedules; `play` returns the invariants that a schedule violates.
+/// Removes steps from a schedule for as long as the rest still violates the invariant. The removed ranges are first half
+/// of the steps and then ever fewer. `play` returns the invariants that a schedule violates and is called at most
+/// `max_runs` times.
 pub fn shrink(
     schedule: &Schedule,
     invariant: Invariant,
--- a/crates/process-experiment/src/shrink/tests.rs
+++ b/crates/process-experiment/src/shrink/tests.rs
@@ -37,7 +37,7 @@
         processes: settings(),
         steps: (0..50).map(step).collect(),
     };
-    // Two steps together violate it.
+    // Only the two steps together violate the invariant.
     let violates = |schedule: &Schedule| {
         let has_step_at = |at_ms: u64| schedule.steps.iter().any(|step| step.at_ms == at_ms);
         if has_step_at(7) && has_step_at(31) {
