--- a/crates/process-experiment/src/experiment.rs
+++ b/crates/process-experiment/src/experiment.rs
@@ -28,7 +28,7 @@
     pub submissions: usize,
     /// Number of submissions without a final response, which clients repeat.
     pub repeated_submissions: usize,
-    /// The changes of the policy by outcome.
+    /// Numbers of changes of the policy, by outcome.
     pub changes: ChangeCounts,
 }
 
--- a/crates/process-experiment/src/experiment/driver.rs
+++ b/crates/process-experiment/src/experiment/driver.rs
@@ -18,7 +18,7 @@
 
 /// An operation that ends a fault.
 pub(super) enum Reversal {
-    /// Damages the folder of a member that is down, and starts the member.
+    /// Applies a folder fault to a member that is down, and starts the member.
     Start(usize, FolderFault),
     /// Resumes a suspended member.
     Continue(usize),
--- a/crates/process-experiment/src/experiment/folder_faults.rs
+++ b/crates/process-experiment/src/experiment/folder_faults.rs
@@ -31,7 +31,7 @@
             && votes(member)
     }
 
-    /// Damages the folder of a member that is down.
+    /// Applies a folder fault to a member that is down.
     pub(super) fn inject_folder_fault(
         &mut self,
         member: usize,
--- a/crates/process-experiment/src/shrink.rs
+++ b/crates/process-experiment/src/shrink.rs
@@ -3,9 +3,9 @@
 use crate::invariants::Invariant;
 use crate::schedule::Schedule;
 
-/// Removes steps from a schedule for as long as the rest still violates the invariant. The removed ranges are first half
-/// of the steps and then ever fewer. `play` returns the invariants that a schedule violates and is called at most
-/// `max_runs` times.
+/// Removes steps from a schedule for as long as the remaining steps still violate the invariant. Tries to remove half of
+/// the steps at a time first, and then ever smaller ranges. `play` returns the invariants that a schedule violates; it is
+/// called at most `max_runs` times.
 pub fn shrink(
     schedule: &Schedule,
     invariant: Invariant,
--- a/crates/process-harness/src/client.rs
+++ b/crates/process-harness/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that submit events one after another, retry them as the responses demand, and record every submission.
+//! Clients that submit events one after another, retry each until a response is final, and record every submission.
 
 use crate::cloud_events::CloudEvent;
 use crate::Workers;
@@ -71,7 +71,7 @@
 }
 
 impl ClientLoad {
-    /// Submits event `number` of a client until a response is final or [`MAX_SUBMISSIONS`] is reached.
+    /// Submits event number `number` of a client until a response is final or [`MAX_SUBMISSIONS`] is reached.
     fn submit_event(&self, client: usize, number: usize) -> Vec<Submission> {
         let id = format!("e{}-{client}-{number}", self.run);
         let event = CloudEvent {
--- a/crates/process-harness/src/cloud_events.rs
+++ b/crates/process-harness/src/cloud_events.rs
@@ -42,7 +42,7 @@
     /// Submits the event and returns the response, which reports its outcome.
     ///
     /// # Errors
-    /// The exchange fails, or `timeout` expires before the response is complete.
+    /// A step of the exchange fails or exceeds `timeout`.
     pub fn submit(&self, address: SocketAddr, timeout: Duration) -> Result<Message, ExchangeError> {
         self.to_request().send(address, timeout)
     }
--- a/crates/process-harness/src/fault_shim.rs
+++ b/crates/process-harness/src/fault_shim.rs
@@ -68,7 +68,7 @@
         ]
     }
 
-    /// Returns whether a process has loaded the shim, which then creates the file of counts.
+    /// Returns whether a process has read the plan. The shim creates the file of counts at the same time.
     pub fn is_loaded(&self) -> bool {
         Path::new(&self.counts).exists()
     }
--- a/crates/process-harness/src/group.rs
+++ b/crates/process-harness/src/group.rs
@@ -19,7 +19,7 @@
 pub struct GroupSettings {
     /// The program under test.
     pub program: PathBuf,
-    /// The folder for homes, histories and manifests. Anything that it contains is removed.
+    /// The folder for homes, histories and manifests. Any earlier content is removed.
     pub folder: PathBuf,
     /// Number of members. Each is a daemon with one instance.
     pub members: usize,
--- a/crates/process-harness/src/http.rs
+++ b/crates/process-harness/src/http.rs
@@ -18,7 +18,7 @@
     pub headers: Vec<(String, String)>,
     /// The body; empty if the head declares no length.
     pub body: Vec<u8>,
-    /// Time at which the first byte could be read; `None` if the message was not read from a connection.
+    /// Time at which the first byte could be read; `None` if the message was not read.
     pub received_at: Option<Instant>,
 }
 
@@ -159,7 +159,7 @@
     /// Sends the request on a new connection and returns the response.
     ///
     /// # Errors
-    /// The exchange fails, or `timeout` expires before the response is complete.
+    /// A step of the exchange fails or exceeds `timeout`.
     pub fn send(&self, address: SocketAddr, timeout: Duration) -> Result<Message, ExchangeError> {
         exchange(address, &self.to_bytes(), timeout)
     }
--- a/crates/process-harness/src/platform.rs
+++ b/crates/process-harness/src/platform.rs
@@ -52,7 +52,7 @@
     /// Submits the message and returns the response.
     ///
     /// # Errors
-    /// The exchange fails, or `timeout` expires before the response is complete.
+    /// A step of the exchange fails or exceeds `timeout`.
     pub fn submit(&self, address: SocketAddr, timeout: Duration) -> Result<Message, ExchangeError> {
         self.to_request().send(address, timeout)
     }
@@ -77,7 +77,7 @@
     pub seed: String,
     /// Memory limit in megabytes.
     pub memory_mb: u32,
-    /// Maximum number of open socket descriptors.
+    /// Maximum number of open descriptors.
     pub sockets: usize,
     /// The endpoints that the instance knows at its start.
     pub endpoints: Vec<ListedEndpoint>,
--- a/crates/process-harness/src/server.rs
+++ b/crates/process-harness/src/server.rs
@@ -26,7 +26,7 @@
     Body(String),
     /// Closes the connection without a response.
     Close,
-    /// Sends no response. The connection is served again after the client sends more data.
+    /// Sends no response, and waits until the client closes the connection or sends more data.
     Hang,
     /// Calls a function that writes the response.
     Custom(Responder),
