--- a/crates/process-experiment/src/experiment/observe.rs
+++ b/crates/process-experiment/src/experiment/observe.rs
@@ -1,15 +1,15 @@
-//! Gathers what members recorded and report.
+//! Collects the histories and the status reports of the members.
 
 use super::changes::{is_operator_name, operator_name};
 use super::driver::Driver;
 use super::ChangeCounts;
-use crate::observation::{HistoryEvent, Observation, Outcomes};
+use crate::observation::{ChangeOutcomes, HistoryEvent, Observation};
 use crate::schedule::Action;
 use std::collections::{BTreeMap, HashSet};
 use std::fs;
 
 impl Driver<'_> {
-    /// Returns what members recorded and report. The destination and clients are not part of it.
+    /// Returns the observations of the members. The caller adds the calls of the destination and the submissions.
     pub fn observe(&self) -> Observation {
         let mut observation = Observation {
             applied_outcomes: self.changes.outcomes(),
@@ -32,9 +32,9 @@
         observation
     }
 
-    /// The outcomes of this run's changes, as a member reports them.
-    fn reported_outcomes(&self, member: usize) -> Outcomes {
-        let mut outcomes = Outcomes::new();
+    /// Returns the outcomes of the run's changes as a member reports them.
+    fn reported_outcomes(&self, member: usize) -> ChangeOutcomes {
+        let mut outcomes = ChangeOutcomes::new();
         let history = self.group.change_history(member);
         for change in history.as_array().into_iter().flatten() {
             let author = change["by"].as_str().unwrap_or_default();
@@ -46,8 +46,9 @@
         outcomes
     }
 
-    /// The endpoints that revisions drain, by the first member that reports the change as in force.
-    fn drained_endpoints(&self, reported: &[Outcomes]) -> BTreeMap<u64, HashSet<usize>> {
+    /// Returns the drained endpoints by revision. The revision of a change is taken from the first member that reports
+    /// the change as in force.
+    fn drained_endpoints(&self, reported: &[ChangeOutcomes]) -> BTreeMap<u64, HashSet<usize>> {
         let mut drained = BTreeMap::new();
         for step in &self.schedule.steps {
             let Action::Change {
@@ -69,7 +70,7 @@
         drained
     }
 
-    /// How many changes had which outcome.
+    /// Returns the numbers of changes by outcome.
     pub fn change_counts(&self) -> ChangeCounts {
         let outcomes = self.changes.outcomes();
         let in_force = outcomes.values().flatten().count();
--- a/crates/process-experiment/src/shrink.rs
+++ b/crates/process-experiment/src/shrink.rs
@@ -1,10 +1,11 @@
-//! Shrinks schedules that violate an invariant.
+//! Shrinking of schedules that violate an invariant.
 
 use crate::invariants::Invariant;
 use crate::schedule::Schedule;
 
-/// Removes steps from a schedule as long as it still violates the invariant: halves first, then fewer. Plays at most
-/// `max_runs` schedules; `play` returns the invariants that a schedule violates.
+/// Removes steps from a schedule for as long as the remaining steps still violate the invariant. Tries to remove half of
+/// the steps at a time first, and then ever smaller ranges. `play` returns the invariants that a schedule violates; it is
+/// called at most `max_runs` times.
 pub fn shrink(
     schedule: &Schedule,
     invariant: Invariant,
@@ -16,7 +17,7 @@
     while count > 0 {
         let mut first = 0;
         while first < smallest.steps.len() && runs_left > 0 {
-            let smaller = smallest.without(first, count);
+            let smaller = smallest.without_steps(first, count);
             runs_left -= 1;
             if play(&smaller).contains(&invariant) {
                 smallest = smaller;
