--- a/crates/fault-plan/src/count.rs
+++ b/crates/fault-plan/src/count.rs
@@ -1,9 +1,9 @@
-//! The draws that decide which calls fail, and the counts of both.
+//! Pseudo-random draws that decide which calls fail, and counts of seen calls and injected faults.
 
 use crate::FaultKind;
 
-/// Returns the draw for one call of one process. It depends on the seed, the kind and the call's ordinal, and not on
-/// threads.
+/// Returns a pseudo-random number for one call of one process. It depends only on the seed, the kind and the call's
+/// ordinal, so the scheduling of threads does not change it.
 pub fn draw(seed: u64, kind: FaultKind, ordinal: u64) -> u64 {
     let mut mixed = seed ^ (kind.index() as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     mixed = mixed.wrapping_add(ordinal.wrapping_mul(0xD134_2543_DE82_EF95));
@@ -13,20 +13,21 @@
     mixed.wrapping_mul(0x8EBC_6AF0_9C88_C6E3) >> 33
 }
 
-/// How often a kind of fault could be injected, and was.
+/// Number of calls that were eligible for a kind of fault, and of those that it was injected into.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
-    /// Calls while it was active.
+    /// Calls that were made while a fault of this kind was active.
     pub seen: u64,
-    /// Calls that it was injected into.
+    /// Calls that a fault of this kind was injected into.
     pub injected: u64,
 }
 
-/// Bytes of a count in the file: two words.
+/// Size of one count in the file, in bytes.
 const COUNT_BYTES: usize = 2 * WORD_BYTES;
+/// Size of one number in the file, in bytes. Numbers are little-endian.
 const WORD_BYTES: usize = 8;
 
-/// Bytes of the file of counts.
+/// Size of the counts file, in bytes.
 pub const COUNTS_LEN: usize = FaultKind::ALL.len() * COUNT_BYTES;
 
 /// The counts of all kinds of faults.
@@ -34,7 +35,7 @@
 pub struct Counts([Count; FaultKind::ALL.len()]);
 
 impl Counts {
-    /// Reads the counts that a process wrote. Words that are missing count as zero.
+    /// Decodes the counts file of a process. Counts beyond the end of the file are zero.
     pub fn read(bytes: &[u8]) -> Counts {
         let mut counts = Counts::default();
         for (count, bytes) in counts.0.iter_mut().zip(bytes.chunks_exact(COUNT_BYTES)) {
@@ -47,12 +48,12 @@
         counts
     }
 
-    /// The count of a kind.
+    /// Returns the count of a kind of fault.
     pub fn of(&self, kind: FaultKind) -> Count {
         self.0[kind.index()]
     }
 
-    /// The counts of all kinds, in the order of [`FaultKind::ALL`].
+    /// Iterates over the counts of all kinds, in the order of [`FaultKind::ALL`].
     pub fn iter(&self) -> impl Iterator<Item = (FaultKind, Count)> + '_ {
         FaultKind::ALL.iter().map(|kind| (*kind, self.of(*kind)))
     }
--- a/crates/fault-plan/src/count/tests.rs
+++ b/crates/fault-plan/src/count/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the file of counts.
+//! Tests of the counts file.
 
 use super::*;
 
--- a/crates/fault-plan/src/fault.rs
+++ b/crates/fault-plan/src/fault.rs
@@ -1,24 +1,24 @@
-//! One fault of a plan.
+//! A fault of a plan and its text form.
 
 use crate::FaultKind;
 use std::fmt;
 use std::str::FromStr;
 
-/// One fault of a plan.
+/// A fault that is injected into one kind of system call for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What is injected.
+    /// Affected system call and the failure that is injected.
     pub kind: FaultKind,
-    /// When it becomes active, in milliseconds of the machine's monotonic clock.
+    /// Start of the fault, in milliseconds of the machine's monotonic clock.
     pub from_ms: i64,
-    /// When it stops being active, in milliseconds of the machine's monotonic clock.
+    /// Exclusive end of the fault, in milliseconds of the machine's monotonic clock.
     pub until_ms: i64,
-    /// How many calls of a thousand fail, or by how many milliseconds the wall clock is off.
+    /// Number of calls per thousand that fail, or the offset of the wall clock in milliseconds.
     pub amount: i64,
 }
 
 impl Fault {
-    /// Whether it is active at a time of the monotonic clock, in milliseconds.
+    /// Returns whether the fault is active at a time of the monotonic clock, in milliseconds.
     pub fn is_active(&self, now_ms: i64) -> bool {
         (self.from_ms..self.until_ms).contains(&now_ms)
     }
@@ -36,11 +36,11 @@
     }
 }
 
-/// A line of a plan is not a fault.
+/// Error for a line of a plan that does not describe a fault.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a fault: {line:?}")]
+#[error("invalid fault {line:?}, expected KIND FROM_MS UNTIL_MS AMOUNT")]
 pub struct ParseFaultError {
-    /// The line.
+    /// Text of the line.
     pub line: String,
 }
 
--- a/crates/fault-plan/src/fault/tests.rs
+++ b/crates/fault-plan/src/fault/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lines of a plan.
+//! Tests of the text form of a fault.
 
 use super::*;
 
--- a/crates/fault-plan/src/kind.rs
+++ b/crates/fault-plan/src/kind.rs
@@ -1,18 +1,18 @@
-//! Kinds of faults.
+//! Kinds of system call faults.
 
 macro_rules! fault_kinds {
     ($($(#[$doc:meta])* $kind:ident = $name:literal),* $(,)?) => {
-        /// What is injected into a system call.
+        /// Kind of fault: the affected system call and its failure.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum FaultKind {
             $($(#[$doc])* $kind,)*
         }
 
         impl FaultKind {
-            /// All kinds, in the order of their counts.
+            /// All kinds, in the order in which the counts file stores their counts.
             pub const ALL: &'static [FaultKind] = &[$(FaultKind::$kind),*];
 
-            /// The name in a plan.
+            /// Returns the name of the kind in a plan.
             pub fn name(self) -> &'static str {
                 match self {
                     $(FaultKind::$kind => $name,)*
@@ -39,41 +39,41 @@
     ConnectNoAddress = "connect-eaddrnotavail",
     /// `connect` fails with ENETUNREACH.
     ConnectUnreachable = "connect-enetunreach",
-    /// A read of a socket fails with EINTR; nothing was read.
+    /// A read from a socket fails with EINTR; nothing was read.
     ReceiveInterrupted = "recv-eintr",
-    /// A read of a socket returns one byte.
+    /// A read from a socket returns at most one byte.
     ReceiveShort = "recv-short",
-    /// A read of a socket fails with ETIMEDOUT; the connection is broken.
+    /// A read from a socket fails with ETIMEDOUT; the connection is shut down.
     ReceiveTimedOut = "recv-etimedout",
     /// A write to a socket fails with EINTR; nothing was written.
     SendInterrupted = "send-eintr",
-    /// A write to a socket accepts one byte.
+    /// A write to a socket accepts at most one byte.
     SendShort = "send-short",
-    /// A write to a socket fails with EHOSTUNREACH; the connection is broken.
+    /// A write to a socket fails with EHOSTUNREACH; the connection is shut down.
     SendUnreachable = "send-ehostunreach",
-    /// A wait returns EINTR at once.
+    /// `epoll_wait` or `poll` fails with EINTR at once.
     WaitInterrupted = "wait-eintr",
-    /// Writes, truncations and new files in the folder fail with ENOSPC; part of a write may be stored.
+    /// Writes, renames and file creations in the folder fail with ENOSPC; part of a write may be stored.
     DiskFull = "disk-enospc",
-    /// Writes, truncations, renames and syncs in the folder fail with EIO; part of a write may be stored.
+    /// Writes, truncations, renames, syncs and file creations in the folder fail with EIO; part of a write may be stored.
     DiskError = "disk-eio",
-    /// Part of a write in the folder is stored, and the process is killed.
+    /// Part of a write in the folder is stored, then the process is killed.
     TornWriteAndKill = "disk-torn-kill",
     /// `flock` fails with ENOLCK.
     LockFails = "flock-enolck",
-    /// The wall clock is off.
+    /// The wall clock is ahead of or behind the real time by a fixed offset.
     WallClockStepped = "wall-step",
     /// Opening a file in the folder fails with ENFILE.
     OpenNoFiles = "open-enfile",
 }
 
 impl FaultKind {
-    /// Its index in [`FaultKind::ALL`].
+    /// Returns the index of the kind in [`FaultKind::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// The kind of this name in a plan.
+    /// Returns the kind with this name in a plan.
     pub fn from_name(name: &str) -> Option<FaultKind> {
         let mut kinds = FaultKind::ALL.iter().copied();
         kinds.find(|kind| kind.name() == name)
--- a/crates/fault-shim/src/files.rs
+++ b/crates/fault-shim/src/files.rs
@@ -1,25 +1,25 @@
-//! Calls on files.
+//! Interposed functions on files.
 
 use crate::interpose::{fail, next_function};
 use crate::state::{any_active, draw_up_to, is_in_failing_folder, should_inject};
 use libc::{c_char, c_int, c_void, mode_t, off64_t, size_t, ssize_t};
 use marblefall_fault_plan::FaultKind;
 
-/// Faults of changes of the folder.
+/// Faults of calls that modify files in the folder.
 const DISK_FAULTS: &[FaultKind] = &[
     FaultKind::DiskFull,
     FaultKind::DiskError,
     FaultKind::TornWriteAndKill,
 ];
 
-/// Whether a descriptor is an open file in the folder that fails.
+/// Returns whether a disk fault is active and a descriptor refers to a file in the folder to which faults are limited.
 fn is_file_in_failing_folder(file: c_int) -> bool {
     if !any_active(DISK_FAULTS) {
         return false;
     }
     let link = format!("/proc/self/fd/{file}\0");
     let mut path = [0u8; 512];
-    // SAFETY: the link's name ends with a zero byte, and at most the buffer's length is written.
+    // SAFETY: the path of the link ends with a zero byte, and at most the length of the buffer is written.
     let len = unsafe {
         libc::syscall(
             libc::SYS_readlinkat,
@@ -32,16 +32,16 @@
     len > 0 && is_in_failing_folder(&path[..len as usize])
 }
 
-/// The bytes of a path.
+/// Returns the bytes of a path, without the zero byte at its end.
 ///
 /// # Safety
-/// `path` ends with a zero byte.
+/// `path` points to a string that ends with a zero byte and outlives the returned slice.
 unsafe fn path_bytes<'a>(path: *const c_char) -> &'a [u8] {
     // SAFETY: the caller guarantees that the path ends with a zero byte.
     unsafe { std::ffi::CStr::from_ptr(path) }.to_bytes()
 }
 
-/// The error that is injected into a change of the folder, if one is.
+/// Returns the error number to inject into a call that modifies the folder, if any.
 fn disk_error() -> Option<c_int> {
     if should_inject(FaultKind::DiskFull) {
         return Some(libc::ENOSPC);
@@ -52,7 +52,7 @@
 type Write = unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `write`.
 #[no_mangle]
 pub unsafe extern "C" fn write(file: c_int, buffer: *const c_void, len: size_t) -> ssize_t {
     let next = next_function!(write: Write);
@@ -61,7 +61,7 @@
         return unsafe { next(file, buffer, len) };
     }
     if len > 1 && should_inject(FaultKind::TornWriteAndKill) {
-        // SAFETY: a part of the caller's buffer is written; the process ends here.
+        // SAFETY: only a part of the caller's buffer is written, and the signal ends the process.
         unsafe {
             next(
                 file,
@@ -80,10 +80,10 @@
     } else {
         FaultKind::DiskError
     };
-    // Part of it may be written, and the rest not.
+    // Some of the failing writes store a part of the buffer and return its length, as a full disk does.
     let written = draw_up_to(kind, len.saturating_sub(1));
     if written > 0 && written.is_multiple_of(2) {
-        // SAFETY: a part of the caller's buffer is written.
+        // SAFETY: only a part of the caller's buffer is written.
         return unsafe { next(file, buffer, written) };
     }
     fail(error) as ssize_t
@@ -92,7 +92,7 @@
 type Synchronise = unsafe extern "C" fn(c_int) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `fsync`.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
     if is_file_in_failing_folder(file) && should_inject(FaultKind::DiskError) {
@@ -106,7 +106,7 @@
 type Lock = unsafe extern "C" fn(c_int, c_int) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `flock`.
 #[no_mangle]
 pub unsafe extern "C" fn flock(file: c_int, operation: c_int) -> c_int {
     if operation & libc::LOCK_UN == 0 && should_inject(FaultKind::LockFails) {
@@ -120,7 +120,7 @@
 type Truncate = unsafe extern "C" fn(c_int, off64_t) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `ftruncate64`.
 #[no_mangle]
 pub unsafe extern "C" fn ftruncate64(file: c_int, len: off64_t) -> c_int {
     if is_file_in_failing_folder(file) && should_inject(FaultKind::DiskError) {
@@ -134,7 +134,7 @@
 type Rename = unsafe extern "C" fn(*const c_char, *const c_char) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `rename`.
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     // SAFETY: the caller's paths end with zero bytes.
@@ -151,7 +151,7 @@
 type Open = unsafe extern "C" fn(*const c_char, c_int, mode_t) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `open64`.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     // SAFETY: the caller's path ends with a zero byte.
--- a/crates/fault-shim/src/interpose.rs
+++ b/crates/fault-shim/src/interpose.rs
@@ -1,15 +1,16 @@
-//! What every interposed function needs: the next function of its name, and a way to fail.
+//! Helpers of the interposed functions: lookup of the original function, and failure with an error number.
 
 use libc::c_int;
 
-/// Sets `errno`, and returns the result of a failed call.
+/// Sets `errno` and returns -1, the result of a failed call.
 pub(crate) fn fail(error: c_int) -> c_int {
-    // SAFETY: the C library gives each thread an `errno` of its own that may be written at any time.
+    // SAFETY: `errno` is local to the thread and may be written at any time.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// The function of a name in the next library, as a pointer of the caller's type.
+/// Returns the next function with this name in the search order of the dynamic linker, normally the C library's, as a
+/// function pointer of the given type.
 macro_rules! next_function {
     ($name:ident: $type:ty) => {{
         static NEXT: std::sync::OnceLock<usize> = std::sync::OnceLock::new();
--- a/crates/fault-shim/src/sockets.rs
+++ b/crates/fault-shim/src/sockets.rs
@@ -1,17 +1,17 @@
-//! Calls on sockets.
+//! Interposed functions on sockets.
 
 use crate::interpose::{fail, next_function};
 use crate::state::should_inject;
 use libc::{c_int, c_void, size_t, sockaddr, socklen_t, ssize_t};
 use marblefall_fault_plan::FaultKind;
 
-/// Breaks a connection, as Linux has done when it returns the error that is injected.
+/// Shuts down a connection. Linux has closed the connection by the time it returns the injected errors.
 fn break_connection(socket: c_int) {
-    // SAFETY: the call takes a number only, and fails if that is no socket.
+    // SAFETY: the call takes only integers, and fails if the descriptor is not a socket.
     unsafe { libc::shutdown(socket, libc::SHUT_RDWR) };
 }
 
-/// How a read from a socket or a write to it goes.
+/// Effect of the active faults on one read from or write to a socket.
 enum Transfer {
     Complete,
     OneByte,
@@ -47,7 +47,7 @@
 type Accept4 = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `accept4`.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     listener: c_int,
@@ -68,7 +68,7 @@
     // SAFETY: the caller's arguments are passed on.
     let accepted = unsafe { next(listener, address, len, flags) };
     if accepted >= 0 && should_inject(FaultKind::AcceptAborted) {
-        // SAFETY: the descriptor was opened just now and nobody else knows it.
+        // SAFETY: the descriptor was opened by this call and has not been returned to the caller.
         unsafe { libc::close(accepted) };
         return fail(libc::ECONNABORTED);
     }
@@ -78,7 +78,7 @@
 type Socket = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `socket`.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain != libc::AF_UNIX {
@@ -97,7 +97,7 @@
 type Connect = unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `connect`.
 #[no_mangle]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, len: socklen_t) -> c_int {
     if should_inject(FaultKind::ConnectNoAddress) {
@@ -114,7 +114,7 @@
 type Receive = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `recv`.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     socket: c_int,
@@ -128,14 +128,14 @@
         Transfer::Complete => len,
     };
     let next = next_function!(recv: Receive);
-    // SAFETY: the caller's arguments are passed on, and the length is at most the buffer's.
+    // SAFETY: the caller's arguments are passed on, and `len` is at most the length of the buffer.
     unsafe { next(socket, buffer, len, flags) }
 }
 
 type Send = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `send`.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     socket: c_int,
@@ -149,21 +149,21 @@
         Transfer::Complete => len,
     };
     let next = next_function!(send: Send);
-    // SAFETY: the caller's arguments are passed on, and the length is at most the buffer's.
+    // SAFETY: the caller's arguments are passed on, and `len` is at most the length of the buffer.
     unsafe { next(socket, buffer, len, flags) }
 }
 
 type WriteVectored = unsafe extern "C" fn(c_int, *const libc::iovec, c_int) -> ssize_t;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `writev`.
 #[no_mangle]
 pub unsafe extern "C" fn writev(file: c_int, parts: *const libc::iovec, count: c_int) -> ssize_t {
     let next = next_function!(writev: WriteVectored);
     match send_fault(file) {
         Transfer::Failed(error) => return fail(error) as ssize_t,
         Transfer::OneByte if count > 0 => {
-            // SAFETY: there is a first part, and one byte of it is written if it has one.
+            // SAFETY: `count` is positive, so the first element exists, and at most its first byte is written.
             unsafe {
                 let first = *parts;
                 let short = libc::iovec {
--- a/crates/fault-shim/src/state.rs
+++ b/crates/fault-shim/src/state.rs
@@ -1,4 +1,4 @@
-//! The plan of this process, its counts, and which calls fail.
+//! The plan and the counts of this process, and the decision which calls fail.
 
 use marblefall_fault_plan::{
     draw, Fault, FaultKind, COUNTS_LEN, COUNTS_VARIABLE, EVERY_CALL, FOLDER_VARIABLE,
@@ -7,14 +7,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// Two words for each kind: calls seen, and calls that a fault was injected into.
+/// Two counters for each kind of fault: seen calls and injected faults.
 type Counts = [AtomicU64; FaultKind::ALL.len() * 2];
 
-/// The plan of this process, as the environment gives it.
+/// The plan of this process, read from the environment, and its counts.
 pub(crate) struct State {
     faults: Vec<Fault>,
     seed: u64,
-    /// The folder whose files fail.
+    /// Path of the folder to which faults of file operations are limited; empty if the environment names none.
     folder: Vec<u8>,
     counts: &'static Counts,
 }
@@ -22,11 +22,11 @@
 static STATE: OnceLock<State> = OnceLock::new();
 
 thread_local! {
-    /// Set while the plan is read: no fault is injected into the calls that this takes.
+    /// Whether this thread is reading the plan. No fault is injected into the system calls that read it.
     static READING: std::cell::Cell<bool> = const { std::cell::Cell::new(false) };
 }
 
-/// The state of the process; `None` while it is being read.
+/// Returns the state of the process, or `None` to the thread that is reading it.
 fn state() -> Option<&'static State> {
     if let Some(state) = STATE.get() {
         return Some(state);
@@ -40,22 +40,23 @@
     Some(state)
 }
 
-/// Whether a fault of this kind is injected into the current call, which then is counted.
+/// Returns whether to inject a fault of this kind into the current call, and updates the counts of the kind.
 pub(crate) fn should_inject(kind: FaultKind) -> bool {
     state().is_some_and(|state| state.should_inject(kind))
 }
 
-/// How many milliseconds the wall clock is off.
+/// Returns the offset of the wall clock, in milliseconds.
 pub(crate) fn wall_clock_offset_ms() -> i64 {
     state().map_or(0, State::wall_clock_offset_ms)
 }
 
-/// Whether a path is in the folder whose files fail.
+/// Returns whether a path is in the folder to which faults of file operations are limited.
 pub(crate) fn is_in_failing_folder(path: &[u8]) -> bool {
     state().is_some_and(|state| !state.folder.is_empty() && path.starts_with(&state.folder))
 }
 
-/// Whether any fault of these kinds is active. Checked before anything that costs a system call.
+/// Returns whether any fault of these kinds is active. Callers check this first, to save the system calls of costlier
+/// checks.
 pub(crate) fn any_active(kinds: &[FaultKind]) -> bool {
     state().is_some_and(|state| {
         let now_ms = monotonic_ms();
@@ -64,7 +65,7 @@
     })
 }
 
-/// Draws how much of a call is done that a fault is injected into: at most `limit`.
+/// Draws the number of bytes, at most `limit`, that a write transfers before its injected fault.
 pub(crate) fn draw_up_to(kind: FaultKind, limit: usize) -> usize {
     let Some(state) = state() else { return limit };
     let injected = state.injected(kind).load(Ordering::Relaxed);
@@ -90,12 +91,12 @@
         }
     }
 
-    /// The counter of calls while a kind of fault was active.
+    /// Returns the counter of calls that were made while a kind of fault was active.
     fn seen(&self, kind: FaultKind) -> &AtomicU64 {
         &self.counts[kind.index() * 2]
     }
 
-    /// The counter of calls that a kind of fault was injected into.
+    /// Returns the counter of calls that a kind of fault was injected into.
     fn injected(&self, kind: FaultKind) -> &AtomicU64 {
         &self.counts[kind.index() * 2 + 1]
     }
@@ -132,18 +133,18 @@
     }
 }
 
-/// The machine's monotonic clock, into which no fault is injected.
+/// Reads the machine's monotonic clock, in milliseconds, by a system call that the shim does not intercept.
 pub(crate) fn monotonic_ms() -> i64 {
     let mut now = libc::timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the system call only writes to the structure that it is given.
+    // SAFETY: the system call only writes to the structure that is passed to it.
     unsafe { libc::syscall(libc::SYS_clock_gettime, libc::CLOCK_MONOTONIC, &mut now) };
     now.tv_sec * 1000 + now.tv_nsec / 1_000_000
 }
 
-/// The counts, in the file that the environment names, or in memory if it names none.
+/// Returns the counts in the file that the environment names, or in memory if there is none or it cannot be mapped.
 fn open_counts() -> &'static Counts {
     let mapped = std::env::var(COUNTS_VARIABLE).ok().and_then(map_counts);
     mapped.unwrap_or_else(|| {
@@ -155,8 +156,8 @@
 
 fn map_counts(path: String) -> Option<&'static Counts> {
     let path = std::ffi::CString::new(path).ok()?;
-    // SAFETY: the path ends with a zero byte; the file's mapping is as long as the counts and never unmapped; and zeroed
-    // memory is a valid array of atomic words.
+    // SAFETY: the path ends with a zero byte. The mapping is as long as the counts and is never unmapped. Any bytes of the
+    // file are a valid array of atomic integers.
     unsafe {
         let file = libc::syscall(
             libc::SYS_openat,
--- a/crates/fault-shim/src/waits.rs
+++ b/crates/fault-shim/src/waits.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for events.
+//! Interposed functions that wait for events.
 
 use crate::interpose::{fail, next_function};
 use crate::state::should_inject;
@@ -8,7 +8,7 @@
 type EpollWait = unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `epoll_wait`.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
@@ -27,7 +27,7 @@
 type Poll = unsafe extern "C" fn(*mut libc::pollfd, libc::nfds_t, c_int) -> c_int;
 
 /// # Safety
-/// As of the C library's function.
+/// The caller meets the requirements of the C library's `poll`.
 #[no_mangle]
 pub unsafe extern "C" fn poll(
     files: *mut libc::pollfd,
