--- a/crates/fault-soak/src/arguments.rs
+++ b/crates/fault-soak/src/arguments.rs
@@ -1,42 +1,43 @@
-//! The arguments of the program.
+//! Command line arguments.
 
 use clap::Parser;
 use std::path::PathBuf;
 
-/// Plays processes of the platform under random faults and judges them from outside.
+/// Runs processes of the platform under random faults and checks their behavior from outside.
 ///
-/// Each seed gives a plan: signals, failing system calls by a preloaded shim, a proxy that disturbs connections,
-/// endpoints, discovery and clients that misbehave. A plan is written beside a run that fails, and can be played again.
+/// Each seed determines a plan of faults: signals, system calls that a preloaded shim makes fail, proxies that disturb
+/// connections, and endpoints, discoveries and clients that misbehave. The plan of a failing run is kept, and can be run
+/// again.
 ///
-/// Exit codes: 0 all rules were kept and each planned fault was injected, 1 otherwise, 2 the arguments are wrong.
+/// Exit codes: 0 if all rules were kept and each planned fault was injected, 2 if the arguments are invalid, 1 otherwise.
 #[derive(Debug, Parser)]
 #[command(name = "marblefall-fault-soak", version)]
 pub struct Arguments {
-    /// The program under test, best built with `RUSTFLAGS=--cfg=rustix_use_libc`, so that the shim sees all its calls.
+    /// Program under test. Build it with `RUSTFLAGS=--cfg=rustix_use_libc`, so that the shim intercepts all its calls.
     #[arg(long)]
     pub program: PathBuf,
-    /// The shim, `libmarblefall_fault_shim.so`.
+    /// Fault shim, `libmarblefall_fault_shim.so`.
     #[arg(long)]
     pub shim: PathBuf,
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many seeds are played.
+    /// Number of seeds.
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// Processes of each run.
+    /// Number of processes in each run.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=40))]
     pub processes: u64,
-    /// How long clients send in each run, in seconds.
+    /// Time in which clients send requests in each run, in seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(6..=600))]
     pub seconds: u64,
-    /// A plan that was written before, in place of one drawn from a seed.
+    /// File with a stored plan, which is run in place of plans drawn from seeds.
     #[arg(long, value_name = "FILE")]
     pub plan: Option<PathBuf>,
-    /// Shrink the plan of the first run that fails: leave out what it fails without.
+    /// Shrink the plan of the first failing run: remove the faults without which it still fails.
     #[arg(long)]
     pub shrink: bool,
-    /// Where plans, logs and state folders of failing runs are kept.
+    /// Folder for the plans and logs of failing runs.
     #[arg(long, value_name = "FOLDER", default_value = "soak-failures")]
     pub keep: PathBuf,
 }
--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -1,4 +1,4 @@
-//! The clients of a process: correct ones, whose requests are judged, and misbehaving ones.
+//! The clients of a process: correct clients, whose requests the oracle checks, and misbehaving clients.
 
 mod resting;
 
@@ -20,54 +20,54 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a client waits for a response: longer than the longest budget and the half second that a process may add.
+/// Response timeout of a client. It exceeds the longest budget plus the half second that a process may add.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3600);
-/// How long a message may take, in milliseconds.
+/// Time to live of messages, in milliseconds.
 const BUDGET_MS: Range<i64> = 1500..3000;
 /// Pauses of a client between two requests, in milliseconds.
 const PAUSE_MS: Range<u64> = 40..400;
 /// Lengths of bodies, in bytes.
 const BODY_BYTES: Range<usize> = 0..400;
-/// Share of its connections that a client keeps open after a response.
+/// Probability that a client keeps a connection open after a response.
 const REUSED_SHARE: f64 = 0.8;
-/// Share of requests that are sent in two parts.
+/// Probability that a request is sent in two parts.
 const SPLIT_SHARE: f64 = 0.2;
 /// Pauses between the two parts of a request, in milliseconds.
 const SPLIT_PAUSE_MS: Range<u64> = 1..30;
-/// How long a reset by a closed connection takes on loopback, at most.
+/// Maximum time until the reset of a closed connection arrives over loopback.
 const MAX_RESET_DELAY: Duration = Duration::from_millis(5);
-/// The most connections that misbehaving clients keep open.
+/// Maximum number of connections that misbehaving clients keep open, except for idle connections.
 const MAX_OPEN_CONNECTIONS: usize = 60;
-/// The most connections of a crowd: more than a process has places for clients.
+/// Number of idle connections of misbehaving clients, which exceeds the connection limit of a process.
 const CROWD_CONNECTIONS: usize = 120;
 /// Pause between two misbehaving connections.
 const MISBEHAVIOUR_PAUSE: Duration = Duration::from_millis(15);
-/// How often misbehaving clients look at the plan.
+/// Interval at which clients check for active faults and shutdowns.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bytes of a connection that sends garbage.
+/// Bytes that a client sends under [`ClientFault::Garbage`].
 const GARBAGE: [u8; 3000] = [0xff; 3000];
 
 /// The clients of one process.
 #[derive(Clone)]
 pub struct Clients {
-    /// The process.
+    /// Number of the process.
     pub process: usize,
-    /// How many processes there are.
+    /// Count of all processes.
     pub processes: usize,
-    /// Where it listens.
+    /// Address at which the process listens.
     pub address: SocketAddr,
-    /// The faults.
+    /// Schedule of the faults.
     pub schedule: Schedule,
-    /// Where requests are recorded.
+    /// Record that receives the requests.
     pub record: SharedRecord,
-    /// Set once clients are to stop.
+    /// Set when the clients are to stop.
     pub stop: Arc<AtomicBool>,
-    /// The process's shutdown.
+    /// Shutdown window of the process.
     pub shutdown: ShutdownWindow,
 }
 
 impl Clients {
-    /// Runs a correct client with a number of its own until it is stopped.
+    /// Runs a correct client until it is stopped. `number` is unique among the clients of the process.
     pub fn run_correct(&self, number: u64) {
         let mut rng = self.client_rng(number);
         let mut reusable_connection: Option<TcpStream> = None;
@@ -80,24 +80,24 @@
                 Some(stream) => stream,
                 None => match TcpStream::connect_timeout(&self.address, RESPONSE_TIMEOUT) {
                     Ok(stream) => stream,
-                    // A process that is restarting refuses connections.
+                    // The process refuses connections while it restarts.
                     Err(_) => continue,
                 },
             };
             let is_reused = rng.random_bool(REUSED_SHARE);
-            // A connection that breaks before the whole request was sent carries no request to judge.
+            // If the connection breaks before the whole request was sent, there is no request to check.
             let submitted = self.submit(stream, &id, &mut rng).ok().flatten();
             reusable_connection = submitted.filter(|_| is_reused);
         }
     }
 
-    /// The draws of a client.
+    /// Returns the random generator of a client.
     fn client_rng(&self, number: u64) -> Pcg64Mcg {
         let seed = self.schedule.plan().seed;
         Pcg64Mcg::new(u128::from(seed << 16 | number) << 8 | self.process as u128)
     }
 
-    /// Sends one message, and waits for its response. Returns the connection if it can be used again.
+    /// Sends one message, waits for its response, and records the request. Returns the connection if it can be reused.
     fn submit(
         &self,
         mut stream: TcpStream,
@@ -137,7 +137,7 @@
         })
     }
 
-    /// Runs clients that misbehave when the plan says so, until they are stopped.
+    /// Runs clients that misbehave while a client fault is active, until they are stopped.
     pub fn run_misbehaving(&self) {
         let mut open: Vec<TcpStream> = Vec::new();
         let mut count = 0;
@@ -155,7 +155,7 @@
             if fault != ClientFault::IdleConnections && open.len() > MAX_OPEN_CONNECTIONS {
                 open.clear();
             }
-            // Whatever the process does with the connection is allowed.
+            // The process may treat these connections in any way, so errors are ignored.
             if let Ok(stream) = self.misbehave(fault, count) {
                 open.extend(stream);
             }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Opens a connection and misbehaves on it. Returns it if it stays open.
+    /// Opens a connection and misbehaves on it. Returns the connection if it stays open.
     fn misbehave(&self, fault: ClientFault, count: u64) -> io::Result<Option<TcpStream>> {
         let mut stream = TcpStream::connect_timeout(&self.address, RESPONSE_TIMEOUT)?;
         match fault {
@@ -223,11 +223,11 @@
     stream.write_all(&bytes[cut..])
 }
 
-/// What a client received.
+/// Result of waiting for a response.
 struct Received {
     result: ClientResult,
     ended_at: Micros,
-    /// Whether the connection can be used again.
+    /// Whether the connection can be reused.
     keeps_open: bool,
 }
 
@@ -263,8 +263,9 @@
     }
 }
 
-/// Distinguishes the two ends of a connection. One that was closed before the request arrived is reset by it: nothing of
-/// the request was read, and a client may send it again. One that was closed after the request was read is not.
+/// Determines how a connection without a response ended. If the process closed the connection before the request arrived,
+/// the request triggers a reset: nothing of it was read, and the client may send it again. If the process closed the
+/// connection after it had read the request, there is no reset.
 fn closed_or_reset(stream: &TcpStream) -> ClientResult {
     thread::sleep(MAX_RESET_DELAY);
     match stream.take_error() {
--- a/crates/fault-soak/src/client/resting.rs
+++ b/crates/fault-soak/src/client/resting.rs
@@ -1,5 +1,5 @@
-//! Clients that keep connections open and hardly use them, until their process is shut down: from then on they send on
-//! every connection that stays open, up to the kill.
+//! Clients that keep idle connections open until their process is shut down. From then on they send requests on every
+//! connection that stays open, until the process is killed.
 
 use super::{Clients, POLL_INTERVAL, RESPONSE_TIMEOUT};
 use marblefall_process_harness::http::is_timeout;
@@ -10,19 +10,19 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 
-/// Connections that rest at one process: fewer than it counts as many, of which it would close those that rest.
+/// Number of idle connections to one process, low enough that the process does not evict idle connections.
 const RESTING_CONNECTIONS: usize = 16;
-/// The client number of this client in the ids of messages and the seed of its draws, apart from the others'.
+/// Number of this client in message ids and in the seed of its draws, distinct from the numbers of other clients.
 const CLIENT_NUMBER: u64 = 1000;
 
-/// A connection and when it is used next.
+/// A connection and the time of its next use.
 struct Resting {
     stream: TcpStream,
     use_at: Micros,
 }
 
 impl Clients {
-    /// Keeps connections open, and uses them while the process is being shut down, until it is stopped.
+    /// Keeps idle connections open, and uses them while the process is being shut down, until the client is stopped.
     pub fn run_resting(&self) {
         let mut rng = self.client_rng(CLIENT_NUMBER);
         let mut streams: Vec<TcpStream> = Vec::new();
@@ -39,19 +39,19 @@
         }
     }
 
-    /// Replaces one connection that was closed. A new one carries one request before it rests.
+    /// Opens a new connection if one was closed. It carries one request before it becomes idle.
     fn keep_resting(&self, streams: &mut Vec<TcpStream>, rng: &mut Pcg64Mcg, sent: &mut u64) {
         streams.retain(is_open);
         if streams.len() >= RESTING_CONNECTIONS {
             return;
         }
-        // A process that is restarting refuses connections.
+        // The process refuses connections while it restarts.
         let connected = TcpStream::connect_timeout(&self.address, RESPONSE_TIMEOUT);
         let kept = connected.and_then(|stream| self.submit(stream, &next_id(self, sent), rng));
         streams.extend(kept.ok().flatten());
     }
 
-    /// Sends on each connection at times of its own until it is closed or the process is killed.
+    /// Sends requests on each connection at random times until the connection is closed or the shutdown ends.
     fn use_until_killed(
         &self,
         streams: Vec<TcpStream>,
@@ -94,7 +94,7 @@
     format!("{}-{CLIENT_NUMBER}-{sent}", clients.process)
 }
 
-/// Whether a connection was not closed by the process, as far as the client knows.
+/// Returns whether the client has received neither a close nor any bytes on a connection.
 fn is_open(stream: &TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return false;
--- a/crates/fault-soak/src/discovery.rs
+++ b/crates/fault-soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery of one process: it sends the endpoint list, receives notices, and fails as the plan says.
+//! The discovery of one process. It sends the endpoint list, receives notices, and fails as the plan specifies.
 
 use crate::endpoint::{destination_of, ENDPOINTS, RATE};
 use crate::plan::{DiscoveryFault, PlannedFault, PlannedFaultKind};
@@ -13,31 +13,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a watch looks for changes.
+/// Interval at which a watch checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How often a watch sends an empty line while nothing changes.
+/// Interval at which a watch sends an empty line while the list does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2000);
-/// How long a watch that has fallen silent stays open.
+/// Time for which a silent watch stays open.
 const SILENCE: Duration = Duration::from_secs(60);
-/// The revision of the complete list. That of the configuration is lower.
+/// Revision of the complete list, which is higher than that of the list in the configuration.
 const FIRST_REVISION: u64 = 42;
 
 /// The discovery of one process.
 #[derive(Clone)]
 pub struct ProcessDiscovery {
-    /// The process.
+    /// Number of the process.
     pub process: usize,
-    /// How many processes there are.
+    /// Count of all processes.
     pub processes: usize,
-    /// Where the endpoints are reached.
+    /// Addresses of the proxies in front of the endpoints.
     pub endpoints: Vec<SocketAddr>,
-    /// The faults.
+    /// Schedule of the faults.
     pub schedule: Schedule,
-    /// Where notices are recorded.
+    /// Record that receives the notices.
     pub record: SharedRecord,
 }
 
-/// The phase of an endpoint in the list at a time.
+/// Returns the phase of an endpoint in the list at a given time.
 pub fn phase_at(schedule: &Schedule, endpoint: usize, at: Micros) -> EndpointPhase {
     let changed = schedule.active_at(at, |fault| {
         fault
@@ -48,7 +48,7 @@
     changed.unwrap_or(EndpointPhase::Serving)
 }
 
-/// The phase that a fault gives to its endpoint, if it changes the list.
+/// Returns the phase that a fault gives to its endpoint, or `None` if it does not change the list.
 fn changed_phase(fault: &PlannedFault) -> Option<EndpointPhase> {
     match fault.kind {
         PlannedFaultKind::Discovery(DiscoveryFault::DrainEndpoint) => Some(EndpointPhase::Draining),
@@ -57,7 +57,7 @@
     }
 }
 
-/// All changes of the list in a run.
+/// Returns all planned changes of the list, in the order of their times.
 pub fn planned_list_changes(schedule: &Schedule) -> Vec<ListChange> {
     let mut times: Vec<Micros> = schedule
         .plan()
@@ -85,7 +85,7 @@
     changes
 }
 
-/// The entry of an endpoint in the list.
+/// Returns the list entry of an endpoint.
 pub fn list_entry(endpoint: usize, address: SocketAddr, phase: EndpointPhase) -> ListedEndpoint {
     let id = format!("s-{endpoint}");
     ListedEndpoint::new(&id, address, destination_of(endpoint), RATE).in_phase(phase)
--- a/crates/fault-soak/src/discovery/tests.rs
+++ b/crates/fault-soak/src/discovery/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the changes of the endpoint list.
+//! Tests of the planned changes of the endpoint list.
 
 use super::*;
 use crate::plan::Plan;
 use marblefall_process_harness::MILLISECOND;
 
-/// Regression: changes were recorded while clients sent. A drain that ended later counted as lasting, and calls after it as
-/// violations.
+/// Guards against a drain that is recorded without its end, so that later calls count as violations. This happened when
+/// changes were recorded only while clients sent requests and a drain ended afterwards.
 #[test]
 fn drain_at_the_end_of_a_run_is_recorded_as_ended() {
     let schedule = Schedule::new(Plan::draw(7713, 16, 20), 0);
--- a/crates/fault-soak/src/endpoint.rs
+++ b/crates/fault-soak/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoints of destinations: they execute calls, record each, and misbehave as the plan says.
+//! The endpoints of destinations. They execute and record calls, and misbehave as the plan specifies.
 
 use crate::plan::{EndpointFault, PlannedFaultKind};
 use crate::record::{Call, CallResult, SharedRecord};
@@ -12,27 +12,27 @@
 use std::thread;
 use std::time::Duration;
 
-/// Destinations of a run.
+/// Number of destinations in a run.
 pub const DESTINATIONS: usize = 4;
-/// Endpoints of each destination.
+/// Number of endpoints per destination.
 pub const ENDPOINTS_PER_DESTINATION: usize = 2;
-/// Endpoints of a run.
+/// Number of endpoints in a run.
 pub const ENDPOINTS: usize = DESTINATIONS * ENDPOINTS_PER_DESTINATION;
-/// Calls per second that a destination takes from all processes together, as the endpoint list says.
+/// Calls per second that a destination accepts from all processes together, as stated in the endpoint list.
 pub const RATE: f64 = 30.0;
-/// The span in which calls are counted against [`RATE`].
+/// Length of the window in which calls are counted against [`RATE`].
 const RATE_WINDOW: Micros = 1000 * MILLISECOND;
 /// Retry-After of a call above [`RATE`], in milliseconds.
 const RATE_RETRY_AFTER_MS: i64 = 300;
 /// The shortest Retry-After of an endpoint fault, in milliseconds.
 const MIN_RETRY_AFTER_MS: i64 = 200;
-/// How long a call takes.
+/// Execution time of a call.
 const SERVICE_TIME: Duration = Duration::from_millis(15);
-/// How long a call takes at a slow endpoint.
+/// Execution time of a call at a slow endpoint.
 const SLOW_SERVICE_TIME: Duration = Duration::from_millis(700);
-/// How often an endpoint checks whether its caller has closed the connection.
+/// Interval at which an endpoint checks whether its caller has closed the connection.
 const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(3);
-/// How often an idle connection looks at the plan.
+/// Interval at which an idle connection checks for active faults.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Returns the destination that an endpoint belongs to.
@@ -40,17 +40,17 @@
     endpoint / ENDPOINTS_PER_DESTINATION
 }
 
-/// What all endpoints share.
+/// State that all endpoints share.
 #[derive(Clone)]
 pub struct Destinations {
     schedule: Schedule,
     record: SharedRecord,
-    /// For each destination, when it accepted its last calls.
+    /// Times of the calls that each destination accepted within the last [`RATE_WINDOW`].
     accepted_at: Arc<Mutex<Vec<Vec<Micros>>>>,
 }
 
 impl Destinations {
-    /// Destinations that have accepted no calls.
+    /// Creates the destinations, which have accepted no calls yet.
     pub fn new(schedule: Schedule, record: SharedRecord) -> Destinations {
         Destinations {
             schedule,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Starts an endpoint, and returns where it listens.
+    /// Starts an endpoint and returns its address.
     ///
     /// # Errors
     /// No port is free.
@@ -74,7 +74,7 @@
         )
     }
 
-    /// Whether a destination accepts one more call now, which then is counted.
+    /// Returns whether a destination accepts one more call now, and counts the call if so.
     fn accept_call(&self, destination: usize) -> bool {
         let now = monotonic_micros();
         let mut all = self
@@ -91,7 +91,7 @@
     }
 }
 
-/// One endpoint.
+/// An endpoint of a destination.
 #[derive(Clone)]
 struct Endpoint {
     number: usize,
@@ -131,7 +131,7 @@
     }
 }
 
-/// How a wait beside an open connection ended.
+/// Reason for which [`wait_while`] returned.
 enum WaitResult {
     ConditionEnded,
     CallerGone,
@@ -146,7 +146,7 @@
         matches!(self.active_fault(), Some((active, _)) if active == fault)
     }
 
-    /// The active fault of its destination, with its amount.
+    /// Returns the active fault of the endpoint's destination and its amount.
     fn active_fault(&self) -> Option<(EndpointFault, i64)> {
         self.destinations.schedule.active(|fault| match fault.kind {
             PlannedFaultKind::Endpoint(kind) if fault.is_for(self.destination(), DESTINATIONS) => {
@@ -156,7 +156,7 @@
         })
     }
 
-    /// Executes a call that was read.
+    /// Executes a call that was read completely, and responds unless a fault prevents it.
     fn execute(&self, stream: &mut TcpStream) -> CallResult {
         match self.active_fault() {
             Some((EndpointFault::Hang, _)) => {
@@ -186,7 +186,7 @@
     }
 }
 
-/// Waits while a condition holds, or until the caller has closed the connection.
+/// Waits until a condition no longer holds or the caller has closed the connection.
 fn wait_while(stream: &TcpStream, condition: impl Fn() -> bool) -> WaitResult {
     while condition() {
         if is_closed(stream) {
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -1,4 +1,5 @@
-//! `marblefall-fault-soak`: real processes under random faults from fixed seeds, judged from outside.
+//! `marblefall-fault-soak`: a soak test that runs real processes under random faults from fixed seeds. An oracle checks
+//! their behavior as clients, endpoints and discovery observe it.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fault-soak/src/oracle.rs
+++ b/crates/fault-soak/src/oracle.rs
@@ -1,4 +1,4 @@
-//! Judges a run from outside: by what clients, endpoints and discovery recorded, on one clock.
+//! The oracle checks the rules of a run from outside, by the record of clients, endpoints and discovery on one clock.
 
 mod attempts;
 mod drain;
@@ -12,19 +12,19 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// The slack of the protocol's time limits on sockets.
+/// Tolerance of the protocol's time limits, for transfers over sockets.
 const SLACK: Micros = 50 * MILLISECOND;
-/// What the machine and the threads of this program may add to a time that is observed from outside.
+/// Maximum delay that the machine and the threads of this program add to a time that is observed from outside.
 const OBSERVATION_DELAY: Micros = 250 * MILLISECOND;
-/// Violations of a rule that are reported.
+/// Maximum number of reported violations of one rule.
 const MAX_REPORTED: usize = 5;
 
-/// A violation of a rule.
+/// An observed violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// Name of the rule.
     pub rule: &'static str,
-    /// What was observed.
+    /// Description of the observation.
     pub observed: String,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The judge of one run.
+/// Checks the rules of one run.
 pub struct Oracle<'a> {
     record: &'a Record,
     started_at: Micros,
@@ -45,7 +45,7 @@
 }
 
 impl<'a> Oracle<'a> {
-    /// Judges a run that started at a time.
+    /// Returns the violations in the record of a run. Times in their texts are relative to `started_at`.
     pub fn judge(record: &'a Record, started_at: Micros) -> Vec<Violation> {
         let mut oracle = Oracle::new(record, started_at);
         oracle.check_responses();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A time of the run, in milliseconds.
+    /// Converts a time to milliseconds after the start of the run.
     fn ms(&self, at: Micros) -> i64 {
         (at - self.started_at) / MILLISECOND
     }
@@ -110,7 +110,7 @@
             .map(|event| (event.at, event.kind))
     }
 
-    /// Whether a process was killed or not running at some moment of a span.
+    /// Returns whether a process was killed or not running at some time of a span.
     fn was_down(&self, process: usize, from: Micros, until: Micros) -> bool {
         let mut down_since: Option<Micros> = None;
         let mut was_down = false;
@@ -133,8 +133,8 @@
         was_down || down_since.is_some_and(|since| since - OBSERVATION_DELAY <= until)
     }
 
-    /// Whether a process was killed or crashed within a span. One that ends by itself owes a response to each request that it
-    /// has read.
+    /// Returns whether a process was killed or crashed within a span. A process that exits after SIGTERM is not excused: it
+    /// must respond to each request that it has read.
     fn was_killed(&self, process: usize, from: Micros, until: Micros) -> bool {
         let span = from - OBSERVATION_DELAY..=until + OBSERVATION_DELAY;
         let mut events = self.process_events(process);
@@ -144,12 +144,12 @@
         })
     }
 
-    /// Whether the system may have broken connections of a process within a span.
+    /// Returns whether system call faults may have broken connections of a process within a span.
     fn were_connections_broken(&self, process: usize, from: Micros, until: Micros) -> bool {
         any_overlaps(&self.record.broken_processes, process, from, until)
     }
 
-    /// Whether a proxy may have disturbed the connection of a call.
+    /// Returns whether a proxy may have disturbed the connection of a call.
     fn was_disturbed(&self, call: &Call) -> bool {
         let disturbed = &self.record.disturbed_endpoints;
         any_overlaps(disturbed, call.endpoint, call.first_byte_at, call.ended_at)
--- a/crates/fault-soak/src/oracle/attempts.rs
+++ b/crates/fault-soak/src/oracle/attempts.rs
@@ -1,16 +1,16 @@
-//! Attempts of one message: what may have been executed is repeated only as its class permits, one attempt is in flight
-//! at a time, and all go to the message's destination.
+//! Rules for the attempts of a message: a message that may have been executed is repeated only as its class permits, at
+//! most one attempt is in flight at a time, and all attempts go to the message's destination.
 
 use super::{Oracle, SLACK};
 use crate::endpoint::destination_of;
 use crate::record::{Call, Class, DEDUPLICATION_WINDOW_MS};
 use marblefall_process_harness::{Micros, MILLISECOND};
 
-/// How much later the other end of a connection may see its end than a proxy or an endpoint.
+/// Maximum delay between the close of a connection and its detection by a proxy or an endpoint.
 const CLOSE_DELAY: Micros = 60 * MILLISECOND;
 
 impl Oracle<'_> {
-    /// What may have been executed is repeated only as its class permits.
+    /// Checks that a message that may have been executed is repeated only as its class permits.
     pub(super) fn check_duplicates(&mut self) {
         for (id, calls) in self.calls_by_id.clone() {
             let Some(request) = self.requests_by_id.get(id) else {
@@ -40,18 +40,18 @@
         }
     }
 
-    /// A call is read only once the one before it has ended.
+    /// Checks that each call of a message is read only after the previous call has ended.
     pub(super) fn check_one_attempt_at_a_time(&mut self) {
         for (id, calls) in self.calls_by_id.clone() {
             for pair in calls.windows(2) {
                 let (before, after) = (pair[0], pair[1]);
-                // An attempt that a proxy delays may have been abandoned before.
+                // The process may have abandoned an attempt whose bytes a proxy still delays.
                 if self.was_disturbed(before) || self.was_disturbed(after) {
                     continue;
                 }
                 if after.last_byte_at + CLOSE_DELAY < before.ended_at {
                     let observed = format!(
-                        "{id}: read at {} ms, the one before ended at {} ms",
+                        "{id}: read at {} ms, the previous attempt ended at {} ms",
                         self.ms(after.last_byte_at),
                         self.ms(before.ended_at)
                     );
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A call goes to an endpoint of its message's destination.
+    /// Checks that each call goes to an endpoint of its message's destination.
     pub(super) fn check_destinations(&mut self) {
         for call in &self.record.calls {
             let destination = destination_of(call.endpoint);
--- a/crates/fault-soak/src/oracle/drain.rs
+++ b/crates/fault-soak/src/oracle/drain.rs
@@ -1,12 +1,12 @@
-//! Nothing new is sent to an endpoint that drains or has left the list.
+//! Rule for drains: no new call is sent to an endpoint that drains or was removed from the list.
 
 use super::{Oracle, OBSERVATION_DELAY, SLACK};
 use crate::record::{Call, ListChange, ProcessEventKind};
 use marblefall_process_harness::{Micros, MILLISECOND};
 
-/// How long after a process was notified of a drain it may still send something.
+/// Time after the notification of a drain in which a process may still send calls to the endpoint.
 const DRAIN_GRACE: Micros = 250 * MILLISECOND;
-/// How long after the start of a gap of discovery a process counts as notified of what changed within it.
+/// Maximum time after the start of a discovery gap until a process counts as notified of the changes within the gap.
 const MAX_NOTIFICATION_DELAY: Micros = 6000 * MILLISECOND;
 
 impl Oracle<'_> {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// The last change of a call's endpoint before the call. It may be recorded a little after processes were notified.
+    /// Returns the last change of a call's endpoint before the call. The recorded time of the change may be slightly
+    /// later than the notification of processes.
     fn latest_change(&self, call: &Call) -> Option<&ListChange> {
         let changes = self.record.list_changes.iter();
         changes
@@ -46,8 +47,8 @@
             .max_by_key(|change| change.at)
     }
 
-    /// When a process counts as notified of a change before it sent something. A new process is notified of everything as
-    /// it starts.
+    /// Returns the time from which a process counts as notified of a change when it sends a call. A new process receives all
+    /// earlier changes as it starts.
     fn notified_at(&self, process: usize, change: &ListChange, sent_at: Micros) -> Micros {
         let started_at = self
             .process_events(process)
@@ -58,7 +59,8 @@
             .max(started_at.unwrap_or(0))
     }
 
-    /// When the watch of a process brings a change: later if discovery was down or the watch silent.
+    /// Returns the time at which the watch of a process delivers a change, which is later than the change if discovery was
+    /// down or the watch silent.
     fn notified_by_watch_at(&self, process: usize, change: &ListChange) -> Micros {
         let gaps = self.record.discovery_gaps.iter();
         gaps.filter(|gap| gap.subject == process)
--- a/crates/fault-soak/src/oracle/outcomes.rs
+++ b/crates/fault-soak/src/oracle/outcomes.rs
@@ -1,24 +1,25 @@
-//! Every request that was read has its response, and every message that was accepted its final outcome, in time.
+//! Rules for outcomes: every request that was read receives a response in time, and every accepted message reaches its
+//! final outcome in time.
 
 use super::{Oracle, OBSERVATION_DELAY, SLACK};
 use crate::record::{ClientResult, ProcessEventKind, Request};
 use marblefall_process_harness::{Micros, MILLISECOND};
 use std::collections::HashMap;
 
-/// How long after its message has expired a response may still be sent.
+/// Time after the expiry of a message in which its response may still be sent.
 const RESPONSE_GRACE: Micros = 500 * MILLISECOND;
-/// How long after it has expired a message without an outcome counts as lost.
+/// Time after its expiry from which a message without a final outcome counts as lost.
 const OUTCOME_GRACE: Micros = 300 * MILLISECOND;
-/// How long after a restart a process must be ready before outcomes are due.
+/// Time for which a restarted process must be ready before outcomes are due.
 const RESTART_GRACE: Micros = 1500 * MILLISECOND;
 
 impl Oracle<'_> {
-    /// A request that was read is responded to within its time and half a second.
+    /// Checks that a request that was read receives a response at most half a second after its message expires.
     pub(super) fn check_responses(&mut self) {
         for request in &self.record.requests {
             let late_at = request.expires_at + RESPONSE_GRACE + OBSERVATION_DELAY;
             let problem = match request.result {
-                ClientResult::Closed => "read, and closed with no response",
+                ClientResult::Closed => "read, then closed without a response",
                 ClientResult::TimedOut => "no response",
                 ClientResult::Response(_) if request.ended_at > late_at => "responded too late",
                 ClientResult::Response(_) | ClientResult::Reset => continue,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// A message that was accepted is delivered or ends by a notice, in time.
+    /// Checks that an accepted message is delivered or reported by a notice in time.
     pub(super) fn check_outcomes(&mut self) {
         let mut notified_at: HashMap<&str, Micros> = HashMap::new();
         for notice in &self.record.notices {
@@ -77,7 +78,8 @@
         delivered.map(|call| call.ended_at).min()
     }
 
-    /// When a message without an outcome counts as lost: not while its process is between two incarnations.
+    /// Returns the time from which a message without an outcome counts as lost. No outcome is due while its process is
+    /// between two incarnations.
     fn outcome_due_at(&self, request: &Request) -> Micros {
         let grace = OUTCOME_GRACE + SLACK + OBSERVATION_DELAY;
         let mut due_at = request.expires_at + grace;
--- a/crates/fault-soak/src/oracle/processes.rs
+++ b/crates/fault-soak/src/oracle/processes.rs
@@ -1,10 +1,10 @@
-//! Processes are ready in time.
+//! Rule for starts: processes become ready in time.
 
 use super::Oracle;
 use crate::record::ProcessEventKind;
 use marblefall_process_harness::{Micros, MILLISECOND};
 
-/// How long after its start a process must be ready.
+/// Maximum time between the start of a process and its readiness.
 const MAX_TIME_TO_READY: Micros = 10_000 * MILLISECOND;
 
 impl Oracle<'_> {
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -1,4 +1,4 @@
-//! A destination that recovers gets no more calls than its budget in any window.
+//! Rule for slow starts: a recovering destination receives no more calls than its budget in any window.
 
 use super::Oracle;
 use crate::endpoint::{destination_of, RATE};
@@ -6,25 +6,25 @@
 use marblefall_process_harness::{Micros, MILLISECOND};
 use std::collections::BTreeSet;
 
-/// How long a destination warms up after an outage.
+/// Duration of the slow start of a destination after an outage.
 const WARM_UP: Micros = 10_000 * MILLISECOND;
-/// Share of its rate that a destination can take as it recovers.
+/// Share of its rate that a destination can take at the start of its recovery.
 const COLD_SHARE: f64 = 0.27;
-/// Above this multiple of what a destination can take it is overloaded.
+/// Multiple of its current capacity above which a destination is overloaded.
 const OVERLOAD_FACTOR: f64 = 1.5;
-/// The window in which calls are counted.
+/// Length of the window in which calls are counted.
 const WINDOW: Micros = 2000 * MILLISECOND;
-/// A budget below this many calls has a wider margin.
+/// Budget, in calls per window, below which the statistical margin is wider.
 const SMALL_BUDGET: f64 = 30.0;
 
-/// How long before the end of an outage a message must be accepted to have been tried within it.
+/// Minimum time between the acceptance of a message and the end of an outage for an attempt to have been made in it.
 const TIME_TO_TRY: Micros = 1000 * MILLISECOND;
 
-/// The worst window after an outage.
+/// The window with the highest load after an outage.
 struct WorstWindow {
     from: Micros,
     calls: usize,
-    /// The calls as a share of the budget.
+    /// Ratio of the calls to the budget.
     load: f64,
 }
 
@@ -46,8 +46,9 @@
         }
     }
 
-    /// The processes that had a call at a destination during its outage, or accepted a message for it early enough to have
-    /// tried it: an endpoint that closes all connections reads no calls.
+    /// Returns the processes that observed an outage: a call of theirs reached the destination, or they accepted a message
+    /// for it early enough to have attempted it. The second condition is needed since an endpoint that closes all
+    /// connections reads no calls.
     fn processes_that_saw(&self, outage: &Period, calls: &[&Call]) -> BTreeSet<usize> {
         let interval = outage.interval;
         let called = calls
@@ -65,7 +66,8 @@
             .collect()
     }
 
-    /// The window with the highest load in which at least two thirds of the calls are of processes that saw the outage.
+    /// Returns the window with the highest load among those in which more than two thirds of the calls are from
+    /// processes that observed the outage.
     fn worst_window(&self, outage: &Period) -> Option<WorstWindow> {
         let recovered_at = outage.interval.until;
         let to_destination = |call: &&Call| destination_of(call.endpoint) == outage.subject;
@@ -101,7 +103,7 @@
     }
 }
 
-/// The calls that a destination may get within the window that begins at this time after its recovery.
+/// Returns the number of calls that a destination may receive in the window that begins this long after its recovery.
 fn budget(since_recovery: Micros) -> f64 {
     let warm = (since_recovery as f64 / WARM_UP as f64).clamp(0.0, 1.0);
     let capacity = RATE * (COLD_SHARE + (1.0 - COLD_SHARE) * warm);
--- a/crates/fault-soak/src/oracle/retry_after.rs
+++ b/crates/fault-soak/src/oracle/retry_after.rs
@@ -1,4 +1,4 @@
-//! A process sends nothing to a destination within the Retry-After that the destination gave it.
+//! Rule for Retry-After: a process sends no calls to a destination for as long as a response of the destination requested.
 
 use super::{Oracle, SLACK};
 use crate::endpoint::destination_of;
@@ -6,7 +6,7 @@
 use marblefall_process_harness::{Micros, MILLISECOND};
 use std::collections::BTreeMap;
 
-/// How long after a response with Retry-After calls may still arrive that were on their way.
+/// Time after a response with Retry-After in which calls that were already in flight may still arrive.
 const CROSSING_GRACE: Micros = 100 * MILLISECOND;
 
 impl<'a> Oracle<'a> {
@@ -21,8 +21,7 @@
                     continue;
                 };
                 let until = rejected.ended_at + retry_after_ms * MILLISECOND;
-                // A process that was down, or whose reads failed, may not have read the response, and a restart ends the
-                // wait.
+                // A process that was down or whose reads failed may not have read the response. A restart ends the backoff.
                 let is_unread = self.was_down(process, rejected.ended_at, until)
                     || self.were_connections_broken(process, rejected.ended_at, rejected.ended_at)
                     || self.was_disturbed(rejected);
@@ -49,7 +48,7 @@
         }
     }
 
-    /// The calls of each process to each destination, in the order in which they were read.
+    /// Groups the calls by process and destination, in the order in which they were read.
     fn calls_by_route(&self) -> BTreeMap<(usize, usize), Vec<&'a Call>> {
         let mut by_route: BTreeMap<(usize, usize), Vec<&Call>> = BTreeMap::new();
         for call in &self.record.calls {
--- a/crates/fault-soak/src/oracle/tests.rs
+++ b/crates/fault-soak/src/oracle/tests.rs
@@ -1,11 +1,12 @@
-//! What excuses a request that was read and has no response.
+//! Tests of the events that excuse a missing response.
 
 use super::*;
 use crate::record::{Class, ClientResult, ProcessEvent};
 
-/// When the request was sent and the connection closed.
+/// Time at which the request was sent.
 const AT: Micros = 5000 * MILLISECOND;
 
+/// Counts the violations if the connection of a request is closed without a response and its process then ends this way.
 fn violations(end: ProcessEventKind) -> usize {
     let request = Request {
         id: "0-1-1".to_owned(),
--- a/crates/fault-soak/src/plan.rs
+++ b/crates/fault-soak/src/plan.rs
@@ -1,31 +1,31 @@
-//! The faults of a run, drawn from one seed. A plan can be stored, played again and shrunk.
+//! Plans: the faults of a run, drawn from one seed. A plan can be stored, run again and shrunk.
 
 mod draw;
 
 use marblefall_fault_plan::FaultKind;
 use serde::{Deserialize, Serialize};
 
-/// A kind of fault.
+/// Kind of a planned fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlannedFaultKind {
-    /// A process gets SIGTERM, SIGKILL if it has not ended 3.7 s later, and is restarted 0.6 s after its end. Signals of
-    /// other faults that are due meanwhile follow in a series.
+    /// A process receives SIGTERM, and SIGKILL if it has not ended 3.7 s later, and is restarted 0.6 s after its end.
+    /// Signals of other faults that become due in between are sent as well.
     Terminate,
-    /// A process gets SIGKILL, and is restarted 0.6 s later.
+    /// A process receives SIGKILL, and is restarted 0.6 s later.
     Kill,
-    /// A process is started beside the running one, which then gets SIGTERM.
+    /// A new process is started beside the running one, which receives SIGTERM once the new one listens.
     Replace,
-    /// A process is suspended for a tenth of a second.
+    /// A process is suspended for 100 ms.
     #[serde(alias = "hold-up")]
     Suspend,
-    /// A process reads its configuration again.
+    /// A process receives SIGHUP and reloads its configuration.
     Reload,
-    /// System calls of a process fail.
+    /// System calls of a process fail, or its wall clock is stepped.
     System(SystemFault),
     /// The endpoints of a destination misbehave.
     Endpoint(EndpointFault),
-    /// What passes between the processes and an endpoint is disturbed.
+    /// The proxy in front of an endpoint disturbs its connections.
     Proxy(ProxyFault),
     /// Discovery of a process fails, or the endpoint list changes.
     Discovery(DiscoveryFault),
@@ -34,7 +34,7 @@
 }
 
 impl PlannedFaultKind {
-    /// Whether it is carried out by a signal or a start of a process.
+    /// Returns whether the fault is injected by a signal to a process or the start of a process.
     pub fn is_process_fault(self) -> bool {
         matches!(
             self,
@@ -46,7 +46,7 @@
         )
     }
 
-    /// The kind of system call fault, if it is one.
+    /// Returns the kind of system call fault, or `None` for other kinds of faults.
     pub fn system_fault(self) -> Option<FaultKind> {
         match self {
             PlannedFaultKind::System(SystemFault(kind)) => Some(kind),
@@ -55,14 +55,14 @@
     }
 }
 
-/// A fault of system calls, which the shim injects.
+/// A system call fault, which the shim injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SystemFault(pub FaultKind);
 
-/// No fault of system calls has this name.
+/// Error for a name that no system call fault has.
 #[derive(Debug, thiserror::Error)]
-#[error("no fault is called {0}")]
+#[error("unknown system call fault {0:?}")]
 pub struct UnknownFault(String);
 
 impl From<SystemFault> for String {
@@ -82,134 +82,134 @@
     }
 }
 
-/// How the endpoints of a destination misbehave.
+/// Misbehavior of the endpoints of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointFault {
-    /// Reads calls and never responds.
+    /// Read calls and never respond.
     #[serde(alias = "hangs")]
     Hang,
-    /// Closes each connection.
+    /// Close each connection.
     Down,
-    /// Responds to every call with 500.
+    /// Respond to every call with 500.
     #[serde(alias = "errors")]
     InternalError,
-    /// Rejects every call with 503 and no Retry-After.
+    /// Reject every call with 503 and no Retry-After.
     #[serde(alias = "shut")]
     RejectAll,
-    /// Rejects every call with 429 and a Retry-After of the fault's amount in milliseconds.
+    /// Reject every call with 429 and a Retry-After of the fault's amount in milliseconds, but at least 200 ms.
     #[serde(alias = "waits")]
     RetryAfter,
-    /// Takes most of a second for each call.
+    /// Take 700 ms for each call.
     Slow,
 }
 
 impl EndpointFault {
-    /// Whether it is an outage, after which the destination warms up.
+    /// Returns whether the fault is an outage, after which the destination goes through a slow start.
     pub fn is_outage(self) -> bool {
         !matches!(self, EndpointFault::Slow | EndpointFault::RetryAfter)
     }
 }
 
-/// How a proxy disturbs connections.
+/// Disturbance of the connections through a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProxyFault {
-    /// Resets connections as they are opened.
+    /// Resets all connections, new and open ones.
     #[serde(alias = "refuses")]
     Refuse,
-    /// Forwards nothing, and closes nothing.
+    /// Drops all bytes and keeps the connections open.
     #[serde(alias = "swallows")]
     Blackhole,
-    /// Delays each piece by a tenth of a second.
+    /// Delays each chunk of bytes by 100 ms.
     #[serde(alias = "delays")]
     Delay,
-    /// Forwards half a response, then closes the connection.
+    /// Forwards half of a response, then closes the connection.
     #[serde(alias = "cuts-answers")]
     CutResponses,
-    /// Resets the connection once a request was forwarded.
+    /// Forwards a request, then resets the connection.
     #[serde(alias = "resets-under-requests")]
     ResetAfterRequest,
-    /// Closes connections that are idle for a moment.
+    /// Closes connections that have been idle for 60 ms.
     #[serde(alias = "closes-idle")]
     CloseIdle,
-    /// Forwards byte by byte.
+    /// Forwards each byte on its own, after a delay of 1 ms.
     #[serde(alias = "trickles")]
     ByteByByte,
 }
 
-/// How discovery fails, or the endpoint list changes.
+/// Failure of discovery, or change of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiscoveryFault {
-    /// Discovery sends nothing.
+    /// Discovery sends neither lists nor heartbeats.
     Down,
-    /// Watches that are open fall silent for good; new ones work.
+    /// Open watches stay silent, also after the fault has ended; watches that are opened later work.
     SilentWatches,
     /// An endpoint drains, and serves again afterwards.
     #[serde(alias = "drains")]
     DrainEndpoint,
-    /// An endpoint leaves the list, and is listed again afterwards.
+    /// An endpoint is removed from the list, and is listed again afterwards.
     #[serde(alias = "removes")]
     RemoveEndpoint,
 }
 
-/// How clients misbehave.
+/// Misbehavior of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClientFault {
-    /// They send half a request and stay connected.
+    /// Send half a request and stay connected.
     HalfRequests,
-    /// They send a request and close the connection before the response.
+    /// Send a request and close the connection before the response.
     LeaveEarly,
-    /// They open many connections and send nothing.
+    /// Open many connections and send nothing.
     #[serde(alias = "crowd")]
     SilentConnections,
-    /// They send bytes that are no request.
+    /// Send bytes that are not a request.
     Garbage,
-    /// A crowd of them sends one request each and stays connected.
+    /// Open many connections, send one request on each and stay connected.
     IdleConnections,
 }
 
-/// One fault of a plan.
+/// A fault of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedFault {
-    /// When it begins, in milliseconds after the start of the run.
+    /// Start of the fault, in milliseconds after the start of the plan.
     pub from_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the fault, in milliseconds.
     #[serde(rename = "lasts_ms")]
     pub duration_ms: u64,
-    /// The process, endpoint or destination that it is injected into, modulo their number.
+    /// Number of the process, endpoint or destination that the fault is injected into, modulo their count.
     pub target: usize,
-    /// How many calls of a thousand fail, or by how many milliseconds a clock is stepped.
+    /// Number of calls per thousand that fail, offset of the wall clock in milliseconds, or Retry-After in milliseconds.
     pub amount: i64,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: PlannedFaultKind,
 }
 
 impl PlannedFault {
-    /// Whether it is injected into one of `count` targets.
+    /// Returns whether the fault is injected into `target`, one of `count` targets.
     pub fn is_for(&self, target: usize, count: usize) -> bool {
         self.target % count == target
     }
 }
 
-/// The faults of a run.
+/// The parameters and the faults of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The seed of all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How many processes run.
+    /// Number of processes.
     pub processes: usize,
-    /// How long clients send, in seconds.
+    /// Time in which clients send requests, in seconds.
     pub seconds: u64,
-    /// The faults in the order of their times.
+    /// Faults in the order of their start times.
     #[serde(alias = "troubles")]
     pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
-    /// The plan without one of its faults.
+    /// Returns the plan without the fault at an index.
     pub fn without(&self, index: usize) -> Plan {
         let mut plan = self.clone();
         plan.faults.remove(index);
--- a/crates/fault-soak/src/plan/draw.rs
+++ b/crates/fault-soak/src/plan/draw.rs
@@ -1,4 +1,4 @@
-//! Draws plans. The order of the random draws is part of what a seed means.
+//! Random generation of plans. A change in the order of the draws changes the plan of every seed.
 
 use super::{
     ClientFault, DiscoveryFault, EndpointFault, Plan, PlannedFault, PlannedFaultKind, ProxyFault,
@@ -8,42 +8,42 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// Faults for each second of a run: two or three of them overlap.
+/// Number of faults per second of a run. At this rate two or three faults overlap.
 const FAULTS_PER_SECOND: f64 = 1.4;
-/// Time before the first fault, in milliseconds.
+/// Earliest start of a drawn fault, in milliseconds after the start of the plan.
 const FIRST_FAULT_MS: u64 = 1500;
 /// Time at the end of a run in which no fault begins, in milliseconds.
 const QUIET_END_MS: u64 = 4000;
-/// How far the wall clock may be stepped, in milliseconds: an hour, and half a minute.
+/// Offsets of the wall clock, in milliseconds: an hour and half a minute, in both directions.
 const CLOCK_STEPS_MS: [i64; 4] = [3_600_000, -3_600_000, 30_000, -30_000];
-/// Share of writes that are cut before the process is killed, of a thousand.
+/// Number of writes per thousand that are torn and end with a kill of the process.
 const TORN_WRITE_SHARE: i64 = 40;
-/// Time by which a process is killed before a fault that its restart is to meet, in milliseconds.
+/// Time between the kill of a process and the start of the fault that affects its restart, in milliseconds.
 const KILL_LEAD_MS: u64 = 300;
-/// The most signals that surround one SIGTERM.
+/// Maximum number of signals that are sent around one SIGTERM.
 const MAX_SERIES_SIGNALS: usize = 3;
 /// Time over which the signals around a SIGTERM are spread, in milliseconds.
 const SERIES_MS: u64 = 3600;
-/// How long before a SIGTERM its series begins, in milliseconds.
+/// Time by which the signals around a SIGTERM may precede it, in milliseconds.
 const SERIES_LEAD_MS: u64 = 200;
-/// Share of plans in which a crowd of idle clients meets a shutdown.
+/// Probability that a plan opens many idle connections to a process before its shutdown.
 const CROWD_SHARE: f64 = 0.35;
-/// How long before the SIGTERM the crowd begins to connect, in milliseconds.
+/// Time between the first of these connections and the SIGTERM, in milliseconds.
 const CROWD_LEAD_MS: u64 = 1500;
-/// How long the crowd stays, in milliseconds.
+/// Time for which these connections stay open, in milliseconds.
 const CROWD_MS: u64 = 6000;
 /// Exclusive upper bound of the drawn target numbers.
 const TARGETS: usize = 1000;
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64, processes: usize, seconds: u64) -> Plan {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 32 | 0x5eed);
         let count = (seconds as f64 * FAULTS_PER_SECOND) as usize;
         let last_ms = (seconds * 1000)
             .saturating_sub(QUIET_END_MS)
             .max(FIRST_FAULT_MS + 1);
-        // Every plan drains an endpoint, which the draws alone would leave out of half of them.
+        // Every plan drains an endpoint. With independent draws only, half of the plans would not.
         let mut faults = vec![PlannedFault {
             kind: PlannedFaultKind::Discovery(DiscoveryFault::DrainEndpoint),
             ..draw_fault(&mut rng, last_ms)
@@ -64,8 +64,8 @@
     }
 }
 
-/// Draws what meets the shutdowns of a plan: series of signals around each SIGTERM, and in some plans a crowd of clients.
-/// The draws are apart from the others, so that a seed's other faults do not depend on them.
+/// Draws the faults that coincide with the shutdowns of a plan: signals around each SIGTERM, and in some plans many idle
+/// connections. A generator of its own keeps the other faults of the seed independent of these draws.
 fn draw_shutdowns(seed: u64, faults: &[PlannedFault], last_ms: u64) -> Vec<PlannedFault> {
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 32 | 0x51_6e);
     let is_shutdown = |fault: &&PlannedFault| fault.kind == PlannedFaultKind::Terminate;
@@ -120,7 +120,7 @@
             CLOCK_STEPS_MS[rng.random_range(0..CLOCK_STEPS_MS.len())]
         }
         Some(FaultKind::TornWriteAndKill) => TORN_WRITE_SHARE,
-        // Few calls meet these.
+        // High shares, since few calls are made that these faults affect.
         Some(
             FaultKind::ConnectNoAddress | FaultKind::ConnectUnreachable | FaultKind::LockFails,
         ) => rng.random_range(700..1000),
@@ -138,8 +138,8 @@
     }
 }
 
-/// A fault that leads to calls which another one can fail: files and locks are opened at a start and at a takeover,
-/// connections after a start.
+/// Returns a fault that makes a process issue the system calls that the given fault affects, if it needs one. Files are
+/// opened and locked at a start and at a takeover; connections are opened after a start.
 fn trigger(fault: &PlannedFault) -> Option<PlannedFault> {
     let kind = match fault.kind.system_fault()? {
         FaultKind::OpenNoFiles if fault.target.is_multiple_of(2) => PlannedFaultKind::Replace,
@@ -158,7 +158,7 @@
         | FaultKind::AcceptInterrupted => PlannedFaultKind::Clients(ClientFault::LeaveEarly),
         _ => return None,
     };
-    // The process restarts within the fault.
+    // The process must restart while the fault is active.
     let lead_ms = if kind == PlannedFaultKind::Kill {
         KILL_LEAD_MS
     } else {
--- a/crates/fault-soak/src/plan/tests.rs
+++ b/crates/fault-soak/src/plan/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of plans.
+//! Tests of the generation and the stored form of plans.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use super::*;
 
-/// A plan as the program stored it before the kinds of faults were renamed.
+/// A plan in the format that was stored before the kinds of faults were renamed.
 const OLD_PLAN: &str = r#"seed = 1
 processes = 4
 seconds = 8
--- a/crates/fault-soak/src/process.rs
+++ b/crates/fault-soak/src/process.rs
@@ -1,4 +1,4 @@
-//! The owner of one process: it starts the process, injects the plan's signals, restarts it, and records how it ended.
+//! The owner of one process under test. It starts and restarts the process, injects the plan's signals, and records events.
 
 mod settings;
 mod shutdown;
@@ -34,58 +34,59 @@
 const SHUTDOWN_LIMIT: Micros = 3700 * MILLISECOND;
 /// Time between the end of a process and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
-/// Time in which a process that is started beside another must listen.
+/// Maximum time until a process that is started beside the running one listens.
 const REPLACE_LIMIT: Micros = 10_000 * MILLISECOND;
-/// How long a process is suspended.
+/// Time for which a process is suspended.
 const SUSPENSION: Duration = Duration::from_millis(100);
+/// Interval between checks of the process and of due signals.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a process may take to report whether it is ready.
+/// Maximum time for a process to respond to the readiness check.
 const READY_TIMEOUT: Duration = Duration::from_millis(200);
-/// Descriptors that a process may hold.
+/// Maximum number of open descriptors of a process.
 const MAX_SOCKETS: usize = 256;
-/// Memory of a process in its configuration.
+/// Memory limit in the configuration of a process, in megabytes.
 const MEMORY_MB: u32 = 64;
-/// Memory that a process may take, in kilobytes.
+/// Maximum resident memory of a process, in kilobytes.
 const MAX_MEMORY_KB: u64 = 64 * 1024;
-/// Lines of the log that are reported of a crash.
+/// Number of last log lines that are reported with a crash.
 const CRASH_LOG_LINES: usize = 5;
 
-/// What the owner of a process needs.
+/// Owner of one process under test.
 #[derive(Clone)]
 pub struct ProcessOwner {
-    /// The process.
+    /// Number of the process.
     pub process: usize,
-    /// How many processes there are.
+    /// Count of all processes.
     pub processes: usize,
-    /// The program under test.
+    /// Program under test.
     pub program: PathBuf,
-    /// The shim that is preloaded into it.
+    /// Fault shim that is preloaded into the process.
     pub shim: FaultShim,
-    /// The folder of the process.
+    /// Folder of the process, which holds its configuration, its log and its state folder.
     pub folder: PathBuf,
-    /// Where it listens for clients.
+    /// Address at which the process listens for clients.
     pub listen: SocketAddr,
-    /// The address of its discovery.
+    /// Address of the discovery that serves the process.
     pub discovery: SocketAddr,
-    /// Where the endpoints are reached.
+    /// Addresses of the proxies in front of the endpoints.
     pub endpoints: Vec<SocketAddr>,
-    /// The faults.
+    /// Schedule of the faults.
     pub schedule: Schedule,
-    /// Where events are recorded.
+    /// Record that receives the events.
     pub record: SharedRecord,
-    /// Set once the process is to end for good.
+    /// Set when the process is to end without a restart.
     pub stop: Arc<AtomicBool>,
-    /// Tells clients between SIGTERM and the end of the process.
+    /// Shutdown window of the process, which its clients share.
     pub shutdown: ShutdownWindow,
 }
 
 impl ProcessOwner {
-    /// The process's folder within the folder of a run.
+    /// Returns the folder of a process within the folder of a run.
     pub fn folder_of(run_folder: &std::path::Path, process: usize) -> PathBuf {
         run_folder.join(format!("n{process}"))
     }
 
-    /// The process's state folder.
+    /// Returns the state folder within the folder of a process.
     pub fn state_folder(folder: &std::path::Path) -> PathBuf {
         folder.join("state")
     }
@@ -139,7 +140,7 @@
         }
     }
 
-    /// The seed of the shim's draws.
+    /// Returns the seed of the shim's draws.
     fn shim_seed(&self) -> u64 {
         shim_seed(self.schedule.plan().seed, self.process)
     }
@@ -176,10 +177,10 @@
         Process::start(&self.program, &[], &environment)
     }
 
-    /// Runs the process until it is to end for good.
+    /// Runs the process, with all restarts, until `stop` is set.
     ///
     /// # Errors
-    /// It cannot be started or killed.
+    /// The process cannot be started or killed.
     pub fn run(self) -> Result<(), HarnessError> {
         let mut due = self.due_signals();
         let mut process = self.start()?;
@@ -212,7 +213,7 @@
         Ok(())
     }
 
-    /// Carries out a fault of the process, and returns the process that runs afterwards.
+    /// Injects a process fault and returns the process that runs afterwards.
     fn carry_out(
         &self,
         kind: PlannedFaultKind,
@@ -249,15 +250,15 @@
         DueSignals(signals.collect())
     }
 
-    /// Starts a process beside the running one, and terminates that once the new one listens. Whatever happens meanwhile,
-    /// all rules hold for both together.
+    /// Starts a process beside the running one, and terminates the old process once the new one listens. The rules hold for
+    /// both together throughout.
     fn replace(&self, mut old: Process, logs: &mut String) -> Result<Process, HarnessError> {
         let mut new = self.start_unrecorded()?;
         let deadline = monotonic_micros() + REPLACE_LIMIT;
         while !new.log().contains(LISTENING_MARKER) {
             thread::sleep(POLL_INTERVAL);
             if new.exit_status().is_some() || monotonic_micros() >= deadline {
-                // It never served anybody; the old one continues.
+                // The new process never listened, so the old one continues to serve.
                 self.record_unexpected_end(&new);
                 self.record_event(ProcessEventKind::Started);
                 logs.push_str(&new.log());
@@ -280,8 +281,8 @@
         Ok(new)
     }
 
-    /// Records an end without a signal. The shim may have killed the process in the middle of a write; any other end is a
-    /// crash.
+    /// Records an end that no signal of the plan caused. The shim may have killed the process in the middle of a write; any
+    /// other end is a crash.
     fn record_unexpected_end(&self, process: &Process) {
         let is_torn = self.shim.injected(FaultKind::TornWriteAndKill) > 0;
         let log = process.log();
@@ -300,20 +301,20 @@
     }
 
     fn check_resources(&self, process: &Process) {
-        // A process that has ended meanwhile uses none.
+        // A process that has already ended uses no resources.
         let Some(usage) = process.resource_usage() else {
             return;
         };
         if usage.open_files > MAX_SOCKETS {
-            self.report_problem(&format!("holds {} descriptors", usage.open_files));
+            self.report_problem(&format!("has {} open descriptors", usage.open_files));
         }
         if usage.resident_kb > MAX_MEMORY_KB {
-            self.report_problem(&format!("takes {} KB", usage.resident_kb));
+            self.report_problem(&format!("uses {} KB of memory", usage.resident_kb));
         }
     }
 
     fn check_logs(&self, logs: &str) {
-        // The log is kept for readers; the run does not depend on it.
+        // The stored log is only for people who examine a failing run, so a failure to write it is ignored.
         let _ = fs::write(self.folder.join("log"), logs);
         for line in logs.lines() {
             if line.contains("invariant-violated") || line.contains("panicked") {
@@ -322,13 +323,13 @@
         }
     }
 
-    /// The counts of the process's shim over all its incarnations.
+    /// Returns the counts of the process's shim over all incarnations.
     pub fn shim_counts(&self) -> Counts {
         self.shim.counts()
     }
 }
 
-/// The seed of the draws of a process's shim.
+/// Returns the seed of the draws of a process's shim.
 pub fn shim_seed(seed: u64, process: usize) -> u64 {
     seed * 1000 + process as u64
 }
--- a/crates/fault-soak/src/process/settings.rs
+++ b/crates/fault-soak/src/process/settings.rs
@@ -3,7 +3,7 @@
 use crate::endpoint::RATE;
 use crate::record::{Class, DEDUPLICATION_WINDOW_MS};
 
-/// The settings of a process as JSON, with the field names of the wire.
+/// Returns the settings of a process as JSON, with the field names of the configuration file.
 pub fn settings(process: usize, processes: usize) -> String {
     let [idempotent, keyed, non_idempotent] = [
         class(Class::Idempotent, "pure", 1.0),
--- a/crates/fault-soak/src/process/shutdown.rs
+++ b/crates/fault-soak/src/process/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a process by signals, and what follows it.
+//! Shutdown of a process by signals, and the choice of the process that runs afterwards.
 
 use super::{DueSignals, ProcessOwner, POLL_INTERVAL, SHUTDOWN_LIMIT, SUSPENSION};
 use crate::plan::PlannedFaultKind;
@@ -6,7 +6,7 @@
 use marblefall_process_harness::{monotonic_micros, HarnessError, Micros, Process, Signal};
 use std::thread;
 
-/// Whether a process still runs.
+/// State of a process during its shutdown.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ProcessState {
     Running,
@@ -26,8 +26,8 @@
         process.signal(Signal::CONT);
     }
 
-    /// Sends SIGTERM, and SIGKILL if the process has not ended in time. Signals that are due meanwhile follow in a series.
-    /// Returns a successor that was started beside it.
+    /// Sends SIGTERM, and SIGKILL if the process has not ended in time. Signals of the plan that become due in between are
+    /// sent as well. Returns the successor if one was started beside the process.
     pub(super) fn terminate(
         &self,
         process: &mut Process,
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Records the end of a process after SIGTERM, and kills it if its time is over.
+    /// Records the end of a process after SIGTERM. Kills the process if `kill_at` has passed.
     fn end_if_due(
         &self,
         process: &mut Process,
@@ -84,7 +84,7 @@
         Ok(ProcessState::Ended)
     }
 
-    /// Continues with the successor that was started during a shutdown, or restarts the process.
+    /// Returns the successor that was started during a shutdown if it still runs, or a restarted process.
     pub(super) fn continue_with(
         &self,
         successor: Option<Process>,
--- a/crates/fault-soak/src/proxy.rs
+++ b/crates/fault-soak/src/proxy.rs
@@ -1,4 +1,5 @@
-//! The fault proxy in front of each endpoint, at the address in the endpoint list: it disturbs what passes.
+//! The fault proxy in front of an endpoint. It listens at the address in the endpoint list, and disturbs connections as the
+//! plan specifies.
 
 use crate::endpoint::ENDPOINTS;
 use crate::plan::{PlannedFaultKind, ProxyFault};
@@ -11,15 +12,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a read waits before the proxy looks at the plan again.
+/// Read timeout, after which the proxy checks for active faults again.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a piece is delayed.
+/// Delay of each chunk of bytes by [`ProxyFault::Delay`].
 const DELAY: Duration = Duration::from_millis(100);
-/// How long a connection may be idle at a proxy that closes idle ones.
+/// Maximum idle time of a connection under [`ProxyFault::CloseIdle`].
 const IDLE_TIMEOUT: Duration = Duration::from_millis(60);
-/// How long each byte is delayed that is forwarded by itself.
+/// Delay of each byte by [`ProxyFault::ByteByByte`].
 const BYTE_DELAY: Duration = Duration::from_millis(1);
-/// Pause between a request and the reset that follows it.
+/// Pause between a request and the reset by [`ProxyFault::ResetAfterRequest`].
 const RESET_DELAY: Duration = Duration::from_millis(5);
 const BUFFER_BYTES: usize = 16 * 1024;
 
@@ -31,7 +32,7 @@
     schedule: Schedule,
 }
 
-/// Starts the proxy in front of an endpoint that listens at `target`. Returns where the proxy listens.
+/// Starts the proxy in front of an endpoint that listens at `target`. Returns the address of the proxy.
 ///
 /// # Errors
 /// No port is free.
@@ -46,7 +47,7 @@
         schedule,
     };
     let listener = Listener::start("a proxy's port", move |stream| {
-        // A broken connection is what the proxy is for.
+        // Connections break on purpose here, so errors are expected.
         let _ = proxy.forward(stream);
     })?;
     Ok(listener.address)
@@ -82,7 +83,7 @@
     }
 
     fn copy(&self, mut from: TcpStream, mut to: TcpStream, direction: Direction) {
-        // Either end may be gone already: then there is nothing left to copy or to close.
+        // Errors are ignored: if either end is already closed, nothing is left to copy or to close.
         let _ = self.copy_until_closed(&mut from, &mut to, direction);
         let _ = from.shutdown(Shutdown::Both);
         let _ = to.shutdown(Shutdown::Both);
@@ -152,7 +153,7 @@
     }
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a reset.
 fn reset(stream: &TcpStream) -> io::Result<()> {
     set_socket_linger(stream, Some(Duration::ZERO))?;
     stream.shutdown(Shutdown::Both)
--- a/crates/fault-soak/src/record.rs
+++ b/crates/fault-soak/src/record.rs
@@ -1,28 +1,29 @@
-//! What clients, endpoints, discovery and the owner of the processes recorded, on the machine's monotonic clock.
+//! The record of a run: observations of clients, endpoints, discovery and process owners, with times of the machine's
+//! monotonic clock.
 
 use crate::schedule::Interval;
 use marblefall_process_harness::Micros;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A class of messages.
+/// Class of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// May be executed any number of times.
+    /// The message may be executed any number of times.
     Idempotent,
-    /// A repeat within [`DEDUPLICATION_WINDOW_MS`] is dropped by its key.
+    /// Endpoints drop a repeat within [`DEDUPLICATION_WINDOW_MS`] by its idempotency key.
     Keyed,
-    /// Must not be executed twice.
+    /// The message must not be executed more than once.
     NonIdempotent,
 }
 
-/// How long endpoints recognise a key, in milliseconds.
+/// Deduplication window of the endpoints, in milliseconds.
 pub const DEDUPLICATION_WINDOW_MS: i64 = 4000;
 
 impl Class {
     /// All classes.
     pub const ALL: [Class; 3] = [Class::Idempotent, Class::Keyed, Class::NonIdempotent];
 
-    /// Its name in the settings.
+    /// Returns the name of the class in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Class::Idempotent => "status",
@@ -32,85 +33,85 @@
     }
 }
 
-/// How a request ended for its client.
+/// End of a request as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResult {
-    /// A response with this status.
+    /// The client received a response with this status.
     Response(u16),
-    /// The connection was closed in order before any response: the whole request had been read.
+    /// The connection ended before a complete response, after the process had read the whole request.
     Closed,
-    /// The connection was reset before any response.
+    /// The connection was reset before the first byte of a response.
     Reset,
-    /// Nothing was received until the client gave up.
+    /// The client received nothing before its timeout.
     TimedOut,
 }
 
-/// A request whose last byte was sent.
+/// A request that a client sent completely.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The message's id.
+    /// Id of the message.
     pub id: String,
-    /// The process that it was sent to.
+    /// Number of the process that the request was sent to.
     pub process: usize,
-    /// Its class.
+    /// Class of the message.
     pub class: Class,
-    /// Its destination.
+    /// Number of the message's destination.
     pub destination: usize,
-    /// When its last byte was sent.
+    /// Time at which the last byte was sent.
     pub sent_at: Micros,
-    /// When the message expires.
+    /// Time at which the message expires.
     pub expires_at: Micros,
-    /// How it ended.
+    /// Response, or the failure in place of one.
     pub result: ClientResult,
-    /// When it ended.
+    /// Time at which the client observed the result.
     pub ended_at: Micros,
 }
 
 impl Request {
-    /// Whether the message was accepted.
+    /// Returns whether the message was accepted.
     pub fn is_accepted(&self) -> bool {
         matches!(self.result, ClientResult::Response(200 | 202))
     }
 }
 
-/// How a call ended at its endpoint.
+/// End of a call as its endpoint observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
     /// The endpoint responded.
     Response {
-        /// The status.
+        /// Status of the response.
         status: u16,
-        /// The response's Retry-After in milliseconds.
+        /// Retry-After of the response, in milliseconds, if it has one.
         retry_after_ms: Option<i64>,
     },
-    /// The connection ended before a response.
+    /// The connection ended before the endpoint responded.
     Broken,
 }
 
-/// A call whose last byte an endpoint read.
+/// A call that an endpoint read completely.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The message's id.
+    /// Id of the message.
     pub id: String,
-    /// The endpoint.
+    /// Number of the endpoint.
     pub endpoint: usize,
-    /// When its first byte was read.
+    /// Time at which the first byte was read.
     pub first_byte_at: Micros,
-    /// When its last byte was read.
+    /// Time at which the last byte was read.
     pub last_byte_at: Micros,
-    /// When it ended.
+    /// Time at which the endpoint responded or the connection ended.
     pub ended_at: Micros,
-    /// How it ended.
+    /// Response, or the failure in place of one.
     pub result: CallResult,
 }
 
 impl Call {
-    /// Whether the message was delivered.
+    /// Returns whether the message was delivered.
     pub fn is_delivered(&self) -> bool {
         matches!(self.result, CallResult::Response { status: 200, .. })
     }
 
-    /// Whether the message may have been executed: always, unless the call was rejected.
+    /// Returns whether the message may have been executed, which only a rejection of the call rules out.
     pub fn is_possibly_executed(&self) -> bool {
         !matches!(
             self.result,
@@ -125,88 +126,89 @@
 /// A notice of a final outcome.
 #[derive(Clone, Debug)]
 pub struct Notice {
-    /// The message's id.
+    /// Id of the message.
     pub id: String,
-    /// When it was received.
+    /// Time at which discovery received the notice.
     pub received_at: Micros,
 }
 
 /// A change of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// The endpoint that changed.
+    /// Number of the endpoint that changed.
     pub endpoint: usize,
-    /// Whether it takes new calls since.
+    /// Whether the endpoint takes new calls after the change.
     pub is_active: bool,
-    /// When it changed.
+    /// Time of the change.
     pub at: Micros,
 }
 
-/// What happened to a process.
+/// Kind of a process event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEventKind {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It reported that it is ready.
+    /// The process reported that it is ready.
     Ready,
-    /// It got SIGTERM.
+    /// The process was sent SIGTERM.
     Terminated,
-    /// It was killed, by this program or by its shim.
+    /// The process was killed by this program or by its shim.
     Killed,
-    /// It ended by itself after SIGTERM.
+    /// The process exited with success after SIGTERM.
     Ended,
-    /// It ended without a signal.
+    /// The process ended unexpectedly.
     Crashed,
-    /// It was suspended for a moment.
+    /// The process was suspended for a short time.
     Suspended,
 }
 
 /// An event of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEvent {
-    /// The process.
+    /// Number of the process.
     pub process: usize,
-    /// When it happened.
+    /// Time of the event.
     pub at: Micros,
-    /// What happened.
+    /// Kind of the event.
     pub kind: ProcessEventKind,
 }
 
-/// A time in which something held for a process, an endpoint or a destination.
+/// A period in which a fault affects a process, an endpoint or a destination.
 #[derive(Clone, Copy, Debug)]
 pub struct Period {
-    /// The number of the process, endpoint or destination.
+    /// Number of the process, endpoint or destination.
     pub subject: usize,
-    /// When it held.
+    /// Interval of the period.
     pub interval: Interval,
 }
 
-/// All that was recorded.
+/// All observations of a run.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Requests of clients.
+    /// Requests of correct clients.
     pub requests: Vec<Request>,
-    /// Calls at endpoints.
+    /// Calls that endpoints read.
     pub calls: Vec<Call>,
-    /// Notices at discovery.
+    /// Notices that discovery received.
     pub notices: Vec<Notice>,
     /// Changes of the endpoint list.
     pub list_changes: Vec<ListChange>,
-    /// Times in which discovery of a process was down or its watch was silent.
+    /// Periods in which the discovery of a process was down or its watch was silent.
     pub discovery_gaps: Vec<Period>,
     /// Events of processes.
     pub process_events: Vec<ProcessEvent>,
     /// Outages of destinations.
     pub outages: Vec<Period>,
-    /// Times in which a proxy disturbed connections to an endpoint.
+    /// Periods in which a proxy disturbed connections to an endpoint.
     pub disturbed_endpoints: Vec<Period>,
-    /// Times in which the system broke connections of a process.
+    /// Periods in which system call faults broke connections of a process.
     pub broken_processes: Vec<Period>,
-    /// What was found in a process itself: violations that it counted, panics, use of resources.
+    /// Problems of the processes themselves: violated invariants and panics in their logs, crashes, and excessive use of
+    /// resources.
     pub process_problems: Vec<String>,
 }
 
-/// A record that many threads write to.
+/// A record that several threads share.
 #[derive(Clone, Debug, Default)]
 pub struct SharedRecord(Arc<Mutex<Record>>);
 
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: endpoints, proxies, discoveries, processes and clients are put together, played and judged.
+//! Execution of one run: starts endpoints, proxies, discoveries, processes and clients, and checks what they recorded.
 
 use crate::client::Clients;
 use crate::discovery::{planned_list_changes, ProcessDiscovery};
@@ -21,58 +21,58 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Time that the processes have before the plan starts.
+/// Time between the start of the processes and the start of the plan.
 const WARM_UP: Micros = 500 * MILLISECOND;
-/// Time after the last request in which every message that is still pending gets its outcome.
+/// Time after the last request in which every pending message reaches its final outcome.
 const SETTLING_TIME: Duration = Duration::from_millis(6500);
-/// Correct clients of each process.
+/// Number of correct clients per process.
 const CLIENTS_PER_PROCESS: u64 = 2;
-/// How long after its fault a silent watch may still leave a process without a change.
+/// Time after the end of its fault in which a silent watch may still withhold changes from a process.
 const SILENT_WATCH_GAP: Micros = 6000 * MILLISECOND;
 
-/// The files of a run.
+/// Paths of the files that a run uses.
 #[derive(Clone, Debug)]
 pub struct RunFiles {
-    /// The program under test.
+    /// Program under test.
     pub program: PathBuf,
-    /// The shim.
+    /// Library of the fault shim.
     pub shim: PathBuf,
-    /// The folder of the run.
+    /// Folder of the run, which holds the folders of its processes.
     pub folder: PathBuf,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// The rules that were broken.
+    /// Rules that were broken.
     pub violations: Vec<Violation>,
-    /// Requests of correct clients.
+    /// Number of requests of correct clients.
     pub requests: usize,
-    /// Requests that were accepted.
+    /// Number of these requests that were accepted.
     pub accepted: usize,
-    /// Calls that endpoints read.
+    /// Number of calls that endpoints read.
     pub calls: usize,
-    /// Notices that discovery received.
+    /// Number of notices that discovery received.
     pub notices: usize,
-    /// How often each fault of the shim could be injected, and was.
+    /// Seen calls and injected faults of all shims, for each kind of system call fault.
     pub counts: Counts,
-    /// Planned faults that were never injected: the run is inconclusive about them.
+    /// Names of planned system call faults that were never injected, about which the run is inconclusive.
     pub idle_faults: Vec<&'static str>,
-    /// Requests of correct clients between the first SIGTERM to a process and its end.
+    /// Number of requests of correct clients between the first SIGTERM to a process and its end.
     pub requests_in_shutdown: usize,
 }
 
 impl Report {
-    /// Whether the run shows something about each of its faults, and about shutdowns.
+    /// Returns whether each planned system call fault was injected and some request was sent during a shutdown.
     pub fn is_conclusive(&self) -> bool {
         self.idle_faults.is_empty() && self.requests_in_shutdown > 0
     }
 }
 
-/// Plays a plan, and judges what was recorded.
+/// Runs a plan and checks what was recorded.
 ///
 /// # Errors
-/// A port, a folder or a process cannot be had.
+/// A port cannot be opened, a folder or file cannot be written, or a process cannot be started or killed.
 pub fn play(plan: Plan, files: &RunFiles) -> Result<Report, HarnessError> {
     let schedule = Schedule::new(plan, monotonic_micros() + WARM_UP);
     let record = SharedRecord::default();
@@ -102,7 +102,7 @@
     Ok(report)
 }
 
-/// Waits for a thread. Its panic is a fault of this program and ends it.
+/// Waits for the end of a thread and propagates its panic, which is a bug in this program.
 fn join<T>(thread: JoinHandle<T>) -> T {
     thread
         .join()
@@ -187,7 +187,7 @@
     threads
 }
 
-/// Records what follows from the plan alone: changes of the endpoint list, and periods.
+/// Records what the plan alone determines: changes of the endpoint list, and the periods of faults.
 fn record_planned(schedule: &Schedule, record: &SharedRecord) {
     let mut record = record.lock();
     record.list_changes = planned_list_changes(schedule);
@@ -205,7 +205,7 @@
             PlannedFaultKind::Discovery(DiscoveryFault::Down) => {
                 record.discovery_gaps.push(period(processes));
             }
-            // A watch stays silent: what it misses is sent by the next one.
+            // A silent watch stays silent after the fault has ended. The next watch sends the changes that it withheld.
             PlannedFaultKind::Discovery(DiscoveryFault::SilentWatches) => {
                 record.discovery_gaps.push(Period {
                     interval: Interval {
@@ -252,7 +252,7 @@
     }
 }
 
-/// Counts the requests that were sent between a process's first SIGTERM and its end.
+/// Counts the requests that were sent between the first SIGTERM to a process and its end.
 fn requests_in_shutdown(record: &Record) -> usize {
     let in_shutdown = |request: &&Request| {
         let mut events = record.process_events.iter().rev();
--- a/crates/fault-soak/src/schedule.rs
+++ b/crates/fault-soak/src/schedule.rs
@@ -1,39 +1,39 @@
-//! Which faults are active at a moment.
+//! The schedule of a run, which determines the faults that are active at a given time.
 
 use crate::plan::{Plan, PlannedFault, PlannedFaultKind};
 use marblefall_process_harness::{monotonic_micros, Micros, MILLISECOND};
 use std::sync::Arc;
 
-/// A plan with the time at which it starts.
+/// A plan and its start time.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     plan: Arc<Plan>,
     started_at: Micros,
 }
 
-/// A span of time.
+/// An interval of the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
-    /// Its start.
+    /// Inclusive start.
     pub from: Micros,
-    /// Its end, which is not part of it.
+    /// Exclusive end.
     pub until: Micros,
 }
 
 impl Interval {
-    /// Whether it contains a time.
+    /// Returns whether the interval contains a time.
     pub fn contains(&self, at: Micros) -> bool {
         (self.from..self.until).contains(&at)
     }
 
-    /// Whether it and the span between two times, each extended by `margin`, have a moment in common.
+    /// Returns whether the interval, extended by `margin` at both ends, overlaps the span from `from` to `until`.
     pub fn overlaps(&self, from: Micros, until: Micros, margin: Micros) -> bool {
         self.from - margin <= until && from <= self.until + margin
     }
 }
 
 impl Schedule {
-    /// A plan that starts at a time.
+    /// Creates the schedule of a plan that starts at a given time.
     pub fn new(plan: Plan, started_at: Micros) -> Schedule {
         Schedule {
             plan: Arc::new(plan),
@@ -41,17 +41,17 @@
         }
     }
 
-    /// The plan.
+    /// Returns the plan.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// When the plan starts.
+    /// Returns the start time of the plan.
     pub fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// When a fault is active.
+    /// Returns the interval in which a fault is active.
     pub fn interval(&self, fault: &PlannedFault) -> Interval {
         let from = self.started_at + fault.from_ms as Micros * MILLISECOND;
         Interval {
@@ -60,12 +60,12 @@
         }
     }
 
-    /// What `select` returns for the first fault active now for which it returns something.
+    /// Returns the first value that `select` yields for the faults that are active now.
     pub fn active<T>(&self, select: impl Fn(&PlannedFault) -> Option<T>) -> Option<T> {
         self.active_at(monotonic_micros(), select)
     }
 
-    /// What `select` returns for the first fault active at a time for which it returns something.
+    /// Returns the first value that `select` yields for the faults that are active at a given time.
     pub fn active_at<T>(
         &self,
         at: Micros,
@@ -76,7 +76,7 @@
         active.find_map(select)
     }
 
-    /// Whether a fault of this kind is active for one of `count` targets.
+    /// Returns whether a fault of this kind is active for `target`, one of `count` targets.
     pub fn is_active(&self, kind: PlannedFaultKind, target: usize, count: usize) -> bool {
         let found =
             self.active(|fault| (fault.kind == kind && fault.is_for(target, count)).then_some(()));
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! Plays one plan after the other, prints what came of each, and keeps the plans that fail.
+//! Runs plans one after the other, prints the result of each, and keeps the plans of failing runs.
 
 use crate::arguments::Arguments;
 use crate::plan::Plan;
@@ -9,29 +9,29 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why the soak cannot go on.
+/// Error that ends the soak.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
     /// A stored plan cannot be read.
     #[error("{}: {source}", path.display())]
     ReadPlan {
-        /// The file.
+        /// Path of the plan.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// A file is not a plan.
+    /// A file does not contain a valid plan.
     #[error("{}: {source}", path.display())]
     ParsePlan {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line, and why.
+        /// Position and cause of the failure.
         source: Box<toml::de::Error>,
     },
     /// A plan cannot be encoded.
     #[error(transparent)]
     EncodePlan(#[from] toml::ser::Error),
-    /// A run is inconclusive.
+    /// The harness failed to carry out a run.
     #[error(transparent)]
     Harness(#[from] HarnessError),
     /// A program that the arguments name does not exist.
@@ -39,19 +39,19 @@
     MissingFile(PathBuf),
 }
 
-/// How the runs ended.
+/// Numbers of runs by result.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
     /// Runs in which all rules were kept and each planned fault was injected.
     passed: usize,
-    /// Runs in which all rules were kept, but a planned fault was never injected or no request met a shutdown.
+    /// Runs in which all rules were kept, but a planned fault was never injected or no request was sent during a shutdown.
     inconclusive: usize,
     /// Runs in which a rule was broken.
     failed: usize,
 }
 
 impl Summary {
-    /// Whether all runs passed.
+    /// Returns whether all runs passed.
     pub fn is_success(&self) -> bool {
         self.inconclusive + self.failed == 0
     }
@@ -77,21 +77,21 @@
     }
 }
 
-/// The runs that the arguments ask for.
+/// A sequence of runs, as the arguments specify it.
 pub struct Soak {
     arguments: Arguments,
 }
 
 impl Soak {
-    /// The runs that arguments ask for.
+    /// Creates the soak that the arguments specify.
     pub fn new(arguments: Arguments) -> Soak {
         Soak { arguments }
     }
 
-    /// Plays all plans.
+    /// Runs all plans, or stops after the first failing run if its plan is shrunk.
     ///
     /// # Errors
-    /// A file is missing or wrong, or a run is inconclusive.
+    /// A file is missing or invalid, or the harness fails to carry out a run.
     pub fn run(&self) -> Result<Summary, SoakError> {
         for file in [&self.arguments.program, &self.arguments.shim] {
             if !file.is_file() {
@@ -109,7 +109,7 @@
             if self.arguments.shrink {
                 let rule = violation.rule;
                 let smallest = toml::to_string(&self.shrink(plan, rule)?)?;
-                println!("the least that still breaks \"{rule}\":\n{smallest}");
+                println!("smallest plan that still breaks \"{rule}\":\n{smallest}");
                 return Ok(summary);
             }
         }
@@ -132,11 +132,11 @@
         }
     }
 
-    /// Plays a plan in a temporary folder. If it fails, the plan and the logs are kept.
+    /// Runs a plan in a temporary folder. If a rule is broken, the plan and the logs are kept.
     fn play(&self, plan: &Plan) -> Result<Report, SoakError> {
         let name = format!("seed-{}-{}", plan.seed, std::process::id());
         let folder = std::env::temp_dir().join(format!("marblefall-soak-{name}"));
-        // What an earlier run left there does not belong to this one.
+        // Removes files that an earlier run with the same seed and process id left behind.
         let _ = fs::remove_dir_all(&folder);
         let files = RunFiles {
             program: self.arguments.program.clone(),
@@ -148,15 +148,15 @@
             let text = toml::to_string(plan)?;
             let kept = self.arguments.keep.join(name);
             if let Err(error) = keep_run(&folder, &kept, &text) {
-                eprintln!("{}: not kept: {error}", kept.display());
+                eprintln!("cannot keep the failing run in {}: {error}", kept.display());
             }
         }
-        // What cannot be removed stays in the machine's folder for temporary files.
+        // A failure is harmless: the files stay in the folder for temporary files.
         let _ = fs::remove_dir_all(&folder);
         Ok(report)
     }
 
-    /// Leaves out one fault after another without which a plan still breaks the rule.
+    /// Removes from a plan, one at a time, each fault without which it still breaks the rule.
     fn shrink(&self, plan: Plan, rule: &str) -> Result<Plan, SoakError> {
         let mut smallest = plan;
         let mut index = 0;
@@ -190,7 +190,7 @@
     })
 }
 
-/// Writes the plan of a run, and copies the logs of its processes.
+/// Stores the plan of a run and the logs of its processes in the folder `kept`, which is replaced if it exists.
 fn keep_run(folder: &Path, kept: &Path, plan: &str) -> io::Result<()> {
     if kept.exists() {
         fs::remove_dir_all(kept)?;
--- a/crates/fault-soak/tests/short_run.rs
+++ b/crates/fault-soak/tests/short_run.rs
@@ -1,5 +1,5 @@
-//! A short run of the soak on the programs as `cargo` builds them, so that the soak itself stays in working order. Longer runs
-//! over many seeds, on a program all of whose calls the shim sees, are in `docs/operators/fault-soak.md`.
+//! A short soak of the programs as `cargo` builds them, which tests the soak itself. `docs/operators/fault-soak.md`
+//! describes longer runs over many seeds, with a program whose system calls the shim intercepts completely.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -34,17 +34,20 @@
     let said = String::from_utf8_lossy(&run.stdout);
     assert!(said.contains(" 0 broke a rule"), "{said}");
     for run in said.split("faults; ").skip(1) {
-        assert!(number(run) > 100, "too little was done to tell: {said}");
+        assert!(
+            number(run) > 100,
+            "too few requests for a conclusive run: {said}"
+        );
     }
     let shutdowns = said.split("the end of a process: ").skip(1);
     assert!(
         shutdowns.map(number).all(|requests| requests > 0),
-        "no request met a shutdown: {said}"
+        "no request was sent during a shutdown: {said}"
     );
     let _ = std::fs::remove_dir_all(&keep);
 }
 
-/// The number that a text begins with.
+/// Parses the number at the start of a text.
 fn number(text: &str) -> usize {
     let digits = text.split([' ', '\n']).next();
     digits.and_then(|digits| digits.parse().ok()).unwrap()
