--- a/crates/fault-plan/src/fault/tests.rs
+++ b/crates/fault-plan/src/fault/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn every_kind_of_fault_survives_its_line() {
+fn every_fault_kind_round_trips_through_text() {
     for kind in FaultKind::ALL {
         let fault = Fault {
             kind: *kind,
--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -1,6 +1,6 @@
 //! The clients of a process: correct clients, whose requests the oracle checks, and misbehaving clients.
 
-mod resting;
+mod keep_alive;
 
 use crate::endpoint::DESTINATIONS;
 use crate::plan::{ClientFault, PlannedFaultKind};
@@ -29,9 +29,9 @@
 /// Lengths of bodies, in bytes.
 const BODY_BYTES: Range<usize> = 0..400;
 /// Probability that a client keeps a connection open after a response.
-const REUSED_SHARE: f64 = 0.8;
+const REUSE_PROBABILITY: f64 = 0.8;
 /// Probability that a request is sent in two parts.
-const SPLIT_SHARE: f64 = 0.2;
+const SPLIT_PROBABILITY: f64 = 0.2;
 /// Pauses between the two parts of a request, in milliseconds.
 const SPLIT_PAUSE_MS: Range<u64> = 1..30;
 /// Maximum time until the reset of a closed connection arrives over loopback.
@@ -39,7 +39,7 @@
 /// Maximum number of connections that misbehaving clients keep open, except for idle connections.
 const MAX_OPEN_CONNECTIONS: usize = 60;
 /// Number of idle connections of misbehaving clients, which exceeds the connection limit of a process.
-const CROWD_CONNECTIONS: usize = 120;
+const IDLE_CONNECTIONS: usize = 120;
 /// Pause between two misbehaving connections.
 const MISBEHAVIOUR_PAUSE: Duration = Duration::from_millis(15);
 /// Interval at which clients check for active faults and shutdowns.
@@ -84,7 +84,7 @@
                     Err(_) => continue,
                 },
             };
-            let is_reused = rng.random_bool(REUSED_SHARE);
+            let is_reused = rng.random_bool(REUSE_PROBABILITY);
             // If the connection breaks before the whole request was sent, there is no request to check.
             let submitted = self.submit(stream, &id, &mut rng).ok().flatten();
             reusable_connection = submitted.filter(|_| is_reused);
@@ -125,7 +125,7 @@
             result: received.result,
             ended_at: received.ended_at,
         });
-        Ok(received.keeps_open.then_some(stream))
+        Ok(received.is_reusable.then_some(stream))
     }
 
     fn active_fault(&self) -> Option<ClientFault> {
@@ -148,7 +148,7 @@
                 continue;
             };
             count += 1;
-            if fault == ClientFault::IdleConnections && open.len() >= CROWD_CONNECTIONS {
+            if fault == ClientFault::IdleConnections && open.len() >= IDLE_CONNECTIONS {
                 thread::sleep(POLL_INTERVAL);
                 continue;
             }
@@ -214,7 +214,7 @@
 
 /// Sends a request, sometimes in two parts, as a network may split it.
 fn send(stream: &mut TcpStream, bytes: &[u8], rng: &mut Pcg64Mcg) -> io::Result<()> {
-    if !rng.random_bool(SPLIT_SHARE) {
+    if !rng.random_bool(SPLIT_PROBABILITY) {
         return stream.write_all(bytes);
     }
     let cut = rng.random_range(1..bytes.len());
@@ -228,7 +228,7 @@
     result: ClientResult,
     ended_at: Micros,
     /// Whether the connection can be reused.
-    keeps_open: bool,
+    is_reusable: bool,
 }
 
 fn receive(stream: &mut TcpStream) -> Received {
@@ -240,7 +240,7 @@
         let without_response = |result| Received {
             result,
             ended_at,
-            keeps_open: false,
+            is_reusable: false,
         };
         match read {
             Ok(0) if response.is_empty() => return without_response(closed_or_reset(stream)),
@@ -257,7 +257,7 @@
             return Received {
                 result: ClientResult::Response(status.unwrap_or(0)),
                 ended_at,
-                keeps_open: !text.contains("Connection: close"),
+                is_reusable: !text.contains("Connection: close"),
             };
         }
     }
--- a/crates/fault-soak/src/client/resting.rs
+++ b/crates/fault-soak/src/client/keep_alive.rs
@@ -11,19 +11,19 @@
 use std::thread;
 
 /// Number of idle connections to one process, low enough that the process does not evict idle connections.
-const RESTING_CONNECTIONS: usize = 16;
+const KEEP_ALIVE_CONNECTIONS: usize = 16;
 /// Number of this client in message ids and in the seed of its draws, distinct from the numbers of other clients.
 const CLIENT_NUMBER: u64 = 1000;
 
 /// A connection and the time of its next use.
-struct Resting {
+struct ScheduledConnection {
     stream: TcpStream,
     use_at: Micros,
 }
 
 impl Clients {
     /// Keeps idle connections open, and uses them while the process is being shut down, until the client is stopped.
-    pub fn run_resting(&self) {
+    pub fn run_keep_alive(&self) {
         let mut rng = self.client_rng(CLIENT_NUMBER);
         let mut streams: Vec<TcpStream> = Vec::new();
         let mut sent = 0;
@@ -33,16 +33,16 @@
                     let streams = std::mem::take(&mut streams);
                     self.use_until_killed(streams, kill_at, &mut rng, &mut sent);
                 }
-                None => self.keep_resting(&mut streams, &mut rng, &mut sent),
+                None => self.refill_connections(&mut streams, &mut rng, &mut sent),
             }
             thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Opens a new connection if one was closed. It carries one request before it becomes idle.
-    fn keep_resting(&self, streams: &mut Vec<TcpStream>, rng: &mut Pcg64Mcg, sent: &mut u64) {
+    fn refill_connections(&self, streams: &mut Vec<TcpStream>, rng: &mut Pcg64Mcg, sent: &mut u64) {
         streams.retain(is_open);
-        if streams.len() >= RESTING_CONNECTIONS {
+        if streams.len() >= KEEP_ALIVE_CONNECTIONS {
             return;
         }
         // The process refuses connections while it restarts.
@@ -63,27 +63,27 @@
             let now = monotonic_micros();
             rng.random_range(now..kill_at.max(now + 1))
         };
-        let mut resting: Vec<Resting> = streams
+        let mut scheduled: Vec<ScheduledConnection> = streams
             .into_iter()
-            .map(|stream| Resting {
+            .map(|stream| ScheduledConnection {
                 stream,
                 use_at: draw_time(rng),
             })
             .collect();
-        while self.shutdown.kill_at() == Some(kill_at) && !resting.is_empty() {
+        while self.shutdown.kill_at() == Some(kill_at) && !scheduled.is_empty() {
             let now = monotonic_micros();
-            let Some(index) = resting.iter().position(|next| next.use_at <= now) else {
+            let Some(index) = scheduled.iter().position(|next| next.use_at <= now) else {
                 thread::sleep(POLL_INTERVAL / 10);
                 continue;
             };
-            let stream = resting.swap_remove(index).stream;
+            let stream = scheduled.swap_remove(index).stream;
             if !is_open(&stream) {
                 continue;
             }
             let kept = self.submit(stream, &next_id(self, sent), rng);
             if let Ok(Some(stream)) = kept {
                 let use_at = draw_time(rng);
-                resting.push(Resting { stream, use_at });
+                scheduled.push(ScheduledConnection { stream, use_at });
             }
         }
     }
--- a/crates/fault-soak/src/discovery.rs
+++ b/crates/fault-soak/src/discovery.rs
@@ -18,7 +18,7 @@
 /// Interval at which a watch sends an empty line while the list does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2000);
 /// Time for which a silent watch stays open.
-const SILENCE: Duration = Duration::from_secs(60);
+const SILENT_WATCH_DURATION: Duration = Duration::from_secs(60);
 /// Revision of the complete list, which is higher than that of the list in the configuration.
 const FIRST_REVISION: u64 = 42;
 
@@ -153,7 +153,7 @@
         loop {
             thread::sleep(POLL_INTERVAL);
             if self.is_fault_active(DiscoveryFault::SilentWatches) {
-                thread::sleep(SILENCE);
+                thread::sleep(SILENT_WATCH_DURATION);
                 return Ok(());
             }
             if self.is_fault_active(DiscoveryFault::Down) {
--- a/crates/fault-soak/src/oracle.rs
+++ b/crates/fault-soak/src/oracle.rs
@@ -46,7 +46,7 @@
 
 impl<'a> Oracle<'a> {
     /// Returns the violations in the record of a run. Times in their texts are relative to `started_at`.
-    pub fn judge(record: &'a Record, started_at: Micros) -> Vec<Violation> {
+    pub fn check(record: &'a Record, started_at: Micros) -> Vec<Violation> {
         let mut oracle = Oracle::new(record, started_at);
         oracle.check_responses();
         oracle.check_outcomes();
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -18,7 +18,7 @@
 const SMALL_BUDGET: f64 = 30.0;
 
 /// Minimum time between the acceptance of a message and the end of an outage for an attempt to have been made in it.
-const TIME_TO_TRY: Micros = 1000 * MILLISECOND;
+const MIN_TIME_TO_ATTEMPT: Micros = 1000 * MILLISECOND;
 
 /// The window with the highest load after an outage.
 struct WorstWindow {
@@ -49,13 +49,13 @@
     /// Returns the processes that observed an outage: a call of theirs reached the destination, or they accepted a message
     /// for it early enough to have attempted it. The second condition is needed since an endpoint that closes all
     /// connections reads no calls.
-    fn processes_that_saw(&self, outage: &Period, calls: &[&Call]) -> BTreeSet<usize> {
+    fn processes_that_observed(&self, outage: &Period, calls: &[&Call]) -> BTreeSet<usize> {
         let interval = outage.interval;
         let called = calls
             .iter()
             .filter(|call| interval.contains(call.last_byte_at))
             .filter_map(|call| self.request_of(call).map(|request| request.process));
-        let tried = interval.from..interval.until - TIME_TO_TRY;
+        let tried = interval.from..interval.until - MIN_TIME_TO_ATTEMPT;
         let accepted = self.record.requests.iter().filter(|request| {
             request.is_accepted()
                 && request.destination == outage.subject
@@ -73,7 +73,7 @@
         let to_destination = |call: &&Call| destination_of(call.endpoint) == outage.subject;
         let calls: Vec<&Call> = self.record.calls.iter().filter(to_destination).collect();
         let process_of = |call: &Call| self.request_of(call).map(|request| request.process);
-        let saw_outage = self.processes_that_saw(outage, &calls);
+        let observers = self.processes_that_observed(outage, &calls);
         let ramp = recovered_at..recovered_at + WARM_UP;
         let starts = calls.iter().map(|call| call.last_byte_at);
         let mut worst: Option<WorstWindow> = None;
@@ -83,15 +83,13 @@
                 .iter()
                 .filter(|call| window.contains(&call.last_byte_at))
                 .collect();
-            let informed = in_window
+            let from_observers = in_window
                 .iter()
-                .filter(|call| {
-                    process_of(call).is_some_and(|process| saw_outage.contains(&process))
-                })
+                .filter(|call| process_of(call).is_some_and(|process| observers.contains(&process)))
                 .count();
             let load = in_window.len() as f64 / budget(from - recovered_at);
             let is_worse = worst.as_ref().is_none_or(|worst| load > worst.load);
-            if informed * 3 > in_window.len() * 2 && is_worse {
+            if from_observers * 3 > in_window.len() * 2 && is_worse {
                 worst = Some(WorstWindow {
                     from,
                     calls: in_window.len(),
--- a/crates/fault-soak/src/oracle/retry_after.rs
+++ b/crates/fault-soak/src/oracle/retry_after.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Time after a response with Retry-After in which calls that were already in flight may still arrive.
-const CROSSING_GRACE: Micros = 100 * MILLISECOND;
+const IN_FLIGHT_GRACE: Micros = 100 * MILLISECOND;
 
 impl<'a> Oracle<'a> {
     pub(super) fn check_retry_after(&mut self) {
@@ -28,7 +28,7 @@
                 if is_unread {
                     continue;
                 }
-                let from = rejected.ended_at + CROSSING_GRACE + SLACK;
+                let from = rejected.ended_at + IN_FLIGHT_GRACE + SLACK;
                 let is_early = |call: &&&Call| {
                     call.first_byte_at > from
                         && call.last_byte_at < until - SLACK
--- a/crates/fault-soak/src/plan/draw.rs
+++ b/crates/fault-soak/src/plan/draw.rs
@@ -21,17 +21,17 @@
 /// Time between the kill of a process and the start of the fault that affects its restart, in milliseconds.
 const KILL_LEAD_MS: u64 = 300;
 /// Maximum number of signals that are sent around one SIGTERM.
-const MAX_SERIES_SIGNALS: usize = 3;
+const MAX_SHUTDOWN_SIGNALS: usize = 3;
 /// Time over which the signals around a SIGTERM are spread, in milliseconds.
-const SERIES_MS: u64 = 3600;
+const SHUTDOWN_SIGNALS_MS: u64 = 3600;
 /// Time by which the signals around a SIGTERM may precede it, in milliseconds.
-const SERIES_LEAD_MS: u64 = 200;
+const SHUTDOWN_SIGNALS_LEAD_MS: u64 = 200;
 /// Probability that a plan opens many idle connections to a process before its shutdown.
-const CROWD_SHARE: f64 = 0.35;
+const IDLE_CONNECTIONS_PROBABILITY: f64 = 0.35;
 /// Time between the first of these connections and the SIGTERM, in milliseconds.
-const CROWD_LEAD_MS: u64 = 1500;
+const IDLE_CONNECTIONS_LEAD_MS: u64 = 1500;
 /// Time for which these connections stay open, in milliseconds.
-const CROWD_MS: u64 = 6000;
+const IDLE_CONNECTIONS_MS: u64 = 6000;
 /// Exclusive upper bound of the drawn target numbers.
 const TARGETS: usize = 1000;
 
@@ -50,7 +50,7 @@
         }];
         while faults.len() < count {
             let fault = draw_fault(&mut rng, last_ms);
-            faults.extend(trigger(&fault));
+            faults.extend(triggering_fault(&fault));
             faults.push(fault);
         }
         faults.extend(draw_shutdowns(seed, &faults, last_ms));
@@ -80,20 +80,20 @@
         drawn.push(fault);
     }
     for shutdown in &shutdowns {
-        for _ in 0..rng.random_range(1..=MAX_SERIES_SIGNALS) {
+        for _ in 0..rng.random_range(1..=MAX_SHUTDOWN_SIGNALS) {
             drawn.push(PlannedFault {
-                from_ms: (shutdown.from_ms + rng.random_range(0..SERIES_MS))
-                    .saturating_sub(SERIES_LEAD_MS),
-                kind: draw_one(&mut rng, SERIES_SIGNALS),
+                from_ms: (shutdown.from_ms + rng.random_range(0..SHUTDOWN_SIGNALS_MS))
+                    .saturating_sub(SHUTDOWN_SIGNALS_LEAD_MS),
+                kind: choose(&mut rng, SHUTDOWN_SIGNALS),
                 ..*shutdown
             });
         }
     }
-    if rng.random_bool(CROWD_SHARE) {
-        let shutdown = draw_one(&mut rng, &shutdowns);
+    if rng.random_bool(IDLE_CONNECTIONS_PROBABILITY) {
+        let shutdown = choose(&mut rng, &shutdowns);
         drawn.push(PlannedFault {
-            from_ms: shutdown.from_ms.saturating_sub(CROWD_LEAD_MS),
-            duration_ms: CROWD_MS,
+            from_ms: shutdown.from_ms.saturating_sub(IDLE_CONNECTIONS_LEAD_MS),
+            duration_ms: IDLE_CONNECTIONS_MS,
             kind: PlannedFaultKind::Clients(ClientFault::IdleConnections),
             ..shutdown
         });
@@ -140,7 +140,7 @@
 
 /// Returns a fault that makes a process issue the system calls that the given fault affects, if it needs one. Files are
 /// opened and locked at a start and at a takeover; connections are opened after a start.
-fn trigger(fault: &PlannedFault) -> Option<PlannedFault> {
+fn triggering_fault(fault: &PlannedFault) -> Option<PlannedFault> {
     let kind = match fault.kind.system_fault()? {
         FaultKind::OpenNoFiles if fault.target.is_multiple_of(2) => PlannedFaultKind::Replace,
         FaultKind::LockFails => PlannedFaultKind::Replace,
@@ -178,15 +178,15 @@
         4 => PlannedFaultKind::Replace,
         5 => PlannedFaultKind::Suspend,
         6 => PlannedFaultKind::Reload,
-        7..=11 => PlannedFaultKind::System(SystemFault(draw_one(rng, FaultKind::ALL))),
-        12..=13 => PlannedFaultKind::Endpoint(draw_one(rng, ENDPOINT_FAULTS)),
-        14..=15 => PlannedFaultKind::Proxy(draw_one(rng, PROXY_FAULTS)),
-        16..=17 => PlannedFaultKind::Discovery(draw_one(rng, DISCOVERY_FAULTS)),
-        _ => PlannedFaultKind::Clients(draw_one(rng, CLIENT_FAULTS)),
+        7..=11 => PlannedFaultKind::System(SystemFault(choose(rng, FaultKind::ALL))),
+        12..=13 => PlannedFaultKind::Endpoint(choose(rng, ENDPOINT_FAULTS)),
+        14..=15 => PlannedFaultKind::Proxy(choose(rng, PROXY_FAULTS)),
+        16..=17 => PlannedFaultKind::Discovery(choose(rng, DISCOVERY_FAULTS)),
+        _ => PlannedFaultKind::Clients(choose(rng, CLIENT_FAULTS)),
     }
 }
 
-fn draw_one<T: Copy>(rng: &mut Pcg64Mcg, all: &[T]) -> T {
+fn choose<T: Copy>(rng: &mut Pcg64Mcg, all: &[T]) -> T {
     all[rng.random_range(0..all.len())]
 }
 
@@ -223,7 +223,7 @@
     ClientFault::Garbage,
 ];
 
-const SERIES_SIGNALS: &[PlannedFaultKind] = &[
+const SHUTDOWN_SIGNALS: &[PlannedFaultKind] = &[
     PlannedFaultKind::Terminate,
     PlannedFaultKind::Reload,
     PlannedFaultKind::Replace,
--- a/crates/fault-soak/src/plan/tests.rs
+++ b/crates/fault-soak/src/plan/tests.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn plan_is_determined_by_its_seed_and_survives_storing() {
+fn plan_depends_only_on_its_seed_and_round_trips_through_toml() {
     let plan = Plan::draw(7, 12, 20);
     assert_eq!(plan, Plan::draw(7, 12, 20));
     assert_ne!(plan.faults, Plan::draw(8, 12, 20).faults);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn every_plan_has_a_shutdown_among_other_signals_to_the_same_process() {
+fn every_plan_sends_other_signals_to_a_process_that_shuts_down() {
     for seed in 1..40 {
         let plan = Plan::draw(seed, 12, 20);
         let faults = || plan.faults.iter();
--- a/crates/fault-soak/src/process.rs
+++ b/crates/fault-soak/src/process.rs
@@ -201,7 +201,7 @@
             let Some(kind) = due.pop_due() else {
                 continue;
             };
-            process = self.carry_out(kind, process, &mut due, &mut ended_logs)?;
+            process = self.inject(kind, process, &mut due, &mut ended_logs)?;
             if matches!(kind, PlannedFaultKind::Terminate | PlannedFaultKind::Kill) {
                 is_known_ready = false;
             }
@@ -214,7 +214,7 @@
     }
 
     /// Injects a process fault and returns the process that runs afterwards.
-    fn carry_out(
+    fn inject(
         &self,
         kind: PlannedFaultKind,
         mut process: Process,
--- a/crates/fault-soak/src/proxy.rs
+++ b/crates/fault-soak/src/proxy.rs
@@ -117,11 +117,11 @@
                 Err(error) => return Err(error),
             };
             idle_since = Instant::now();
-            self.forward_piece(&buffer[..len], from, to, direction)?;
+            self.forward_chunk(&buffer[..len], from, to, direction)?;
         }
     }
 
-    fn forward_piece(
+    fn forward_chunk(
         &self,
         bytes: &[u8],
         from: &mut TcpStream,
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// A port cannot be opened, a folder or file cannot be written, or a process cannot be started or killed.
-pub fn play(plan: Plan, files: &RunFiles) -> Result<Report, HarnessError> {
+pub fn run_plan(plan: Plan, files: &RunFiles) -> Result<Report, HarnessError> {
     let schedule = Schedule::new(plan, monotonic_micros() + WARM_UP);
     let record = SharedRecord::default();
     record_planned(&schedule, &record);
@@ -175,10 +175,10 @@
         stop: Arc::clone(stop),
         shutdown: owner.shutdown.clone(),
     };
-    let (misbehaving, resting) = (clients.clone(), clients.clone());
+    let (misbehaving, keep_alive) = (clients.clone(), clients.clone());
     let mut threads = vec![
         thread::spawn(move || misbehaving.run_misbehaving()),
-        thread::spawn(move || resting.run_resting()),
+        thread::spawn(move || keep_alive.run_keep_alive()),
     ];
     for number in 0..CLIENTS_PER_PROCESS {
         let correct = clients.clone();
@@ -241,7 +241,7 @@
         .iter()
         .filter(|request| request.result == ClientResult::Response(202));
     Report {
-        violations: Oracle::judge(record, schedule.started_at()),
+        violations: Oracle::check(record, schedule.started_at()),
         requests: record.requests.len(),
         accepted: accepted.count(),
         calls: record.calls.len(),
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -2,7 +2,7 @@
 
 use crate::arguments::Arguments;
 use crate::plan::Plan;
-use crate::run::{play, Report, RunFiles};
+use crate::run::{run_plan, Report, RunFiles};
 use marblefall_process_harness::HarnessError;
 use std::fmt;
 use std::fs;
@@ -100,7 +100,7 @@
         }
         let mut summary = Summary::default();
         for plan in self.plans()? {
-            let report = self.play(&plan)?;
+            let report = self.run_plan(&plan)?;
             print_report(&plan, &report);
             summary.add(&report);
             let Some(violation) = report.violations.first() else {
@@ -133,7 +133,7 @@
     }
 
     /// Runs a plan in a temporary folder. If a rule is broken, the plan and the logs are kept.
-    fn play(&self, plan: &Plan) -> Result<Report, SoakError> {
+    fn run_plan(&self, plan: &Plan) -> Result<Report, SoakError> {
         let name = format!("seed-{}-{}", plan.seed, std::process::id());
         let folder = std::env::temp_dir().join(format!("marblefall-soak-{name}"));
         // Removes files that an earlier run with the same seed and process id left behind.
@@ -143,7 +143,7 @@
             shim: self.arguments.shim.clone(),
             folder: folder.clone(),
         };
-        let report = play(plan.clone(), &files)?;
+        let report = run_plan(plan.clone(), &files)?;
         if !report.violations.is_empty() {
             let text = toml::to_string(plan)?;
             let kept = self.arguments.keep.join(name);
@@ -162,7 +162,7 @@
         let mut index = 0;
         while index < smallest.faults.len() {
             let smaller = smallest.without(index);
-            let report = self.play(&smaller)?;
+            let report = self.run_plan(&smaller)?;
             let fails = report.violations.iter().any(|found| found.rule == rule);
             println!(
                 "without {:?}: {}",
--- a/crates/fault-soak/tests/short_run.rs
+++ b/crates/fault-soak/tests/short_run.rs
@@ -31,18 +31,18 @@
         .arg(&keep)
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&run.stdout);
-    assert!(said.contains(" 0 broke a rule"), "{said}");
-    for run in said.split("faults; ").skip(1) {
+    let output = String::from_utf8_lossy(&run.stdout);
+    assert!(output.contains(" 0 broke a rule"), "{output}");
+    for run in output.split("faults; ").skip(1) {
         assert!(
             number(run) > 100,
-            "too few requests for a conclusive run: {said}"
+            "too few requests for a conclusive run: {output}"
         );
     }
-    let shutdowns = said.split("the end of a process: ").skip(1);
+    let shutdowns = output.split("the end of a process: ").skip(1);
     assert!(
         shutdowns.map(number).all(|requests| requests > 0),
-        "no request was sent during a shutdown: {said}"
+        "no request was sent during a shutdown: {output}"
     );
     let _ = std::fs::remove_dir_all(&keep);
 }
