--- a/crates/fault-shim/src/state.rs
+++ b/crates/fault-shim/src/state.rs
@@ -1,4 +1,4 @@
-//! The plan and the counts of this process, and the decision which calls fail.
+//! The plan and the counts of this process, which determine the calls that fail.
 
 use marblefall_fault_plan::{
     draw, Fault, FaultKind, COUNTS_LEN, COUNTS_VARIABLE, EVERY_CALL, FOLDER_VARIABLE,
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 /// Duration of the slow start of a destination after an outage.
-const WARM_UP: Micros = 10_000 * MILLISECOND;
+const SLOW_START_DURATION: Micros = 10_000 * MILLISECOND;
 /// Share of its rate that a destination can take at the start of its recovery.
 const COLD_SHARE: f64 = 0.27;
 /// Multiple of its current capacity above which a destination is overloaded.
@@ -55,11 +55,11 @@
             .iter()
             .filter(|call| interval.contains(call.last_byte_at))
             .filter_map(|call| self.request_of(call).map(|request| request.process));
-        let tried = interval.from..interval.until - MIN_TIME_TO_ATTEMPT;
+        let attempt_span = interval.from..interval.until - MIN_TIME_TO_ATTEMPT;
         let accepted = self.record.requests.iter().filter(|request| {
             request.is_accepted()
                 && request.destination == outage.subject
-                && tried.contains(&request.sent_at)
+                && attempt_span.contains(&request.sent_at)
         });
         called
             .chain(accepted.map(|request| request.process))
@@ -74,7 +74,7 @@
         let calls: Vec<&Call> = self.record.calls.iter().filter(to_destination).collect();
         let process_of = |call: &Call| self.request_of(call).map(|request| request.process);
         let observers = self.processes_that_observed(outage, &calls);
-        let ramp = recovered_at..recovered_at + WARM_UP;
+        let ramp = recovered_at..recovered_at + SLOW_START_DURATION;
         let starts = calls.iter().map(|call| call.last_byte_at);
         let mut worst: Option<WorstWindow> = None;
         for from in starts.filter(|at| ramp.contains(at)) {
@@ -103,8 +103,8 @@
 
 /// Returns the number of calls that a destination may receive in the window that begins this long after its recovery.
 fn budget(since_recovery: Micros) -> f64 {
-    let warm = (since_recovery as f64 / WARM_UP as f64).clamp(0.0, 1.0);
-    let capacity = RATE * (COLD_SHARE + (1.0 - COLD_SHARE) * warm);
+    let progress = (since_recovery as f64 / SLOW_START_DURATION as f64).clamp(0.0, 1.0);
+    let capacity = RATE * (COLD_SHARE + (1.0 - COLD_SHARE) * progress);
     let expected = OVERLOAD_FACTOR * capacity * WINDOW as f64 / 1e6;
     if expected < SMALL_BUDGET {
         expected + 3.0 * expected.sqrt() + 3.0
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 /// Time between the start of the processes and the start of the plan.
-const WARM_UP: Micros = 500 * MILLISECOND;
+const START_DELAY: Micros = 500 * MILLISECOND;
 /// Time after the last request in which every pending message reaches its final outcome.
 const SETTLING_TIME: Duration = Duration::from_millis(6500);
 /// Number of correct clients per process.
@@ -74,7 +74,7 @@
 /// # Errors
 /// A port cannot be opened, a folder or file cannot be written, or a process cannot be started or killed.
 pub fn run_plan(plan: Plan, files: &RunFiles) -> Result<Report, HarnessError> {
-    let schedule = Schedule::new(plan, monotonic_micros() + WARM_UP);
+    let schedule = Schedule::new(plan, monotonic_micros() + START_DELAY);
     let record = SharedRecord::default();
     record_planned(&schedule, &record);
     let endpoints = start_endpoints(&schedule, &record)?;
