--- a/crates/fault-shim/src/files.rs
+++ b/crates/fault-shim/src/files.rs
@@ -89,7 +89,7 @@
     fail(error) as ssize_t
 }
 
-type Sync = unsafe extern "C" fn(c_int) -> c_int;
+type Fsync = unsafe extern "C" fn(c_int) -> c_int;
 
 /// # Safety
 /// The caller meets the requirements of the C library's `fsync`.
@@ -98,7 +98,7 @@
     if is_file_in_failing_folder(file) && should_inject(FaultKind::DiskError) {
         return fail(libc::EIO);
     }
-    let next = next_function!(fsync: Sync);
+    let next = next_function!(fsync: Fsync);
     // SAFETY: the caller's argument is passed on.
     unsafe { next(file) }
 }
