--- a/crates/simulation/src/rate_expression.rs
+++ b/crates/simulation/src/rate_expression.rs
@@ -1,7 +1,8 @@
 //! Rates as expressions of time: `8 + 4 * sin(t / 60)`, `max(0, 20 - t)`, `if(t, 30, 60) * 5`.
 //!
-//! `t` is the time in seconds. There are `+ - * / ^`, brackets, `pi`, and the functions `sin`, `cos`, `exp`, `sqrt`,
-//! `abs`, `min(a, b)`, `max(a, b)` and `if(t, from, to)`, which is 1 where `from <= t < to`, else 0.
+//! `t` is the time in seconds. The syntax includes the operators `+ - * / ^`, parentheses, the constant `pi`, and the
+//! functions `sin`, `cos`, `exp`, `sqrt`, `abs`, `min(a, b)`, `max(a, b)` and `if(t, from, to)`. The value of `if` is 1
+//! where `from <= t < to`, else 0.
 
 use winnow::ascii::{float, space0};
 use winnow::combinator::{alt, delimited, fail, not, opt, preceded, repeat, separated};
@@ -9,23 +10,23 @@
 use winnow::prelude::*;
 use winnow::token::{one_of, take_while};
 
-/// The longest expression, in bytes. It bounds the depth of the parser's recursion.
+/// Maximum length of an expression, in bytes. It bounds the recursion depth of the parser.
 const MAX_LENGTH: usize = 200;
-/// Steps in which the maximum is searched.
+/// Number of intervals into which a duration is divided to search for the maximum.
 const MAXIMUM_STEPS: u32 = 1000;
 
-/// Why a text is not a rate expression.
+/// Error of a text that is not a valid rate expression.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RateExpressionError {
-    /// The text is too long.
-    #[error("a curve is {MAX_LENGTH} characters at most")]
+    /// The text exceeds the maximum length.
+    #[error("a rate expression may have at most {MAX_LENGTH} bytes")]
     TooLong,
-    /// The text is not an expression.
-    #[error("the curve {text:?} makes no sense from {rest:?} on")]
+    /// The text is not a valid expression.
+    #[error("syntax error in the rate expression {text:?} at {rest:?}")]
     Syntax {
-        /// The text.
+        /// Complete text of the expression.
         text: String,
-        /// What the parser did not accept.
+        /// Rest of the text, from the position that the parser did not accept.
         rest: String,
     },
 }
@@ -76,7 +77,7 @@
 }
 
 impl Function {
-    /// The function of a name, and the number of its arguments.
+    /// Returns the function with a name and the number of its arguments, or `None` for an unknown name.
     fn named(name: &str) -> Option<(Function, usize)> {
         Some(match name {
             "sin" => (Function::Sin, 1),
@@ -109,12 +110,12 @@
 }
 
 impl RateExpression {
-    /// A constant rate.
+    /// Creates a constant rate.
     pub fn constant(rate: f64) -> RateExpression {
         RateExpression(Term::Number(rate))
     }
 
-    /// The rate multiplied by a factor.
+    /// Returns the rate multiplied by a factor.
     #[must_use]
     pub fn scaled(self, factor: f64) -> RateExpression {
         let factor = Term::Number(factor);
@@ -128,7 +129,7 @@
     /// Parses an expression.
     ///
     /// # Errors
-    /// If the text is too long or not an expression.
+    /// If the text is too long or not a valid expression.
     pub fn parse(text: &str) -> Result<RateExpression, RateExpressionError> {
         if text.len() > MAX_LENGTH {
             return Err(RateExpressionError::TooLong);
@@ -143,7 +144,7 @@
         }
     }
 
-    /// The rate at a time in s; 0 where the expression has no finite value.
+    /// Returns the rate at a time in s, or 0 where the expression has no finite value.
     pub fn at(&self, seconds: f64) -> f64 {
         let value = self.0.at(seconds);
         if value.is_finite() {
@@ -153,7 +154,8 @@
         }
     }
 
-    /// The maximum of the rate over a duration in s, as far as it shows at evenly spaced times.
+    /// Returns the maximum of the rate over a duration in s. The rate is evaluated at evenly spaced times, so a short peak
+    /// between them is missed.
     pub fn maximum(&self, seconds: f64) -> f64 {
         (0..=MAXIMUM_STEPS)
             .map(|step| self.at(seconds * f64::from(step) / f64::from(MAXIMUM_STEPS)))
@@ -176,7 +178,7 @@
 
 type ParseResult<T> = winnow::Result<T, ContextError>;
 
-/// Parses terms joined by operators of one precedence, from left to right.
+/// Parses terms joined by left-associative operators of one precedence.
 fn chain(
     operators: [(char, Operator); 2],
     next: fn(&mut &str) -> ParseResult<Term>,
@@ -218,12 +220,12 @@
     let negated = preceded(('-', space0), power)
         .map(|term| Term::Binary(Operator::Subtract, Term::Number(0.0).into(), term.into()));
     let bracket = delimited(('(', space0), sum, (space0, ')'));
-    // A sign before a number is an operator.
+    // A sign before a number is parsed as an operator, not as part of the number.
     let number = preceded(not(one_of(['+', '-'])), float).map(Term::Number);
     preceded(space0, alt((bracket, negated, name, number))).parse_next(input)
 }
 
-/// Parses a variable, a constant or a call of a function.
+/// Parses a variable, a constant or a function call.
 fn name(input: &mut &str) -> ParseResult<Term> {
     let name = take_while(1.., |c: char| c.is_ascii_alphabetic()).parse_next(input)?;
     match name {
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,64 +1,64 @@
-//! Recorded arrivals: a CSV file with a head line and, first in each further line, a time in seconds.
+//! Recorded arrivals: a CSV file with a header line. The first field of each further line is a time in seconds.
 
 use marblefall_scheduler::{Span, Time};
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The latest time in a trace, in s: two days, the longest duration of a scenario.
+/// Upper bound of the times in a trace (exclusive), in s: two days, the maximum duration of a scenario.
 pub const MAX_TIME_S: f64 = 172_800.0;
-/// Size of the largest file that is read, in bytes.
+/// Maximum size of a trace file, in bytes.
 const MAX_BYTES: u64 = 256 << 20;
-/// Bytes per MB, as a shift.
+/// Binary logarithm of the number of bytes per MB.
 const MB_SHIFT: u32 = 20;
 
-/// Why a file cannot be read as a trace.
+/// Error of reading a trace file.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceFileError {
     /// The file cannot be read.
     #[error("{}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Underlying I/O error.
         source: io::Error,
     },
     /// The file is too large.
-    #[error("{}: is over {} MB", path.display(), MAX_BYTES >> MB_SHIFT)]
+    #[error("{}: the file is larger than {} MB", path.display(), MAX_BYTES >> MB_SHIFT)]
     TooLarge {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The file's text is not a trace.
+    /// The text of the file is not a valid trace.
     #[error("{}:{error}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it, beginning with the line.
+        /// Error in the text. Its message begins with the line number.
         error: TraceError,
     },
 }
 
-/// Why a text is not a trace. The message begins with the line.
+/// Error of a text that is not a valid trace. The message begins with the line number.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum TraceError {
     /// A line does not begin with a time.
-    #[error("{line}: {field:?} is no time in s below {MAX_TIME_S}")]
+    #[error("{line}: {field:?} is not a time in s from 0 to below {MAX_TIME_S}")]
     InvalidTime {
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// Its first field.
+        /// First field of the line.
         field: String,
     },
-    /// There is no time.
-    #[error("1: holds a head at most, and no times")]
+    /// The text contains no time.
+    #[error("1: no times after the header line")]
     Empty,
 }
 
-/// Reads the times of a trace file, in order of time.
+/// Reads a trace file and returns its times in ascending order.
 ///
 /// # Errors
-/// If the file cannot be read, is too large or is not a trace.
+/// If the file cannot be read, is too large or is not a valid trace.
 pub fn read(path: &Path) -> Result<Vec<Time>, TraceFileError> {
     let read_error = |source| TraceFileError::Read {
         path: path.to_owned(),
@@ -76,10 +76,10 @@
     })
 }
 
-/// Parses the times of a trace, in order of time.
+/// Parses a trace and returns its times in ascending order.
 ///
 /// # Errors
-/// If a line does not begin with a time, or there is none.
+/// If a line does not begin with a time, or if the trace contains no time.
 pub fn parse(text: &str) -> Result<Vec<Time>, TraceError> {
     let numbered = text.lines().enumerate();
     let lines = numbered.skip(1).filter(|(_, line)| !line.trim().is_empty());
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files, their rate expressions and traces: what is read, and what is reported of errors.
+//! Scenario files, their rate expressions and traces: valid input is read, and errors name the line.
 
 #![allow(clippy::too_many_lines, reason = "tables of cases")]
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
@@ -25,7 +25,7 @@
         (
             valid.replace("rate = 1", "rate = \"1 +\""),
             6,
-            "makes no sense",
+            "syntax error in the rate expression \"1 +\"",
         ),
         (valid.replace("rate = 1", "rate = -1"), 6, "within 0"),
         (valid.replace("rate = 1", "rate = 1\nraet = 2"), 7, "raet"),
@@ -92,14 +92,14 @@
 #[test]
 fn included_files_merge_and_overrides_apply() {
     let read = |overrides: &[&str]| {
-        let overrides: Vec<String> = overrides.iter().map(|one| (*one).to_owned()).collect();
+        let overrides: Vec<String> = overrides.iter().map(|text| (*text).to_owned()).collect();
         Scenario::read(&shipped_scenario("month-start"), &overrides, 1)
     };
     let merged = read(&[]).unwrap();
     assert_eq!(
         (merged.seconds, merged.instances, merged.loads.len()),
         (120.0, 3, 4),
-        "one load in addition to the three of the base"
+        "the file adds one load to the three of the included scenario"
     );
     let overridden = read(&[
         "couriers.count=10",
@@ -129,7 +129,7 @@
     };
     assert!(
         drawn(1) != drawn(2) && drawn(1) == drawn(1),
-        "each seed draws its own value from a range"
+        "a value from a range depends on the seed alone"
     );
 }
 
@@ -170,7 +170,7 @@
     }
 }
 
-/// Neither random bytes nor a shipped scenario with random cuts and changes make a reader panic.
+/// Guards against panics of the parsers on random bytes, and on shipped scenarios with random cuts and insertions.
 #[test]
 fn readers_survive_random_bytes() {
     let texts: Vec<String> = shipped_scenarios()
@@ -182,7 +182,8 @@
     let mut rejected = 0;
     let base = fs::read_to_string(shipped_scenario("base")).unwrap();
     for iteration in 0..3000 {
-        // A text that includes files is always rejected, so half of the texts are a scenario that includes none.
+        // `Scenario::parse` rejects every text that includes files. Half of the texts derive from a scenario that includes
+        // none.
         let text = if iteration % 2 == 0 {
             &base
         } else {
@@ -231,11 +232,11 @@
     assert_eq!(
         intended_at_ms,
         [250.0, 3500.0, 7000.0],
-        "times after the end of the scenario are ignored"
+        "times are sorted, and times after the end of the scenario are ignored"
     );
     for (trace, line, reason) in [
         ("at_s\n1\nsoon\n", 3, "\"soon\""),
-        ("at_s\n-1\n", 2, "no time"),
+        ("at_s\n-1\n", 2, "\"-1\" is not a time"),
         ("at_s\n", 1, "no times"),
     ] {
         write_trace(trace);
