--- a/crates/simulation/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Shared by the tests of this package: the shipped scenarios and temporary folders.
+//! Helpers shared by the tests of this package: the shipped scenarios and temporary folders.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The scenarios shipped with the package, in the order of their names.
+/// Returns the paths of the scenarios shipped with the package, sorted by name.
 pub fn shipped_scenarios() -> Vec<PathBuf> {
     let mut paths: Vec<PathBuf> = fs::read_dir(scenario_folder())
         .unwrap()
@@ -20,7 +20,7 @@
     paths
 }
 
-/// The shipped scenario of a name.
+/// Returns the path of the shipped scenario with a name.
 pub fn shipped_scenario(name: &str) -> PathBuf {
     scenario_folder().join(format!("{name}.toml"))
 }
@@ -37,13 +37,13 @@
     pub fn new(name: &str) -> TempFolder {
         let name = format!("marblefall-simulation-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        // There is none, unless an earlier process with this number crashed.
+        // The folder exists only if an earlier process with the same id crashed.
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).unwrap();
         TempFolder(path)
     }
 
-    /// Writes a file.
+    /// Writes a file and returns its path.
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         fs::write(&path, text).unwrap();
@@ -53,7 +53,7 @@
 
 impl Drop for TempFolder {
     fn drop(&mut self) {
-        // What cannot be removed stays in the system's folder for temporary files.
+        // Files that cannot be removed stay in the temporary folder of the system.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
--- a/crates/simulation/tests/connections.rs
+++ b/crates/simulation/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections are reused, limited and closed as a destination's policy says.
+//! Connections are reused, limited and closed according to the connection policy of the destination.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -38,7 +38,8 @@
     );
     assert_eq!(pool.acquire(at(3000.0), 0, 7, &policy), Acquired::Reused);
     pool.release(at(3050.0), 0, 7, Release::Reusable);
-    // The endpoint closed the idle connection: it counts no more, and its instance notices when it uses it.
+    // The endpoint has closed the idle connection. It no longer counts against the limit, and its instance detects the
+    // closure only when it uses the connection.
     assert_eq!(pool.acquire(at(6050.0), 1, 7, &policy), Acquired::New);
     assert_eq!(pool.acquire(at(6100.0), 0, 7, &policy), Acquired::Stale);
     pool.release(at(6200.0), 1, 7, Release::Closed);
@@ -55,7 +56,7 @@
         [0, 1].map(|instance| pool.acquire(at(6500.0), instance, 7, &policy)),
         [Acquired::New, Acquired::New]
     );
-    // The instance retires a connection that the endpoint leaves open.
+    // The instance retires an idle connection even if the endpoint leaves it open.
     let unlimited = ConnectionPolicy {
         max_open: None,
         idle_close: None,
--- a/crates/simulation/tests/core_driver.rs
+++ b/crates/simulation/tests/core_driver.rs
@@ -1,4 +1,4 @@
-//! Whole scenarios on the core: engine, message store and journal, across crashes of its process.
+//! Complete scenarios with the core (engine, message store and journal), including crashes of its process.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -14,13 +14,13 @@
 use std::sync::Mutex;
 use std::thread;
 
-/// Size of the folders that the platform provides.
+/// Size of the state folders that the platform provides, in bytes.
 const MAX_DISK_BYTES: u64 = 3_000_000;
-/// Size of a block of the file system.
+/// Size of a file system block, in bytes.
 const BLOCK_BYTES: u64 = 512;
 
 fn read(name: &str, overrides: &[&str], seed: u64) -> Scenario {
-    let overrides: Vec<String> = overrides.iter().map(|one| (*one).to_owned()).collect();
+    let overrides: Vec<String> = overrides.iter().map(|text| (*text).to_owned()).collect();
     Scenario::read(&shipped_scenario(name), &overrides, seed).unwrap()
 }
 
@@ -59,7 +59,7 @@
     let scheduler = run.summary().delivered_value_share;
     assert!(
         (core - scheduler).abs() < 0.03,
-        "{name} {seed}: {core} on the core, {scheduler} on the scheduler alone"
+        "{name} {seed}: {core} with the core, {scheduler} with the scheduler only"
     );
 }
 
@@ -79,14 +79,14 @@
     let mut violations = verdict.violations.iter();
     assert!(
         violations.any(|violation| violation.invariant == Invariant::NoMessageLost),
-        "{:?}",
+        "no lost message among {} violations",
         verdict.count
     );
 }
 
 #[test]
 fn nearly_full_disk_rejects_messages_and_loses_none() {
-    // The messages that wait for the hospital would fill half a megabyte many times over.
+    // The messages that wait for the destination `hospital` need many times half a megabyte.
     let scenario = read("month-start", &["couriers.max_open=4000"], 1);
     let rejected = |max_disk_bytes: u64| {
         let nodes = CoreNodes::new(max_disk_bytes).unwrap();
@@ -105,7 +105,7 @@
         };
         assert!(
             (0..scenario.instances).all(|instance| occupied(instance) <= max_disk_bytes),
-            "{max_disk_bytes}"
+            "a journal occupies more than {max_disk_bytes} bytes"
         );
         let classes = run.metrics.classes.iter();
         classes.map(|class| class.counts.rejected).sum::<u64>()
@@ -113,6 +113,6 @@
     let (small, large) = (rejected(500_000), rejected(30_000_000));
     assert!(
         small > large,
-        "{small} on a small disk, {large} on a large one"
+        "{small} rejected with a small disk, {large} with a large disk"
     );
 }
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -20,7 +20,7 @@
 use std::fs;
 use std::path::Path;
 
-/// Two scenarios, three seeds and two variants, the second with overrides.
+/// Returns an experiment of two scenarios, three seeds and two variants. The second variant has overrides.
 fn two_by_three_by_two(folder: &TempFolder, overrides: &str) -> Experiment {
     let (base, crash) = (shipped_scenario("base"), shipped_scenario("crash"));
     let text = format!(
@@ -41,7 +41,7 @@
     let csv = |folder: &Path| fs::read(folder.join("cells.csv")).unwrap();
     assert!(csv(&on_one) == csv(&on_four) && csv(&on_one).len() > 1000);
 
-    // Interrupted in the middle of the sixth line.
+    // Simulates an interruption in the middle of the sixth line.
     let cells = on_four.join("cells.jsonl");
     let complete = fs::read_to_string(&cells).unwrap();
     let cut = complete.match_indices('\n').nth(4).unwrap().0 + 30;
@@ -101,11 +101,12 @@
     (0..valid.len()).for_each(|cut| drop(read(&valid[..cut])));
     assert!(
         experiment::read(&folder.0).unwrap().is_empty(),
-        "a folder without cells"
+        "a folder without cells has no results"
     );
 }
 
-/// Twenty values around a mean with a deviation of 1. The sum of twelve uniform draws is nearly normal.
+/// Returns twenty values with a given mean and a standard deviation of 1. The sum of twelve uniform draws is approximately
+/// normal.
 fn noise(rng: &mut Pcg64, mean: f64) -> Vec<f64> {
     (0..20)
         .map(|_| mean + (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0)
@@ -120,19 +121,19 @@
             .filter(|_| Difference::of(&noise(rng, mean), comparisons).is_significant())
             .count()
     };
-    // Bootstrap intervals of 20 pairs are slightly too narrow: about 7 % instead of 5 %.
+    // Bootstrap intervals of 20 pairs are slightly too narrow: about 7 % of the results are significant instead of 5 %.
     let by_chance = significant(0.0, 1, &mut rng);
     assert!(
         (2..=24).contains(&by_chance),
-        "{by_chance} of 200 without a difference"
+        "{by_chance} of 200 are significant without a difference"
     );
     assert!(
         significant(0.0, 20, &mut rng) <= 4,
-        "fewer with more comparisons"
+        "fewer are significant with more comparisons"
     );
     assert!(
         significant(1.5, 20, &mut rng) >= 195,
-        "found with a difference"
+        "a real difference is significant"
     );
     assert!(
         !Difference::of(&[1.0; 5], 1).is_significant(),
@@ -169,7 +170,7 @@
 #[test]
 fn capacity_search_finds_rate_limit() {
     let folder = TempFolder::new("capacity");
-    // The limit is 20 a second and the load 10: nine tenths are delivered up to 2.2 times the load.
+    // The limit is 20 calls per second and the load is 10. At 2.2 times the load, nine tenths are delivered.
     let text = "seconds = 120\n[couriers]\ncount = 1\n[class.status]\ngive_up_s = 4\n[partner.a]\nrate = 20\nlisted = 20\n\
                 service_ms = 5\n[[load]]\nclass = \"status\"\npartner = \"a\"\nrate = 10\n";
     let draft = Draft::read(&folder.write("one.toml", text), &[]).unwrap();
@@ -225,7 +226,7 @@
         passing.windows(2).all(|two| {
             two[0].summary.delivered_value_share <= two[1].summary.delivered_value_share
         }),
-        "the worst first"
+        "the worst seeds come first"
     );
 
     let budget = ShrinkBudget {
@@ -249,11 +250,11 @@
     assert_eq!(
         verdict.violations[0].invariant,
         Invariant::NoRecoveryOverload,
-        "the file fails by itself"
+        "the written scenario file fails without the draft"
     );
     assert!(
         check_run(&smallest, shrunk.seed, &production_node).is_clean(),
-        "and only with the mutant"
+        "it passes without the mutant"
     );
 }
 
@@ -297,7 +298,7 @@
         assert_eq!(
             page,
             fs::read_to_string(out.join("report.html")).unwrap(),
-            "the stored run gives the same page"
+            "the page rendered from the stored run is the same"
         );
         assert!(
             page.contains(&verdict_text)
--- a/crates/simulation/tests/invariants.rs
+++ b/crates/simulation/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Shipped scenarios satisfy the invariants, and mutants of the scheduler violate them.
+//! The shipped scenarios satisfy the invariants, and mutants of the scheduler violate them.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -48,13 +48,16 @@
         ended += counts.delivered + counts.rejected + counts.failed;
     }
     assert_eq!(accepted, totals.messages);
-    assert_eq!(accepted, ended, "{name}: each message has an outcome");
+    assert_eq!(
+        accepted, ended,
+        "{name}: each accepted message has one final outcome"
+    );
     assert!(accepted > 500, "{name}: {accepted} messages");
 }
 
 #[test]
 fn every_mutant_is_detected_by_its_invariant() {
-    // An attempt that a restart forgets has to be in flight at the crash, which it is not with every seed.
+    // Some mutants are detected only if an attempt is in flight at the crash, which is not the case with every seed.
     for mutation in Mutation::ALL {
         let is_detected = (1..=8).any(|seed| {
             let scenario = Scenario::read(&shipped_scenario("faults"), &[], seed).unwrap();
@@ -70,8 +73,8 @@
 
 #[test]
 fn past_failing_seeds_satisfy_all_invariants() {
-    // Waiting messages once overloaded a destination that recovered from hanging, or from rejecting every call while an
-    // instance restarted.
+    // Guards against an overload of a recovering destination by waiting messages, after the destination left calls
+    // unanswered, or rejected every call while an instance restarted.
     for (name, seed) in [
         ("blackout", 9),
         ("blackout", 10),
--- a/crates/simulation/tests/queueing_theory.rs
+++ b/crates/simulation/tests/queueing_theory.rs
@@ -1,4 +1,4 @@
-//! Simulated destinations against the formulae of queueing theory, and their rate limits.
+//! Simulated destinations match the formulas of queueing theory, and enforce their rate limits.
 
 use marblefall_scheduler::{Outcome, Span, Time};
 use marblefall_simulation::destination::{CallResult, Destination, DestinationState, RateLimit};
@@ -14,7 +14,7 @@
 
 fn destination(service_time: ServiceTime, limit: Option<RateLimit>) -> DestinationState {
     DestinationState::new(&Destination {
-        name: "one".to_owned(),
+        name: "destination".to_owned(),
         endpoints: 1,
         service_time,
         servers: 1,
@@ -30,13 +30,13 @@
     })
 }
 
-/// A call to the only endpoint: when it is answered, and how.
+/// Calls the only endpoint. Returns the time of the answer and the outcome.
 fn call(destination: &mut DestinationState, rng: &mut Pcg64, at: Time) -> (Time, Outcome) {
     let result: CallResult = destination.receive(at, 0, rng);
     result.answer().expect("every call is answered")
 }
 
-/// Mean time in ms from the arrival of a call to its answer, at this utilisation of one server.
+/// Returns the mean time in ms from the arrival of a call to its answer, at a utilisation of a single server.
 fn mean_response_ms(shape: Shape, utilisation: f64) -> f64 {
     const CALLS: usize = 2_000_000;
     let service_time = ServiceTime {
@@ -59,7 +59,7 @@
 fn assert_within_3_percent(measured_ms: f64, expected_ms: f64) {
     assert!(
         (measured_ms / expected_ms - 1.0).abs() < 0.03,
-        "{measured_ms:.3} ms, by the formula {expected_ms:.3} ms"
+        "measured {measured_ms:.3} ms, expected {expected_ms:.3} ms by the formula"
     );
 }
 
@@ -83,7 +83,7 @@
     assert_within_3_percent(log_normal, expected_ms(0.7, second_moment));
 }
 
-/// Deliveries of calls every 10 ms for 100 s.
+/// Returns the number of deliveries when a call arrives every 10 ms for 100 s.
 fn delivered(limit: RateLimit) -> usize {
     let mut rng = Pcg64::seed_from_u64(1);
     let mut destination = destination(SHORT_SERVICE_TIME, Some(limit));
@@ -97,7 +97,7 @@
 
 #[test]
 fn rate_limits_admit_exactly_their_quota() {
-    // The burst at the start, and the tokens of 99.99 s.
+    // The burst at the start, and the tokens that are refilled until the last call, at 99.99 s.
     assert_eq!(
         delivered(RateLimit::TokenBucket {
             rate: 10.0,
--- a/crates/simulation/tests/reproducibility.rs
+++ b/crates/simulation/tests/reproducibility.rs
@@ -1,4 +1,4 @@
-//! The same scenario and seed give the same run and the same files.
+//! The same scenario and seed produce the same run and the same files.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
