--- a/crates/simulation/src/connections.rs
+++ b/crates/simulation/src/connections.rs
@@ -1,50 +1,50 @@
 //! Connections between instances and endpoints.
 //!
-//! Instances reuse the connection that became idle last, and retire idle ones before the idle timeout in their settings.
-//! Endpoints limit how many they accept, and may close idle ones without notice.
+//! Instances reuse the connection that became idle last, and retire idle connections before the idle timeout in their
+//! settings. Endpoints limit the number of open connections, and may close idle connections without notice.
 
 use crate::destination::ConnectionPolicy;
 use marblefall_scheduler::{Span, Time};
 use std::collections::HashMap;
 
-/// Instances retire an idle connection after this share of the idle timeout in their settings.
+/// Share of the idle timeout in the settings after which an instance retires an idle connection.
 const RETIREMENT_SHARE: f64 = 0.85;
 
-/// Which connection an attempt gets.
+/// Result of acquiring a connection for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acquired {
-    /// An idle connection that is still open.
+    /// The attempt uses an idle connection that is still open.
     Reused,
-    /// An idle connection that its endpoint has closed: the attempt fails as it uses it.
+    /// The attempt uses an idle connection that its endpoint has closed, and therefore fails.
     Stale,
-    /// A new connection.
+    /// The attempt uses a new connection.
     New,
-    /// None: the endpoint accepts no further connection.
+    /// The attempt has no connection, because the endpoint accepts no further one.
     LimitReached,
 }
 
-/// What happens to a connection when its attempt ends.
+/// State of a connection after its attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Release {
-    /// It stays open and idle: the response was received completely.
+    /// The connection stays open and idle, because the response was received completely.
     Reusable,
-    /// It is closed.
+    /// The connection is closed.
     Closed,
 }
 
 /// The connections of all instances.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    /// By instance and endpoint, since when each idle connection has been idle, oldest first.
+    /// Time at which each idle connection became idle, oldest first, by instance and endpoint.
     idle: HashMap<(usize, u32), Vec<Time>>,
-    /// Connections with an attempt in flight, by endpoint.
+    /// Number of connections with an attempt in flight, by endpoint.
     in_use: HashMap<u32, usize>,
-    /// The idle timeout in the instances' settings.
+    /// Idle timeout in the settings of the instances.
     idle_timeout: Span,
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(idle_timeout: Span) -> ConnectionPool {
         ConnectionPool {
             idle_timeout,
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Takes or opens a connection for an attempt. Only [`Acquired::Reused`] and [`Acquired::New`] must be released.
+    /// Reuses or opens a connection for an attempt. The caller must release the connection after [`Acquired::Reused`] and
+    /// [`Acquired::New`], but not after the other results.
     pub fn acquire(
         &mut self,
         now: Time,
@@ -78,7 +79,7 @@
         acquired
     }
 
-    /// Connections that an endpoint holds open, idle ones included.
+    /// Returns the number of connections that an endpoint holds open, including idle ones.
     fn open(&self, now: Time, endpoint: u32, policy: &ConnectionPolicy) -> usize {
         let to_endpoint = self.idle.iter().filter(|((_, to), _)| *to == endpoint);
         let idle = to_endpoint
@@ -88,12 +89,12 @@
         idle + self.in_use(endpoint)
     }
 
-    /// Connections to an endpoint with an attempt in flight.
+    /// Returns the number of connections to an endpoint that have an attempt in flight.
     pub fn in_use(&self, endpoint: u32) -> usize {
         self.in_use.get(&endpoint).copied().unwrap_or(0)
     }
 
-    /// Returns the connection of an attempt that ended.
+    /// Returns the connection of an attempt that ended to the pool.
     pub fn release(&mut self, now: Time, instance: usize, endpoint: u32, release: Release) {
         if let Some(in_use) = self.in_use.get_mut(&endpoint) {
             *in_use = in_use.saturating_sub(1);
@@ -108,7 +109,7 @@
         self.idle.remove(&(instance, endpoint));
     }
 
-    /// Closes all idle connections of an instance that crashed. Those in use are released one by one.
+    /// Closes all idle connections of an instance that crashed. The caller releases its connections in use separately.
     pub fn remove_instance(&mut self, instance: usize) {
         self.idle.retain(|(owner, _), _| *owner != instance);
     }
--- a/crates/simulation/src/core_driver.rs
+++ b/crates/simulation/src/core_driver.rs
@@ -1,7 +1,7 @@
-//! Runs the core of the product as a node of the simulation: engine, message store and a journal on disk, which the next
-//! incarnation opens again.
+//! Runs the production core as a node of the simulation: the engine, the message store and a journal on disk. The next
+//! incarnation of the instance opens the same journal.
 //!
-//! Messages that the simulation resumes after a crash are ignored: the journal has to know them.
+//! Messages that the simulation resumes after a crash are ignored, because the core must recover them from its journal.
 
 use crate::simulation::{Incarnation, Node};
 use marblefall_delivery::core::endpoint::ListedEndpoint;
@@ -21,16 +21,16 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Unix time at the start of virtual time, in ms.
+/// Unix time that corresponds to virtual time zero, in ms.
 const EPOCH_MS: i64 = 1_700_000_000_000;
-/// Monotonic time of a process when it handles its first event.
+/// Monotonic time at which a process handles its first event.
 const INITIAL_UPTIME: Span = Span(1_000_000);
 /// Size of a message's body, in bytes.
 const BODY_BYTES: usize = 200;
-/// Steps of the engine per batch of events: executing commands yields further events.
+/// Maximum number of engine steps per batch of events. Executing commands may produce further events.
 const MAX_STEPS_PER_BATCH: usize = 8;
 
-/// Creates nodes that run the core, each with a journal in a folder of its own. The folders are removed on drop.
+/// Creates nodes that run the core. Each instance has its own folder with a journal. The folders are removed on drop.
 #[derive(Debug)]
 pub struct CoreNodes {
     root: PathBuf,
@@ -38,7 +38,7 @@
 }
 
 impl CoreNodes {
-    /// Creates the folders of one run; each journal may occupy this many bytes on disk.
+    /// Creates the parent folder of a run's journals. Each journal may occupy up to `max_disk_bytes` on disk.
     ///
     /// # Errors
     /// If the folder cannot be created.
@@ -57,7 +57,7 @@
         })
     }
 
-    /// The folder of an instance's journal.
+    /// Returns the folder of an instance's journal.
     pub fn folder(&self, instance: usize) -> PathBuf {
         self.root.join(instance.to_string())
     }
@@ -75,12 +75,12 @@
 
 impl Drop for CoreNodes {
     fn drop(&mut self) {
-        // What cannot be removed stays in the system's folder for temporary files.
+        // Files that cannot be removed stay in the temporary folder of the system.
         let _ = std::fs::remove_dir_all(&self.root);
     }
 }
 
-/// A node that opens its core with the first event, as only that brings the time.
+/// A node that opens its core on the first call of `handle`, because the time is not available earlier.
 struct CoreNode {
     folder: PathBuf,
     max_disk_bytes: u64,
@@ -93,7 +93,7 @@
         if self.core.is_none() {
             match RunningCore::open(&self.folder, self.max_disk_bytes, &self.incarnation, now) {
                 Ok(core) => self.core = Some(core),
-                // The invariant checker reports the messages that are lost.
+                // The invariant checker reports the messages lost by this failure.
                 Err(error) => {
                     let text = format!("{}: {error}", self.folder.display());
                     return actions.push(Action::Log(text));
@@ -106,27 +106,27 @@
     }
 }
 
-/// The engine's identity of an attempt.
+/// Identity of an attempt in the engine.
 #[derive(Clone, Copy)]
 struct EngineAttempt {
     message_id: MessageId,
     attempt: u32,
 }
 
-/// An open core and the translation between its identities and those of the simulation.
+/// An open core, with the mapping between its identities and those of the simulation.
 struct RunningCore {
     engine: Engine,
-    /// By class, whether its messages carry an idempotency key.
+    /// Whether messages carry an idempotency key, by class.
     has_idempotency_key: Vec<bool>,
     started_at: Time,
-    /// The simulation's endpoints by the engine's.
+    /// Endpoints of the simulation, by the endpoint's id in the engine.
     endpoints: HashMap<EndpointId, EndpointId>,
-    /// The last attempt of each message of the simulation.
+    /// Last attempt of each message, by the message's id in the simulation.
     attempts: HashMap<MessageId, EngineAttempt>,
-    /// Submissions that were accepted: their final outcome arrives as a notice.
+    /// Accepted submissions. Their final outcome arrives as a notice.
     accepted: HashSet<RequestId>,
     commands: Vec<EngineCommand>,
-    /// When the last timer that was set fires.
+    /// Time at which the most recently set timer fires.
     timer_at: Option<Time>,
     last_timer: u64,
 }
@@ -167,7 +167,7 @@
             .filter_map(|event| self.engine_event(event))
             .collect();
         for step in 0..MAX_STEPS_PER_BATCH {
-            // An engine requires a later time for each batch.
+            // The engine requires a later time for each step.
             let at = timestamp(self.started_at, now + Span(step as i64));
             self.engine.step(at, batch, &mut self.commands);
             batch = self.execute_commands(actions);
@@ -178,7 +178,8 @@
         self.set_timer(now, actions);
     }
 
-    /// Translates an event of the simulation. A step without an event lets the engine look at the time.
+    /// Translates an event of the simulation. Returns `None` for an event that the engine does not need: a step without
+    /// events is enough for it to handle the time that has passed.
     fn engine_event(&self, event: &Event) -> Option<EngineEvent> {
         match event {
             Event::Accepted(submitted) => Some(EngineEvent::Submitted(
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Executes the engine's commands. Returns the events that result.
+    /// Executes the pending commands of the engine. Returns the resulting events.
     fn execute_commands(&mut self, actions: &mut Vec<Action>) -> Vec<EngineEvent> {
         let mut events = Vec::new();
         for command in std::mem::take(&mut self.commands) {
@@ -259,13 +260,13 @@
                     let endpoint = self.endpoints.get(&endpoint).copied();
                     actions.extend(endpoint.map(Action::CloseIdleConnections));
                 }
-                // A defect of the core, which ends the run.
+                // This is a defect of the core, so the run is aborted.
                 EngineCommand::RuleViolated(rule, id) => {
                     panic!("{rule} would have been violated at message {}", id.0)
                 }
                 EngineCommand::Log(text) => actions.push(Action::Log(text)),
-                // The settings allow no cancellation, identities of endpoints are not reused, and incarnations of an
-                // instance do not overlap.
+                // These commands have no effect in the simulation: the settings do not allow cancellation, endpoint ids are
+                // not reused, and the incarnations of an instance do not overlap.
                 EngineCommand::CancelAttempt(_)
                 | EngineCommand::MessageFinished(_)
                 | EngineCommand::EndpointRemoved(_)
@@ -278,7 +279,7 @@
         events
     }
 
-    /// The action that a response to a submission leads to, if any.
+    /// Returns the action that results from a response to a submission, if any.
     fn respond(&mut self, request: RequestId, response: &SubmitResponse) -> Option<Action> {
         let message = MessageId(request.0);
         match response {
@@ -310,7 +311,7 @@
         }
     }
 
-    /// Sets a timer for the engine's next wake-up, unless an earlier one is pending.
+    /// Sets a timer for the engine's next wake-up, unless a timer that fires no later is pending.
     fn set_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.timer_at = self.timer_at.filter(|at| *at > now);
         let wake = self.engine.next_wake();
@@ -326,7 +327,7 @@
         }
     }
 
-    /// The virtual time of a monotonic time of this process.
+    /// Converts a monotonic time of this process to virtual time.
     fn virtual_time(&self, at: Time) -> Time {
         at - INITIAL_UPTIME + (self.started_at - Time(0))
     }
@@ -345,7 +346,7 @@
     matches!(class.idempotency, Idempotency::IdempotencyKey { .. })
 }
 
-/// A virtual time as a process sees it that was started at another one.
+/// Converts a virtual time to the clocks of a process that was started at `started_at`.
 fn timestamp(started_at: Time, now: Time) -> Timestamp {
     Timestamp {
         monotonic: Time((now - started_at).0) + INITIAL_UPTIME,
@@ -353,13 +354,14 @@
     }
 }
 
-/// The simulation's identity of a message, which is the message's identity.
+/// Returns the id of a message in the simulation, which is encoded in the message's identity.
 fn simulation_message(message: &Message) -> MessageId {
     let bytes = message.identity.as_slice().try_into().unwrap_or_default();
     MessageId(u64::from_le_bytes(bytes))
 }
 
-/// The action that ends a message for its client. A delivery ends it with the attempt.
+/// Returns the action that reports a final outcome to the client. A delivery needs none, because the end of the attempt
+/// already reports it.
 fn final_action(message: MessageId, outcome: &FinalOutcome) -> Option<Action> {
     match outcome {
         FinalOutcome::Delivered => None,
--- a/crates/simulation/src/destination/state.rs
+++ b/crates/simulation/src/destination/state.rs
@@ -1,41 +1,42 @@
 //! The state of a destination during a run.
 //!
-//! The result of a call is decided when it arrives: outages are known in advance, and queues are served in order. There
-//! is no I/O and no clock.
+//! The result of a call is determined when the call arrives, because outages are known in advance and queues are served in
+//! order. This module performs no I/O and reads no clock.
 
 use super::{Destination, Outage, OutageKind, RateLimit, MIN_DURATION_S};
 use marblefall_scheduler::{Outcome, Span, Time};
 use rand::Rng;
 use std::collections::VecDeque;
 
-/// Tolerance for the sum of fractions of a token.
+/// Tolerance for rounding errors in the sum of token fractions.
 const TOKEN_TOLERANCE: f64 = 1e-9;
 /// Microseconds per second.
 const US_PER_S: f64 = 1e6;
-/// Calls above the overload limit that a recovering destination tolerates: calls of several instances may coincide.
+/// Calls above the overload limit that a recovering destination tolerates, because calls of several instances may coincide.
 const COINCIDING_CALLS: f64 = 2.0;
 
-/// What happens to a call.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallResult {
-    /// It is answered.
+    /// The destination answers the call.
     Answered {
-        /// When the answer is sent.
+        /// Time at which the answer is sent.
         at: Time,
-        /// How the call ends for its instance.
+        /// Outcome of the call for its instance.
         outcome: Outcome,
     },
-    /// It is never answered.
+    /// The destination never answers the call.
     Unanswered,
-    /// It is refused, as it overloaded the recovering destination.
+    /// The destination refuses the call, which overloaded it while it was recovering.
     Overloaded {
-        /// When.
+        /// Time of the refusal.
         at: Time,
     },
 }
 
 impl CallResult {
-    /// When the answer is sent, and how the call ends for its instance; `None` if it is never answered.
+    /// Returns the time at which the answer is sent and the outcome for the instance, or `None` if the call is never
+    /// answered.
     pub fn answer(self) -> Option<(Time, Outcome)> {
         match self {
             CallResult::Answered { at, outcome } => Some((at, outcome)),
@@ -52,14 +53,14 @@
 /// The servers and the queue of an endpoint.
 #[derive(Clone, Debug)]
 struct EndpointState {
-    /// When each server is free.
+    /// Time at which each server becomes free.
     free_at: Vec<Time>,
-    /// When each waiting call will start.
+    /// Start time of each waiting call, in ascending order.
     waiting: VecDeque<Time>,
 }
 
 impl EndpointState {
-    /// Reserves the server that is free first. Returns when it starts, or `None` if the queue is full.
+    /// Reserves the server that becomes free first. Returns the start time of the call, or `None` if the queue is full.
     fn reserve(&mut self, now: Time, work: Span, max_waiting: usize) -> Option<Time> {
         while self.waiting.front().is_some_and(|starts| *starts <= now) {
             self.waiting.pop_front();
@@ -81,7 +82,7 @@
     }
 }
 
-/// A fixed window of the rate limit.
+/// The current window of a fixed-window rate limit.
 #[derive(Clone, Copy, Debug)]
 struct QuotaWindow {
     started: Time,
@@ -96,15 +97,15 @@
     tokens: f64,
     refilled_at: Time,
     window: Option<QuotaWindow>,
-    /// When the first call after the last outage arrived.
+    /// Arrival time of the first call after the last outage.
     recovering_since: Option<Time>,
     overloaded_until: Option<Time>,
-    /// Arrivals within the overload window.
+    /// Arrival times of the calls within the overload window.
     recent_calls: VecDeque<Time>,
 }
 
 impl DestinationState {
-    /// A destination that has received no call.
+    /// Creates the state of a destination that has received no call.
     pub fn new(spec: &Destination) -> DestinationState {
         let tokens = match spec.limit {
             Some(RateLimit::TokenBucket { burst, .. }) => burst,
@@ -126,10 +127,10 @@
         }
     }
 
-    /// Receives a call at one of its endpoints.
+    /// Handles a call that arrives at an endpoint.
     ///
     /// # Panics
-    /// If the destination has no endpoint of that index.
+    /// If the destination has no endpoint with this index.
     pub fn receive(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> CallResult {
         if self.overloaded_until.is_some_and(|until| now < until) {
             return CallResult::at(now, Outcome::ConnectFailed);
@@ -151,7 +152,7 @@
         self.process(now, endpoint, rng)
     }
 
-    /// The outage that concerns a call that arrives now.
+    /// Returns the outage that makes a call arriving now fail, if any.
     fn outage(&self, now: Time, rng: &mut impl Rng) -> Option<Outage> {
         let mut outages = self.spec.outages.iter();
         let active = outages.find(|outage| outage.is_active(now)).copied();
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Processes an admitted call.
+    /// Processes a call that the rate limit admitted.
     fn process(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> CallResult {
         let work = self.work(rng);
         let Some(starts) = self.endpoints[endpoint].reserve(now, work, self.spec.queue) else {
@@ -181,7 +182,8 @@
         }
     }
 
-    /// When an outage breaks the calls in progress. A destination that rejects all calls still finishes those.
+    /// Returns the time at which an outage interrupts a call in progress, if any. A destination that rejects all calls still
+    /// finishes the calls in progress.
     fn interruption(&self, now: Time, done: Time) -> Option<Time> {
         let interrupting = self.spec.outages.iter().filter(|outage| {
             outage.is_total()
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Counts a call against the rate limit. Returns how long the limit is exhausted if it rejects the call.
+    /// Counts a call against the rate limit. Returns the time until the limit admits calls again if it rejects this call.
     fn reserve_quota(&mut self, now: Time) -> Option<Span> {
         match self.spec.limit? {
             RateLimit::TokenBucket { rate, burst } => self.take_token(now, rate, burst),
@@ -217,7 +219,7 @@
             self.tokens -= 1.0;
             return None;
         }
-        // Rounded up to a microsecond, so that a call that observes it finds a token.
+        // Rounded up to a full microsecond. A token is then available for a call that observes this wait.
         let wait = Span(((1.0 - self.tokens) / rate * US_PER_S).ceil() as i64);
         if self.spec.counts_rejected {
             self.tokens = (self.tokens - 1.0).max(-burst);
@@ -239,7 +241,7 @@
         is_full.then(|| (window.started + length) - now)
     }
 
-    /// Counts a call after an outage. Returns whether it overloads the recovering destination.
+    /// Counts a call after an outage. Returns whether the call overloads the recovering destination.
     fn overloads(&mut self, now: Time) -> bool {
         let Some(warm_up) = self.spec.warm_up else {
             return false;
--- a/crates/simulation/src/distribution.rs
+++ b/crates/simulation/src/distribution.rs
@@ -1,27 +1,27 @@
-//! Distributions of a destination's service times.
+//! Distributions of the service times of destinations.
 
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, Pareto, StandardNormal};
 
-/// The shape of a distribution around its mean.
+/// Shape of a distribution with a given mean.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Shape {
-    /// Always the mean.
+    /// Constant: every value is the mean.
     Constant,
-    /// Exponential.
+    /// Exponential distribution.
     Exponential,
-    /// Log-normal with this standard deviation of the logarithm: 0.5 is mild, 1.5 has a long tail.
+    /// Log-normal distribution with this standard deviation of the logarithm. At 0.5 the tail is short, at 1.5 it is long.
     LogNormal(f64),
-    /// A power law with this exponent, above 1. The lower the exponent, the heavier the tail.
+    /// Pareto distribution with this exponent, which is above 1. The lower the exponent, the heavier the tail.
     Pareto(f64),
 }
 
 /// The distribution of service times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceTime {
-    /// The mean, in ms.
+    /// Mean, in ms.
     pub mean_ms: f64,
-    /// The shape.
+    /// Shape of the distribution.
     pub shape: Shape,
 }
 
@@ -39,7 +39,7 @@
                 let scale = self.mean_ms * (exponent - 1.0) / exponent;
                 match Pareto::new(scale, exponent) {
                     Ok(pareto) => pareto.sample(rng),
-                    // The scenario reader rejects exponents without a mean.
+                    // Not reached: the scenario reader rejects exponents for which the distribution has no mean.
                     Err(_) => self.mean_ms,
                 }
             }
--- a/crates/simulation/src/fuzz_targets.rs
+++ b/crates/simulation/src/fuzz_targets.rs
@@ -1,4 +1,4 @@
-//! The bodies of the fuzz targets: a reader accepts any bytes without a panic, and what it accepts is usable.
+//! Bodies of the fuzz targets. A parser must not panic on any bytes, and a value that it returns must be valid.
 
 use crate::rate_expression::RateExpression;
 use crate::scenario::Scenario;
@@ -7,10 +7,10 @@
 /// Times at which a rate expression is evaluated, in s.
 const EVALUATED_AT_S: [f64; 4] = [0.0, 0.5, 59.9, 1e5];
 
-/// Reads a scenario. The same text gives the same scenario.
+/// Parses a scenario twice and compares the results.
 ///
 /// # Panics
-/// If it does not.
+/// If the same text gives different scenarios.
 pub fn scenario(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
@@ -24,10 +24,10 @@
     }
 }
 
-/// Parses a rate expression. Its values are numbers.
+/// Parses a rate expression and evaluates it.
 ///
 /// # Panics
-/// If one is not.
+/// If a value is not a number.
 pub fn rate_expression(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
@@ -40,10 +40,10 @@
     }
 }
 
-/// Parses a trace. Its times are in order.
+/// Parses a trace and checks the order of its times.
 ///
 /// # Panics
-/// If they are not.
+/// If the trace has no times, or if they are not in ascending order.
 pub fn trace(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else {
         return;
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Checks a run against the delivery invariants, from its observations alone.
+//! Checks a run against the delivery invariants. The check depends only on the observations of the run.
 
 mod checker;
 
@@ -10,27 +10,28 @@
 use marblefall_scheduler::Time;
 use std::fmt;
 
-/// An invariant of every run.
+/// An invariant that every run must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Every accepted message ends exactly once for its client.
+    /// Every accepted message has exactly one final outcome.
     SingleFinalOutcome,
-    /// Every accepted message ends by its deadline, also across crashes of its instance.
+    /// Every accepted message has a final outcome by its deadline, even if its instance crashes.
     NoMessageLost,
     /// A message has at most one attempt in flight.
     SingleAttemptInFlight,
     /// A message is retried only as its class permits.
     RetriesPermitted,
-    /// No attempt is sent to a destination before the Retry-After that it sent to this instance has passed.
+    /// An instance sends no attempt to a destination before every Retry-After that it received from that destination
+    /// has passed.
     RetryAfterObserved,
-    /// No attempt arrives at an endpoint that left the endpoint list more than [`LIST_PROPAGATION_TIME`] ago.
+    /// No attempt arrives at an endpoint that has not been listed as active for more than [`LIST_PROPAGATION_TIME`].
     DrainingObserved,
     /// No recovering destination is overloaded.
     NoRecoveryOverload,
 }
 
 impl fmt::Display for Invariant {
-    /// Writes what its violation means.
+    /// Writes the description of a violation of the invariant.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Invariant::SingleFinalOutcome => "more than one final outcome, or an attempt after it",
@@ -47,13 +48,13 @@
 /// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The invariant.
+    /// The invariant that was violated.
     pub invariant: Invariant,
-    /// When it was violated.
+    /// Virtual time of the violation.
     pub at: Time,
-    /// What happened.
+    /// Details of the violation.
     pub description: String,
-    /// The first observations of the message concerned.
+    /// First observations of the message concerned; empty if the violation concerns no message.
     pub trace: Vec<(Time, Observation)>,
 }
 
@@ -77,14 +78,14 @@
 /// The result of checking a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// The first violations.
+    /// The first violations, up to a limit.
     pub violations: Vec<Violation>,
-    /// The number of all violations.
+    /// Total number of violations.
     pub count: u64,
 }
 
 impl Verdict {
-    /// Whether all invariants hold.
+    /// Returns whether all invariants hold.
     pub fn is_clean(&self) -> bool {
         self.count == 0
     }
--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -6,22 +6,22 @@
 use marblefall_scheduler::{EndpointStatus, Idempotency, Outcome, Span, Time};
 use std::collections::HashMap;
 
-/// Time in which a change of the endpoint list reaches every instance and the attempts sent before have arrived.
+/// Time in which a change of the endpoint list reaches every instance, and attempts sent before that have arrived.
 pub const LIST_PROPAGATION_TIME: Span = Span(250_000);
-/// A message may end this long after its deadline: the attempt that is in flight then has to end first.
+/// Maximum time from the deadline of a message to its end. An attempt in flight at the deadline has to end first.
 const DEADLINE_TOLERANCE: Span = Span(1_000_000);
-/// Violations that are recorded with their trace; further ones are only counted.
+/// Maximum number of violations recorded with their trace. Further violations are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 20;
-/// Observations that are recorded per message.
+/// Maximum number of observations recorded per message.
 const MAX_TRACE_LENGTH: usize = 40;
 
-/// An accepted message that has not ended, or has an attempt in flight.
+/// An accepted message that has no final outcome, or still has an attempt in flight.
 struct OpenMessage {
     instance: usize,
     class: usize,
     expires: Time,
     in_flight: Option<AttemptInFlight>,
-    /// When the first attempt was sent that may have been executed.
+    /// Time at which the first attempt was sent that the destination may have executed.
     first_possible_execution: Option<Time>,
     has_ended: bool,
     trace: Vec<(Time, Observation)>,
@@ -52,16 +52,17 @@
     scenario: &'s Scenario,
     endpoint_locations: Vec<EndpointLocation>,
     messages: HashMap<u64, OpenMessage>,
-    /// By instance and destination, until when the destination asked for no further attempt.
+    /// Time before which a destination permits no further attempt from an instance (Retry-After), by instance and
+    /// destination.
     retry_not_before: HashMap<(usize, usize), Time>,
-    /// Since when an endpoint is not listed as active.
+    /// Time since which an endpoint has not been listed as active, by endpoint.
     unlisted_since: HashMap<u32, Time>,
     violations: Vec<Violation>,
     count: u64,
 }
 
 impl<'s> InvariantChecker<'s> {
-    /// A checker that has seen no observation.
+    /// Creates a checker without observations.
     pub fn new(scenario: &'s Scenario) -> InvariantChecker<'s> {
         InvariantChecker {
             scenario,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Checks an observation. Observations are passed in their order.
+    /// Checks an observation. Observations must be passed in chronological order.
     pub fn observe(&mut self, at: Time, observation: &Observation) {
         self.record_trace(at, observation);
         match *observation {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Ends the check: messages that should have ended by now were lost.
+    /// Completes the check. Messages without a final outcome whose deadline has passed are reported as lost.
     pub fn finish(mut self, at: Time) -> Verdict {
         let is_lost =
             |open: &OpenMessage| !open.has_ended && open.expires + DEADLINE_TOLERANCE < at;
@@ -295,7 +296,8 @@
         }
     }
 
-    /// The attempts of an instance that crashed may have been executed. A Retry-After does not survive the crash.
+    /// Handles the crash of an instance. Its attempts in flight may have been executed, and its record of Retry-After is
+    /// lost.
     fn instance_crashed(&mut self, instance: usize) {
         let messages = self.messages.values_mut();
         for open in messages.filter(|open| open.instance == instance) {
@@ -310,7 +312,8 @@
     }
 }
 
-/// Why a message may not be retried at this time after its first possible execution, if it may not.
+/// Returns the reason why a message must not be retried at this age since its first possible execution, or `None` if the
+/// retry is permitted.
 fn forbidden_retry(idempotency: Idempotency, age: Span) -> Option<String> {
     match idempotency {
         Idempotency::NonIdempotent => Some("its class is not idempotent".to_owned()),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,11 +1,12 @@
 //! Simulation of instances, clients and destinations in virtual time.
 //!
-//! A [`scenario`] describes destinations, the load of clients, and the faults. [`simulation`] plays it from one seed with
-//! the scheduler of the product, through its own interface, or with the whole core ([`core_driver`]). [`invariants`]
-//! checks the run and [`metrics`] measures it, both from its [`observation`]s alone. The same scenario and seed give the
-//! same bytes.
+//! A [`scenario`] describes destinations, the load of clients, and the faults. [`simulation`] plays a scenario from a
+//! seed, either with the production scheduler through its public interface or with the complete core ([`core_driver`]).
+//! [`invariants`] checks the run and [`metrics`] measures it. Both depend only on the [`observation`]s of the run. The
+//! same scenario and seed produce the same bytes.
 //!
-//! [`experiment`], [`compare`], [`capacity_search`] and [`seed_search`] play many runs; [`report`] makes pages of them.
+//! [`experiment`], [`compare`], [`capacity_search`] and [`seed_search`] evaluate many runs. [`report`] renders HTML pages
+//! from them.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulation/src/metrics.rs
+++ b/crates/simulation/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a run: outcomes and delivery times by class, calls by destination over time.
+//! Metrics of a run: outcomes and delivery times by class, and calls by destination over time.
 
 mod export;
 mod summary;
@@ -13,27 +13,27 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Bins of a run; longer runs have wider ones.
+/// Maximum number of time bins of a run. Longer runs have wider bins.
 const MAX_BINS: f64 = 6000.0;
-/// Least width of a bin, in s.
+/// Minimum width of a time bin, in s.
 const MIN_BIN_S: f64 = 0.1;
-/// Delivery times are recorded up to an hour, in microseconds.
+/// Longest delivery time that is recorded, in microseconds (one hour). Longer times are recorded as this value.
 const MAX_DELIVERY_TIME_US: u64 = 3_600_000_000;
-/// Precision of recorded delivery times.
+/// Precision of recorded delivery times, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Lower bound of the offered value, so that a run without messages has a share.
+/// Lower bound of the offered value. It avoids a division by zero in a run without messages.
 const MIN_OFFERED_VALUE: f64 = 1e-9;
 /// The quantile of delivery times reported as the median.
 const P50: f64 = 0.5;
 /// The quantile of delivery times reported as the tail.
 const P99: f64 = 0.99;
 
-/// Counts of the messages of one class. Stored records name some of them by their older names.
+/// Message counts of one class. Some fields have different names in stored records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassCounts {
-    /// Messages that clients offered, resubmissions not counted.
+    /// Messages that clients offered, without resubmissions.
     pub offered: u64,
-    /// Messages that instances accepted, resubmissions counted.
+    /// Messages that instances accepted, including resubmissions.
     #[serde(rename = "taken")]
     pub accepted: u64,
     /// Messages delivered.
@@ -45,13 +45,13 @@
     pub rejected: u64,
     /// Messages that failed permanently.
     pub failed: u64,
-    /// Attempts.
+    /// Attempts started.
     #[serde(rename = "legs")]
     pub attempts: u64,
 }
 
 impl ClassCounts {
-    /// Attempts per accepted message.
+    /// Returns the number of attempts per accepted message.
     pub fn attempts_per_message(&self) -> f64 {
         self.attempts as f64 / self.accepted.max(1) as f64
     }
@@ -60,11 +60,11 @@
 /// Metrics of one class.
 #[derive(Clone, Debug)]
 pub struct ClassMetrics {
-    /// Its name.
+    /// Name of the class.
     pub class: String,
-    /// Counts of its messages.
+    /// Message counts of the class.
     pub counts: ClassCounts,
-    /// Value of the messages delivered, where one delivered within the latency objective counts 1.
+    /// Sum of the values of the delivered messages. A message delivered within the latency objective has the value 1.
     pub delivered_value: f64,
     /// Time from the intended submission to the delivery, in microseconds.
     pub delivery_time_us: Histogram<u64>,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A quantile of the delivery times, in ms.
+    /// Returns a quantile of the delivery times, in ms.
     pub fn delivery_time_ms(&self, quantile: f64) -> f64 {
         self.delivery_time_us.value_at_quantile(quantile) as f64 / 1000.0
     }
@@ -99,8 +99,8 @@
     }
 }
 
-/// The value of a message delivered after this time: 1 within the latency objective, then falling linearly to the late
-/// value at the deadline.
+/// Returns the value of a message delivered after `duration`: 1 within the latency objective, then falling linearly to
+/// the late value at the deadline.
 fn value_at_delivery(class: &MessageClass, duration: Span) -> f64 {
     let late = (duration.ms() - class.latency_objective.ms()).max(0.0)
         / (class.deadline.ms() - class.latency_objective.ms()).max(1.0);
@@ -110,11 +110,11 @@
 /// Metrics of one destination.
 #[derive(Clone, Debug)]
 pub struct DestinationMetrics {
-    /// Its name.
+    /// Name of the destination.
     pub destination: String,
-    /// Calls that arrived, by bin.
+    /// Calls that arrived, by time bin.
     pub calls: Vec<u32>,
-    /// Messages delivered, by bin.
+    /// Messages delivered, by time bin.
     pub delivered: Vec<u32>,
 }
 
@@ -131,10 +131,10 @@
 /// The number of open messages over time.
 #[derive(Default)]
 struct OpenMessageGauge {
-    /// The maximum of each bin.
+    /// Maximum, by time bin.
     max_by_bin: Vec<u32>,
     current: u32,
-    /// The value after the last change that was recorded.
+    /// Value after the last recorded change.
     recorded: u32,
 }
 
@@ -151,7 +151,7 @@
 
     fn record(&mut self, bin: usize) {
         if self.max_by_bin.len() <= bin {
-            // Bins without a change have the value after the last one.
+            // Bins without a change have the value after the last recorded change.
             self.max_by_bin.resize(bin + 1, self.recorded);
         }
         self.max_by_bin[bin] = self.max_by_bin[bin].max(self.current);
@@ -159,7 +159,7 @@
     }
 }
 
-/// A message that was accepted and has not ended.
+/// A message that was accepted and has no final outcome.
 struct OpenMessage {
     class: usize,
     destination: usize,
@@ -168,11 +168,11 @@
 
 /// Collects the metrics of a run from its observations.
 pub struct Metrics {
-    /// By class, in the order of the scenario.
+    /// Metrics of each class, in the order of the scenario.
     pub classes: Vec<ClassMetrics>,
-    /// By destination, in the order of the scenario.
+    /// Metrics of each destination, in the order of the scenario.
     pub destinations: Vec<DestinationMetrics>,
-    /// Width of a bin, in s.
+    /// Width of a time bin, in s.
     pub bin_s: f64,
     endpoint_locations: Vec<EndpointLocation>,
     class_settings: Vec<MessageClass>,
@@ -181,7 +181,7 @@
 }
 
 impl Metrics {
-    /// Metrics of a run without observations.
+    /// Creates the metrics of a run without observations.
     pub fn new(scenario: &Scenario) -> Metrics {
         let class_settings = scenario.classes.iter().map(|class| class.class.clone());
         Metrics {
@@ -199,12 +199,12 @@
         }
     }
 
-    /// The greatest number of open messages, by bin.
+    /// Returns the maximum number of open messages, by time bin.
     pub fn open_messages(&self) -> &[u32] {
         &self.open_message_gauge.max_by_bin
     }
 
-    /// Counts an observation. Observations are passed in their order.
+    /// Counts an observation. Observations must be passed in chronological order.
     pub fn observe(&mut self, at: Time, observation: &Observation) {
         let bin = self.bin(at);
         match *observation {
@@ -266,7 +266,8 @@
         (at.ms() / 1000.0 / self.bin_s) as usize
     }
 
-    /// Value of the messages delivered as a share of the value of all that were offered, weighted by priority.
+    /// Returns the value of the delivered messages as a share of the value of all offered messages, both weighted by
+    /// priority.
     pub fn delivered_value_share(&self) -> f64 {
         let delivered = self.weighted_sum(|class| class.delivered_value);
         let offered = self.weighted_sum(|class| class.counts.offered as f64);
--- a/crates/simulation/src/metrics/export.rs
+++ b/crates/simulation/src/metrics/export.rs
@@ -1,4 +1,4 @@
-//! Metrics as a table and as files. The same run gives the same bytes.
+//! Export of metrics as a table and as files. The same run produces the same bytes.
 
 use super::{ClassMetrics, DestinationMetrics, Metrics, P50, P99};
 use hdrhistogram::serialization::interval_log::{IntervalLogWriterBuilder, Tag};
@@ -9,11 +9,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Quantiles written per halving of the distance to the maximum.
+/// Number of quantiles written per halving of the distance to the 100th percentile.
 const QUANTILE_TICKS: u32 = 2;
 
 impl Metrics {
-    /// A table for a terminal.
+    /// Formats the metrics as a table for a terminal.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<16} {:>9} {:>8} {:>8} {:>8} {:>8} {:>9} {:>9} {:>9}\n",
@@ -33,8 +33,8 @@
         text
     }
 
-    /// Writes `classes.csv`, `latency.csv` and `partners.csv` into a folder, and `latency.hlog`, the delivery times by
-    /// class in microseconds in the log format of HdrHistogram.
+    /// Writes `classes.csv`, `latency.csv`, `partners.csv` and `latency.hlog` into a folder. `latency.hlog` contains the
+    /// delivery times by class, in microseconds, in the log format of HdrHistogram.
     ///
     /// # Errors
     /// If a file cannot be written.
@@ -115,7 +115,7 @@
             .map_err(io::Error::other)?;
         let length = Duration::from_secs_f64(self.open_messages().len() as f64 * self.bin_s);
         for class in &self.classes {
-            // A class whose name contains a blank or a comma has no tag.
+            // A name that contains whitespace or a comma is not a valid tag. The histogram of such a class has no tag.
             let tag = Tag::new(&class.class);
             writer
                 .write_histogram(&class.delivery_time_us, Duration::ZERO, length, tag)
--- a/crates/simulation/src/metrics/summary.rs
+++ b/crates/simulation/src/metrics/summary.rs
@@ -1,4 +1,4 @@
-//! The summary of a run that experiments keep.
+//! Summary of a run, which experiments store.
 
 use super::{ClassCounts, ClassMetrics, Metrics, P50, P99};
 use crate::invariants::{InvariantChecker, Verdict};
@@ -9,9 +9,9 @@
 /// Summary of one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassSummary {
-    /// Its name.
+    /// Name of the class.
     pub class: String,
-    /// Counts of its messages.
+    /// Message counts of the class.
     #[serde(flatten)]
     pub counts: ClassCounts,
     /// Median of the delivery times, in ms.
@@ -31,10 +31,10 @@
     }
 }
 
-/// Summary of a run. Stored records name some fields by their older names.
+/// Summary of a run. Some fields have different names in stored records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Value of the messages delivered as a share of the value of all that were offered.
+    /// Value of the delivered messages as a share of the value of all offered messages, both weighted by priority.
     #[serde(rename = "kept")]
     pub delivered_value_share: f64,
     /// Messages accepted.
@@ -45,15 +45,15 @@
     /// Number of violations.
     #[serde(rename = "breaches")]
     pub violations: u64,
-    /// The first violation.
+    /// Description of the first violation, if any.
     #[serde(rename = "first_breach")]
     pub first_violation: Option<String>,
-    /// By class, in the order of the scenario.
+    /// Summary of each class, in the order of the scenario.
     pub classes: Vec<ClassSummary>,
 }
 
 impl Summary {
-    /// The summary of a run.
+    /// Summarizes the metrics and the verdict of a run.
     fn of(metrics: &Metrics, verdict: &Verdict) -> Summary {
         let classes: Vec<ClassSummary> = metrics.classes.iter().map(ClassSummary::of).collect();
         let first_violation = verdict.violations.first().map(|violation| {
@@ -71,16 +71,16 @@
     }
 }
 
-/// A run that was measured and checked.
+/// Metrics and verdict of a run.
 pub struct MeasuredRun {
-    /// Its metrics.
+    /// Metrics of the run.
     pub metrics: Metrics,
-    /// Its violations.
+    /// Result of checking the invariants.
     pub verdict: Verdict,
 }
 
 impl MeasuredRun {
-    /// The summary of the run.
+    /// Returns the summary of the run.
     pub fn summary(&self) -> Summary {
         Summary::of(&self.metrics, &self.verdict)
     }
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -1,5 +1,5 @@
-//! Mutants of the scheduler, with one defect each, to test the invariant checker: every invariant is violated by at least
-//! one mutant.
+//! Mutants of the scheduler, which test the invariant checker. Each mutant has one defect, and every invariant is violated
+//! by at least one mutant.
 
 use crate::invariants::Invariant;
 use crate::simulation::Node;
@@ -8,16 +8,16 @@
 };
 use std::collections::BTreeMap;
 
-/// [`Mutation::DuplicatesAttempts`] duplicates one attempt in this many.
+/// [`Mutation::DuplicatesAttempts`] duplicates every attempt whose number is a multiple of this.
 const DUPLICATED_ATTEMPTS: u64 = 100;
-/// [`Mutation::DropsFinalOutcomes`] drops one final outcome in this many.
+/// [`Mutation::DropsFinalOutcomes`] drops every rejection or failure whose number is a multiple of this.
 const DROPPED_OUTCOMES: u64 = 10;
-/// A deduplication window that never ends.
+/// A deduplication window that is longer than any run.
 const ENDLESS_WINDOW: Span = Span(i64::MAX / 4);
-/// An overload factor that no load exceeds.
+/// An overload factor that no load reaches.
 const ENDLESS_OVERLOAD_FACTOR: f64 = 1000.0;
 
-/// A defect.
+/// A defect of a mutant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// Retry-After is ignored.
@@ -26,19 +26,19 @@
     DuplicatesAttempts,
     /// Messages of an earlier incarnation are not resumed.
     LosesMessagesOnRestart,
-    /// Every endpoint is taken as active.
+    /// Every endpoint is treated as active.
     IgnoresDraining,
     /// Every rejection is reported twice.
     FinishesTwice,
     /// Some rejections and failures are not reported.
     DropsFinalOutcomes,
-    /// An attempt that timed out or was reset is taken as not executed.
+    /// An attempt that timed out or was reset is treated as not executed.
     TreatsResetAsNotExecuted,
-    /// After a restart, earlier attempts are taken as not executed.
+    /// After a restart, attempts of earlier incarnations are treated as not executed.
     ForgetsAttemptsOnRestart,
     /// A recovering destination receives the full load at once.
     IgnoresRecoveryRamp,
-    /// Idempotency keys are taken as valid for ever.
+    /// Idempotency keys are treated as valid forever.
     IgnoresDeduplicationWindow,
 }
 
@@ -57,7 +57,7 @@
         Mutation::IgnoresDeduplicationWindow,
     ];
 
-    /// The invariant that it violates.
+    /// Returns the invariant that the mutation violates.
     pub fn violates(self) -> Invariant {
         match self {
             Mutation::IgnoresRetryAfter => Invariant::RetryAfterObserved,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A node with this defect.
+    /// Creates a node with this defect.
     pub fn node(self, mut settings: Settings, seed: u64) -> Box<dyn Node> {
         self.change_settings(&mut settings);
         Box::new(Mutant {
@@ -104,18 +104,18 @@
     }
 }
 
-/// A scheduler whose events and actions are changed on their way.
+/// A scheduler whose incoming events and outgoing actions are modified.
 struct Mutant {
     mutation: Mutation,
     scheduler: Scheduler,
     attempts: u64,
     final_outcomes: u64,
-    /// Duplicates in flight of each message, which the scheduler does not know.
+    /// Number of duplicate attempts in flight, by message. The scheduler has no record of them.
     duplicates_in_flight: BTreeMap<MessageId, u32>,
 }
 
 impl Mutant {
-    /// The event as the scheduler receives it, if it does.
+    /// Returns the event that the scheduler receives, or `None` if the event is dropped.
     fn change_event(&mut self, event: &Event) -> Option<Event> {
         let mut event = event.clone();
         match (&mut event, self.mutation) {
@@ -150,7 +150,7 @@
         Some(event)
     }
 
-    /// Whether an attempt of a message that ended counts as a duplicate, which is in flight no more.
+    /// Returns whether an attempt that ended counts as a duplicate, and if so removes one duplicate from those in flight.
     fn is_duplicate(&mut self, message: MessageId) -> bool {
         let in_flight = self.duplicates_in_flight.get_mut(&message);
         let Some(duplicates) = in_flight.filter(|duplicates| **duplicates > 0) else {
@@ -160,7 +160,7 @@
         true
     }
 
-    /// How often an action of the scheduler is executed.
+    /// Returns the number of times that an action of the scheduler is executed.
     fn repetitions(&mut self, action: &Action) -> usize {
         match (action, self.mutation) {
             (Action::Send { message, .. }, Mutation::DuplicatesAttempts) => {
--- a/crates/simulation/src/observation.rs
+++ b/crates/simulation/src/observation.rs
@@ -1,100 +1,100 @@
 //! Events of a run that are visible outside the instances: to clients, to destinations, in the endpoint list, and in the
-//! life cycle of instances. Invariants and metrics are computed from these alone.
+//! life cycle of instances. Invariants and metrics are computed only from these events.
 
 use marblefall_scheduler::{EndpointStatus, Outcome, Span, Time};
 
-/// How a message ended for its client.
+/// Final outcome of a message for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalOutcome {
-    /// Delivered.
+    /// The message was delivered.
     Delivered,
-    /// Rejected; the client may submit it again after this time.
+    /// The message was rejected. The client may submit it again after this time.
     Rejected(Span),
-    /// Failed permanently.
+    /// The message failed permanently.
     Failed,
 }
 
-/// One visible event. Classes, destinations and instances are indices into the scenario; endpoints are counted over all
-/// destinations.
+/// One visible event. Classes, destinations and instances are given as indices into the scenario. Endpoints are numbered
+/// consecutively across all destinations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
     /// An instance accepted a message.
     Accepted {
-        /// The message.
+        /// Id of the message.
         message: u64,
-        /// The instance that accepted it.
+        /// The instance that accepted the message.
         instance: usize,
-        /// Its class.
+        /// Class of the message.
         class: usize,
-        /// Its destination.
+        /// Destination of the message.
         destination: usize,
-        /// When the client first intended to submit it.
+        /// Time at which the client first intended to submit the message.
         intended_at: Time,
-        /// Its deadline.
+        /// Deadline of the message.
         expires: Time,
-        /// Whether this is the client's first submission of it.
+        /// Whether this is the client's first submission of the message.
         is_first_submission: bool,
     },
-    /// The client learned how a message ended.
+    /// The client received the final outcome of a message.
     Finished {
-        /// The message.
+        /// Id of the message.
         message: u64,
-        /// Its outcome.
+        /// Final outcome of the message.
         outcome: FinalOutcome,
     },
     /// An instance started an attempt.
     AttemptSent {
-        /// The message.
+        /// Id of the message.
         message: u64,
-        /// The instance that started it.
+        /// The instance that started the attempt.
         instance: usize,
-        /// The endpoint it is sent to.
+        /// The endpoint to which the attempt is sent.
         endpoint: u32,
     },
     /// The first byte of an attempt arrived at its endpoint.
     AttemptArrived {
-        /// The message.
+        /// Id of the message.
         message: u64,
-        /// The endpoint.
+        /// The endpoint at which the attempt arrived.
         endpoint: u32,
     },
     /// An attempt ended for the instance that started it.
     AttemptEnded {
-        /// The message.
+        /// Id of the message.
         message: u64,
         /// The instance that started the attempt.
         instance: usize,
-        /// The endpoint it was sent to.
+        /// The endpoint to which the attempt was sent.
         endpoint: u32,
-        /// Its outcome.
+        /// Outcome of the attempt.
         outcome: Outcome,
     },
     /// The status of an endpoint changed in the endpoint list.
     EndpointListed {
-        /// The endpoint.
+        /// The endpoint whose status changed.
         endpoint: u32,
-        /// Its new status.
+        /// New status of the endpoint.
         status: EndpointStatus,
     },
-    /// A destination failed again because it received too many calls while it recovered.
+    /// A recovering destination failed again because it received too many calls.
     RecoveryOverloaded {
-        /// The destination.
+        /// The destination that failed again.
         destination: usize,
     },
     /// An instance crashed.
     InstanceCrashed {
-        /// The instance.
+        /// The instance that crashed.
         instance: usize,
     },
     /// An instance started its next incarnation.
     InstanceRestarted {
-        /// The instance.
+        /// The instance that started.
         instance: usize,
     },
 }
 
 impl Observation {
-    /// The message that it concerns, if it concerns one.
+    /// Returns the id of the message that the observation concerns, if any.
     pub fn message(&self) -> Option<u64> {
         match self {
             Observation::Accepted { message, .. }
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,10 +1,11 @@
-//! Plays a scenario: discrete events in virtual time, with every random draw from one seed.
+//! Discrete-event simulation of a scenario in virtual time. All random draws derive from one seed.
 //!
-//! Each instance is a [`Node`], driven through the scheduler's own interface as the program does: events in, actions out.
-//! What an instance would find in its journal after a crash is kept here and passed to its next incarnation.
+//! Each instance is a [`Node`]. The simulation calls it through the scheduler's interface, as the program does: events in,
+//! actions out. After a crash the simulation takes the place of the instance's journal: it holds the unfinished messages
+//! and passes them to the next incarnation.
 //!
-//! `event_queue` orders the events, `clients` submit messages, `instances` are started, crashed and driven, and `attempts`
-//! travel to endpoints and back.
+//! `event_queue` orders the events, `clients` submits messages, `instances` starts, crashes and calls the instances, and
+//! `attempts` simulates attempts from the instance to the endpoint and back.
 
 mod attempts;
 mod clients;
@@ -23,10 +24,10 @@
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
 
-/// Time for the last responses and final outcomes after the last deadline.
+/// Time after the last deadline in which the last responses and final outcomes arrive.
 const DRAIN_TIME: Span = Span(5_000_000);
 
-/// What decides for one instance: the scheduler, the whole core, or a mutant.
+/// Decision logic of one instance: the scheduler, the complete core, or a mutant.
 pub trait Node {
     /// Handles a batch of events and appends the resulting actions.
     fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>);
@@ -41,18 +42,18 @@
 /// One incarnation of an instance, from its start to its crash.
 #[derive(Clone, Debug)]
 pub struct Incarnation {
-    /// Its settings.
+    /// Settings of the scheduler.
     pub settings: Settings,
-    /// The seed of its random draws.
+    /// Seed of the incarnation's random draws.
     pub seed: u64,
-    /// The instance, the same for all its incarnations.
+    /// Index of the instance, which is the same for all its incarnations.
     pub instance: usize,
 }
 
-/// Creates the node of an incarnation.
+/// Function that creates the node of an incarnation.
 pub type NodeFactory<'a> = &'a dyn Fn(Incarnation) -> Box<dyn Node>;
 
-/// The scheduler of the product.
+/// Returns a node that runs the production scheduler.
 pub fn production_node(incarnation: Incarnation) -> Box<dyn Node> {
     Box::new(Scheduler::new(incarnation.settings, incarnation.seed))
 }
@@ -64,11 +65,11 @@
     pub messages: u64,
     /// Attempts that instances started.
     pub attempts: u64,
-    /// When the run ended, in virtual time.
+    /// Virtual time at which the run ended.
     pub ended_at: Time,
 }
 
-/// Plays a scenario from a seed; `observer` receives all observations in their order.
+/// Plays a scenario from a seed. `observer` receives all observations in chronological order.
 pub fn play(
     scenario: &Scenario,
     seed: u64,
@@ -87,7 +88,7 @@
     in_flight: Option<AttemptStart>,
     /// Whether the attempt in flight occupies a connection of the pool.
     holds_connection: bool,
-    /// The first attempt that may have been executed.
+    /// The first attempt that the destination may have executed.
     first_possible_execution: Option<AttemptStart>,
     has_ended: bool,
 }
@@ -107,10 +108,10 @@
     }
 }
 
-/// An instance, which runs or is down.
+/// An instance, whether it runs or not.
 #[derive(Default)]
 struct InstanceSlot {
-    /// Its node while it runs.
+    /// Node of the current incarnation; `None` while the instance is down.
     node: Option<Box<dyn Node>>,
     /// Number of earlier incarnations.
     incarnation: u32,
@@ -127,16 +128,16 @@
     instances: Vec<InstanceSlot>,
     destinations: Vec<DestinationState>,
     endpoint_locations: Vec<EndpointLocation>,
-    /// The status of each endpoint in the endpoint list.
+    /// Status in the endpoint list, by endpoint.
     listed_status: Vec<EndpointStatus>,
     messages: HashMap<u64, Message>,
     last_message: u64,
     totals: RunTotals,
     observer: &'s mut dyn FnMut(Time, &Observation),
     connection_pool: ConnectionPool,
-    /// For each load the position in its trace.
+    /// Index of the next arrival in the trace, by load.
     trace_positions: Vec<usize>,
-    /// Buffer for the actions of the current step.
+    /// Reusable buffer for the actions of the current step.
     actions: Vec<Action>,
 }
 
@@ -237,14 +238,14 @@
         }
     }
 
-    /// Delivers an event to an instance, if the same incarnation still runs.
+    /// Delivers an event to an instance if the given incarnation still runs.
     fn deliver_to_incarnation(&mut self, instance: usize, incarnation: u32, event: Event) {
         if self.instances[instance].incarnation == incarnation {
             self.deliver(instance, &[event]);
         }
     }
 
-    /// Index of the destination to which an endpoint belongs.
+    /// Returns the index of the destination to which an endpoint belongs.
     fn destination_of(&self, endpoint: EndpointId) -> usize {
         self.endpoint_locations[endpoint.0 as usize].destination
     }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way to an endpoint and back, and the final outcomes of messages.
+//! Attempts, from the instance to the endpoint and back, and the final outcomes of messages.
 
 use super::event_queue::{SimulationEvent, Submission, TravellingAttempt};
 use super::{Message, Simulation};
@@ -9,9 +9,9 @@
     AttemptNumber, AttemptStart, EndpointId, Event, MessageId, Outcome, RateLimitReport, Span, Time,
 };
 
-/// Whether an attempt gets a connection.
+/// Result of connecting to the endpoint of an attempt.
 enum Connection {
-    /// It is established after this additional time.
+    /// The connection is established after this additional time.
     Established { after: Span },
     /// The attempt fails without reaching its endpoint.
     Failed { after: Span, outcome: Outcome },
@@ -22,7 +22,7 @@
     instance: usize,
     start: AttemptStart,
     number: AttemptNumber,
-    /// Whether it delivers its message, which had no final outcome before.
+    /// Whether the attempt delivers a message that had no final outcome before.
     is_final: bool,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends an attempt to its endpoint, unless it is lost.
+    /// Schedules the arrival of an attempt at its endpoint, or its timeout if the network loses it.
     fn travel(&mut self, attempt: TravellingAttempt, delay: Span) {
         let destination = self.destination_of(attempt.endpoint);
         if self.scenario.is_partitioned(destination, self.now) || self.is_lost_in_network() {
@@ -80,7 +80,7 @@
         self.queue.push(self.now + delay, arrives);
     }
 
-    /// Acquires a connection for an attempt, if its destination has a connection policy.
+    /// Acquires a connection for an attempt. Without a connection policy of the destination, connecting takes no time.
     fn connect(
         &mut self,
         instance: usize,
@@ -142,7 +142,7 @@
         self.queue.push(at, attempt.ends(outcome));
     }
 
-    /// Ends an attempt for its instance, if the incarnation that started it still runs.
+    /// Reports the end of an attempt to its instance if the incarnation that started the attempt still runs.
     pub(super) fn attempt_ends(&mut self, id: u64, incarnation: u32, outcome: Outcome) {
         let Some(ended) = self.take_attempt(id, incarnation, outcome) else {
             return;
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Takes the attempt in flight of a message and releases its connection, if the incarnation that started it still
-    /// runs.
+    /// Removes the attempt in flight of a message and releases its connection. Returns `None` if the incarnation that
+    /// started the attempt no longer runs, or if no attempt is in flight.
     fn take_attempt(
         &mut self,
         id: u64,
@@ -201,7 +201,7 @@
         })
     }
 
-    /// Ends a message for its client, which may submit it again if it was rejected.
+    /// Records the final outcome of a message. The client submits a rejected message again if it has retries left.
     pub(super) fn finish(&mut self, id: u64, outcome: FinalOutcome) {
         self.observe(Observation::Finished {
             message: id,
@@ -230,7 +230,7 @@
     }
 }
 
-/// A connection stays open after a complete response.
+/// Returns the state of the connection after an attempt. Only a complete response leaves it reusable.
 fn release_after(outcome: Outcome) -> Release {
     match outcome {
         Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. } => Release::Reusable,
--- a/crates/simulation/src/simulation/clients.rs
+++ b/crates/simulation/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: when their messages arrive, and to which instance they submit them.
+//! Clients: the arrival of their messages, and their choice of an instance for each submission.
 
 use super::event_queue::{SimulationEvent, Submission};
 use super::instances::new_message;
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rand_distr::Exp1;
 
-/// Delay after which a client that found no running instance retries.
+/// Delay before a client submits again when no instance was running.
 const NO_INSTANCE_RETRY: Span = Span(100_000);
 /// Microseconds per second.
 const US_PER_S: f64 = 1e6;
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Draws the next arrival of a load by thinning: candidates are drawn at the load's maximum rate, and each is accepted
-    /// with the ratio of the rate at that time to the maximum.
+    /// Draws the next arrival of a load by thinning. Candidates are drawn at the load's maximum rate. The probability of
+    /// accepting a candidate is the ratio of the rate at that time to the maximum rate.
     fn draw_next_arrival(&mut self, load: usize) -> Option<Time> {
         let load = &self.scenario.loads[load];
         let end = self.scenario.length();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Handles an arrival of a load: one message or a burst.
+    /// Handles an arrival of a load, which is one message or a burst.
     pub(super) fn load_arrives(&mut self, load: usize) {
         let spec = &self.scenario.loads[load];
         for _ in 0..spec.arrivals.burst_size() as usize {
--- a/crates/simulation/src/simulation/event_queue.rs
+++ b/crates/simulation/src/simulation/event_queue.rs
@@ -1,37 +1,37 @@
-//! The queue of future events, in the order of virtual time. Events at the same time are handled in the order in which
-//! they were scheduled.
+//! Queue of future events, ordered by virtual time. Events at the same time are handled in the order in which they were
+//! scheduled.
 
 use marblefall_scheduler::{EndpointId, EndpointUpdate, Outcome, Time};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A message as its client submits it.
+/// A submission of a message by a client.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Submission {
-    /// Index of its class in the scenario.
+    /// Index of the message's class in the scenario.
     pub(super) class: usize,
-    /// Index of its destination in the scenario.
+    /// Index of the message's destination in the scenario.
     pub(super) destination: usize,
-    /// Index of its load in the scenario.
+    /// Index of the load in the scenario that the message is part of.
     pub(super) load: usize,
-    /// When the client first intended to submit it.
+    /// Time at which the client first intended to submit the message.
     pub(super) intended_at: Time,
-    /// How often the client may submit it again.
+    /// Number of times that the client may submit the message again.
     pub(super) retries_left: u32,
 }
 
-/// An attempt on its way to its endpoint.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TravellingAttempt {
     pub(super) message: u64,
-    /// The incarnation of the instance that started it.
+    /// Incarnation of the instance that started the attempt.
     pub(super) incarnation: u32,
     pub(super) endpoint: EndpointId,
     pub(super) timeout_at: Time,
 }
 
 impl TravellingAttempt {
-    /// The event of its end.
+    /// Returns the event that ends the attempt.
     pub(super) fn ends(self, outcome: Outcome) -> SimulationEvent {
         SimulationEvent::AttemptEnds {
             message: self.message,
@@ -41,7 +41,7 @@
     }
 }
 
-/// An event of the simulation. Loads, list changes, crashes and instances are indices into the scenario.
+/// An event of the simulation. Loads, list changes, crashes and instances are given as indices into the scenario.
 pub(super) enum SimulationEvent {
     /// The next message or burst of a load arrives.
     LoadArrives(usize),
@@ -49,7 +49,7 @@
     ClientSubmits(Submission),
     /// The first byte of an attempt arrives at its endpoint.
     AttemptArrives(TravellingAttempt),
-    /// An attempt ends for its instance.
+    /// The instance of an attempt receives its outcome.
     AttemptEnds {
         message: u64,
         incarnation: u32,
@@ -75,7 +75,7 @@
     InstanceStarts(usize),
 }
 
-/// An event with its time and its number in the order of scheduling.
+/// An event with its time and its sequence number, which breaks ties.
 struct Scheduled {
     at: Time,
     number: u64,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Future events.
+/// Priority queue of future events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
@@ -110,7 +110,7 @@
 }
 
 impl EventQueue {
-    /// Schedules an event.
+    /// Schedules an event at a time.
     pub(super) fn push(&mut self, at: Time, event: SimulationEvent) {
         self.scheduled += 1;
         let number = self.scheduled;
--- a/crates/simulation/src/simulation/instances.rs
+++ b/crates/simulation/src/simulation/instances.rs
@@ -1,4 +1,4 @@
-//! Instances: their starts and crashes, the events they receive, and the actions they request.
+//! Instances: their starts and crashes, the delivery of events to them, and the execution of their actions.
 
 use super::event_queue::SimulationEvent;
 use super::{Incarnation, Message, Simulation};
@@ -9,13 +9,14 @@
     NewMessage, PriorAttempts, Span, ZoneId,
 };
 
-/// Odd multiplier that spreads the seeds of a run over the seeds of its instances (the golden ratio of 2^64).
+/// Odd multiplier that derives the seeds of the instances from the seed of the run (2^64 divided by the golden ratio).
 const SEED_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
-/// The advertised rate of an endpoint whose destination advertises none.
+/// Advertised rate of an endpoint whose destination advertises none, in calls per second.
 const DEFAULT_ADVERTISED_RATE: f64 = 1.0;
 
 impl Simulation<'_> {
-    /// Starts an incarnation of an instance. It receives the endpoint list, then the messages that the last one left.
+    /// Starts the next incarnation of an instance. It receives the endpoint list first, then the messages that earlier
+    /// incarnations did not finish.
     pub(super) fn start_instance(&mut self, instance: usize) {
         let incarnation = self.instances[instance].incarnation;
         let seed = self.seed.wrapping_mul(SEED_MULTIPLIER)
@@ -34,7 +35,7 @@
         self.deliver(instance, &events);
     }
 
-    /// The messages that earlier incarnations of an instance accepted and did not finish, by their number.
+    /// Returns the messages that earlier incarnations of an instance accepted and did not finish, in order of their id.
     fn unfinished_messages(&self, instance: usize) -> Vec<Event> {
         let mut unfinished: Vec<(&u64, &Message)> = self
             .messages
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Delivers events to an instance, if it runs, and executes the resulting actions.
+    /// Delivers events to an instance if it runs, and executes the resulting actions.
     pub(super) fn deliver(&mut self, instance: usize, events: &[Event]) {
         let Some(node) = &mut self.instances[instance].node else {
             return;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Crashes an instance, if it runs, and schedules its restart.
+    /// Crashes an instance if it runs, and schedules its restart.
     pub(super) fn crash(&mut self, index: usize) {
         let crash = self.scenario.crashes[index];
         let slot = &mut self.instances[crash.instance];
@@ -148,7 +149,7 @@
         self.queue.push(self.now + crash.restart_after, start);
     }
 
-    /// Ends the attempts of an instance that crashed. They may have been executed.
+    /// Drops the attempts in flight of an instance that crashed. The destination may have executed them.
     fn abandon_attempts(&mut self, instance: usize) {
         let messages = self.messages.values_mut();
         for message in messages.filter(|message| message.instance == instance) {
@@ -168,7 +169,7 @@
     }
 }
 
-/// A message as the scheduler receives it.
+/// Converts a message to the type that the scheduler receives.
 pub(super) fn new_message(id: u64, message: &Message) -> NewMessage {
     NewMessage {
         message: MessageId(id),
