--- a/crates/simulation/tests/reproducibility.rs
+++ b/crates/simulation/tests/reproducibility.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn same_seed_repeats_run_and_another_differs() {
+fn same_seed_repeats_run_and_other_seed_changes_it() {
     let path = shipped_scenario("mixed");
     let first = observations(&path, 5);
     let on_other_threads: Vec<_> = (0..4)
--- a/crates/simulation/tests/scenario_files.rs
+++ b/crates/simulation/tests/scenario_files.rs
@@ -172,7 +172,7 @@
 
 /// Guards against panics of the parsers on random bytes, and on shipped scenarios with random cuts and insertions.
 #[test]
-fn readers_survive_random_bytes() {
+fn parsers_do_not_panic_on_random_bytes() {
     let texts: Vec<String> = shipped_scenarios()
         .iter()
         .map(|path| fs::read_to_string(path).unwrap())
