--- a/crates/simulation/src/connections.rs
+++ b/crates/simulation/src/connections.rs
@@ -68,7 +68,7 @@
             Some(since) if is_open(policy, now, since) => Acquired::Reused,
             Some(_) => return Acquired::Stale,
             None => {
-                let open = self.open(now, endpoint, policy);
+                let open = self.open_count(now, endpoint, policy);
                 if policy.max_open.is_some_and(|max| open >= max) {
                     return Acquired::LimitReached;
                 }
@@ -80,7 +80,7 @@
     }
 
     /// Returns the number of connections that an endpoint holds open, including idle ones.
-    fn open(&self, now: Time, endpoint: u32, policy: &ConnectionPolicy) -> usize {
+    fn open_count(&self, now: Time, endpoint: u32, policy: &ConnectionPolicy) -> usize {
         let to_endpoint = self.idle.iter().filter(|((_, to), _)| *to == endpoint);
         let idle = to_endpoint
             .flat_map(|(_, idle)| idle)
--- a/crates/simulation/src/destination/state.rs
+++ b/crates/simulation/src/destination/state.rs
@@ -13,7 +13,7 @@
 /// Microseconds per second.
 const US_PER_S: f64 = 1e6;
 /// Calls above the overload limit that a recovering destination tolerates, because calls of several instances may coincide.
-const COINCIDING_CALLS: f64 = 2.0;
+const OVERLOAD_TOLERANCE_CALLS: f64 = 2.0;
 
 /// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -45,7 +45,7 @@
         }
     }
 
-    fn at(at: Time, outcome: Outcome) -> CallResult {
+    fn answered(at: Time, outcome: Outcome) -> CallResult {
         CallResult::Answered { at, outcome }
     }
 }
@@ -61,8 +61,12 @@
 
 impl EndpointState {
     /// Reserves the server that becomes free first. Returns the start time of the call, or `None` if the queue is full.
-    fn reserve(&mut self, now: Time, work: Span, max_waiting: usize) -> Option<Time> {
-        while self.waiting.front().is_some_and(|starts| *starts <= now) {
+    fn reserve(&mut self, now: Time, service_time: Span, max_waiting: usize) -> Option<Time> {
+        while self
+            .waiting
+            .front()
+            .is_some_and(|starts_at| *starts_at <= now)
+        {
             self.waiting.pop_front();
         }
         let free_at = self
@@ -70,22 +74,22 @@
             .iter_mut()
             .min()
             .expect("an endpoint has a server");
-        let starts = (*free_at).max(now);
-        if starts > now {
+        let starts_at = (*free_at).max(now);
+        if starts_at > now {
             if self.waiting.len() >= max_waiting {
                 return None;
             }
-            self.waiting.push_back(starts);
+            self.waiting.push_back(starts_at);
         }
-        *free_at = starts + work;
-        Some(starts)
+        *free_at = starts_at + service_time;
+        Some(starts_at)
     }
 }
 
 /// The current window of a fixed-window rate limit.
 #[derive(Clone, Copy, Debug)]
 struct QuotaWindow {
-    started: Time,
+    started_at: Time,
     calls: u32,
 }
 
@@ -133,52 +137,55 @@
     /// If the destination has no endpoint with this index.
     pub fn receive(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> CallResult {
         if self.overloaded_until.is_some_and(|until| now < until) {
-            return CallResult::at(now, Outcome::ConnectFailed);
+            return CallResult::answered(now, Outcome::ConnectFailed);
         }
-        if let Some(outage) = self.outage(now, rng) {
+        if let Some(outage) = self.outage_affecting_call(now, rng) {
             self.recovering_since = None;
-            return self.fail(now, &outage, rng);
+            return self.outage_result(now, &outage, rng);
         }
-        if self.overloads(now) {
+        if self.record_recovery_call(now) {
             return CallResult::Overloaded { at: now };
         }
         let rate = self.spec.rejection_rate;
         if rate > 0.0 && rng.random::<f64>() < rate {
-            return CallResult::at(now, Outcome::Rejected { retry_after: None });
+            return CallResult::answered(now, Outcome::Rejected { retry_after: None });
         }
         if let Some(wait) = self.reserve_quota(now) {
-            return CallResult::at(now, self.rejection(wait));
+            return CallResult::answered(now, self.rejection(wait));
         }
         self.process(now, endpoint, rng)
     }
 
     /// Returns the outage that makes a call arriving now fail, if any.
-    fn outage(&self, now: Time, rng: &mut impl Rng) -> Option<Outage> {
+    fn outage_affecting_call(&self, now: Time, rng: &mut impl Rng) -> Option<Outage> {
         let mut outages = self.spec.outages.iter();
         let active = outages.find(|outage| outage.is_active(now)).copied();
         active.filter(|outage| outage.is_total() || rng.random::<f64>() < outage.share)
     }
 
-    fn fail(&self, now: Time, outage: &Outage, rng: &mut impl Rng) -> CallResult {
+    fn outage_result(&self, now: Time, outage: &Outage, rng: &mut impl Rng) -> CallResult {
         match outage.kind {
-            OutageKind::RefuseConnections => CallResult::at(now, Outcome::ConnectFailed),
-            OutageKind::ResetConnections => CallResult::at(now, Outcome::Reset),
+            OutageKind::RefuseConnections => CallResult::answered(now, Outcome::ConnectFailed),
+            OutageKind::ResetConnections => CallResult::answered(now, Outcome::Reset),
             OutageKind::Blackhole => CallResult::Unanswered,
-            OutageKind::ReturnErrors => CallResult::at(now + self.work(rng), Outcome::Error),
-            OutageKind::RejectAll => CallResult::at(now, self.rejection(outage.until - now)),
+            OutageKind::ReturnErrors => {
+                CallResult::answered(now + self.draw_service_time(rng), Outcome::Error)
+            }
+            OutageKind::RejectAll => CallResult::answered(now, self.rejection(outage.until - now)),
         }
     }
 
     /// Processes a call that the rate limit admitted.
     fn process(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> CallResult {
-        let work = self.work(rng);
-        let Some(starts) = self.endpoints[endpoint].reserve(now, work, self.spec.queue) else {
-            return CallResult::at(now, Outcome::Rejected { retry_after: None });
+        let service_time = self.draw_service_time(rng);
+        let Some(starts_at) = self.endpoints[endpoint].reserve(now, service_time, self.spec.queue)
+        else {
+            return CallResult::answered(now, Outcome::Rejected { retry_after: None });
         };
-        let done = starts + work;
+        let done = starts_at + service_time;
         match self.interruption(now, done) {
-            Some(at) => CallResult::at(at, Outcome::Reset),
-            None => CallResult::at(done, Outcome::Delivered),
+            Some(at) => CallResult::answered(at, Outcome::Reset),
+            None => CallResult::answered(done, Outcome::Delivered),
         }
     }
 
@@ -194,7 +201,7 @@
         interrupting.map(|outage| outage.from).min()
     }
 
-    fn work(&self, rng: &mut impl Rng) -> Span {
+    fn draw_service_time(&self, rng: &mut impl Rng) -> Span {
         Span::from_ms(self.spec.service_time.sample(rng))
     }
 
@@ -228,9 +235,11 @@
     }
 
     fn count_in_window(&mut self, now: Time, max_calls: u32, length: Span) -> Option<Span> {
-        let current = self.window.filter(|window| now - window.started < length);
+        let current = self
+            .window
+            .filter(|window| now - window.started_at < length);
         let mut window = current.unwrap_or(QuotaWindow {
-            started: now,
+            started_at: now,
             calls: 0,
         });
         let is_full = window.calls >= max_calls;
@@ -238,11 +247,11 @@
             window.calls = window.calls.saturating_add(1);
         }
         self.window = Some(window);
-        is_full.then(|| (window.started + length) - now)
+        is_full.then(|| (window.started_at + length) - now)
     }
 
     /// Counts a call after an outage. Returns whether the call overloads the recovering destination.
-    fn overloads(&mut self, now: Time) -> bool {
+    fn record_recovery_call(&mut self, now: Time) -> bool {
         let Some(warm_up) = self.spec.warm_up else {
             return false;
         };
@@ -252,12 +261,12 @@
         }
         let since = *self.recovering_since.get_or_insert(now);
         self.count_recent_call(now, warm_up.overload_window);
-        let warmed_up =
+        let warm_up_progress =
             ((now - since).secs() / warm_up.duration.secs().max(MIN_DURATION_S)).min(1.0);
         let capacity = self.spec.capacity()
-            * (warm_up.initial_capacity + (1.0 - warm_up.initial_capacity) * warmed_up);
-        let max_calls =
-            warm_up.overload_factor * capacity * warm_up.overload_window.secs() + COINCIDING_CALLS;
+            * (warm_up.initial_capacity + (1.0 - warm_up.initial_capacity) * warm_up_progress);
+        let max_calls = warm_up.overload_factor * capacity * warm_up.overload_window.secs()
+            + OVERLOAD_TOLERANCE_CALLS;
         let is_overloaded = self.recent_calls.len() as f64 > max_calls;
         if is_overloaded {
             self.overloaded_until = Some(now + warm_up.overload_downtime);
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -19,7 +19,7 @@
     NoMessageLost,
     /// A message has at most one attempt in flight.
     SingleAttemptInFlight,
-    /// A message is retried only as its class permits.
+    /// A message is retried only if the idempotency of its class permits the retry.
     RetriesPermitted,
     /// An instance sends no attempt to a destination before every Retry-After that it received from that destination
     /// has passed.
--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -56,7 +56,7 @@
     /// destination.
     retry_not_before: HashMap<(usize, usize), Time>,
     /// Time since which an endpoint has not been listed as active, by endpoint.
-    unlisted_since: HashMap<u32, Time>,
+    inactive_since: HashMap<u32, Time>,
     violations: Vec<Violation>,
     count: u64,
 }
@@ -69,7 +69,7 @@
             endpoint_locations: scenario.endpoint_locations(),
             messages: HashMap::new(),
             retry_not_before: HashMap::new(),
-            unlisted_since: HashMap::new(),
+            inactive_since: HashMap::new(),
             violations: Vec::new(),
             count: 0,
         }
@@ -116,7 +116,7 @@
             Observation::RecoveryOverloaded { destination } => {
                 let name = &self.scenario.destinations[destination].name;
                 let description = format!("{name} failed again");
-                self.violated(Invariant::NoRecoveryOverload, at, None, description);
+                self.record_violation(Invariant::NoRecoveryOverload, at, None, description);
             }
             Observation::InstanceCrashed { instance } => self.instance_crashed(instance),
             Observation::InstanceRestarted { .. } => {}
@@ -132,7 +132,7 @@
         lost.sort_unstable();
         for message in lost {
             let description = format!("message {message} has no final outcome");
-            self.violated(Invariant::NoMessageLost, at, Some(message), description);
+            self.record_violation(Invariant::NoMessageLost, at, Some(message), description);
         }
         Verdict {
             violations: self.violations,
@@ -140,7 +140,7 @@
         }
     }
 
-    fn violated(
+    fn record_violation(
         &mut self,
         invariant: Invariant,
         at: Time,
@@ -175,7 +175,7 @@
         let Some(open) = open.filter(|open| !open.has_ended) else {
             let description =
                 format!("message {message} ended again, or was never accepted: {outcome:?}");
-            return self.violated(
+            return self.record_violation(
                 Invariant::SingleFinalOutcome,
                 at,
                 Some(message),
@@ -190,7 +190,7 @@
                 "message {message} was delivered {:.0} ms after its deadline",
                 late.ms()
             );
-            self.violated(Invariant::NoMessageLost, at, Some(message), description);
+            self.record_violation(Invariant::NoMessageLost, at, Some(message), description);
         }
         if !has_attempt_in_flight {
             self.messages.remove(&message);
@@ -202,7 +202,7 @@
         let Some(open) = self.messages.get_mut(&message) else {
             let description =
                 format!("an attempt of message {message}, which has ended or was never accepted");
-            return self.violated(Invariant::SingleFinalOutcome, at, None, description);
+            return self.record_violation(Invariant::SingleFinalOutcome, at, None, description);
         };
         let sent = AttemptInFlight {
             endpoint,
@@ -214,7 +214,7 @@
                 other.endpoint,
                 other.sent_at.ms() / 1000.0
             );
-            return self.violated(
+            return self.record_violation(
                 Invariant::SingleAttemptInFlight,
                 at,
                 Some(message),
@@ -223,9 +223,9 @@
         }
         let age = open.first_possible_execution.map(|first| at - first);
         let idempotency = self.scenario.classes[open.class].class.idempotency;
-        if let Some(reason) = age.and_then(|age| forbidden_retry(idempotency, age)) {
+        if let Some(reason) = age.and_then(|age| reason_against_retry(idempotency, age)) {
             let description = format!("message {message} was sent again, but {reason}");
-            self.violated(Invariant::RetriesPermitted, at, Some(message), description);
+            self.record_violation(Invariant::RetriesPermitted, at, Some(message), description);
         }
     }
 
@@ -238,7 +238,7 @@
             let early = (*until - at).ms();
             let description =
                 format!("message {message} was sent {early:.3} ms before Retry-After had passed");
-            self.violated(
+            self.record_violation(
                 Invariant::RetryAfterObserved,
                 at,
                 Some(message),
@@ -248,7 +248,7 @@
     }
 
     fn attempt_arrived(&mut self, at: Time, message: u64, endpoint: u32) {
-        let Some(since) = self.unlisted_since.get(&endpoint) else {
+        let Some(since) = self.inactive_since.get(&endpoint) else {
             return;
         };
         let late = at - *since;
@@ -257,7 +257,7 @@
                 "message {message} arrived at endpoint {endpoint} {:.0} ms after it left the list",
                 late.ms()
             );
-            self.violated(Invariant::DrainingObserved, at, Some(message), description);
+            self.record_violation(Invariant::DrainingObserved, at, Some(message), description);
         }
     }
 
@@ -290,9 +290,9 @@
 
     fn endpoint_listed(&mut self, at: Time, endpoint: u32, status: EndpointStatus) {
         if status == EndpointStatus::Active {
-            self.unlisted_since.remove(&endpoint);
+            self.inactive_since.remove(&endpoint);
         } else {
-            self.unlisted_since.entry(endpoint).or_insert(at);
+            self.inactive_since.entry(endpoint).or_insert(at);
         }
     }
 
@@ -314,7 +314,7 @@
 
 /// Returns the reason why a message must not be retried at this age since its first possible execution, or `None` if the
 /// retry is permitted.
-fn forbidden_retry(idempotency: Idempotency, age: Span) -> Option<String> {
+fn reason_against_retry(idempotency: Idempotency, age: Span) -> Option<String> {
     match idempotency {
         Idempotency::NonIdempotent => Some("its class is not idempotent".to_owned()),
         Idempotency::IdempotencyKey { window, .. } if age >= window => Some(format!(
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 
 /// [`Mutation::DuplicatesAttempts`] duplicates every attempt whose number is a multiple of this.
-const DUPLICATED_ATTEMPTS: u64 = 100;
+const DUPLICATION_INTERVAL: u64 = 100;
 /// [`Mutation::DropsFinalOutcomes`] drops every rejection or failure whose number is a multiple of this.
-const DROPPED_OUTCOMES: u64 = 10;
+const DROP_INTERVAL: u64 = 10;
 /// A deduplication window that is longer than any run.
-const ENDLESS_WINDOW: Span = Span(i64::MAX / 4);
+const UNLIMITED_WINDOW: Span = Span(i64::MAX / 4);
 /// An overload factor that no load reaches.
-const ENDLESS_OVERLOAD_FACTOR: f64 = 1000.0;
+const UNREACHABLE_OVERLOAD_FACTOR: f64 = 1000.0;
 
 /// A defect of a mutant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,13 +29,13 @@
     /// Every endpoint is treated as active.
     IgnoresDraining,
     /// Every rejection is reported twice.
-    FinishesTwice,
+    ReportsRejectionsTwice,
     /// Some rejections and failures are not reported.
     DropsFinalOutcomes,
     /// An attempt that timed out or was reset is treated as not executed.
     TreatsResetAsNotExecuted,
     /// After a restart, attempts of earlier incarnations are treated as not executed.
-    ForgetsAttemptsOnRestart,
+    DropsPriorAttemptsOnRestart,
     /// A recovering destination receives the full load at once.
     IgnoresRecoveryRamp,
     /// Idempotency keys are treated as valid forever.
@@ -49,10 +49,10 @@
         Mutation::DuplicatesAttempts,
         Mutation::LosesMessagesOnRestart,
         Mutation::IgnoresDraining,
-        Mutation::FinishesTwice,
+        Mutation::ReportsRejectionsTwice,
         Mutation::DropsFinalOutcomes,
         Mutation::TreatsResetAsNotExecuted,
-        Mutation::ForgetsAttemptsOnRestart,
+        Mutation::DropsPriorAttemptsOnRestart,
         Mutation::IgnoresRecoveryRamp,
         Mutation::IgnoresDeduplicationWindow,
     ];
@@ -66,9 +66,9 @@
                 Invariant::NoMessageLost
             }
             Mutation::IgnoresDraining => Invariant::DrainingObserved,
-            Mutation::FinishesTwice => Invariant::SingleFinalOutcome,
+            Mutation::ReportsRejectionsTwice => Invariant::SingleFinalOutcome,
             Mutation::TreatsResetAsNotExecuted
-            | Mutation::ForgetsAttemptsOnRestart
+            | Mutation::DropsPriorAttemptsOnRestart
             | Mutation::IgnoresDeduplicationWindow => Invariant::RetriesPermitted,
             Mutation::IgnoresRecoveryRamp => Invariant::NoRecoveryOverload,
         }
@@ -76,7 +76,7 @@
 
     /// Creates a node with this defect.
     pub fn node(self, mut settings: Settings, seed: u64) -> Box<dyn Node> {
-        self.change_settings(&mut settings);
+        self.mutate_settings(&mut settings);
         Box::new(Mutant {
             mutation: self,
             scheduler: Scheduler::new(settings, seed),
@@ -86,16 +86,16 @@
         })
     }
 
-    fn change_settings(self, settings: &mut Settings) {
+    fn mutate_settings(self, settings: &mut Settings) {
         match self {
             Mutation::IgnoresRecoveryRamp => {
                 settings.rules.ramp_start = 1.0;
-                settings.rules.overload_factor = ENDLESS_OVERLOAD_FACTOR;
+                settings.rules.overload_factor = UNREACHABLE_OVERLOAD_FACTOR;
             }
             Mutation::IgnoresDeduplicationWindow => {
                 for class in &mut settings.classes {
                     if let Idempotency::IdempotencyKey { window, .. } = &mut class.idempotency {
-                        *window = ENDLESS_WINDOW;
+                        *window = UNLIMITED_WINDOW;
                     }
                 }
             }
@@ -116,7 +116,7 @@
 
 impl Mutant {
     /// Returns the event that the scheduler receives, or `None` if the event is dropped.
-    fn change_event(&mut self, event: &Event) -> Option<Event> {
+    fn mutate_event(&mut self, event: &Event) -> Option<Event> {
         let mut event = event.clone();
         match (&mut event, self.mutation) {
             (
@@ -132,12 +132,12 @@
                 *outcome = Outcome::ConnectFailed;
             }
             (Event::AttemptFinished { message, .. }, Mutation::DuplicatesAttempts)
-                if self.is_duplicate(*message) =>
+                if self.remove_duplicate(*message) =>
             {
                 return None;
             }
             (Event::Resumed(..), Mutation::LosesMessagesOnRestart) => return None,
-            (Event::Resumed(_, prior), Mutation::ForgetsAttemptsOnRestart) => {
+            (Event::Resumed(_, prior), Mutation::DropsPriorAttemptsOnRestart) => {
                 prior.first_possible_execution = None;
             }
             (Event::EndpointsUpdated(updates), Mutation::IgnoresDraining) => {
@@ -151,7 +151,7 @@
     }
 
     /// Returns whether an attempt that ended counts as a duplicate, and if so removes one duplicate from those in flight.
-    fn is_duplicate(&mut self, message: MessageId) -> bool {
+    fn remove_duplicate(&mut self, message: MessageId) -> bool {
         let in_flight = self.duplicates_in_flight.get_mut(&message);
         let Some(duplicates) = in_flight.filter(|duplicates| **duplicates > 0) else {
             return false;
@@ -165,16 +165,16 @@
         match (action, self.mutation) {
             (Action::Send { message, .. }, Mutation::DuplicatesAttempts) => {
                 self.attempts += 1;
-                if !self.attempts.is_multiple_of(DUPLICATED_ATTEMPTS) {
+                if !self.attempts.is_multiple_of(DUPLICATION_INTERVAL) {
                     return 1;
                 }
                 *self.duplicates_in_flight.entry(*message).or_default() += 1;
                 2
             }
-            (Action::Reject { .. }, Mutation::FinishesTwice) => 2,
+            (Action::Reject { .. }, Mutation::ReportsRejectionsTwice) => 2,
             (Action::Reject { .. } | Action::Fail(_), Mutation::DropsFinalOutcomes) => {
                 self.final_outcomes += 1;
-                usize::from(!self.final_outcomes.is_multiple_of(DROPPED_OUTCOMES))
+                usize::from(!self.final_outcomes.is_multiple_of(DROP_INTERVAL))
             }
             _ => 1,
         }
@@ -183,13 +183,13 @@
 
 impl Node for Mutant {
     fn handle(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
-        let changed: Vec<Event> = events
+        let mutated: Vec<Event> = events
             .iter()
-            .filter_map(|event| self.change_event(event))
+            .filter_map(|event| self.mutate_event(event))
             .collect();
-        let mut scheduled = Vec::new();
-        self.scheduler.handle(now, &changed, &mut scheduled);
-        for action in scheduled {
+        let mut scheduler_actions = Vec::new();
+        self.scheduler.handle(now, &mutated, &mut scheduler_actions);
+        for action in scheduler_actions {
             let repetitions = self.repetitions(&action);
             actions.extend(std::iter::repeat_n(action, repetitions));
         }
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// An instance, whether it runs or not.
+/// State of an instance, which may be running or down.
 #[derive(Default)]
 struct InstanceSlot {
     /// Node of the current incarnation; `None` while the instance is down.
@@ -188,8 +188,8 @@
     fn start(&mut self) {
         let classes = self.scenario.classes.iter();
         let deadlines = classes.map(|class| class.class.deadline);
-        let longest = deadlines.max().unwrap_or(Span::ZERO);
-        self.totals.ended_at = self.scenario.length() + longest + DRAIN_TIME;
+        let longest_deadline = deadlines.max().unwrap_or(Span::ZERO);
+        self.totals.ended_at = self.scenario.length() + longest_deadline + DRAIN_TIME;
         for instance in 0..self.instances.len() {
             self.start_instance(instance);
         }
--- a/crates/simulation/src/simulation/attempts.rs
+++ b/crates/simulation/src/simulation/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts, from the instance to the endpoint and back, and the final outcomes of messages.
 
-use super::event_queue::{SimulationEvent, Submission, TravellingAttempt};
+use super::event_queue::{SentAttempt, SimulationEvent, Submission};
 use super::{Message, Simulation};
 use crate::connections::{Acquired, Release};
 use crate::destination::CallResult;
@@ -10,7 +10,7 @@
 };
 
 /// Result of connecting to the endpoint of an attempt.
-enum Connection {
+enum ConnectResult {
     /// The connection is established after this additional time.
     Established { after: Span },
     /// The attempt fails without reaching its endpoint.
@@ -36,7 +36,7 @@
         timeout_at: Time,
     ) {
         self.record_attempt(instance, id, endpoint);
-        let attempt = TravellingAttempt {
+        let attempt = SentAttempt {
             message: id,
             incarnation: self.instances[instance].incarnation,
             endpoint,
@@ -44,11 +44,12 @@
         };
         let network_delay = self.network_delay();
         match self.connect(instance, id, endpoint, network_delay) {
-            Connection::Established { after } => {
-                self.travel(attempt, Span(network_delay.0 + after.0));
+            ConnectResult::Established { after } => {
+                self.send_over_network(attempt, Span(network_delay.0 + after.0));
             }
-            Connection::Failed { after, outcome } => {
-                self.queue.push(self.now + after, attempt.ends(outcome));
+            ConnectResult::Failed { after, outcome } => {
+                self.queue
+                    .push(self.now + after, attempt.end_event(outcome));
             }
         }
     }
@@ -70,14 +71,14 @@
     }
 
     /// Schedules the arrival of an attempt at its endpoint, or its timeout if the network loses it.
-    fn travel(&mut self, attempt: TravellingAttempt, delay: Span) {
+    fn send_over_network(&mut self, attempt: SentAttempt, delay: Span) {
         let destination = self.destination_of(attempt.endpoint);
         if self.scenario.is_partitioned(destination, self.now) || self.is_lost_in_network() {
-            let times_out = attempt.ends(Outcome::TimedOut);
-            return self.queue.push(attempt.timeout_at, times_out);
+            let timeout = attempt.end_event(Outcome::TimedOut);
+            return self.queue.push(attempt.timeout_at, timeout);
         }
-        let arrives = SimulationEvent::AttemptArrives(attempt);
-        self.queue.push(self.now + delay, arrives);
+        let arrival = SimulationEvent::AttemptArrives(attempt);
+        self.queue.push(self.now + delay, arrival);
     }
 
     /// Acquires a connection for an attempt. Without a connection policy of the destination, connecting takes no time.
@@ -87,10 +88,10 @@
         id: u64,
         endpoint: EndpointId,
         network_delay: Span,
-    ) -> Connection {
+    ) -> ConnectResult {
         let destination = self.destination_of(endpoint);
         let Some(policy) = self.scenario.destinations[destination].connection_policy else {
-            return Connection::Established { after: Span::ZERO };
+            return ConnectResult::Established { after: Span::ZERO };
         };
         let acquired = self
             .connection_pool
@@ -98,13 +99,13 @@
         let round_trip = Span(network_delay.0 + self.network_delay().0);
         let after = match acquired {
             Acquired::Stale => {
-                return Connection::Failed {
+                return ConnectResult::Failed {
                     after: round_trip,
                     outcome: Outcome::StaleConnection,
                 };
             }
             Acquired::LimitReached => {
-                return Connection::Failed {
+                return ConnectResult::Failed {
                     after: round_trip,
                     outcome: Outcome::ConnectFailed,
                 };
@@ -115,11 +116,11 @@
         if let Some(message) = self.messages.get_mut(&id) {
             message.holds_connection = true;
         }
-        Connection::Established { after }
+        ConnectResult::Established { after }
     }
 
     /// Handles an attempt that arrives at its endpoint, and schedules its end.
-    pub(super) fn attempt_arrives(&mut self, attempt: TravellingAttempt) {
+    pub(super) fn attempt_arrives(&mut self, attempt: SentAttempt) {
         self.observe(Observation::AttemptArrived {
             message: attempt.message,
             endpoint: attempt.endpoint.0,
@@ -139,12 +140,12 @@
             _ => (attempt.timeout_at, Outcome::TimedOut),
         };
         let at = at.max(self.now + Span(1));
-        self.queue.push(at, attempt.ends(outcome));
+        self.queue.push(at, attempt.end_event(outcome));
     }
 
     /// Reports the end of an attempt to its instance if the incarnation that started the attempt still runs.
     pub(super) fn attempt_ends(&mut self, id: u64, incarnation: u32, outcome: Outcome) {
-        let Some(ended) = self.take_attempt(id, incarnation, outcome) else {
+        let Some(ended) = self.take_attempt_in_flight(id, incarnation, outcome) else {
             return;
         };
         self.observe(Observation::AttemptEnded {
@@ -165,15 +166,15 @@
             rate_limit: RateLimitReport::default(),
         };
         self.deliver(ended.instance, &[finished]);
-        let is_over = |message: &Message| message.has_ended && message.in_flight.is_none();
-        if self.messages.get(&id).is_some_and(is_over) {
+        let is_complete = |message: &Message| message.has_ended && message.in_flight.is_none();
+        if self.messages.get(&id).is_some_and(is_complete) {
             self.messages.remove(&id);
         }
     }
 
     /// Removes the attempt in flight of a message and releases its connection. Returns `None` if the incarnation that
     /// started the attempt no longer runs, or if no attempt is in flight.
-    fn take_attempt(
+    fn take_attempt_in_flight(
         &mut self,
         id: u64,
         incarnation: u32,
@@ -220,13 +221,13 @@
         let (FinalOutcome::Rejected(wait), 1..) = (outcome, submission.retries_left) else {
             return;
         };
-        let again = Submission {
+        let resubmission = Submission {
             retries_left: submission.retries_left - 1,
             ..submission
         };
         let delay = self.network_delay();
-        let submits = SimulationEvent::ClientSubmits(again);
-        self.queue.push(self.now + wait + delay, submits);
+        let submit = SimulationEvent::ClientSubmits(resubmission);
+        self.queue.push(self.now + wait + delay, submit);
     }
 }
 
--- a/crates/simulation/src/simulation/clients.rs
+++ b/crates/simulation/src/simulation/clients.rs
@@ -71,8 +71,8 @@
                 retries_left: spec.retries,
             };
             let delay = self.network_delay();
-            let submits = SimulationEvent::ClientSubmits(submission);
-            self.queue.push(self.now + delay, submits);
+            let submit = SimulationEvent::ClientSubmits(submission);
+            self.queue.push(self.now + delay, submit);
         }
         self.schedule_next_arrival(load);
     }
@@ -85,8 +85,8 @@
             return;
         }
         let Some(instance) = self.draw_running_instance() else {
-            let submits = SimulationEvent::ClientSubmits(submission);
-            return self.queue.push(self.now + NO_INSTANCE_RETRY, submits);
+            let submit = SimulationEvent::ClientSubmits(submission);
+            return self.queue.push(self.now + NO_INSTANCE_RETRY, submit);
         };
         self.last_message += 1;
         let id = self.last_message;
--- a/crates/simulation/src/simulation/event_queue.rs
+++ b/crates/simulation/src/simulation/event_queue.rs
@@ -22,7 +22,7 @@
 
 /// An attempt that was sent and has not ended.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct TravellingAttempt {
+pub(super) struct SentAttempt {
     pub(super) message: u64,
     /// Incarnation of the instance that started the attempt.
     pub(super) incarnation: u32,
@@ -30,9 +30,9 @@
     pub(super) timeout_at: Time,
 }
 
-impl TravellingAttempt {
+impl SentAttempt {
     /// Returns the event that ends the attempt.
-    pub(super) fn ends(self, outcome: Outcome) -> SimulationEvent {
+    pub(super) fn end_event(self, outcome: Outcome) -> SimulationEvent {
         SimulationEvent::AttemptEnds {
             message: self.message,
             incarnation: self.incarnation,
@@ -48,7 +48,7 @@
     /// A client submits a message.
     ClientSubmits(Submission),
     /// The first byte of an attempt arrives at its endpoint.
-    AttemptArrives(TravellingAttempt),
+    AttemptArrives(SentAttempt),
     /// The instance of an attempt receives its outcome.
     AttemptEnds {
         message: u64,
@@ -78,13 +78,13 @@
 /// An event with its time and its sequence number, which breaks ties.
 struct Scheduled {
     at: Time,
-    number: u64,
+    sequence_number: u64,
     event: SimulationEvent,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Scheduled) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence_number) == (other.at, other.sequence_number)
     }
 }
 
@@ -98,7 +98,7 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Scheduled) -> Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence_number).cmp(&(other.at, other.sequence_number))
     }
 }
 
@@ -106,15 +106,19 @@
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
-    scheduled: u64,
+    last_sequence_number: u64,
 }
 
 impl EventQueue {
     /// Schedules an event at a time.
     pub(super) fn push(&mut self, at: Time, event: SimulationEvent) {
-        self.scheduled += 1;
-        let number = self.scheduled;
-        self.heap.push(Reverse(Scheduled { at, number, event }));
+        self.last_sequence_number += 1;
+        let sequence_number = self.last_sequence_number;
+        self.heap.push(Reverse(Scheduled {
+            at,
+            sequence_number,
+            event,
+        }));
     }
 
     /// Removes the next event and returns it with its time.
--- a/crates/simulation/src/simulation/instances.rs
+++ b/crates/simulation/src/simulation/instances.rs
@@ -121,12 +121,12 @@
         });
         for instance in 0..self.instances.len() {
             let delay = self.network_delay();
-            let arrives = SimulationEvent::ListChangeArrives {
+            let arrival = SimulationEvent::ListChangeArrives {
                 instance,
                 incarnation: self.instances[instance].incarnation,
                 update: Box::new(self.endpoint_update(endpoint)),
             };
-            self.queue.push(self.now + delay, arrives);
+            self.queue.push(self.now + delay, arrival);
         }
     }
 
--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -21,7 +21,7 @@
 use std::path::Path;
 
 /// Returns an experiment of two scenarios, three seeds and two variants. The second variant has overrides.
-fn two_by_three_by_two(folder: &TempFolder, overrides: &str) -> Experiment {
+fn twelve_cell_experiment(folder: &TempFolder, overrides: &str) -> Experiment {
     let (base, crash) = (shipped_scenario("base"), shipped_scenario("crash"));
     let text = format!(
         "scenarios = [{base:?}, {crash:?}]\nseeds = {{ from = 1, to = 3 }}\n[[variant]]\nname = \"plain\"\n\
@@ -33,7 +33,7 @@
 #[test]
 fn experiment_plays_each_cell_once_across_interruptions() {
     let folder = TempFolder::new("grid");
-    let experiment = two_by_three_by_two(&folder, "\"couriers.slots=4\"");
+    let experiment = twelve_cell_experiment(&folder, "\"couriers.slots=4\"");
     let (on_one, on_four) = (folder.0.join("one"), folder.0.join("four"));
     let run = experiment.run(&on_one, 1).unwrap();
     assert_eq!((run.results.len(), run.played), (12, 12));
@@ -52,7 +52,7 @@
     assert_eq!(experiment.run(&on_four, 2).unwrap().played, 0);
 
     // Only the cells whose overrides have changed are played again.
-    let changed = two_by_three_by_two(&folder, "\"couriers.slots=5\"");
+    let changed = twelve_cell_experiment(&folder, "\"couriers.slots=5\"");
     assert_eq!(changed.run(&on_four, 2).unwrap().played, 6);
     assert!(csv(&on_four) != csv(&on_one));
 }
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn difference_is_significant_only_if_there_is_one() {
+fn only_real_differences_are_significant() {
     let mut rng = Pcg64::seed_from_u64(5);
     let significant = |mean: f64, comparisons: usize, rng: &mut Pcg64| {
         (0..200)
@@ -147,13 +147,13 @@
 #[test]
 fn comparison_pairs_cells_that_both_variants_have() {
     let folder = TempFolder::new("pairs");
-    let experiment = two_by_three_by_two(&folder, "\"couriers.slots=1\"");
+    let experiment = twelve_cell_experiment(&folder, "\"couriers.slots=1\"");
     let run = experiment.run(&folder.0.join("out"), 0).unwrap();
-    let of_variant = |name: &str| -> Vec<CellResult> {
+    let results_of_variant = |name: &str| -> Vec<CellResult> {
         let results = run.results.iter().filter(|result| result.variant == name);
         results.cloned().collect()
     };
-    let (plain, set) = (of_variant("plain"), of_variant("set"));
+    let (plain, set) = (results_of_variant("plain"), results_of_variant("set"));
     let comparison = Comparison::of(&plain, &set[1..]);
     let pairs: Vec<usize> = comparison
         .by_scenario
@@ -278,7 +278,7 @@
     let overrides = [format!("title={}", title.replace('"', "'"))];
     let scenario = Scenario::read(&shipped_scenario("mixed"), &overrides, 2).unwrap();
     let mutant = |incarnation: Incarnation| {
-        Mutation::FinishesTwice.node(incarnation.settings, incarnation.seed)
+        Mutation::ReportsRejectionsTwice.node(incarnation.settings, incarnation.seed)
     };
     for (name, make_node) in [
         ("mutant", &mutant as NodeFactory<'_>),
@@ -334,7 +334,7 @@
 fn page_of_an_experiment_counts_its_runs() {
     let folder = TempFolder::new("experiment-page");
     let out = folder.0.join("grid");
-    let experiment = two_by_three_by_two(&folder, "\"couriers.slots=1\"");
+    let experiment = twelve_cell_experiment(&folder, "\"couriers.slots=1\"");
     let run = experiment.run(&out, 0).unwrap();
     let page = of_folder(&out).unwrap();
     assert!(page.contains(&format!(
