--- a/crates/simulation/tests/experiments.rs
+++ b/crates/simulation/tests/experiments.rs
@@ -170,7 +170,7 @@
 #[test]
 fn capacity_search_finds_rate_limit() {
     let folder = TempFolder::new("capacity");
-    // The limit is 20 calls per second and the load is 10. At 2.2 times the load, nine tenths are delivered.
+    // The limit is 20 calls per second and the load is 10. Nine tenths are delivered up to 2.2 times the load.
     let text = "seconds = 120\n[couriers]\ncount = 1\n[class.status]\ngive_up_s = 4\n[partner.a]\nrate = 20\nlisted = 20\n\
                 service_ms = 5\n[[load]]\nclass = \"status\"\npartner = \"a\"\nrate = 10\n";
     let draft = Draft::read(&folder.write("one.toml", text), &[]).unwrap();
