--- a/crates/simulation/src/destination/state.rs
+++ b/crates/simulation/src/destination/state.rs
@@ -1,41 +1,42 @@
 //! The state of a destination during a run.
 //!
-//! The result of a call is decided when it arrives: outages are known in advance, and queues are served in order. There
-//! is no I/O and no clock.
+//! The result of a call is determined when the call arrives, because outages are known in advance and queues are served in
+//! order. This module performs no I/O and reads no clock.
 
 use super::{Destination, Outage, OutageKind, RateLimit, MIN_DURATION_S};
 use marblefall_scheduler::{Outcome, Span, Time};
 use rand::Rng;
 use std::collections::VecDeque;
 
-/// Tolerance for the sum of fractions of a token.
+/// Tolerance for rounding errors in the sum of token fractions.
 const TOKEN_TOLERANCE: f64 = 1e-9;
 /// Microseconds per second.
 const US_PER_S: f64 = 1e6;
-/// Calls above the overload limit that a recovering destination tolerates: calls of several instances may coincide.
-const COINCIDING_CALLS: f64 = 2.0;
+/// Calls above the overload limit that a recovering destination tolerates, because calls of several instances may coincide.
+const OVERLOAD_TOLERANCE_CALLS: f64 = 2.0;
 
-/// What happens to a call.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallResult {
-    /// It is answered.
+    /// The destination answers the call.
     Answered {
-        /// When the answer is sent.
+        /// Time at which the answer is sent.
         at: Time,
-        /// How the call ends for its instance.
+        /// Outcome of the call for its instance.
         outcome: Outcome,
     },
-    /// It is never answered.
+    /// The destination never answers the call.
     Unanswered,
-    /// It is refused, as it overloaded the recovering destination.
+    /// The destination refuses the call, which overloaded it while it was recovering.
     Overloaded {
-        /// When.
+        /// Time of the refusal.
         at: Time,
     },
 }
 
 impl CallResult {
-    /// When the answer is sent, and how the call ends for its instance; `None` if it is never answered.
+    /// Returns the time at which the answer is sent and the outcome for the instance, or `None` if the call is never
+    /// answered.
     pub fn answer(self) -> Option<(Time, Outcome)> {
         match self {
             CallResult::Answered { at, outcome } => Some((at, outcome)),
@@ -44,7 +45,7 @@
         }
     }
 
-    fn at(at: Time, outcome: Outcome) -> CallResult {
+    fn answered(at: Time, outcome: Outcome) -> CallResult {
         CallResult::Answered { at, outcome }
     }
 }
@@ -52,16 +53,20 @@
 /// The servers and the queue of an endpoint.
 #[derive(Clone, Debug)]
 struct EndpointState {
-    /// When each server is free.
+    /// Time at which each server becomes free.
     free_at: Vec<Time>,
-    /// When each waiting call will start.
+    /// Start time of each waiting call, in ascending order.
     waiting: VecDeque<Time>,
 }
 
 impl EndpointState {
-    /// Reserves the server that is free first. Returns when it starts, or `None` if the queue is full.
-    fn reserve(&mut self, now: Time, work: Span, max_waiting: usize) -> Option<Time> {
-        while self.waiting.front().is_some_and(|starts| *starts <= now) {
+    /// Reserves the server that becomes free first. Returns the start time of the call, or `None` if the queue is full.
+    fn reserve(&mut self, now: Time, service_time: Span, max_waiting: usize) -> Option<Time> {
+        while self
+            .waiting
+            .front()
+            .is_some_and(|starts_at| *starts_at <= now)
+        {
             self.waiting.pop_front();
         }
         let free_at = self
@@ -69,22 +74,22 @@
             .iter_mut()
             .min()
             .expect("an endpoint has a server");
-        let starts = (*free_at).max(now);
-        if starts > now {
+        let starts_at = (*free_at).max(now);
+        if starts_at > now {
             if self.waiting.len() >= max_waiting {
                 return None;
             }
-            self.waiting.push_back(starts);
+            self.waiting.push_back(starts_at);
         }
-        *free_at = starts + work;
-        Some(starts)
+        *free_at = starts_at + service_time;
+        Some(starts_at)
     }
 }
 
-/// A fixed window of the rate limit.
+/// The current window of a fixed-window rate limit.
 #[derive(Clone, Copy, Debug)]
 struct QuotaWindow {
-    started: Time,
+    started_at: Time,
     calls: u32,
 }
 
@@ -96,15 +101,15 @@
     tokens: f64,
     refilled_at: Time,
     window: Option<QuotaWindow>,
-    /// When the first call after the last outage arrived.
+    /// Arrival time of the first call after the last outage.
     recovering_since: Option<Time>,
     overloaded_until: Option<Time>,
-    /// Arrivals within the overload window.
+    /// Arrival times of the calls within the overload window.
     recent_calls: VecDeque<Time>,
 }
 
 impl DestinationState {
-    /// A destination that has received no call.
+    /// Creates the state of a destination that has received no call.
     pub fn new(spec: &Destination) -> DestinationState {
         let tokens = match spec.limit {
             Some(RateLimit::TokenBucket { burst, .. }) => burst,
@@ -126,62 +131,66 @@
         }
     }
 
-    /// Receives a call at one of its endpoints.
+    /// Handles a call that arrives at an endpoint.
     ///
     /// # Panics
-    /// If the destination has no endpoint of that index.
+    /// If the destination has no endpoint with this index.
     pub fn receive(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> CallResult {
         if self.overloaded_until.is_some_and(|until| now < until) {
-            return CallResult::at(now, Outcome::ConnectFailed);
+            return CallResult::answered(now, Outcome::ConnectFailed);
         }
-        if let Some(outage) = self.outage(now, rng) {
+        if let Some(outage) = self.outage_affecting_call(now, rng) {
             self.recovering_since = None;
-            return self.fail(now, &outage, rng);
+            return self.outage_result(now, &outage, rng);
         }
-        if self.overloads(now) {
+        if self.record_recovery_call(now) {
             return CallResult::Overloaded { at: now };
         }
         let rate = self.spec.rejection_rate;
         if rate > 0.0 && rng.random::<f64>() < rate {
-            return CallResult::at(now, Outcome::Rejected { retry_after: None });
+            return CallResult::answered(now, Outcome::Rejected { retry_after: None });
         }
         if let Some(wait) = self.reserve_quota(now) {
-            return CallResult::at(now, self.rejection(wait));
+            return CallResult::answered(now, self.rejection(wait));
         }
         self.process(now, endpoint, rng)
     }
 
-    /// The outage that concerns a call that arrives now.
-    fn outage(&self, now: Time, rng: &mut impl Rng) -> Option<Outage> {
+    /// Returns the outage that makes a call arriving now fail, if any.
+    fn outage_affecting_call(&self, now: Time, rng: &mut impl Rng) -> Option<Outage> {
         let mut outages = self.spec.outages.iter();
         let active = outages.find(|outage| outage.is_active(now)).copied();
         active.filter(|outage| outage.is_total() || rng.random::<f64>() < outage.share)
     }
 
-    fn fail(&self, now: Time, outage: &Outage, rng: &mut impl Rng) -> CallResult {
+    fn outage_result(&self, now: Time, outage: &Outage, rng: &mut impl Rng) -> CallResult {
         match outage.kind {
-            OutageKind::RefuseConnections => CallResult::at(now, Outcome::ConnectFailed),
-            OutageKind::ResetConnections => CallResult::at(now, Outcome::Reset),
+            OutageKind::RefuseConnections => CallResult::answered(now, Outcome::ConnectFailed),
+            OutageKind::ResetConnections => CallResult::answered(now, Outcome::Reset),
             OutageKind::Blackhole => CallResult::Unanswered,
-            OutageKind::ReturnErrors => CallResult::at(now + self.work(rng), Outcome::Error),
-            OutageKind::RejectAll => CallResult::at(now, self.rejection(outage.until - now)),
+            OutageKind::ReturnErrors => {
+                CallResult::answered(now + self.draw_service_time(rng), Outcome::Error)
+            }
+            OutageKind::RejectAll => CallResult::answered(now, self.rejection(outage.until - now)),
         }
     }
 
-    /// Processes an admitted call.
+    /// Processes a call that the rate limit admitted.
     fn process(&mut self, now: Time, endpoint: usize, rng: &mut impl Rng) -> CallResult {
-        let work = self.work(rng);
-        let Some(starts) = self.endpoints[endpoint].reserve(now, work, self.spec.queue) else {
-            return CallResult::at(now, Outcome::Rejected { retry_after: None });
+        let service_time = self.draw_service_time(rng);
+        let Some(starts_at) = self.endpoints[endpoint].reserve(now, service_time, self.spec.queue)
+        else {
+            return CallResult::answered(now, Outcome::Rejected { retry_after: None });
         };
-        let done = starts + work;
+        let done = starts_at + service_time;
         match self.interruption(now, done) {
-            Some(at) => CallResult::at(at, Outcome::Reset),
-            None => CallResult::at(done, Outcome::Delivered),
+            Some(at) => CallResult::answered(at, Outcome::Reset),
+            None => CallResult::answered(done, Outcome::Delivered),
         }
     }
 
-    /// When an outage breaks the calls in progress. A destination that rejects all calls still finishes those.
+    /// Returns the time at which an outage interrupts a call in progress, if any. A destination that rejects all calls still
+    /// finishes the calls in progress.
     fn interruption(&self, now: Time, done: Time) -> Option<Time> {
         let interrupting = self.spec.outages.iter().filter(|outage| {
             outage.is_total()
@@ -192,7 +201,7 @@
         interrupting.map(|outage| outage.from).min()
     }
 
-    fn work(&self, rng: &mut impl Rng) -> Span {
+    fn draw_service_time(&self, rng: &mut impl Rng) -> Span {
         Span::from_ms(self.spec.service_time.sample(rng))
     }
 
@@ -202,7 +211,7 @@
         }
     }
 
-    /// Counts a call against the rate limit. Returns how long the limit is exhausted if it rejects the call.
+    /// Counts a call against the rate limit. Returns the time until the limit admits calls again if it rejects this call.
     fn reserve_quota(&mut self, now: Time) -> Option<Span> {
         match self.spec.limit? {
             RateLimit::TokenBucket { rate, burst } => self.take_token(now, rate, burst),
@@ -217,7 +226,7 @@
             self.tokens -= 1.0;
             return None;
         }
-        // Rounded up to a microsecond, so that a call that observes it finds a token.
+        // Rounded up to a full microsecond. A token is then available for a call that observes this wait.
         let wait = Span(((1.0 - self.tokens) / rate * US_PER_S).ceil() as i64);
         if self.spec.counts_rejected {
             self.tokens = (self.tokens - 1.0).max(-burst);
@@ -226,9 +235,11 @@
     }
 
     fn count_in_window(&mut self, now: Time, max_calls: u32, length: Span) -> Option<Span> {
-        let current = self.window.filter(|window| now - window.started < length);
+        let current = self
+            .window
+            .filter(|window| now - window.started_at < length);
         let mut window = current.unwrap_or(QuotaWindow {
-            started: now,
+            started_at: now,
             calls: 0,
         });
         let is_full = window.calls >= max_calls;
@@ -236,11 +247,11 @@
             window.calls = window.calls.saturating_add(1);
         }
         self.window = Some(window);
-        is_full.then(|| (window.started + length) - now)
+        is_full.then(|| (window.started_at + length) - now)
     }
 
-    /// Counts a call after an outage. Returns whether it overloads the recovering destination.
-    fn overloads(&mut self, now: Time) -> bool {
+    /// Counts a call after an outage. Returns whether the call overloads the recovering destination.
+    fn record_recovery_call(&mut self, now: Time) -> bool {
         let Some(warm_up) = self.spec.warm_up else {
             return false;
         };
@@ -250,12 +261,12 @@
         }
         let since = *self.recovering_since.get_or_insert(now);
         self.count_recent_call(now, warm_up.overload_window);
-        let warmed_up =
+        let warm_up_progress =
             ((now - since).secs() / warm_up.duration.secs().max(MIN_DURATION_S)).min(1.0);
         let capacity = self.spec.capacity()
-            * (warm_up.initial_capacity + (1.0 - warm_up.initial_capacity) * warmed_up);
-        let max_calls =
-            warm_up.overload_factor * capacity * warm_up.overload_window.secs() + COINCIDING_CALLS;
+            * (warm_up.initial_capacity + (1.0 - warm_up.initial_capacity) * warm_up_progress);
+        let max_calls = warm_up.overload_factor * capacity * warm_up.overload_window.secs()
+            + OVERLOAD_TOLERANCE_CALLS;
         let is_overloaded = self.recent_calls.len() as f64 > max_calls;
         if is_overloaded {
             self.overloaded_until = Some(now + warm_up.overload_downtime);
--- a/crates/simulation/src/invariants/checker.rs
+++ b/crates/simulation/src/invariants/checker.rs
@@ -6,22 +6,22 @@
 use marblefall_scheduler::{EndpointStatus, Idempotency, Outcome, Span, Time};
 use std::collections::HashMap;
 
-/// Time in which a change of the endpoint list reaches every instance and the attempts sent before have arrived.
+/// Time in which a change of the endpoint list reaches every instance, and attempts sent before that have arrived.
 pub const LIST_PROPAGATION_TIME: Span = Span(250_000);
-/// A message may end this long after its deadline: the attempt that is in flight then has to end first.
+/// Maximum time from the deadline of a message to its end. An attempt in flight at the deadline has to end first.
 const DEADLINE_TOLERANCE: Span = Span(1_000_000);
-/// Violations that are recorded with their trace; further ones are only counted.
+/// Maximum number of violations recorded with their trace. Further violations are only counted.
 const MAX_RECORDED_VIOLATIONS: usize = 20;
-/// Observations that are recorded per message.
+/// Maximum number of observations recorded per message.
 const MAX_TRACE_LENGTH: usize = 40;
 
-/// An accepted message that has not ended, or has an attempt in flight.
+/// An accepted message that has no final outcome, or still has an attempt in flight.
 struct OpenMessage {
     instance: usize,
     class: usize,
     expires: Time,
     in_flight: Option<AttemptInFlight>,
-    /// When the first attempt was sent that may have been executed.
+    /// Time at which the first attempt was sent that the destination may have executed.
     first_possible_execution: Option<Time>,
     has_ended: bool,
     trace: Vec<(Time, Observation)>,
@@ -52,29 +52,30 @@
     scenario: &'s Scenario,
     endpoint_locations: Vec<EndpointLocation>,
     messages: HashMap<u64, OpenMessage>,
-    /// By instance and destination, until when the destination asked for no further attempt.
+    /// Time before which a destination permits no further attempt from an instance (Retry-After), by instance and
+    /// destination.
     retry_not_before: HashMap<(usize, usize), Time>,
-    /// Since when an endpoint is not listed as active.
-    unlisted_since: HashMap<u32, Time>,
+    /// Time since which an endpoint has not been listed as active, by endpoint.
+    inactive_since: HashMap<u32, Time>,
     violations: Vec<Violation>,
     count: u64,
 }
 
 impl<'s> InvariantChecker<'s> {
-    /// A checker that has seen no observation.
+    /// Creates a checker without observations.
     pub fn new(scenario: &'s Scenario) -> InvariantChecker<'s> {
         InvariantChecker {
             scenario,
             endpoint_locations: scenario.endpoint_locations(),
             messages: HashMap::new(),
             retry_not_before: HashMap::new(),
-            unlisted_since: HashMap::new(),
+            inactive_since: HashMap::new(),
             violations: Vec::new(),
             count: 0,
         }
     }
 
-    /// Checks an observation. Observations are passed in their order.
+    /// Checks an observation. Observations must be passed in chronological order.
     pub fn observe(&mut self, at: Time, observation: &Observation) {
         self.record_trace(at, observation);
         match *observation {
@@ -115,14 +116,14 @@
             Observation::RecoveryOverloaded { destination } => {
                 let name = &self.scenario.destinations[destination].name;
                 let description = format!("{name} failed again");
-                self.violated(Invariant::NoRecoveryOverload, at, None, description);
+                self.record_violation(Invariant::NoRecoveryOverload, at, None, description);
             }
             Observation::InstanceCrashed { instance } => self.instance_crashed(instance),
             Observation::InstanceRestarted { .. } => {}
         }
     }
 
-    /// Ends the check: messages that should have ended by now were lost.
+    /// Completes the check. Messages without a final outcome whose deadline has passed are reported as lost.
     pub fn finish(mut self, at: Time) -> Verdict {
         let is_lost =
             |open: &OpenMessage| !open.has_ended && open.expires + DEADLINE_TOLERANCE < at;
@@ -131,7 +132,7 @@
         lost.sort_unstable();
         for message in lost {
             let description = format!("message {message} has no final outcome");
-            self.violated(Invariant::NoMessageLost, at, Some(message), description);
+            self.record_violation(Invariant::NoMessageLost, at, Some(message), description);
         }
         Verdict {
             violations: self.violations,
@@ -139,7 +140,7 @@
         }
     }
 
-    fn violated(
+    fn record_violation(
         &mut self,
         invariant: Invariant,
         at: Time,
@@ -174,7 +175,7 @@
         let Some(open) = open.filter(|open| !open.has_ended) else {
             let description =
                 format!("message {message} ended again, or was never accepted: {outcome:?}");
-            return self.violated(
+            return self.record_violation(
                 Invariant::SingleFinalOutcome,
                 at,
                 Some(message),
@@ -189,7 +190,7 @@
                 "message {message} was delivered {:.0} ms after its deadline",
                 late.ms()
             );
-            self.violated(Invariant::NoMessageLost, at, Some(message), description);
+            self.record_violation(Invariant::NoMessageLost, at, Some(message), description);
         }
         if !has_attempt_in_flight {
             self.messages.remove(&message);
@@ -201,7 +202,7 @@
         let Some(open) = self.messages.get_mut(&message) else {
             let description =
                 format!("an attempt of message {message}, which has ended or was never accepted");
-            return self.violated(Invariant::SingleFinalOutcome, at, None, description);
+            return self.record_violation(Invariant::SingleFinalOutcome, at, None, description);
         };
         let sent = AttemptInFlight {
             endpoint,
@@ -213,7 +214,7 @@
                 other.endpoint,
                 other.sent_at.ms() / 1000.0
             );
-            return self.violated(
+            return self.record_violation(
                 Invariant::SingleAttemptInFlight,
                 at,
                 Some(message),
@@ -222,9 +223,9 @@
         }
         let age = open.first_possible_execution.map(|first| at - first);
         let idempotency = self.scenario.classes[open.class].class.idempotency;
-        if let Some(reason) = age.and_then(|age| forbidden_retry(idempotency, age)) {
+        if let Some(reason) = age.and_then(|age| reason_against_retry(idempotency, age)) {
             let description = format!("message {message} was sent again, but {reason}");
-            self.violated(Invariant::RetriesPermitted, at, Some(message), description);
+            self.record_violation(Invariant::RetriesPermitted, at, Some(message), description);
         }
     }
 
@@ -237,7 +238,7 @@
             let early = (*until - at).ms();
             let description =
                 format!("message {message} was sent {early:.3} ms before Retry-After had passed");
-            self.violated(
+            self.record_violation(
                 Invariant::RetryAfterObserved,
                 at,
                 Some(message),
@@ -247,7 +248,7 @@
     }
 
     fn attempt_arrived(&mut self, at: Time, message: u64, endpoint: u32) {
-        let Some(since) = self.unlisted_since.get(&endpoint) else {
+        let Some(since) = self.inactive_since.get(&endpoint) else {
             return;
         };
         let late = at - *since;
@@ -256,7 +257,7 @@
                 "message {message} arrived at endpoint {endpoint} {:.0} ms after it left the list",
                 late.ms()
             );
-            self.violated(Invariant::DrainingObserved, at, Some(message), description);
+            self.record_violation(Invariant::DrainingObserved, at, Some(message), description);
         }
     }
 
@@ -289,13 +290,14 @@
 
     fn endpoint_listed(&mut self, at: Time, endpoint: u32, status: EndpointStatus) {
         if status == EndpointStatus::Active {
-            self.unlisted_since.remove(&endpoint);
+            self.inactive_since.remove(&endpoint);
         } else {
-            self.unlisted_since.entry(endpoint).or_insert(at);
+            self.inactive_since.entry(endpoint).or_insert(at);
         }
     }
 
-    /// The attempts of an instance that crashed may have been executed. A Retry-After does not survive the crash.
+    /// Handles the crash of an instance. Its attempts in flight may have been executed, and its record of Retry-After is
+    /// lost.
     fn instance_crashed(&mut self, instance: usize) {
         let messages = self.messages.values_mut();
         for open in messages.filter(|open| open.instance == instance) {
@@ -310,8 +312,9 @@
     }
 }
 
-/// Why a message may not be retried at this time after its first possible execution, if it may not.
-fn forbidden_retry(idempotency: Idempotency, age: Span) -> Option<String> {
+/// Returns the reason why a message must not be retried at this age since its first possible execution, or `None` if the
+/// retry is permitted.
+fn reason_against_retry(idempotency: Idempotency, age: Span) -> Option<String> {
     match idempotency {
         Idempotency::NonIdempotent => Some("its class is not idempotent".to_owned()),
         Idempotency::IdempotencyKey { window, .. } if age >= window => Some(format!(
--- a/crates/simulation/tests/reproducibility.rs
+++ b/crates/simulation/tests/reproducibility.rs
@@ -1,4 +1,4 @@
-//! The same scenario and seed give the same run and the same files.
+//! The same scenario and seed produce the same run and the same files.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn same_seed_repeats_run_and_another_differs() {
+fn same_seed_repeats_run_and_other_seed_changes_it() {
     let path = shipped_scenario("mixed");
     let first = observations(&path, 5);
     let on_other_threads: Vec<_> = (0..4)
