--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,11 +1,11 @@
-//! Scenarios: reading their files, merging what they include, and reporting what is wrong by file and line.
+//! Reads scenario files, merges the files that they include, and reports problems by file and line.
 //!
 //! A file may `include` others by path. Tables are merged, lists of tables are concatenated, and the values of the
-//! including file take precedence. Values given with `--set` take precedence over all. A number may be a range,
+//! including file take precedence. Values given with `--set` take precedence over all files. A number may be a range,
 //! `{ from = 5, to = 10 }`, from which each seed draws its own value.
 //!
-//! `form` is the form of a file, `source` reads and merges files, `reader` checks values and draws ranges, and `model` is
-//! the resulting scenario.
+//! `form` defines the tables and keys of a file, `source` reads and merges files, `reader` validates values and draws from
+//! ranges, and `model` defines the resulting scenario.
 
 mod draft;
 mod error;
--- a/crates/simulation/src/scenario/draft.rs
+++ b/crates/simulation/src/scenario/draft.rs
@@ -1,4 +1,4 @@
-//! Scenarios that are read and merged, before a seed has drawn from their ranges.
+//! Scenarios that have been read and merged, before values are drawn from their ranges.
 
 use super::error::{ScenarioError, ScenarioProblem};
 use super::form::Form;
@@ -8,10 +8,10 @@
 use std::path::Path;
 use toml::Table;
 
-/// The name of a text that is not in a file.
+/// Name by which errors refer to a text that is not in a file.
 const TEXT_NAME: &str = "scenario";
 
-/// A scenario that is read and merged, before a seed has drawn from its ranges.
+/// A scenario that has been read and merged, before values are drawn from its ranges.
 #[derive(Clone, Debug)]
 pub struct Draft {
     lines: SourceLines,
@@ -22,7 +22,7 @@
     /// Reads a file and the files it includes. Each override is `path.to.value=value`.
     ///
     /// # Errors
-    /// What is wrong in form, with file and line.
+    /// Returns every error of syntax, with file and line.
     pub fn read(path: &Path, overrides: &[String]) -> Result<Draft, ScenarioError> {
         let mut lines = SourceLines::default();
         let mut table = lines.load(path)?;
@@ -30,7 +30,7 @@
         Draft { lines, table }.set(overrides)
     }
 
-    /// Reads a text that includes no file.
+    /// Parses a text that does not include files.
     fn parse(text: &str) -> Result<Draft, ScenarioError> {
         let (table, lines) = parse_file(TEXT_NAME, text)?;
         if table.contains_key("include") {
@@ -39,10 +39,10 @@
         Ok(Draft { lines, table })
     }
 
-    /// The same draft with further overrides.
+    /// Returns the same draft with further overrides.
     ///
     /// # Errors
-    /// If an override cannot be used.
+    /// Returns an error if an override cannot be used.
     pub fn set(mut self, overrides: &[String]) -> Result<Draft, ScenarioError> {
         for argument in overrides {
             set_value(&mut self.table, argument).map_err(|source| ScenarioProblem::Override {
@@ -53,10 +53,10 @@
         Ok(self)
     }
 
-    /// The scenario for a seed.
+    /// Returns the scenario for a seed.
     ///
     /// # Errors
-    /// All values that are wrong, with file and line.
+    /// Returns every invalid value, with file and line.
     pub fn scenario(&self, seed: u64) -> Result<Scenario, ScenarioError> {
         let table = self.table.clone();
         let form: Form = table.try_into().map_err(|error: toml::de::Error| {
@@ -65,12 +65,12 @@
         ScenarioReader::new(&self.lines, seed).read(form)
     }
 
-    /// The merged table.
+    /// Returns the merged table.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// The same draft with another table.
+    /// Returns the same draft with another table.
     #[must_use]
     pub fn with(&self, table: Table) -> Draft {
         Draft {
@@ -84,15 +84,15 @@
     /// Reads a file and the files it includes, for a seed. Each override is `path.to.value=value`.
     ///
     /// # Errors
-    /// Everything that is wrong, with file and line.
+    /// Returns every problem, with file and line.
     pub fn read(path: &Path, overrides: &[String], seed: u64) -> Result<Scenario, ScenarioError> {
         Draft::read(path, overrides)?.scenario(seed)
     }
 
-    /// Reads a text that includes no file, for a seed.
+    /// Parses a text that does not include files, for a seed.
     ///
     /// # Errors
-    /// Everything that is wrong, with the line under the name `scenario`.
+    /// Returns every problem with its line; `scenario` stands in place of the file name.
     pub fn parse(text: &str, overrides: &[String], seed: u64) -> Result<Scenario, ScenarioError> {
         Draft::parse(text)?.set(overrides)?.scenario(seed)
     }
--- a/crates/simulation/src/scenario/error.rs
+++ b/crates/simulation/src/scenario/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a scenario.
+//! Errors in scenarios.
 
 use crate::rate_expression::RateExpressionError;
 use crate::trace::TraceFileError;
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::PathBuf;
 
-/// All problems of a scenario, one a line.
+/// All problems of a scenario, printed on one line each.
 #[derive(Debug)]
 pub struct ScenarioError(pub Vec<ScenarioProblem>);
 
@@ -44,31 +44,31 @@
         source: io::Error,
     },
     /// Files include each other without end, or too deeply.
-    #[error("{}: included {max} deep, or by itself", path.display())]
+    #[error("{}: included more than {max} levels deep, or by itself", path.display())]
     IncludeTooDeep {
         /// The file included last.
         path: PathBuf,
-        /// The greatest depth.
+        /// Maximum depth of includes.
         max: usize,
     },
     /// The value of `include` is neither a path nor a list of paths.
-    #[error("{}: include is a path or a list of them", path.display())]
+    #[error("{}: include must be a path or a list of paths", path.display())]
     InvalidInclude {
         /// The file.
         path: PathBuf,
     },
-    /// A text that is not in a file includes another one.
-    #[error("scenario: what stands in no file includes nothing")]
+    /// A text that is not in a file has an `include`.
+    #[error("scenario: only a scenario in a file can include others")]
     IncludeInText,
-    /// A file is no TOML, or has a key or type that scenarios do not have.
+    /// A file is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{location}: {message}")]
     Syntax {
         /// File and line.
         location: String,
-        /// What the parser reports.
+        /// Message of the parser.
         message: String,
     },
-    /// The merged tables are not a scenario.
+    /// The merged tables have a key or type that scenarios do not have.
     #[error("{0}")]
     Merged(String),
     /// A value given with `--set` cannot be used.
@@ -82,11 +82,11 @@
     /// A value is wrong.
     #[error("{}{path}", location.as_ref().map_or_else(String::new, |location| format!("{location}: ")))]
     Value {
-        /// File and line, if the value or a table around it is in a file.
+        /// File and line of the value or of a table around it; `None` if neither is in a file.
         location: Option<String>,
         /// Path of the value.
         path: String,
-        /// What is wrong with it.
+        /// The cause.
         source: ValueError,
     },
 }
@@ -94,39 +94,39 @@
 /// Why a value given with `--set` cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
-    /// There is no `=`.
+    /// The argument has no `=`.
     #[error("is not NAME=VALUE")]
     NoValue,
     /// The name is empty.
-    #[error("names nothing")]
+    #[error("the name is empty")]
     NoName,
-    /// The name leads through a list.
-    #[error("{0} is a list: say what is meant in a file")]
+    /// A part of the name is a list.
+    #[error("{0} is a list: its values can only be given in a file")]
     List(String),
-    /// The name leads through a value.
-    #[error("{0} is a value, and holds nothing")]
+    /// A part of the name, other than the last, is not a table.
+    #[error("{0} is a value, not a table")]
     NotATable(String),
 }
 
-/// What is wrong with a value.
+/// Why a value is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
     /// A number is out of bounds.
-    #[error("is within {min} and {max}")]
+    #[error("must be within {min} and {max}")]
     OutOfBounds {
         /// The least valid number.
         min: f64,
         /// The greatest valid number.
         max: f64,
     },
-    /// A range is empty or not finite.
-    #[error("a range goes from less to more")]
+    /// The lower end of a range exceeds its upper end, or an end is not finite.
+    #[error("a range must be finite and go from less to more")]
     InvalidRange,
-    /// There is no class.
-    #[error("there is none: a [class.NAME] says how messages are dealt with")]
+    /// The scenario has no class.
+    #[error("no class is defined: add a [class.NAME] table")]
     NoClass,
-    /// There is no destination.
-    #[error("there is none: a [partner.NAME] takes messages")]
+    /// The scenario has no destination.
+    #[error("no destination is defined: add a [partner.NAME] table")]
     NoDestination,
     /// A class is not defined.
     #[error("there is no [class.{0}]")]
@@ -134,23 +134,23 @@
     /// A destination is not defined.
     #[error("there is no [partner.{0}]")]
     UnknownDestination(String),
-    /// An idempotency key without a deduplication window.
-    #[error("keyed needs window_s: how long receivers drop a repeat")]
+    /// A class with an idempotency key has no deduplication window.
+    #[error("keyed needs window_s, the time for which receivers discard repeats")]
     NoDeduplicationWindow,
     /// The deadline is before the latency objective.
-    #[error("is not before wanted_s")]
+    #[error("must not be less than wanted_s")]
     DeadlineBeforeObjective,
-    /// A rate limit is both a token bucket and a window.
-    #[error("a limit is a rate or a window, not both")]
+    /// A rate limit is given both as a token bucket and as a fixed window.
+    #[error("a rate limit is either rate or window_calls, not both")]
     AmbiguousRateLimit,
-    /// A repeated outage starts again before it ends.
-    #[error("is longer than for_s, or it would never end")]
+    /// The period of a repeated outage is not longer than the outage.
+    #[error("must be longer than for_s, or the outage never ends")]
     EndlessOutage,
-    /// A load has neither or both of a rate and a trace.
-    #[error("a load has a rate or a trace")]
+    /// A load has both a rate and a trace, or neither.
+    #[error("a load needs either a rate or a trace")]
     NoRateOrTrace,
-    /// The loads have too many messages.
-    #[error("all together would bring more than a thousand million messages")]
+    /// The loads have too many messages at their maximum rates.
+    #[error("all loads together exceed 1000000000 messages at their maximum rates")]
     TooManyMessages,
     /// A trace cannot be used.
     #[error(transparent)]
--- a/crates/simulation/src/scenario/form.rs
+++ b/crates/simulation/src/scenario/form.rs
@@ -1,12 +1,12 @@
-//! The form of a scenario's file: its tables and keys, before values are checked. The keys are the operators' and stay;
-//! behind them stand the terms of the program.
+//! Tables and keys of a scenario file, before values are validated. Where a key differs from the term used in the code, the
+//! field is renamed with serde, so that existing files stay valid.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use toml::Value;
 
-/// A number, or a range from which each seed draws its own.
+/// A number, or a range from which each seed draws its own value.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(untagged, expecting = "a number or { from = LEAST, to = MOST }")]
 pub(super) enum Number {
@@ -18,14 +18,14 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(
     untagged,
-    expecting = "a number, { from, to }, or a curve of t in quotes"
+    expecting = "a number, { from = LEAST, to = MOST }, or an expression of t in quotes"
 )]
 pub(super) enum Rate {
     Number(Number),
     Expression(String),
 }
 
-/// A file, or several that are merged.
+/// A scenario file, or several merged files.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Form {
@@ -33,7 +33,7 @@
     pub(super) _include: Option<Value>,
     pub(super) title: Option<String>,
     pub(super) seconds: Option<Number>,
-    /// Factor of all loads.
+    /// Factor by which the rates of all loads are multiplied.
     #[serde(rename = "load_times")]
     pub(super) load_factor: Option<Number>,
     #[serde(default, rename = "couriers")]
@@ -69,7 +69,7 @@
     pub(super) idle_timeout_s: Option<Number>,
 }
 
-/// The recovery ramp.
+/// Parameters of the recovery ramp.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RulesForm {
@@ -125,7 +125,7 @@
     #[serde(rename = "service_ms")]
     pub(super) service_time_ms: Option<Number>,
     pub(super) shape: Option<ShapeForm>,
-    /// Standard deviation of the logarithm, or exponent of the power law.
+    /// Standard deviation of the logarithm (log-normal) or exponent (Pareto) of the service time.
     pub(super) spread: Option<Number>,
     pub(super) servers: Option<Number>,
     pub(super) queue: Option<Number>,
@@ -170,9 +170,9 @@
     pub(super) for_s: Number,
     #[serde(rename = "part")]
     pub(super) share: Option<Number>,
-    /// Period of a repeated outage.
+    /// Time from the start of one occurrence to the start of the next, in s.
     pub(super) every_s: Option<Number>,
-    /// How often it occurs in all.
+    /// Number of occurrences.
     #[serde(rename = "times")]
     pub(super) occurrences: Option<Number>,
 }
@@ -198,7 +198,7 @@
     #[serde(rename = "partner")]
     pub(super) destination: String,
     pub(super) rate: Option<Rate>,
-    /// A CSV file with a head line and a time in s first in each further line.
+    /// A CSV file with a header line. The first column of every other line is a time in s.
     pub(super) trace: Option<PathBuf>,
     pub(super) arrivals: Option<ArrivalsForm>,
     #[serde(rename = "clump")]
--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -1,4 +1,4 @@
-//! A scenario for one seed: every range is drawn, every reference resolved to an index.
+//! A scenario for one seed: values are drawn from all ranges, and all references are resolved to indices.
 
 use crate::destination::Destination;
 use crate::rate_expression::RateExpression;
@@ -6,33 +6,33 @@
 use marblefall_scheduler as m;
 use marblefall_scheduler::{EndpointStatus, Span, Time};
 
-/// The longest duration of a scenario, in s.
+/// Maximum duration of a scenario, in s.
 pub(super) const MAX_DURATION_S: f64 = trace::MAX_TIME_S;
-/// The least time between two batches of events, in ms.
+/// Minimum time between two batches of events, in ms.
 const MIN_BATCH_INTERVAL_MS: f64 = 1.0;
 
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its settings.
+    /// Settings of the class.
     pub class: m::MessageClass,
 }
 
-/// How the messages of a load are spaced.
+/// Arrival process of the messages of a load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrivals {
-    /// Evenly.
+    /// Messages arrive at even intervals.
     Even,
-    /// As a Poisson process.
+    /// Messages arrive as a Poisson process.
     Poisson,
-    /// In bursts of this many messages, which arrive as a Poisson process.
+    /// Bursts of this many messages arrive as a Poisson process.
     Bursts(u32),
 }
 
 impl Arrivals {
-    /// Messages that arrive at once.
+    /// Returns the number of messages that arrive at once.
     pub fn burst_size(self) -> f64 {
         match self {
             Arrivals::Bursts(size) => f64::from(size),
@@ -44,30 +44,30 @@
 /// The messages that clients submit to a group of destinations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// Index of their class.
+    /// Index of the class of the messages.
     pub class: usize,
-    /// Indices of their destinations; one is drawn for each message.
+    /// Indices of the destinations; one is drawn for each message.
     pub destinations: Vec<usize>,
-    /// Messages per second, over time.
+    /// Rate as a function of time, in messages per second.
     pub rate: RateExpression,
-    /// The maximum of the rate.
+    /// Maximum of the rate, in messages per second.
     pub max_rate: f64,
-    /// How they are spaced.
+    /// Arrival process.
     pub arrivals: Arrivals,
-    /// When each arrives, in order. Replaces the rate.
+    /// Arrival times in ascending order. If present, they replace the rate.
     pub trace: Option<Vec<Time>>,
-    /// How often a client submits a rejected message again.
+    /// Maximum number of times that a client submits a rejected message again.
     pub retries: u32,
 }
 
 /// A change of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListChange {
-    /// When it happens.
+    /// Time of the change.
     pub at: Time,
-    /// The endpoint, counted over all destinations.
+    /// Index of the endpoint, counted over all destinations.
     pub endpoint: usize,
-    /// Its new status.
+    /// New status of the endpoint.
     pub status: EndpointStatus,
 }
 
@@ -76,9 +76,9 @@
 pub struct Crash {
     /// Index of the instance.
     pub instance: usize,
-    /// When it crashes.
+    /// Time of the crash.
     pub at: Time,
-    /// How long it is down.
+    /// Time from the crash to the restart.
     pub restart_after: Span,
 }
 
@@ -87,40 +87,40 @@
 pub struct Partition {
     /// Index of the destination.
     pub destination: usize,
-    /// Its start.
+    /// Start of the partition.
     pub from: Time,
-    /// Its end.
+    /// End of the partition, exclusive.
     pub until: Time,
 }
 
 /// The network between instances, clients and destinations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Network {
-    /// Least delay of one direction, in ms.
+    /// Minimum delay in one direction, in ms.
     pub delay_ms: f64,
-    /// Width of the uniform distribution added to it, in ms.
+    /// Width of the uniform distribution that is added to the delay, in ms.
     pub jitter_ms: f64,
-    /// Share of the requests and of the responses that is lost.
+    /// Share of requests, and of responses, that are lost.
     pub loss: f64,
-    /// Partitions.
+    /// Periods in which a destination cannot be reached.
     pub partitions: Vec<Partition>,
 }
 
-/// Where an endpoint belongs.
+/// An endpoint's destination and its index within that destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointLocation {
-    /// Index of its destination.
+    /// Index of the destination.
     pub destination: usize,
-    /// Its index there.
+    /// Index of the endpoint within the destination.
     pub index: usize,
 }
 
 /// A scenario for one seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its title.
+    /// Title of the scenario.
     pub title: String,
-    /// How long clients submit messages, in s.
+    /// Time for which clients submit messages, in s.
     pub seconds: f64,
     /// Number of instances.
     pub instances: usize,
@@ -128,27 +128,27 @@
     pub limits: m::Limits,
     /// Rules of the recovery ramp.
     pub rules: m::Rules,
-    /// Classes of messages.
+    /// Message classes, in the order of their indices.
     pub classes: Vec<Class>,
-    /// Destinations.
+    /// Destinations, in the order of their indices.
     pub destinations: Vec<Destination>,
-    /// Loads.
+    /// Messages that clients submit.
     pub loads: Vec<Load>,
     /// Changes of the endpoint list.
     pub list_changes: Vec<ListChange>,
-    /// Crashes of instances.
+    /// Instance crashes.
     pub crashes: Vec<Crash>,
-    /// The network.
+    /// Network between instances, clients and destinations.
     pub network: Network,
 }
 
 impl Scenario {
-    /// How long clients submit messages.
+    /// Returns the time at which clients stop submitting messages.
     pub fn length(&self) -> Time {
         Time(0) + Span::from_secs(self.seconds)
     }
 
-    /// The settings of every instance.
+    /// Returns the settings that all instances use.
     pub fn settings(&self) -> m::Settings {
         let classes = self.classes.iter().map(|class| class.class.clone());
         m::Settings {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Where each endpoint belongs, counted over all destinations.
+    /// Returns the location of each endpoint, counted over all destinations.
     pub fn endpoint_locations(&self) -> Vec<EndpointLocation> {
         let destinations = self.destinations.iter().enumerate();
         let locations = destinations.flat_map(|(destination, spec)| {
@@ -178,7 +178,7 @@
         locations.collect()
     }
 
-    /// Whether a destination cannot be reached at a time.
+    /// Returns whether a destination is partitioned at a time.
     pub fn is_partitioned(&self, destination: usize, now: Time) -> bool {
         self.network.partitions.iter().any(|partition| {
             partition.destination == destination && partition.from <= now && now < partition.until
--- a/crates/simulation/src/scenario/reader.rs
+++ b/crates/simulation/src/scenario/reader.rs
@@ -1,5 +1,5 @@
-//! Makes a scenario from its form: checks bounds, fills in defaults, draws from ranges, resolves references, and collects
-//! everything that is wrong.
+//! Converts the form of a scenario into the scenario: checks bounds, applies defaults, draws from ranges, resolves
+//! references, and collects all problems.
 
 mod destinations;
 mod loads;
@@ -24,13 +24,13 @@
 const DEFAULT_DELAY_MS: f64 = 1.0;
 const MAX_WEIGHT: f64 = 1e6;
 const MAX_LOAD_FACTOR: f64 = 1e6;
-/// The longest Retry-After that the scheduler observes, in ms.
+/// Maximum Retry-After that the scheduler observes, in ms.
 const MAX_RETRY_AFTER_MS: f64 = 3000.0;
 
-/// The indices of the destinations that each table of the file defines.
+/// Indices of the destinations that each `[partner.NAME]` table defines.
 type DestinationGroups = BTreeMap<String, Vec<usize>>;
 
-/// The bounds of a number and its default.
+/// Bounds and default of a number.
 #[derive(Clone, Copy)]
 struct Bounds {
     default: f64,
@@ -43,18 +43,18 @@
         Bounds { default, min, max }
     }
 
-    /// Whole numbers.
+    /// Returns the bounds of a whole number.
     fn whole(default: usize, min: usize, max: usize) -> Bounds {
         Bounds::new(default as f64, min as f64, max as f64)
     }
 }
 
-/// The bounds of a share of calls or capacity.
+/// Returns the bounds of a share.
 const fn share(default: f64) -> Bounds {
     Bounds::new(default, 0.0, 1.0)
 }
 
-/// Makes a scenario from its form.
+/// Converts the form of a scenario into the scenario.
 pub(super) struct ScenarioReader<'a> {
     lines: &'a SourceLines,
     rng: Pcg64,
@@ -62,7 +62,7 @@
 }
 
 impl<'a> ScenarioReader<'a> {
-    /// A reader that draws from a seed.
+    /// Creates a reader whose draws depend on a seed.
     pub(super) fn new(lines: &'a SourceLines, seed: u64) -> ScenarioReader<'a> {
         ScenarioReader {
             lines,
@@ -71,10 +71,10 @@
         }
     }
 
-    /// Makes the scenario.
+    /// Converts a form.
     ///
     /// # Errors
-    /// All values that are wrong.
+    /// Returns every invalid value.
     pub(super) fn read(mut self, form: Form) -> Result<Scenario, ScenarioError> {
         let scenario = self.scenario(form);
         if self.problems.is_empty() {
@@ -92,7 +92,7 @@
         });
     }
 
-    /// A number within bounds, or the default. Every range within bounds takes one draw.
+    /// Returns a number, or the default if the number is absent or invalid. Each valid range takes one draw.
     fn number(&mut self, path: &str, given: Option<Number>, bounds: Bounds) -> f64 {
         let is_valid = |value: f64| value >= bounds.min && value <= bounds.max;
         let error = match given {
@@ -117,24 +117,24 @@
         bounds.default
     }
 
-    /// A whole number within bounds, or the default.
+    /// Returns a number rounded to a whole one, or the default if it is absent or invalid.
     fn count(&mut self, path: &str, given: Option<Number>, bounds: Bounds) -> usize {
         self.number(path, given, bounds).round() as usize
     }
 
-    /// A duration given in seconds, or the default.
+    /// Converts a duration in seconds, or returns the default if it is absent or invalid.
     fn span(&mut self, path: &str, given: Option<Number>, default_s: f64) -> Span {
         let bounds = Bounds::new(default_s, 0.0, MAX_DURATION_S);
         Span::from_secs(self.number(path, given, bounds))
     }
 
-    /// A time given in seconds.
+    /// Converts a time in seconds, or returns 0 if it is invalid.
     fn time(&mut self, path: &str, given: Number) -> Time {
         let bounds = Bounds::new(0.0, 0.0, MAX_DURATION_S);
         Time(0) + Span::from_secs(self.number(path, Some(given), bounds))
     }
 
-    /// Makes the scenario. The order of these steps is the order of the draws.
+    /// Converts a form. The order of the steps determines the order of the draws.
     fn scenario(&mut self, form: Form) -> Scenario {
         let duration = Bounds::new(DEFAULT_DURATION_S, MIN_DURATION_S, MAX_DURATION_S);
         let seconds = self.number("seconds", form.seconds, duration);
@@ -259,7 +259,7 @@
         }
     }
 
-    /// The destinations that a table defines.
+    /// Returns the indices of the destinations that a table defines.
     fn group(&mut self, path: &str, name: &str, groups: &DestinationGroups) -> Vec<usize> {
         if let Some(group) = groups.get(name) {
             return group.clone();
@@ -345,7 +345,7 @@
     from <= to && from.is_finite() && to.is_finite()
 }
 
-/// The first endpoint of a destination, counted over all destinations.
+/// Returns the index of the first endpoint of a destination, counted over all destinations.
 fn first_endpoint(destinations: &[Destination], destination: usize) -> usize {
     let before = destinations[..destination].iter();
     before.map(|destination| destination.endpoints).sum()
--- a/crates/simulation/src/scenario/reader/destinations.rs
+++ b/crates/simulation/src/scenario/reader/destinations.rs
@@ -1,4 +1,4 @@
-//! Reads destinations: their service times, rate limits, outages and connections.
+//! Reads destinations with their service times, rate limits, outages and connection policies.
 
 use super::{share, Bounds, DestinationGroups, ScenarioReader};
 use crate::destination::{ConnectionPolicy, Destination, Outage, OutageKind, RateLimit, WarmUp};
@@ -14,18 +14,18 @@
 const MAX_ADVERTISED_RATE: f64 = 1e9;
 /// Bounds of service times, in ms.
 const SERVICE_TIME_MS: Bounds = Bounds::new(50.0, 0.001, 3_600_000.0);
-/// Bounds of the standard deviation of a log-normal service time's logarithm.
+/// Bounds of the standard deviation of the logarithm of a log-normal service time.
 const LOG_NORMAL_SIGMA: Bounds = Bounds::new(0.5, 0.0, 5.0);
-/// Bounds of a Pareto service time's exponent.
+/// Bounds of the exponent of a Pareto service time.
 const PARETO_EXPONENT: Bounds = Bounds::new(2.5, 1.01, 100.0);
 /// Bounds of the time to establish a connection, in ms.
 const CONNECT_MS: Bounds = Bounds::new(0.0, 0.0, 60_000.0);
 
-/// Gives the path of a field of the table that is read.
+/// Returns the path of a field in the current table.
 type FieldPath<'p> = &'p dyn Fn(&str) -> String;
 
 impl ScenarioReader<'_> {
-    /// All destinations, and which of them each table defines.
+    /// Reads all destinations, and returns them with the indices that each table defines.
     pub(super) fn destinations(
         &mut self,
         forms: &BTreeMap<String, DestinationForm>,
@@ -53,7 +53,7 @@
         (destinations, groups)
     }
 
-    /// Reads a destination. The order of these steps is the order of the draws.
+    /// Reads a destination. The order of the steps determines the order of the draws.
     fn destination(
         &mut self,
         group: &str,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// All occurrences of an outage.
+    /// Returns one outage for each occurrence.
     fn outages(&mut self, path: &str, form: &OutageForm) -> Vec<Outage> {
         let field = |name: &str| format!("{path}.{name}");
         let first = self.time(&field("from_s"), form.from_s);
@@ -168,7 +168,7 @@
         outages.collect()
     }
 
-    /// The connection policy, if the table has any of its keys.
+    /// Reads the connection policy; `None` if the table has none of its keys.
     fn connection_policy(
         &mut self,
         path: FieldPath<'_>,
--- a/crates/simulation/src/scenario/reader/loads.rs
+++ b/crates/simulation/src/scenario/reader/loads.rs
@@ -1,4 +1,4 @@
-//! Reads loads: their rates or traces, and how their messages are spaced.
+//! Reads loads with their rates or traces and their arrival processes.
 
 use super::{Bounds, DestinationGroups, ScenarioReader};
 use crate::rate_expression::RateExpression;
@@ -8,9 +8,9 @@
 use crate::trace;
 use marblefall_scheduler::Time;
 
-/// Messages of one run, at most.
+/// Maximum number of messages in a run, computed from the maximum rates of the loads.
 const MAX_MESSAGES: f64 = 1e9;
-/// Bounds of a rate without an expression, per second.
+/// Bounds of a rate that is given as a number, in messages per second.
 const RATE: Bounds = Bounds::new(0.0, 0.0, 1e9);
 
 /// Reads the loads of a scenario.
@@ -18,9 +18,9 @@
     pub(super) reader: &'r mut ScenarioReader<'a>,
     pub(super) groups: &'r DestinationGroups,
     pub(super) classes: &'r [Class],
-    /// Duration of the scenario.
+    /// Duration of the scenario, in s.
     pub(super) seconds: f64,
-    /// Factor of all rates.
+    /// Factor by which all rates are multiplied.
     pub(super) load_factor: f64,
 }
 
--- a/crates/simulation/src/scenario/source.rs
+++ b/crates/simulation/src/scenario/source.rs
@@ -8,15 +8,15 @@
 use toml::de::{DeTable, DeValue};
 use toml::{Table, Value};
 
-/// The greatest depth of files that include others.
+/// Maximum depth of includes.
 const MAX_INCLUDE_DEPTH: usize = 8;
 
-/// File and line of each value, by its path.
+/// File and line of each value, by the path of the value.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SourceLines(BTreeMap<String, String>);
 
 impl SourceLines {
-    /// File and line of a value, or of the innermost table around it that is in a file.
+    /// Returns the file and line of a value, or of the innermost enclosing table that is in a file.
     pub(super) fn location(&self, path: &str) -> Option<&str> {
         let mut known = path;
         loop {
@@ -55,14 +55,14 @@
             merge(&mut table, included);
         }
         resolve_traces(&mut own, folder);
-        // After those of the included files, as the values of this file take precedence.
+        // Inserted after the lines of the included files, as the values of this file take precedence.
         self.0.extend(lines.0);
         merge(&mut table, own);
         Ok(table)
     }
 }
 
-/// Parses one file by itself, so that errors of form have their line.
+/// Parses one file before it is merged, so that syntax errors are reported with their line.
 pub(super) fn parse_file(name: &str, text: &str) -> Result<(Table, SourceLines), ScenarioError> {
     let location = |span: Option<Range<usize>>| match span {
         Some(span) => format!("{name}:{}", line_number(text, span.start)),
@@ -82,13 +82,13 @@
     Ok((table, SourceLines(lines)))
 }
 
-/// The line, from 1, of a byte of a text.
+/// Returns the line number, from 1, of a byte offset in a text.
 pub(crate) fn line_number(text: &str, offset: usize) -> usize {
     let before = &text.as_bytes()[..offset.min(text.len())];
     before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
-/// The files that a table includes; `None` if the value is of another type.
+/// Returns the files that a table includes; `None` if the value of `include` has the wrong type.
 fn includes(table: &Table) -> Option<Vec<PathBuf>> {
     let path = |value: &Value| value.as_str().map(PathBuf::from);
     match table.get("include") {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Makes the paths of traces relative to the file that names them.
+/// Resolves the paths of traces relative to the folder of the file that names them.
 fn resolve_traces(table: &mut Table, folder: &Path) {
     let loads = table.get_mut("load").and_then(Value::as_array_mut);
     for load in loads.into_iter().flatten() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Calls `visit` with the path and the first byte of each value of a table.
+/// Calls `visit` with the path and byte offset of each value in a table.
 fn visit_values(table: &DeTable<'_>, prefix: &str, visit: &mut dyn FnMut(String, usize)) {
     for (key, value) in table {
         let path = if prefix.is_empty() {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Merges a table over another one: tables are merged, lists of tables are concatenated, other values are replaced.
+/// Merges `over` into `under`: tables are merged, lists of tables are concatenated, and other values are replaced.
 fn merge(under: &mut Table, over: Table) {
     for (key, value) in over {
         match (under.get_mut(&key), value) {
@@ -169,7 +169,7 @@
     Ok(())
 }
 
-/// Parses a value of TOML; anything else is a string without quotes.
+/// Parses a TOML value. A text that is not valid TOML is taken as an unquoted string.
 fn parse_value(text: &str) -> Value {
     let table = format!("value = {text}").parse::<Table>().ok();
     let value = table.and_then(|mut table| table.remove("value"));
