--- a/crates/simulation/src/capacity_search.rs
+++ b/crates/simulation/src/capacity_search.rs
@@ -1,4 +1,4 @@
-//! Searches the capacity of a scenario: by bisection, the factor of its loads at which a class begins to miss its
+//! Measures the capacity of a scenario: searches by bisection for the load factor at which a class begins to miss its
 //! deadline.
 
 use crate::metrics::measure;
@@ -7,16 +7,16 @@
 use rayon::prelude::*;
 use std::collections::BTreeMap;
 
-/// Where to search, and which share of the messages must be delivered.
+/// Bounds of the search and the required share of delivered messages.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacitySearch {
-    /// The least factor of the scenario's loads.
+    /// Minimum factor of the loads.
     pub min_factor: f64,
-    /// The greatest factor.
+    /// Maximum factor of the loads.
     pub max_factor: f64,
-    /// Share of the offered messages of a class that must be delivered.
+    /// Share of the offered messages of a class that must be delivered for the class to be sustained.
     pub required_share: f64,
-    /// Each factor is played with the seeds 1 to this.
+    /// Number of seeds, from 1, with which each factor is played.
     pub seeds: u64,
     /// Number of bisections, on a logarithmic scale.
     pub steps: u32,
@@ -25,20 +25,20 @@
 /// The factor of the loads that a class sustains.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Capacity {
-    /// Less than the least factor.
+    /// The class does not sustain the minimum factor.
     Below,
-    /// The first factor, and not the second.
+    /// The class sustains the first factor but not the second.
     Between(f64, f64),
-    /// The greatest factor.
+    /// The class sustains the maximum factor.
     Above,
 }
 
 /// The capacity of one class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassCapacity {
-    /// The factor that it sustains.
+    /// Factor of the loads that the class sustains.
     pub capacity: Capacity,
-    /// Messages per second offered at that factor.
+    /// Offered messages per second at that factor.
     pub offered_rate: f64,
 }
 
@@ -60,10 +60,10 @@
     seconds: f64,
 }
 
-/// For each class its capacity.
+/// Returns the capacity of each class.
 ///
 /// # Errors
-/// If the draft is not a valid scenario for every seed.
+/// Returns an error if the draft is not a valid scenario for every seed.
 pub fn capacity(
     draft: &Draft,
     search: CapacitySearch,
@@ -96,7 +96,7 @@
 }
 
 impl CapacitySearch {
-    /// Whether a class is delivered as required. A class without messages is.
+    /// Returns whether the required share of a class is delivered. A class without messages is sustained.
     fn is_sustained(&self, deliveries: &Deliveries, class: &str) -> bool {
         deliveries
             .get(class)
@@ -130,11 +130,11 @@
     }
 }
 
-/// The deliveries at each factor that was played.
+/// Deliveries by factor. Each factor is played at most once.
 struct Measurements<'d> {
     draft: &'d Draft,
     seeds: u64,
-    /// By the bits of the factor.
+    /// Keys are the bits of the factor, as `f64` is not `Ord`.
     by_factor: BTreeMap<u64, Deliveries>,
 }
 
--- a/crates/simulation/src/compare.rs
+++ b/crates/simulation/src/compare.rs
@@ -1,8 +1,8 @@
 //! Paired comparison of two variants on the same scenarios and seeds.
 //!
-//! Runs differ far more between seeds than between variants, so the difference within each pair counts. The mean of the
-//! differences has a bootstrap interval; it is significant if the interval excludes zero. Intervals are widened for the
-//! number of scenarios compared (Bonferroni).
+//! Runs differ far more between seeds than between variants, so runs are compared in pairs with the same scenario and seed.
+//! The confidence interval of the mean difference is computed by bootstrapping. The difference is significant if the
+//! interval excludes zero. Intervals are widened for the number of scenarios that are compared (Bonferroni correction).
 
 use crate::experiment::CellResult;
 use rand::{Rng, SeedableRng};
@@ -10,19 +10,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Bootstrap samples for an interval.
+/// Number of bootstrap samples for an interval.
 const SAMPLES: usize = 10_000;
-/// One set of comparisons in this many shows a difference where there is none.
+/// Inverse of the significance level: one set of comparisons in this many shows a difference where none exists.
 const FALSE_POSITIVE_ONE_IN: f64 = 20.0;
-/// With fewer pairs, bootstrap intervals are too narrow.
+/// Minimum number of pairs: with fewer, bootstrap intervals are too narrow.
 const MIN_PAIRS: usize = 6;
 
-/// The mean of paired differences with its interval.
+/// The mean of paired differences with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Difference {
     /// Number of pairs.
     pub pairs: usize,
-    /// The mean.
+    /// Mean of the differences.
     pub mean: f64,
     /// Lower end of the interval.
     pub low: f64,
@@ -31,7 +31,7 @@
 }
 
 impl Difference {
-    /// The mean of differences, as one of `comparisons` that are made together.
+    /// Returns the mean and its interval, which is widened for `comparisons` that are made together.
     pub fn of(differences: &[f64], comparisons: usize) -> Difference {
         let pairs = differences.len();
         if pairs == 0 {
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Whether there are enough pairs and the interval excludes zero.
+    /// Returns whether there are enough pairs and the interval excludes zero.
     pub fn is_significant(&self) -> bool {
         self.pairs >= MIN_PAIRS && (self.low > 0.0 || self.high < 0.0)
     }
 }
 
-/// The means of bootstrap samples, in order. The same number of differences takes the same draws.
+/// Returns the means of bootstrap samples in ascending order. The draws depend only on the number of differences.
 fn bootstrap_means(differences: &[f64]) -> Vec<f64> {
     let count = differences.len();
     let mut rng = Pcg64::seed_from_u64(count as u64);
@@ -72,28 +72,28 @@
     means
 }
 
-/// Runs with violations under each variant.
+/// Number of runs with violations under each variant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ViolatingRuns {
-    /// Under the first.
+    /// Violating runs under the first variant.
     pub base: usize,
-    /// Under the second.
+    /// Violating runs under the second variant.
     pub with: usize,
 }
 
 /// A comparison of two variants.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// For each scenario, how much more of the value the second variant delivers.
+    /// Difference in the delivered share of the value, second variant minus first, by scenario.
     pub by_scenario: BTreeMap<String, Difference>,
-    /// The same over all scenarios.
+    /// Difference over all scenarios.
     pub overall: Difference,
-    /// Runs with violations.
+    /// Number of runs with violations.
     pub violating_runs: ViolatingRuns,
 }
 
 impl Comparison {
-    /// Compares results with the same scenario and seed; results without a counterpart are left out.
+    /// Compares results with the same scenario and seed. Results without a counterpart are ignored.
     pub fn of(base: &[CellResult], with: &[CellResult]) -> Comparison {
         let key = |result: &CellResult| (result.scenario.clone(), result.seed);
         let base_summaries: BTreeMap<_, _> = base
@@ -165,7 +165,7 @@
     )
 }
 
-/// The names of the variants of some results.
+/// Returns the names of all variants in the results.
 pub fn variants(results: &[CellResult]) -> BTreeSet<&str> {
     let names = results.iter().map(|result| result.variant.as_str());
     names.collect()
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -1,7 +1,8 @@
-//! Experiments: scenarios x seeds x variants. Each cell is played once, in parallel, also across interruptions.
+//! Experiments: scenarios x seeds x variants. A cell is one scenario with one seed and one variant. Cells are played in
+//! parallel, and an interrupted experiment continues with the cells that are not complete.
 //!
-//! A folder holds one line for each cell, written when the cell is done. A cell is played again only if its inputs have
-//! changed: the scenario for its seed, the overrides, or the program.
+//! The results folder holds one line for each cell, written when the cell is complete. A cell is played again only if its
+//! inputs have changed: the scenario for its seed, the overrides, or the program.
 
 mod definition;
 mod error;
@@ -25,16 +26,16 @@
 use std::process::Command;
 use store::CellStore;
 
-/// The result of one cell. Stored results name some fields by their older names.
+/// The result of one cell. Stored results keep the older names of some fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CellResult {
-    /// Name of the scenario's file without its extension.
+    /// Name of the scenario file without its extension.
     pub scenario: String,
     /// Name of the variant.
     pub variant: String,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Checksum of the inputs.
+    /// Checksum of the inputs of the cell.
     #[serde(rename = "print")]
     pub fingerprint: u32,
     /// Summary of the run.
@@ -51,16 +52,16 @@
     }
 }
 
-/// What an execution of an experiment has done.
+/// Results of an experiment, with the number of cells that were played to complete them.
 #[derive(Debug)]
 pub struct ExperimentRun {
-    /// The results of all cells, in their order.
+    /// Results of all cells, ordered by scenario, variant and seed.
     pub results: Vec<CellResult>,
-    /// The number of cells that were played by this execution.
+    /// Number of cells that this execution played; the results of the others were stored.
     pub played: usize,
 }
 
-/// A cell that can be played.
+/// A cell with its inputs.
 struct Cell<'e> {
     path: &'e Path,
     scenario: Scenario,
@@ -117,10 +118,10 @@
 }
 
 impl Experiment {
-    /// Plays the cells whose results a folder does not hold, on this many threads, or one for each core if 0.
+    /// Plays the cells whose results are not in the folder. `threads` is the number of threads, or 0 for one on each core.
     ///
     /// # Errors
-    /// If a file, the folder or another program cannot be used. Results that are done by then are kept.
+    /// Returns an error if a file, the folder or the program of a variant cannot be used. Results written before are kept.
     pub fn run(&self, folder: &Path, threads: usize) -> Result<ExperimentRun, ExperimentError> {
         let store = CellStore::open(folder)?;
         let cells = self.cells()?;
@@ -138,7 +139,7 @@
                 _ => open.push(cell),
             }
         }
-        // Rewritten first, as a line torn by an interruption would spoil the next one.
+        // The file is rewritten first: a result appended to a torn line would be unreadable.
         store.replace(&results)?;
         let played = play_cells(&open, &store, threads)?;
         let count = played.len();
@@ -187,7 +188,7 @@
     Ok(crc32fast::hash(&bytes))
 }
 
-/// Plays cells in parallel; each result is stored as soon as it is done.
+/// Plays cells in parallel. Each result is stored as soon as its cell is complete.
 fn play_cells(
     cells: &[&Cell<'_>],
     store: &CellStore,
--- a/crates/simulation/src/experiment/definition.rs
+++ b/crates/simulation/src/experiment/definition.rs
@@ -1,4 +1,4 @@
-//! The file that defines an experiment.
+//! Reads the file that defines an experiment.
 
 use super::error::{DefinitionProblem, ExperimentError, ProblemKind};
 use crate::scenario::line_number;
@@ -9,9 +9,9 @@
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
-/// Cells of one experiment, at most.
+/// Maximum number of cells in an experiment.
 const MAX_CELLS: usize = 1_000_000;
-/// The variant of an experiment that defines none.
+/// Name of the only variant of an experiment that defines none.
 const DEFAULT_VARIANT: &str = "as it is";
 
 #[derive(Debug, Deserialize)]
@@ -41,35 +41,35 @@
     program: Option<PathBuf>,
 }
 
-/// A variant of an experiment.
+/// A variant of an experiment: overrides of scenario values, or another build of the program.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Variant {
-    /// Its name.
+    /// Name of the variant.
     pub name: String,
-    /// Values that take precedence over those of the files.
+    /// Values that take precedence over those of the scenario files, as `path.to.value=value`.
     pub overrides: Vec<String>,
-    /// Another build of this program that plays it.
+    /// Another build of this program that plays the cells; `None` for this build.
     pub program: Option<PathBuf>,
 }
 
-/// An experiment.
+/// The definition of an experiment.
 #[derive(Clone, Debug)]
 pub struct Experiment {
-    /// Its title.
+    /// Title of the experiment; may be empty.
     pub title: String,
-    /// The scenario files.
+    /// Paths of the scenario files.
     pub scenarios: Vec<PathBuf>,
-    /// The seeds.
+    /// Seeds with which each scenario is played.
     pub seeds: RangeInclusive<u64>,
-    /// The variants, at least one.
+    /// Variants; at least one.
     pub variants: Vec<Variant>,
 }
 
 impl Experiment {
-    /// Reads an experiment's file. Paths in it are relative to its folder.
+    /// Reads the file of an experiment. Paths in the file are relative to its folder.
     ///
     /// # Errors
-    /// If the file cannot be read, or everything that is wrong with it, by line.
+    /// Returns an error if the file cannot be read, or all problems of the file, by line.
     pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
         let text = fs::read_to_string(path).map_err(|source| ExperimentError::File {
             path: path.to_owned(),
@@ -88,13 +88,13 @@
     }
 }
 
-/// The name of a scenario: its file's name without the extension.
+/// Returns the name of a scenario, which is the name of its file without the extension.
 pub(super) fn scenario_name(path: &Path) -> String {
     path.file_stem()
         .map_or_else(String::new, |stem| stem.to_string_lossy().into_owned())
 }
 
-/// Reads an experiment's file and collects what is wrong with it.
+/// Reads the file of an experiment and collects its problems.
 struct DefinitionReader<'t> {
     path: &'t Path,
     text: &'t str,
--- a/crates/simulation/src/experiment/error.rs
+++ b/crates/simulation/src/experiment/error.rs
@@ -1,4 +1,4 @@
-//! Why an experiment cannot be played.
+//! Errors of experiments.
 
 use crate::scenario::ScenarioError;
 use std::fmt;
@@ -16,92 +16,92 @@
         /// The cause.
         source: io::Error,
     },
-    /// The experiment's file is wrong.
+    /// The file of the experiment is invalid.
     #[error("{}", Lines(.0))]
     Definition(Vec<DefinitionProblem>),
-    /// A scenario is wrong.
+    /// A scenario is invalid.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    /// Another process plays an experiment in this folder.
-    #[error("{}: another experiment runs here", .0.display())]
+    /// Another process is playing an experiment in this folder.
+    #[error("{}: locked by another process that is playing an experiment", .0.display())]
     Locked(PathBuf),
-    /// The path of this program is not known.
-    #[error("this program cannot be read")]
+    /// The path of this program cannot be determined.
+    #[error("the path of this program cannot be determined")]
     OwnProgram(#[source] io::Error),
-    /// The threads cannot be started.
-    #[error("the threads cannot be started")]
+    /// The worker threads cannot be started.
+    #[error("the worker threads cannot be started")]
     Threads(#[source] rayon::ThreadPoolBuildError),
     /// A result cannot be written as JSON.
     #[error("a result cannot be written as JSON")]
     Encode(#[from] serde_json::Error),
-    /// Another build of this program has not played a cell.
+    /// The program of a variant failed to play a cell.
     #[error("{} cell {}", program.display(), scenario.display())]
     Program {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// The scenario.
+        /// Path of the scenario.
         scenario: PathBuf,
         /// The cause.
         source: ProgramFailure,
     },
 }
 
-/// Why another build of this program has not played a cell.
+/// Why the program of a variant failed to play a cell.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramFailure {
-    /// It cannot be started.
+    /// The program cannot be started.
     #[error("cannot be started")]
     Start(#[source] io::Error),
-    /// It failed, and reported this.
+    /// The program failed with this error output.
     #[error("{0}")]
     Failed(String),
-    /// Its output is not a summary.
+    /// The output of the program is not a summary.
     #[error("its output is not a summary")]
     Output(#[source] serde_json::Error),
 }
 
-/// A problem of an experiment's file.
+/// A problem in the file of an experiment.
 #[derive(Debug, thiserror::Error)]
 #[error("{}:{line}: {kind}", path.display())]
 pub struct DefinitionProblem {
     /// The file.
     pub path: PathBuf,
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// Kind of the problem.
     pub kind: ProblemKind,
 }
 
-/// What is wrong with an experiment's file.
+/// The kind of a problem in the file of an experiment.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProblemKind {
-    /// It is no TOML, or has a key or type that experiments do not have.
+    /// The file is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{0}")]
     Syntax(String),
     /// The range of seeds is empty.
-    #[error("seeds go from less to more")]
+    #[error("seeds must go from less to more")]
     EmptySeeds,
     /// Two scenarios have the same name.
-    #[error("{0} stands here twice, or two files have this name")]
+    #[error("{0} is listed twice, or two scenario files have this name")]
     DuplicateScenario(String),
-    /// There is no scenario.
-    #[error("scenarios: name one at least")]
+    /// The list of scenarios is empty.
+    #[error("scenarios must list one at least")]
     NoScenario,
-    /// A variant has no name, or one that another variant has.
-    #[error("each variant has a name of its own")]
+    /// The name of a variant is empty or used by another variant.
+    #[error("each variant needs a name of its own")]
     DuplicateVariant,
     /// The program of a variant is not a file.
     #[error("{}: there is no such program", .0.display())]
     NoProgram(PathBuf),
-    /// There are too many cells.
-    #[error("over {max} cells in all")]
+    /// The experiment has too many cells.
+    #[error("more than {max} cells in all")]
     TooManyCells {
-        /// The greatest number.
+        /// Maximum number of cells.
         max: usize,
     },
 }
 
-/// Problems, one a line.
+/// Problems, printed on one line each.
 struct Lines<'p>(&'p [DefinitionProblem]);
 
 impl fmt::Display for Lines<'_> {
--- a/crates/simulation/src/experiment/store.rs
+++ b/crates/simulation/src/experiment/store.rs
@@ -1,4 +1,4 @@
-//! The folder of an experiment: a line for each cell, a table of all cells, and a manifest.
+//! The results folder of an experiment: a file with one line for each cell, a table of all cells, and a manifest.
 
 use super::definition::{scenario_name, Experiment};
 use super::error::ExperimentError;
@@ -11,23 +11,23 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, PoisonError};
 
-/// The file with a line for each cell.
+/// Name of the file with one JSON line for each cell.
 const CELLS: &str = "cells.jsonl";
-/// The table of all cells.
+/// Name of the CSV table of all cells.
 const TABLE: &str = "cells.csv";
-/// The manifest.
+/// Name of the manifest.
 const MANIFEST: &str = "manifest.json";
-/// The file that is locked while an experiment runs.
+/// Name of the file that is locked while an experiment runs.
 const LOCK: &str = "lock";
 
-/// The folder of an experiment, locked while this value lives.
+/// The results folder of an experiment, locked until this value is dropped.
 pub(super) struct CellStore {
     folder: PathBuf,
     _lock: File,
 }
 
 impl CellStore {
-    /// Creates the folder if there is none, and locks it.
+    /// Creates the folder if it does not exist, and locks it.
     pub(super) fn open(folder: &Path) -> Result<CellStore, ExperimentError> {
         let file_error = |source| file_error(folder, source);
         fs::create_dir_all(folder).map_err(file_error)?;
@@ -40,12 +40,12 @@
         })
     }
 
-    /// The results that the folder holds.
+    /// Reads the stored results.
     pub(super) fn results(&self) -> Result<Vec<CellResult>, ExperimentError> {
         read(&self.folder)
     }
 
-    /// Replaces all results.
+    /// Replaces all stored results.
     pub(super) fn replace(&self, results: &[CellResult]) -> Result<(), ExperimentError> {
         let lines: Vec<String> = results.iter().map(line_of).collect::<Result<_, _>>()?;
         let content = lines.concat();
@@ -59,7 +59,7 @@
         .map_err(|source| file_error(&self.folder, source))
     }
 
-    /// Opens the results for appending.
+    /// Opens the file of results for appending.
     pub(super) fn append(&self) -> Result<CellLog<'_>, ExperimentError> {
         let file = OpenOptions::new()
             .append(true)
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Writes all results in their order, their table and the manifest.
+    /// Writes all results in the given order, the table and the manifest.
     pub(super) fn finish(
         &self,
         experiment: &Experiment,
@@ -89,7 +89,7 @@
     }
 }
 
-/// The results of a folder, opened for appending by several threads.
+/// The file of results, opened for appending by several threads.
 pub(super) struct CellLog<'s> {
     folder: &'s Path,
     file: Mutex<File>,
@@ -104,10 +104,11 @@
     }
 }
 
-/// Reads the results of a folder; none if it holds none. A line torn by an interruption is skipped.
+/// Reads the results in a folder, or returns none if the folder has no file of results. Lines that were torn by an
+/// interruption are skipped.
 ///
 /// # Errors
-/// If the file cannot be read.
+/// Returns an error if the file cannot be read.
 pub fn read(folder: &Path) -> Result<Vec<CellResult>, ExperimentError> {
     let path = folder.join(CELLS);
     match fs::read_to_string(&path) {
@@ -149,7 +150,7 @@
     })
 }
 
-/// The table of all cells as CSV, a row for each class.
+/// Formats all cells as CSV with one row for each class.
 fn table(results: &[CellResult]) -> String {
     let mut csv =
         "scenario,variant,seed,kept,breaches,class,offered,taken,delivered,in_time,refused,failed,legs,p50_ms,p99_ms\n"
--- a/crates/simulation/src/seed_search.rs
+++ b/crates/simulation/src/seed_search.rs
@@ -1,4 +1,4 @@
-//! Searches the seeds with the worst runs, and shrinks a scenario to the smallest one that still fails.
+//! Searches for the seeds with the worst runs, and shrinks a scenario to the smallest one found that still fails.
 
 mod shrink;
 
@@ -11,7 +11,7 @@
 use rayon::prelude::*;
 use std::ops::RangeInclusive;
 
-/// Creates the node of an incarnation on any thread.
+/// Creates the node of an incarnation. May be called from any thread.
 pub type SyncNodeFactory<'a> = &'a (dyn Fn(Incarnation) -> Box<dyn Node> + Sync);
 
 /// The run of one seed.
@@ -19,7 +19,7 @@
 pub struct SeedResult {
     /// The seed.
     pub seed: u64,
-    /// The invariant that was violated first, if one was.
+    /// Invariant that was violated first; `None` if all hold.
     pub violated: Option<Invariant>,
     /// The summary of the run.
     pub summary: Summary,
@@ -28,9 +28,9 @@
 /// Which runs count as failing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailureCriterion {
-    /// Runs that violate this invariant first.
+    /// The first violation of the run is of this invariant.
     Violates(Invariant),
-    /// Runs with messages whose delivered share of the value is less than this.
+    /// The run has messages, and the delivered share of their value is less than this.
     DeliversLessThan(f64),
 }
 
@@ -45,10 +45,10 @@
     }
 }
 
-/// Plays seeds in parallel. The worst is first: runs with a violation, then those with the least delivered value.
+/// Plays seeds in parallel and returns the worst first: runs with a violation before the others, then by delivered value.
 ///
 /// # Errors
-/// If the draft is not a valid scenario for every seed.
+/// Returns an error if the draft is not a valid scenario for every seed.
 pub fn search_seeds(
     draft: &Draft,
     seeds: RangeInclusive<u64>,
--- a/crates/simulation/src/seed_search/shrink.rs
+++ b/crates/simulation/src/seed_search/shrink.rs
@@ -5,37 +5,37 @@
 use std::cmp::Reverse;
 use toml::{Table, Value};
 
-/// Further seeds tried for each candidate: removing a part changes every draw after it.
+/// Number of further seeds tried for each candidate, as removing a part changes all later draws.
 const SEEDS_PER_CANDIDATE: u64 = 4;
-/// Numbers that are reduced, with the factor of each step.
+/// Paths of the numbers that are reduced, with the factor of each reduction.
 const REDUCED_NUMBERS: [(&[&str], f64); 3] = [
     (&["seconds"], 0.5),
     (&["seconds"], 0.8),
     (&["couriers", "count"], 0.5),
 ];
-/// Factor by which the number of like destinations is reduced.
+/// Factor by which the number of destinations in a group is reduced.
 const DESTINATION_FACTOR: f64 = 0.5;
-/// Keys that are never removed.
+/// Keys that are never removed from a table.
 const KEPT_KEYS: [&str; 4] = ["title", "seconds", "from", "to"];
-/// Lists whose tables name a destination.
+/// Lists whose tables refer to a destination.
 const DESTINATION_LISTS: [&str; 3] = ["load", "news", "partition"];
 
 /// A smaller scenario that still fails.
 #[derive(Clone, Debug)]
 pub struct Shrunk {
-    /// The scenario, in one table.
+    /// The scenario with all includes merged.
     pub draft: Draft,
-    /// A seed with which it fails.
+    /// Seed with which the scenario fails.
     pub seed: u64,
-    /// Runs that were played.
+    /// Number of runs played while shrinking.
     pub runs: u32,
 }
 
 impl Shrunk {
-    /// The scenario as the text of a file.
+    /// Returns the scenario as the text of a file.
     ///
     /// # Errors
-    /// If the table cannot be written as TOML.
+    /// Returns an error if the table cannot be written as TOML.
     pub fn text(&self) -> Result<String, toml::ser::Error> {
         let table = toml::to_string(self.draft.table())?;
         Ok(format!(
@@ -45,12 +45,12 @@
     }
 }
 
-/// What counts as failing, and how many runs are played at most.
+/// Criterion of a failing run and maximum number of runs.
 #[derive(Clone, Copy, Debug)]
 pub struct ShrinkBudget {
-    /// What counts as failing.
+    /// Criterion that a candidate must meet.
     pub criterion: FailureCriterion,
-    /// Runs, at most.
+    /// Maximum number of runs.
     pub max_runs: u32,
 }
 
@@ -72,7 +72,7 @@
     smallest
 }
 
-/// The first candidate that still fails, if one does within the budget. Counts the runs.
+/// Returns the first candidate that still fails, or `None` if none does within the budget. Adds its runs to `current`.
 fn smaller_failing(
     current: &mut Shrunk,
     budget: ShrinkBudget,
@@ -84,7 +84,7 @@
             if current.runs >= budget.max_runs {
                 return None;
             }
-            // A candidate may be no valid scenario, such as one without a load.
+            // A candidate may be an invalid scenario, such as one without a class.
             let Ok(result) = run(&draft, seed, make_node) else {
                 break;
             };
@@ -101,7 +101,7 @@
     None
 }
 
-/// Smaller tables: first those without a part, the largest part first, then those with a smaller number.
+/// Returns smaller tables: first tables without one part, the largest part first, then tables with a smaller number.
 fn candidates(table: &Table) -> Vec<Table> {
     let mut without_part: Vec<(usize, Table)> = Vec::new();
     let mut remove_part = |path: &[Step]| {
@@ -144,7 +144,7 @@
     Index(usize),
 }
 
-/// Calls `visit` with the path of each part.
+/// Calls `visit` with the path of each part that can be removed.
 fn visit_parts(value: &Value, path: &mut Vec<Step>, visit: &mut dyn FnMut(&[Step])) {
     let mut descend = |step: Step, inner: &Value, path: &mut Vec<Step>| {
         path.push(step);
@@ -192,7 +192,7 @@
     }
 }
 
-/// The number of values in a value, itself included.
+/// Returns the number of values in a value, including the value itself.
 fn size(value: &Value) -> usize {
     match value {
         Value::Table(table) => 1 + table.values().map(size).sum::<usize>(),
@@ -201,7 +201,7 @@
     }
 }
 
-/// The table without a destination and everything that names it.
+/// Returns the table without a destination and all list entries that refer to it.
 fn without_destination(table: &Table, name: &str) -> Option<Table> {
     let mut smaller = table.clone();
     smaller.get_mut("partner")?.as_table_mut()?.remove(name)?;
@@ -213,7 +213,7 @@
     Some(smaller)
 }
 
-/// The table with one number multiplied by a factor, if that is above 1.
+/// Returns the table with one number multiplied by a factor; `None` if the number is not above 1.
 fn scaled(table: &Table, path: &[&str], factor: f64) -> Option<Table> {
     let mut smaller = table.clone();
     let (last, above) = path.split_last()?;
