--- a/crates/simulation/src/arguments.rs
+++ b/crates/simulation/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of `marblefall-simulation`.
+//! Command-line arguments of `marblefall-simulation`.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use marblefall_simulation::capacity_search::CapacitySearch;
@@ -6,12 +6,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Bisections of a capacity search.
+/// Number of bisections of a capacity search.
 const CAPACITY_SEARCH_STEPS: u32 = 7;
 
 /// Plays scenarios in virtual time.
 ///
-/// Exit codes: 0 all invariants hold, 1 one is violated or a file is wrong, 2 the arguments are wrong.
+/// Exit codes: 0 if all checks pass, 1 if an invariant is violated or the command fails, 2 if the arguments are invalid.
 #[derive(Debug, Parser)]
 #[command(name = "marblefall-simulation", version)]
 pub(crate) struct Arguments {
@@ -25,44 +25,44 @@
     Play(PlayArguments),
     /// Check whether scenarios are valid.
     Check {
-        /// The files.
+        /// Scenario files.
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
     },
-    /// Play a scenario with mutants of the scheduler, and report which were detected.
+    /// Play a scenario with mutants of the scheduler, and report which are detected.
     Faults {
-        /// The scenario.
+        /// Scenario file.
         scenario: PathBuf,
         /// Seed of all random draws.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Play scenarios x seeds x variants; cells whose results a folder holds are not played again.
+    /// Play scenarios x seeds x variants. Cells whose results are stored in the folder are not played again.
     #[command(
         after_help = "Example:\n  marblefall-simulation experiment crates/simulation/experiments/couriers.toml --out results/couriers"
     )]
     Experiment {
-        /// The experiment's file.
+        /// Experiment file.
         file: PathBuf,
-        /// Where the results are kept.
+        /// Folder for the results.
         #[arg(long, value_name = "FOLDER")]
         out: PathBuf,
-        /// Cells played at once; 0 for one on each core.
+        /// Number of cells played in parallel; 0 for one on each core.
         #[arg(long, default_value_t = 0)]
         threads: usize,
     },
-    /// Compare two variants of an experiment, or one of two experiments, pair by pair.
+    /// Compare two variants of one experiment, or variants of two experiments, pair by pair.
     Compare(CompareArguments),
     /// Find the load at which each class begins to miss its deadline.
     Capacity(CapacityArguments),
-    /// Find the seeds with the worst runs, and shrink the worst to the smallest scenario that still fails.
+    /// Find the seeds with the worst runs, and optionally shrink the scenario of the worst run while it still fails.
     Hunt(SeedSearchArguments),
-    /// Write one page with plots of a folder's run or experiment.
+    /// Write an HTML page with plots of the run or experiment in a folder.
     Report {
-        /// The folder; the page is `report.html` in it.
+        /// Folder of the run or experiment; the page is written to `report.html` in it.
         folder: PathBuf,
     },
-    /// Play one cell of an experiment and print its summary as JSON. Another build calls this.
+    /// Play one cell of an experiment and print its summary as JSON. Other builds call this command for variants.
     Cell {
         #[command(flatten)]
         scenario: ScenarioArguments,
@@ -72,24 +72,24 @@
     },
 }
 
-/// What instances are made of.
+/// Implementation that each instance runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum NodeKind {
     /// The scheduler alone.
     Model,
-    /// The core with its journal on disk.
+    /// The delivery core with its journal on disk.
     Core,
-    /// Daemons of a group as processes of their own.
+    /// Daemons of a group, each in its own process.
     Processes,
 }
 
 /// A scenario with overrides.
 #[derive(Debug, Args)]
 pub(crate) struct ScenarioArguments {
-    /// The scenario.
+    /// Scenario file.
     #[arg(value_name = "SCENARIO")]
     pub(crate) scenario: PathBuf,
-    /// A value that takes precedence over the file's, as path.to.value=value; may be given again.
+    /// Value that takes precedence over that of the file, as path.to.value=value; may be given several times.
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub(crate) overrides: Vec<String>,
 }
@@ -104,13 +104,13 @@
     }
 }
 
-/// The processes of a scenario that is played on processes.
+/// Options of scenarios that are played on processes.
 #[derive(Debug, Args)]
 pub(crate) struct ProcessArguments {
-    /// On processes: the program; by default `marblefall` beside this one.
+    /// With --on processes: program under test; by default `marblefall` in the folder of this program.
     #[arg(long, value_name = "FILE")]
     pub(crate) program: Option<PathBuf>,
-    /// On processes: where homes, histories and logs are; by default a folder that is removed.
+    /// With --on processes: folder for homes, histories and logs; by default a temporary folder that is removed.
     #[arg(long, value_name = "FOLDER")]
     pub(crate) keep: Option<PathBuf>,
 }
@@ -125,15 +125,15 @@
     /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Where metrics are written as CSV, with a manifest and a page.
+    /// Folder to which metrics are written as CSV, with a manifest and an HTML page.
     #[arg(long, value_name = "FOLDER")]
     pub(crate) out: Option<PathBuf>,
-    /// What the instances are: the scheduler alone, or the core with its journal on disk.
+    /// Implementation that each instance runs.
     #[arg(long = "on", value_enum, value_name = "ON", default_value_t = NodeKind::Model)]
     pub(crate) node_kind: NodeKind,
     #[command(flatten)]
     pub(crate) processes: ProcessArguments,
-    /// On processes: a stored schedule, instead of one drawn from the seed.
+    /// With --on processes: stored schedule that replaces the one drawn from the seed.
     #[arg(long, value_name = "FILE")]
     pub(crate) schedule: Option<PathBuf>,
 }
@@ -143,14 +143,14 @@
     after_help = "Examples:\n  marblefall-simulation compare results/couriers --base three --with ten\n  marblefall-simulation compare before after"
 )]
 pub(crate) struct CompareArguments {
-    /// An experiment's folder.
+    /// Results folder of an experiment.
     pub(crate) folder: PathBuf,
-    /// Another one, which holds the second variant.
+    /// Results folder with the second variant, if it is another one.
     pub(crate) other: Option<PathBuf>,
-    /// The first variant; may be omitted if there is only one.
+    /// First variant; may be omitted if its folder has only one.
     #[arg(long)]
     pub(crate) base: Option<String>,
-    /// The second variant.
+    /// Second variant; may be omitted if its folder has only one.
     #[arg(long)]
     pub(crate) with: Option<String>,
 }
@@ -162,22 +162,22 @@
 pub(crate) struct CapacityArguments {
     #[command(flatten)]
     pub(crate) scenario: ScenarioArguments,
-    /// The least factor of the scenario's loads.
+    /// Minimum factor of the scenario's loads.
     #[arg(long = "least", value_name = "LEAST", default_value_t = 0.25)]
     min_factor: f64,
-    /// The greatest factor.
+    /// Maximum factor of the scenario's loads.
     #[arg(long = "most", value_name = "MOST", default_value_t = 16.0)]
     max_factor: f64,
     /// Share of the offered messages that must be delivered before their deadline.
     #[arg(long = "part", value_name = "PART", default_value_t = 0.99)]
     required_share: f64,
-    /// Seeds played at each load.
+    /// Number of seeds played with each factor.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
 }
 
 impl CapacityArguments {
-    /// The search; `None` if a bound is invalid.
+    /// Returns the search; `None` if a bound is invalid.
     pub(crate) fn search(&self) -> Option<CapacitySearch> {
         let bounds_are_valid = 0.0 < self.min_factor
             && self.min_factor < self.max_factor
@@ -201,27 +201,27 @@
 pub(crate) struct SeedSearchArguments {
     #[command(flatten)]
     pub(crate) scenario: ScenarioArguments,
-    /// Seeds 1 to this are played.
+    /// Number of seeds, from 1.
     #[arg(long, default_value_t = 100)]
     pub(crate) seeds: u64,
-    /// Where the shrunk scenario is written.
+    /// File to which the shrunk scenario or schedule is written.
     #[arg(long, value_name = "FILE")]
     pub(crate) shrink: Option<PathBuf>,
-    /// Runs spent on shrinking, at most.
+    /// Maximum number of runs spent on shrinking.
     #[arg(long = "runs", value_name = "RUNS", default_value_t = 2000)]
     pub(crate) max_shrink_runs: u32,
-    /// What the instances are.
+    /// Implementation that each instance runs.
     #[arg(long = "on", value_enum, value_name = "ON", default_value_t = NodeKind::Model)]
     pub(crate) node_kind: NodeKind,
     #[command(flatten)]
     pub(crate) processes: ProcessArguments,
-    /// On processes: seconds after which no further seed is started.
+    /// With --on processes: seconds after which no further seed is started.
     #[arg(long = "within", value_name = "SECONDS", default_value_t = 3600)]
     time_limit_s: u64,
 }
 
 impl SeedSearchArguments {
-    /// Time after which no further seed is started.
+    /// Returns the time after which no further seed is started.
     pub(crate) fn time_limit(&self) -> Duration {
         Duration::from_secs(self.time_limit_s)
     }
--- a/crates/simulation/src/commands.rs
+++ b/crates/simulation/src/commands.rs
@@ -13,10 +13,10 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What a command that ran to its end reports with the exit code.
+/// Result of a completed command, reported by the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunStatus {
-    /// Everything is as required.
+    /// All checks passed.
     Ok,
     /// An invariant is violated, a mutant was not detected, or a scenario is invalid.
     Failed,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Why a command did not run to its end.
+/// Why a command could not be completed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
     #[error(transparent)]
@@ -45,17 +45,19 @@
     Report(#[from] ReportError),
     #[error("{}", path.display())]
     File { path: PathBuf, source: io::Error },
-    #[error("no folder for the journals")]
+    #[error("the folder for the journals cannot be created")]
     Journals(#[source] io::Error),
     #[error("the result cannot be written as JSON")]
     Json(#[from] serde_json::Error),
     #[error("the shrunk scenario cannot be written as TOML")]
     Toml(#[from] toml::ser::Error),
-    #[error("0 < --least < --most, --part within 0 and 1, --seeds 1 at least")]
+    #[error(
+        "invalid options: requires 0 < --least < --most, --part within 0 and 1, --seeds at least 1"
+    )]
     InvalidCapacitySearch,
-    #[error("{}: holds no cells of an experiment", .0.display())]
+    #[error("{}: has no results of an experiment", .0.display())]
     NoResults(PathBuf),
-    #[error("{}: say --{option} with one of: {}", folder.display(), known.join(", "))]
+    #[error("{}: give --{option} with one of: {}", folder.display(), known.join(", "))]
     UnknownVariant {
         folder: PathBuf,
         option: &'static str,
--- a/crates/simulation/src/commands/experiments.rs
+++ b/crates/simulation/src/commands/experiments.rs
@@ -1,4 +1,4 @@
-//! Plays, compares and reports experiments.
+//! The commands that play, compare and report experiments.
 
 use super::{write_file, CommandError, RunStatus};
 use crate::arguments::CompareArguments;
@@ -7,7 +7,7 @@
 use marblefall_simulation::report;
 use std::path::Path;
 
-/// Plays the cells of an experiment that are not done, and prints its results.
+/// Plays the cells of an experiment that are not complete, and prints the results of all cells.
 pub(super) fn run(file: &Path, out: &Path, threads: usize) -> Result<RunStatus, CommandError> {
     let experiment = Experiment::read(file)?;
     let run = experiment.run(out, threads)?;
@@ -37,7 +37,7 @@
     Ok(RunStatus::ok_if(violating.is_empty()))
 }
 
-/// Compares two variants.
+/// Compares two variants and prints the differences.
 pub(super) fn compare(arguments: &CompareArguments) -> Result<RunStatus, CommandError> {
     let other = arguments.other.as_ref().unwrap_or(&arguments.folder);
     let base = variant_results(&arguments.folder, arguments.base.as_deref(), "base")?;
@@ -46,7 +46,7 @@
     Ok(RunStatus::Ok)
 }
 
-/// The results of the named variant of a folder, or of its only one.
+/// Returns the results of the named variant in a folder. The name may be omitted if there is only one variant.
 fn variant_results(
     folder: &Path,
     name: Option<&str>,
@@ -72,7 +72,7 @@
     Ok(results.filter(|result| result.variant == variant).collect())
 }
 
-/// Writes the page of a run or an experiment.
+/// Writes the HTML page of a run or an experiment.
 pub(super) fn report(folder: &Path) -> Result<RunStatus, CommandError> {
     let page = report::of_folder(folder)?;
     let path = folder.join(report::PAGE);
--- a/crates/simulation/src/commands/play.rs
+++ b/crates/simulation/src/commands/play.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario once, or only checks whether it is valid.
+//! The commands that play a scenario, check whether scenarios are valid, or check whether mutants are detected.
 
 use super::{write_file, CommandError, RunStatus};
 use crate::arguments::{PlayArguments, ScenarioArguments};
@@ -15,9 +15,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Bytes that the journal of each instance may occupy on disk.
+/// Maximum size of the journal of each instance, in bytes.
 const MAX_DISK_BYTES: u64 = 16_000_000;
-/// Lower bound of the time that a run took, in s.
+/// Lower bound of the elapsed time, in s; avoids a division by zero.
 const MIN_ELAPSED_S: f64 = 1e-9;
 
 /// Plays a scenario on the scheduler alone.
@@ -78,7 +78,7 @@
     })
 }
 
-/// Writes what the run was played from. The keys are those of earlier versions.
+/// Writes the inputs of a run and its totals. The keys are those of earlier versions.
 fn write_manifest(
     arguments: &PlayArguments,
     scenario: &Scenario,
@@ -114,7 +114,7 @@
     RunStatus::ok_if(all_valid)
 }
 
-/// The title of a valid scenario of either kind.
+/// Reads a scenario, for the simulation or for processes, and returns its title.
 fn title(path: &Path) -> Result<String, CommandError> {
     if process_experiment::is_process_scenario(path) {
         let scenario = ProcessScenario::read(path);
@@ -124,7 +124,7 @@
     Ok(Scenario::read(path, &[], 1)?.title)
 }
 
-/// Plays a scenario with each mutant, and prints which the invariant checker detects.
+/// Plays a scenario with each mutant, and prints which mutants the invariant checker detects.
 pub(super) fn detect_mutants(path: &Path, seed: u64) -> Result<RunStatus, CommandError> {
     let scenario = Scenario::read(path, &[], seed)?;
     let mut all_detected = true;
--- a/crates/simulation/src/commands/search.rs
+++ b/crates/simulation/src/commands/search.rs
@@ -1,4 +1,4 @@
-//! Searches the capacity of a scenario and the seeds with its worst runs.
+//! The commands that search for the capacity of a scenario and for the seeds with the worst runs.
 
 use super::{write_file, CommandError, RunStatus};
 use crate::arguments::{CapacityArguments, SeedSearchArguments};
@@ -10,14 +10,14 @@
 use marblefall_simulation::simulation::production_node;
 use std::path::Path;
 
-/// Seeds that are printed.
+/// Maximum number of seeds that are printed.
 const PRINTED_SEEDS: usize = 10;
-/// Without a violation, a run counts as failing if it is among the worst of this many.
+/// Without violations, the worst runs count as failing: one in this many.
 const WORST_ONE_IN: usize = 10;
 /// Added to a share so that a run with exactly this share counts as failing.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Searches and prints the capacity of each class.
+/// Searches for the capacity of each class and prints it.
 pub(super) fn capacity(arguments: &CapacityArguments) -> Result<RunStatus, CommandError> {
     let search = arguments
         .search()
@@ -47,7 +47,7 @@
     Ok(RunStatus::Ok)
 }
 
-/// Searches and prints the seeds with the worst runs, and shrinks the worst if that is requested.
+/// Searches for the seeds with the worst runs, prints them, and shrinks the worst run if `--shrink` is given.
 pub(super) fn seeds(arguments: &SeedSearchArguments) -> Result<RunStatus, CommandError> {
     let draft = arguments.scenario.draft()?;
     let results = search_seeds(&draft, 1..=arguments.seeds.max(1), &production_node)?;
@@ -71,7 +71,7 @@
     Ok(RunStatus::ok_if(violating == 0))
 }
 
-/// Shrinks the scenario of the worst run and writes it.
+/// Shrinks the scenario of the worst run and writes it to a file.
 fn shrink_worst(
     draft: &Draft,
     results: &[SeedResult],
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! `marblefall-simulation`: plays scenarios in virtual time and checks their invariants.
+//! `marblefall-simulation`: plays scenarios in virtual time or on real processes, and checks their invariants.
 
 #![forbid(unsafe_code)]
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// An error with its causes. A cause that its error's message already ends with is not repeated.
+/// Formats an error with its causes. A cause is omitted if the text already ends with its message.
 fn error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/simulation/src/process_experiment.rs
+++ b/crates/simulation/src/process_experiment.rs
@@ -1,4 +1,4 @@
-//! The commands of `marblefall-simulation` that play scenarios on processes.
+//! The commands of `marblefall-simulation` that play scenarios on real processes.
 
 use crate::arguments::ProcessArguments;
 use marblefall_process_experiment::experiment::{play, ChangeCounts, Report};
@@ -11,14 +11,16 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Why a command on processes fails.
+/// Why a command that plays on processes fails.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessExperimentError {
     /// The scenario or the stored schedule cannot be used.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
     /// The program under test was not found.
-    #[error("the program marblefall is not in the folder of this one: give --program FILE")]
+    #[error(
+        "no program marblefall in the folder of this program: give its path with --program FILE"
+    )]
     ProgramNotFound,
     /// A run was inconclusive.
     #[error(transparent)]
@@ -26,9 +28,9 @@
     /// A run of a search was inconclusive.
     #[error("seed {seed}")]
     Seed {
-        /// The seed.
+        /// Seed of the run.
         seed: u64,
-        /// Why.
+        /// The cause.
         source: Box<ProcessExperimentError>,
     },
     /// A shrunk schedule cannot be encoded.
@@ -37,16 +39,16 @@
     /// A shrunk schedule cannot be written.
     #[error("{}", path.display())]
     Write {
-        /// The file.
+        /// Path of the schedule.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Whether a file is a scenario for processes.
+/// Returns whether a file is a scenario for processes.
 pub fn is_process_scenario(path: &Path) -> bool {
-    // A file that cannot be read is reported by whoever reads it as a scenario.
+    // An unreadable file is reported when it is parsed as a scenario.
     let text = fs::read_to_string(path).unwrap_or_default();
     text.lines().any(|line| line.trim() == "[processes]")
 }
@@ -60,21 +62,21 @@
             .ok_or(ProcessExperimentError::ProgramNotFound)
     }
 
-    /// Plays a schedule in a temporary folder, or in the folder that is kept.
+    /// Plays a schedule in the folder given with `--keep`, or in a temporary folder.
     fn play(&self, schedule: &Schedule) -> Result<Report, ProcessExperimentError> {
         let temporary =
             std::env::temp_dir().join(format!("marblefall-processes-{}", std::process::id()));
         let folder = self.keep.as_ref().unwrap_or(&temporary);
         let report = play(schedule, &self.program()?, folder);
         if self.keep.is_none() {
-            // What cannot be removed stays in the machine's folder for temporary files.
+            // Errors are ignored: files that cannot be removed stay in the system's temporary folder.
             let _ = fs::remove_dir_all(&temporary);
         }
         Ok(report?)
     }
 }
 
-/// Plays a scenario's schedule for a seed, or a stored schedule, and prints what came of it. Returns whether all
+/// Plays the schedule that is drawn for a seed, or a stored schedule, and prints the result. Returns whether all
 /// invariants hold.
 pub fn play_schedule(
     path: &Path,
@@ -126,21 +128,21 @@
 
 /// A search for a seed whose schedule violates an invariant.
 pub struct Search<'a> {
-    /// The scenario.
+    /// Path of the scenario.
     pub scenario: &'a Path,
-    /// Seeds 1 to this are played.
+    /// Number of seeds, from 1.
     pub seeds: u64,
-    /// No seed is begun after this time.
+    /// Time after which no further seed is started.
     pub time_limit: Duration,
-    /// Where the shrunk schedule is written.
+    /// Path to which the shrunk schedule is written.
     pub out: Option<&'a Path>,
-    /// Runs spent on shrinking, at most.
+    /// Maximum number of runs spent on shrinking.
     pub max_shrink_runs: u32,
-    /// The processes.
+    /// Program and folder of the processes.
     pub processes: &'a ProcessArguments,
 }
 
-/// What a search has played.
+/// Totals of the runs of a search.
 #[derive(Default)]
 struct Totals {
     seeds: u64,
@@ -150,8 +152,8 @@
 }
 
 impl Search<'_> {
-    /// Plays seeds one after the other until one violates an invariant, and shrinks its schedule. Returns whether none
-    /// does.
+    /// Plays seeds one after the other until a run violates an invariant, then shrinks its schedule. Returns whether all
+    /// invariants hold in all runs.
     pub fn run(&self) -> Result<bool, ProcessExperimentError> {
         let scenario = ProcessScenario::read(self.scenario)?;
         let deadline = Instant::now() + self.time_limit;
@@ -184,7 +186,7 @@
         invariant: Invariant,
     ) -> Result<(), ProcessExperimentError> {
         let violated = |smaller: &Schedule| {
-            // A run that is inconclusive shows no violation.
+            // An inconclusive run counts as one without a violation.
             let report = self.processes.play(smaller);
             let violations = report.map(|report| report.violations).unwrap_or_default();
             violations
