--- a/crates/simulation/src/plot.rs
+++ b/crates/simulation/src/plot.rs
@@ -1,14 +1,14 @@
-//! Plots as SVG: lines over one axis, and means with their intervals.
+//! SVG plots: lines over a common axis, and means with their confidence intervals.
 //!
-//! The colours are those of Okabe and Ito, which can be told apart with every kind of colour vision. Lines also differ by
-//! their dashes and intervals by their markers, so that they do in print.
+//! The colours are from the palette of Okabe and Ito, which can be distinguished with every kind of colour vision. Lines
+//! also differ by their dashes, and intervals by their markers, so that they can be distinguished in print without colour.
 
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 use plotters::series::DashedLineSeries;
 use std::error::Error;
 
-/// Why a plot cannot be drawn.
+/// An error of the drawing library.
 #[derive(Debug, thiserror::Error)]
 #[error("a plot cannot be drawn")]
 pub struct PlotError(#[source] Box<dyn Error + Send + Sync>);
@@ -23,10 +23,10 @@
     RGBColor(230, 159, 0),
     RGBColor(86, 180, 233),
 ];
-/// The colour of the grid and of shaded spans.
+/// Colour of the grid and of shaded spans.
 const GREY: RGBColor = RGBColor(225, 225, 225);
 
-/// The dashes of a line, in pixels.
+/// Lengths of the dashes and gaps of a line, in pixels. A length of 0 is a solid line.
 #[derive(Clone, Copy)]
 struct Dashes {
     length: u32,
@@ -51,35 +51,35 @@
     Dashes::new(5, 8),
     Dashes::new(2, 6),
 ];
-/// The text of each marker, in the order of [`draw_markers`].
+/// Characters that represent the markers in a legend, in the order of [`draw_markers`].
 const MARKERS: [&str; 3] = ["●", "▲", "✕"];
 const FONT: (&str, u32) = ("sans-serif", 12);
 const MARGIN_PX: u32 = 8;
 const X_LABELS_PX: u32 = 34;
 const LINE_WIDTH_PX: u32 = 2;
-/// Factor by which the vertical axis exceeds the greatest value.
+/// Factor by which the vertical axis exceeds the maximum value.
 const HEADROOM: f64 = 1.08;
-/// Least length of an axis.
+/// Minimum length of an axis.
 const MIN_AXIS: f64 = 1e-9;
 /// Width of an interval plot, in pixels.
 const INTERVAL_PLOT_WIDTH_PX: u32 = 880;
 /// Height of an interval plot without rows, in pixels.
 const INTERVAL_PLOT_BASE_PX: u32 = 90;
-/// Height of one of its rows, in pixels.
+/// Height of a row of an interval plot, in pixels.
 const ROW_PX: u32 = 26;
-/// Vertical distance of the intervals of one row.
+/// Vertical distance between the intervals of one row, as a share of the row height.
 const SERIES_DISTANCE: f64 = 0.16;
 
-/// Colour and dashes of a line, as SVG attributes.
+/// Colour and dashes of a line, as values of SVG attributes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stroke {
-    /// The value of `stroke`.
+    /// Value of the attribute `stroke`.
     pub colour: String,
-    /// The value of `stroke-dasharray`.
+    /// Value of the attribute `stroke-dasharray`.
     pub dashes: String,
 }
 
-/// The stroke of the line with an index, for a legend.
+/// Returns the stroke of the line with an index, for a legend.
 pub fn stroke(index: usize) -> Stroke {
     let RGBColor(red, green, blue) = COLOURS[index % COLOURS.len()];
     let dashes = DASHES[index % DASHES.len()];
@@ -93,12 +93,12 @@
     }
 }
 
-/// The marker of the series with an index, as text.
+/// Returns the character that represents the marker of the series with an index.
 pub fn marker(index: usize) -> &'static str {
     MARKERS[index % MARKERS.len()]
 }
 
-/// The SVG that a function draws.
+/// Returns the SVG that a function draws.
 fn drawn_by(
     draw: impl FnOnce(&mut String) -> Result<(), Box<dyn Error>>,
 ) -> Result<String, PlotError> {
@@ -107,25 +107,25 @@
     Ok(svg)
 }
 
-/// A line.
+/// A line of a plot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Coordinates of the points.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A span of the horizontal axis.
+/// A shaded span of the horizontal axis.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShadedSpan {
-    /// Its start.
+    /// Start of the span.
     pub from: f64,
-    /// Its end.
+    /// End of the span.
     pub until: f64,
 }
 
-/// Lines over one axis.
+/// A plot of lines over a common horizontal axis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinePlot<'a> {
     /// Label of the horizontal axis.
@@ -138,15 +138,15 @@
     pub height_px: u32,
     /// Shaded spans of the horizontal axis.
     pub shaded: Vec<ShadedSpan>,
-    /// The lines.
+    /// Lines of the plot, in the order of the legend.
     pub lines: Vec<Line>,
 }
 
 impl LinePlot<'_> {
-    /// The plot as SVG.
+    /// Returns the plot as SVG.
     ///
     /// # Errors
-    /// If it cannot be drawn.
+    /// Returns an error if the plot cannot be drawn.
     pub fn svg(&self) -> Result<String, PlotError> {
         drawn_by(|svg| self.draw(svg))
     }
@@ -197,40 +197,40 @@
     Ok(())
 }
 
-/// A mean with its interval.
+/// A mean with its confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
-    /// The mean.
+    /// Mean of the values.
     pub mean: f64,
-    /// Lower end.
+    /// Lower end of the interval.
     pub low: f64,
-    /// Upper end.
+    /// Upper end of the interval.
     pub high: f64,
 }
 
 /// The intervals of one variant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IntervalSeries {
-    /// Its interval in each row, if it has one there.
+    /// Interval in each row; `None` if the variant has no value there.
     pub rows: Vec<Option<Interval>>,
 }
 
-/// Means with their intervals: a row for each name, a marker for each variant.
+/// A plot of means with their intervals, with a row for each name and a marker for each variant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IntervalPlot<'a> {
     /// Label of the horizontal axis.
     pub x_label: &'a str,
     /// Names of the rows, from top to bottom.
     pub row_names: Vec<String>,
-    /// The variants.
+    /// Intervals of each variant.
     pub series: Vec<IntervalSeries>,
 }
 
 impl IntervalPlot<'_> {
-    /// The plot as SVG.
+    /// Returns the plot as SVG.
     ///
     /// # Errors
-    /// If it cannot be drawn.
+    /// Returns an error if the plot cannot be drawn.
     pub fn svg(&self) -> Result<String, PlotError> {
         drawn_by(|svg| self.draw(svg))
     }
@@ -267,7 +267,7 @@
         Ok(())
     }
 
-    /// The name of the row at a position of the vertical axis; empty between rows.
+    /// Returns the name of the row at a position of the vertical axis, or an empty string between rows.
     fn row_name(&self, y: f64) -> String {
         let position = y.round();
         if (y - position).abs() >= 1e-6 || position < 0.0 {
@@ -295,7 +295,7 @@
     }
 }
 
-/// Draws the markers of a series. Series also differ by the shape of their markers.
+/// Draws the markers of a series. The shape of the markers depends on the index of the series.
 fn draw_markers(
     chart: &mut Chart<'_, '_>,
     index: usize,
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports: a run or an experiment as one page of HTML without external resources.
+//! Reports a run or an experiment as one HTML page without external resources.
 
 mod experiment_page;
 mod html;
@@ -13,14 +13,14 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file of a folder that holds its page.
+/// Name of the file with the page.
 pub const PAGE: &str = "report.html";
-/// The file of a folder that holds a run for its page.
+/// Name of the file with a stored run.
 const RUN: &str = "run.json";
-/// The file of a folder that holds the title of an experiment.
+/// Name of the file with the title of an experiment.
 const MANIFEST: &str = "manifest.json";
 
-/// Why there is no report.
+/// Why a report cannot be created.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// A file cannot be read or written.
@@ -31,7 +31,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// A file is not a run, or the run cannot be written.
+    /// A file is not a stored run, or a run cannot be encoded.
     #[error("{}", path.display())]
     Run {
         /// The file.
@@ -45,15 +45,15 @@
     /// A plot cannot be drawn.
     #[error(transparent)]
     Plot(#[from] PlotError),
-    /// The folder is not one of a run or an experiment.
+    /// The folder contains neither a run nor an experiment.
     #[error("{}: holds neither a play nor an experiment", .0.display())]
     Empty(PathBuf),
 }
 
-/// The page of a folder with a run or an experiment.
+/// Returns the page of the run or experiment in a folder.
 ///
 /// # Errors
-/// If the folder holds neither, or it cannot be read.
+/// Returns an error if the folder contains neither or cannot be read, or if a plot cannot be drawn.
 pub fn of_folder(folder: &Path) -> Result<String, ReportError> {
     if folder.join(RUN).is_file() {
         return RunReport::read(folder)?.page();
@@ -66,7 +66,7 @@
     experiment_page::page(title.as_deref().unwrap_or("Experiment"), &results)
 }
 
-/// The title of an experiment. A page without one is better than none, so errors are ignored.
+/// Reads the title of an experiment. Errors are ignored, as the page is useful without the title.
 fn experiment_title(folder: &Path) -> Option<String> {
     let manifest = std::fs::read(folder.join(MANIFEST)).ok()?;
     let manifest: serde_json::Value = serde_json::from_slice(&manifest).ok()?;
--- a/crates/simulation/src/report/experiment_page.rs
+++ b/crates/simulation/src/report/experiment_page.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 
-/// The delivered share of the value of each seed, by scenario and variant.
+/// Delivered shares of the value, one for each seed, by scenario and variant.
 type Shares<'r> = BTreeMap<&'r str, BTreeMap<&'r str, Vec<f64>>>;
 
 fn shares(results: &[CellResult]) -> Shares<'_> {
@@ -21,12 +21,12 @@
     shares
 }
 
-/// The mean of at least one value.
+/// Returns the mean of values, of which there must be at least one.
 fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// The mean delivered share of the value by scenario and variant, as a table for a terminal.
+/// Formats the mean delivered share of the value by scenario and variant as a plain-text table.
 pub fn value_table(results: &[CellResult]) -> String {
     let variants = variants(results);
     let mut text = format!("{:<20}", "value delivered");
@@ -46,7 +46,7 @@
     text
 }
 
-/// The page of an experiment with at least one result.
+/// Returns the page of an experiment, which must have at least one result.
 pub(super) fn page(title: &str, results: &[CellResult]) -> Result<String, ReportError> {
     let shares = shares(results);
     let variants = variants(results);
@@ -109,7 +109,7 @@
     }
 }
 
-/// Compares each variant with the first one.
+/// Compares each variant with the first one, in alphabetical order.
 fn comparisons(results: &[CellResult], variants: &BTreeSet<&str>) -> Markup {
     let of_variant = |variant: &str| -> Vec<CellResult> {
         let results = results.iter().filter(|result| result.variant == variant);
--- a/crates/simulation/src/report/html.rs
+++ b/crates/simulation/src/report/html.rs
@@ -1,4 +1,4 @@
-//! Parts of pages.
+//! HTML that the pages of runs and experiments share.
 
 use crate::plot::{stroke, LinePlot, PlotError};
 use maud::{html, Markup, PreEscaped, DOCTYPE};
@@ -10,7 +10,7 @@
     figcaption{font-weight:600}svg{max-width:100%;height:auto}.legend{margin:.3em 0;font-size:14px;white-space:pre-wrap}.good{font-weight:600}.bad{font-weight:600}\
     pre{white-space:pre-wrap;background:#f4f4f4;padding:.5em}@media print{body{margin:0;max-width:none}}";
 
-/// A page.
+/// Returns a page with a title and a body.
 pub(super) fn page(title: &str, body: &Markup) -> String {
     let page = html! {
         (DOCTYPE)
@@ -27,7 +27,7 @@
     page.into_string() + "\n"
 }
 
-/// A plot with its legend above, where it hides no line.
+/// Returns a plot with its legend. The legend is above the plot, so that it does not cover lines.
 pub(super) fn line_plot(plot: &LinePlot<'_>) -> Result<Markup, PlotError> {
     let svg = PreEscaped(plot.svg()?);
     Ok(html! {
--- a/crates/simulation/src/report/run.rs
+++ b/crates/simulation/src/report/run.rs
@@ -1,4 +1,4 @@
-//! A run with everything that its page shows, as it is stored.
+//! The data that the page of a run shows, in the form in which it is stored.
 
 use super::{ReportError, PAGE, RUN};
 use crate::destination::{Destination, Outage, OutageKind};
@@ -9,10 +9,10 @@
 use std::fs;
 use std::path::Path;
 
-/// Quantiles of the delivery times that are stored.
+/// Quantiles at which delivery times are stored.
 const QUANTILES: [f64; 10] = [0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999];
 
-/// A run with everything that its page shows. Stored runs name some fields by their older names.
+/// The data that the page of a run shows. Stored runs keep the older names of some fields.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunReport {
     pub(super) title: String,
@@ -26,7 +26,7 @@
     pub(super) delivery_times: Vec<DeliveryTimes>,
     #[serde(rename = "partners")]
     pub(super) destinations: Vec<DestinationReport>,
-    /// The greatest number of open messages, by bin.
+    /// Maximum number of open messages in each bin.
     #[serde(rename = "held")]
     pub(super) open_messages: Vec<u32>,
     #[serde(rename = "happened")]
@@ -35,29 +35,29 @@
     pub(super) violations: Vec<String>,
 }
 
-/// What a run shows of one destination.
+/// The data that the page of a run shows for one destination.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct DestinationReport {
     pub(super) name: String,
-    /// Calls per second that it can process when it is warmed up.
+    /// Calls per second that the destination can process when it is warmed up.
     pub(super) capacity: f64,
-    /// Its total outages.
+    /// Outages that affect all calls.
     pub(super) outages: Vec<OutageReport>,
-    /// How it recovers from them.
+    /// Warm-up after an outage; `None` if the full capacity is available at once.
     #[serde(rename = "cold")]
     pub(super) warm_up: Option<WarmUpReport>,
-    /// Calls that arrived, by bin.
+    /// Number of calls that arrived in each bin.
     pub(super) calls: Vec<u32>,
-    /// Messages delivered, by bin.
+    /// Number of messages delivered in each bin.
     pub(super) delivered: Vec<u32>,
 }
 
-/// The quantiles of the delivery times of a class. Stored as `[class, [[quantile, ms], ...]]`.
+/// Quantiles of the delivery times of a class. Stored as `[class, [[quantile, ms], ...]]`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "(String, Vec<(f64, f64)>)", into = "(String, Vec<(f64, f64)>)")]
 pub(super) struct DeliveryTimes {
     pub(super) class: String,
-    /// Quantiles with their times in ms.
+    /// Pairs of a quantile and its delivery time in ms.
     pub(super) quantiles: Vec<(f64, f64)>,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// An outage. Stored as `[from_s, until_s, kind]`.
+/// An outage of a destination. Stored as `[from_s, until_s, kind]`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, String)", into = "(f64, f64, String)")]
 pub(super) struct OutageReport {
@@ -98,11 +98,11 @@
     }
 }
 
-/// How a destination recovers. Stored as `[initial_capacity, duration_s]`.
+/// The warm-up of a destination after an outage. Stored as `[initial_capacity, duration_s]`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub(super) struct WarmUpReport {
-    /// Share of the capacity that is available at first.
+    /// Share of the capacity that is available right after the outage.
     pub(super) initial_capacity: f64,
     pub(super) duration_s: f64,
 }
@@ -122,7 +122,7 @@
     }
 }
 
-/// An event of the scenario. Stored as `[at_s, text]`.
+/// An event of the timeline. Stored as `[at_s, text]`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "(f64, String)", into = "(f64, String)")]
 pub(super) struct TimelineEntry {
@@ -143,7 +143,7 @@
 }
 
 impl RunReport {
-    /// The report of a run.
+    /// Creates the report of a run.
     pub fn of(scenario: &Scenario, seed: u64, run: &MeasuredRun) -> RunReport {
         let MeasuredRun { metrics, verdict } = run;
         let delivered = metrics
@@ -170,7 +170,7 @@
     /// Writes the run and its page into a folder.
     ///
     /// # Errors
-    /// If a file cannot be written or a plot cannot be drawn.
+    /// Returns an error if a file cannot be written or a plot cannot be drawn.
     pub fn write(&self, folder: &Path) -> Result<(), ReportError> {
         let path = folder.join(RUN);
         let text = serde_json::to_string(self).map_err(|source| ReportError::Run {
@@ -181,7 +181,7 @@
         write_file(&folder.join(PAGE), &self.page()?)
     }
 
-    /// Reads the run of a folder.
+    /// Reads the run that is stored in a folder.
     pub(super) fn read(folder: &Path) -> Result<RunReport, ReportError> {
         let path = folder.join(RUN);
         let text = fs::read(&path).map_err(|source| ReportError::File {
@@ -241,7 +241,7 @@
     }
 }
 
-/// The outages, crashes, list changes and partitions of a scenario, in order of time.
+/// Returns the outages, crashes, list changes and partitions of a scenario in order of time.
 fn timeline(scenario: &Scenario) -> Vec<TimelineEntry> {
     let mut timeline = Timeline(Vec::new());
     timeline.add_outages(scenario);
@@ -253,7 +253,7 @@
     entries
 }
 
-/// Collects the events of a scenario.
+/// Collects the timeline entries of a scenario.
 struct Timeline(Vec<TimelineEntry>);
 
 impl Timeline {
--- a/crates/simulation/src/report/run_page.rs
+++ b/crates/simulation/src/report/run_page.rs
@@ -8,7 +8,7 @@
 use maud::{html, Markup};
 use std::cmp::Reverse;
 
-/// Points of a line over time, about.
+/// Approximate number of points of a line over time.
 const POINTS_PER_LINE: f64 = 240.0;
 /// Width of a plot, in pixels.
 const PLOT_WIDTH_PX: u32 = 880;
@@ -16,16 +16,16 @@
 const PLOT_HEIGHT_PX: u32 = 200;
 /// Height of the plot of delivery times, in pixels.
 const DELIVERY_TIMES_HEIGHT_PX: u32 = 240;
-/// Destinations with a plot. Those with outages are first, then those with the most calls.
+/// Maximum number of destinations with a plot. Destinations with outages are first, then those with the most calls.
 const MAX_PLOTTED_DESTINATIONS: usize = 12;
-/// A capacity above this multiple of the greatest rate is not plotted: it would flatten the other lines.
+/// A capacity above this multiple of the maximum rate is not plotted, as it would flatten the other lines.
 const MAX_PLOTTED_CAPACITY: f64 = 4.0;
 
 impl RunReport {
-    /// The page.
+    /// Returns the HTML page of the run.
     ///
     /// # Errors
-    /// If a plot cannot be drawn.
+    /// Returns an error if a plot cannot be drawn.
     pub fn page(&self) -> Result<String, ReportError> {
         let plotted = self.plotted_destinations();
         let not_plotted = self.destinations.len() - plotted.len();
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Counts by bin as a rate over time.
+    /// Converts counts by bin into points of time in s and rate per second.
     fn rate(&self, bins: &[u32]) -> Vec<(f64, f64)> {
         let bin_count = self.open_messages.len().max(bins.len());
         let length_s = bin_count.max(1) as f64 * self.bin_s;
@@ -161,7 +161,7 @@
     }
 }
 
-/// Delivery times over the nines of the quantile, which spreads the tail.
+/// Returns the delivery times over the number of nines of the quantile, a scale that spreads the tail.
 fn delivery_time_line(times: &DeliveryTimes) -> Line {
     let point = |(quantile, ms): &(f64, f64)| (-(1.0 - quantile).log10(), ms / 1000.0);
     Line {
@@ -171,7 +171,7 @@
 }
 
 impl DestinationReport {
-    /// Calls per second that it can process at a time.
+    /// Returns the calls per second that the destination can process at a time.
     fn capacity_at(&self, at_s: f64) -> f64 {
         let is_out = |from_s: f64, until_s: f64| from_s <= at_s && at_s < until_s;
         if self
