--- a/crates/simulation/src/scenario/draft.rs
+++ b/crates/simulation/src/scenario/draft.rs
@@ -72,7 +72,7 @@
 
     /// Returns the same draft with another table.
     #[must_use]
-    pub fn with(&self, table: Table) -> Draft {
+    pub fn with_table(&self, table: Table) -> Draft {
         Draft {
             lines: self.lines.clone(),
             table,
--- a/crates/simulation/src/seed_search/shrink.rs
+++ b/crates/simulation/src/seed_search/shrink.rs
@@ -79,7 +79,7 @@
     make_node: SyncNodeFactory<'_>,
 ) -> Option<Shrunk> {
     for table in candidates(current.draft.table()) {
-        let draft = current.draft.with(table);
+        let draft = current.draft.with_table(table);
         for seed in std::iter::once(current.seed).chain(1..=SEEDS_PER_CANDIDATE) {
             if current.runs >= budget.max_runs {
                 return None;
