--- a/crates/simulation/src/commands/experiments.rs
+++ b/crates/simulation/src/commands/experiments.rs
@@ -75,7 +75,7 @@
 /// Writes the HTML page of a run or an experiment.
 pub(super) fn report(folder: &Path) -> Result<RunStatus, CommandError> {
     let page = report::of_folder(folder)?;
-    let path = folder.join(report::PAGE);
+    let path = folder.join(report::PAGE_FILE);
     write_file(&path, &page)?;
     println!("{}", path.display());
     Ok(RunStatus::Ok)
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 
 /// Name of the file with the page.
-pub const PAGE: &str = "report.html";
+pub const PAGE_FILE: &str = "report.html";
 /// Name of the file with a stored run.
 const RUN: &str = "run.json";
 /// Name of the file with the title of an experiment.
--- a/crates/simulation/src/report/run.rs
+++ b/crates/simulation/src/report/run.rs
@@ -1,6 +1,6 @@
 //! The data that the page of a run shows, in the form in which it is stored.
 
-use super::{ReportError, PAGE, RUN};
+use super::{ReportError, PAGE_FILE, RUN};
 use crate::destination::{Destination, Outage, OutageKind};
 use crate::metrics::{ClassMetrics, DestinationMetrics, MeasuredRun, Summary};
 use crate::scenario::Scenario;
@@ -178,7 +178,7 @@
             source,
         })?;
         write_file(&path, &(text + "\n"))?;
-        write_file(&folder.join(PAGE), &self.page()?)
+        write_file(&folder.join(PAGE_FILE), &self.page()?)
     }
 
     /// Reads the run that is stored in a folder.
