--- a/crates/simulation/src/arguments.rs
+++ b/crates/simulation/src/arguments.rs
@@ -30,7 +30,8 @@
         scenarios: Vec<PathBuf>,
     },
     /// Play a scenario with mutants of the scheduler, and report which are detected.
-    Faults {
+    #[command(name = "faults")]
+    DetectMutants {
         /// Scenario file.
         scenario: PathBuf,
         /// Seed of all random draws.
@@ -56,7 +57,8 @@
     /// Find the load at which each class begins to miss its deadline.
     Capacity(CapacityArguments),
     /// Find the seeds with the worst runs, and optionally shrink the scenario of the worst run while it still fails.
-    Hunt(SeedSearchArguments),
+    #[command(name = "hunt")]
+    SearchSeeds(SeedSearchArguments),
     /// Write an HTML page with plots of the run or experiment in a folder.
     Report {
         /// Folder of the run or experiment; the page is written to `report.html` in it.
--- a/crates/simulation/src/capacity_search.rs
+++ b/crates/simulation/src/capacity_search.rs
@@ -140,8 +140,8 @@
 
 impl Measurements<'_> {
     fn at(&mut self, factor: f64) -> Result<Deliveries, ScenarioError> {
-        if let Some(known) = self.by_factor.get(&factor.to_bits()) {
-            return Ok(known.clone());
+        if let Some(deliveries) = self.by_factor.get(&factor.to_bits()) {
+            return Ok(deliveries.clone());
         }
         let deliveries = self.play(factor)?;
         self.by_factor.insert(factor.to_bits(), deliveries.clone());
--- a/crates/simulation/src/commands.rs
+++ b/crates/simulation/src/commands.rs
@@ -57,11 +57,11 @@
     InvalidCapacitySearch,
     #[error("{}: has no results of an experiment", .0.display())]
     NoResults(PathBuf),
-    #[error("{}: give --{option} with one of: {}", folder.display(), known.join(", "))]
+    #[error("{}: give --{option} with one of: {}", folder.display(), available.join(", "))]
     UnknownVariant {
         folder: PathBuf,
         option: &'static str,
-        known: Vec<String>,
+        available: Vec<String>,
     },
 }
 
@@ -74,14 +74,14 @@
             NodeKind::Core => play::play_on_core(&arguments),
         },
         Command::Check { scenarios } => Ok(play::check(&scenarios)),
-        Command::Faults { scenario, seed } => play::detect_mutants(&scenario, seed),
+        Command::DetectMutants { scenario, seed } => play::detect_mutants(&scenario, seed),
         Command::Experiment { file, out, threads } => experiments::run(&file, &out, threads),
         Command::Compare(arguments) => experiments::compare(&arguments),
         Command::Capacity(arguments) => search::capacity(&arguments),
-        Command::Hunt(arguments) if arguments.node_kind == NodeKind::Processes => {
+        Command::SearchSeeds(arguments) if arguments.node_kind == NodeKind::Processes => {
             search_on_processes(&arguments)
         }
-        Command::Hunt(arguments) => search::seeds(&arguments),
+        Command::SearchSeeds(arguments) => search::seeds(&arguments),
         Command::Report { folder } => experiments::report(&folder),
         Command::Cell { scenario, seed } => play::cell(&scenario, seed),
     }
--- a/crates/simulation/src/commands/experiments.rs
+++ b/crates/simulation/src/commands/experiments.rs
@@ -53,18 +53,18 @@
     option: &'static str,
 ) -> Result<Vec<CellResult>, CommandError> {
     let results = experiment::read(folder)?;
-    let known = variants(&results);
-    let Some(first) = known.first() else {
+    let available = variants(&results);
+    let Some(first) = available.first() else {
         return Err(CommandError::NoResults(folder.to_owned()));
     };
     let variant = match name {
-        Some(name) if known.contains(name) => name.to_owned(),
-        None if known.len() == 1 => (*first).to_owned(),
+        Some(name) if available.contains(name) => name.to_owned(),
+        None if available.len() == 1 => (*first).to_owned(),
         _ => {
             return Err(CommandError::UnknownVariant {
                 folder: folder.to_owned(),
                 option,
-                known: known.into_iter().map(str::to_owned).collect(),
+                available: available.into_iter().map(str::to_owned).collect(),
             });
         }
     };
--- a/crates/simulation/src/compare.rs
+++ b/crates/simulation/src/compare.rs
@@ -11,7 +11,7 @@
 use std::fmt;
 
 /// Number of bootstrap samples for an interval.
-const SAMPLES: usize = 10_000;
+const BOOTSTRAP_SAMPLES: usize = 10_000;
 /// Inverse of the significance level: one set of comparisons in this many shows a difference where none exists.
 const FALSE_POSITIVE_ONE_IN: f64 = 20.0;
 /// Minimum number of pairs: with fewer, bootstrap intervals are too narrow.
@@ -44,12 +44,13 @@
         }
         let means = bootstrap_means(differences);
         let tail =
-            (SAMPLES as f64 / FALSE_POSITIVE_ONE_IN / comparisons.max(1) as f64 / 2.0) as usize;
+            (BOOTSTRAP_SAMPLES as f64 / FALSE_POSITIVE_ONE_IN / comparisons.max(1) as f64 / 2.0)
+                as usize;
         Difference {
             pairs,
             mean: differences.iter().sum::<f64>() / pairs as f64,
             low: means[tail],
-            high: means[SAMPLES - 1 - tail],
+            high: means[BOOTSTRAP_SAMPLES - 1 - tail],
         }
     }
 
@@ -67,7 +68,7 @@
         let drawn = (0..count).map(|_| differences[rng.random_range(0..count)]);
         drawn.sum::<f64>() / count as f64
     };
-    let mut means: Vec<f64> = (0..SAMPLES).map(&mut sample_mean).collect();
+    let mut means: Vec<f64> = (0..BOOTSTRAP_SAMPLES).map(&mut sample_mean).collect();
     means.sort_by(f64::total_cmp);
     means
 }
--- a/crates/simulation/src/experiment.rs
+++ b/crates/simulation/src/experiment.rs
@@ -130,18 +130,18 @@
             .into_iter()
             .map(|result| (result.key(), result))
             .collect();
-        let (mut results, mut open) = (Vec::new(), Vec::new());
+        let (mut results, mut remaining) = (Vec::new(), Vec::new());
         for cell in &cells {
             match stored.get(&cell.key()) {
                 Some(result) if result.fingerprint == cell.fingerprint => {
                     results.push(result.clone());
                 }
-                _ => open.push(cell),
+                _ => remaining.push(cell),
             }
         }
         // The file is rewritten first: a result appended to a torn line would be unreadable.
         store.replace(&results)?;
-        let played = play_cells(&open, &store, threads)?;
+        let played = play_cells(&remaining, &store, threads)?;
         let count = played.len();
         results.extend(played);
         results.sort_by_key(CellResult::key);
@@ -153,12 +153,12 @@
     }
 
     fn cells(&self) -> Result<Vec<Cell<'_>>, ExperimentError> {
-        let own_program = std::env::current_exe().map_err(ExperimentError::OwnProgram)?;
-        let own_checksum = checksum(&own_program)?;
+        let current_program = std::env::current_exe().map_err(ExperimentError::OwnProgram)?;
+        let current_checksum = checksum(&current_program)?;
         let mut cells = Vec::new();
         for variant in &self.variants {
             let program = match &variant.program {
-                None => own_checksum,
+                None => current_checksum,
                 Some(path) => checksum(path)?,
             };
             for path in &self.scenarios {
--- a/crates/simulation/src/experiment/error.rs
+++ b/crates/simulation/src/experiment/error.rs
@@ -17,7 +17,7 @@
         source: io::Error,
     },
     /// The file of the experiment is invalid.
-    #[error("{}", Lines(.0))]
+    #[error("{}", ProblemList(.0))]
     Definition(Vec<DefinitionProblem>),
     /// A scenario is invalid.
     #[error(transparent)]
@@ -102,9 +102,9 @@
 }
 
 /// Problems, printed on one line each.
-struct Lines<'p>(&'p [DefinitionProblem]);
+struct ProblemList<'p>(&'p [DefinitionProblem]);
 
-impl fmt::Display for Lines<'_> {
+impl fmt::Display for ProblemList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, problem) in self.0.iter().enumerate() {
             if index > 0 {
--- a/crates/simulation/src/experiment/store.rs
+++ b/crates/simulation/src/experiment/store.rs
@@ -12,13 +12,13 @@
 use std::sync::{Mutex, PoisonError};
 
 /// Name of the file with one JSON line for each cell.
-const CELLS: &str = "cells.jsonl";
+const CELLS_FILE: &str = "cells.jsonl";
 /// Name of the CSV table of all cells.
-const TABLE: &str = "cells.csv";
+const TABLE_FILE: &str = "cells.csv";
 /// Name of the manifest.
-const MANIFEST: &str = "manifest.json";
+const MANIFEST_FILE: &str = "manifest.json";
 /// Name of the file that is locked while an experiment runs.
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
 /// The results folder of an experiment, locked until this value is dropped.
 pub(super) struct CellStore {
@@ -31,7 +31,7 @@
     pub(super) fn open(folder: &Path) -> Result<CellStore, ExperimentError> {
         let file_error = |source| file_error(folder, source);
         fs::create_dir_all(folder).map_err(file_error)?;
-        let lock = File::create(folder.join(LOCK)).map_err(file_error)?;
+        let lock = File::create(folder.join(LOCK_FILE)).map_err(file_error)?;
         lock.try_lock()
             .map_err(|_| ExperimentError::Locked(folder.to_owned()))?;
         Ok(CellStore {
@@ -49,7 +49,7 @@
     pub(super) fn replace(&self, results: &[CellResult]) -> Result<(), ExperimentError> {
         let lines: Vec<String> = results.iter().map(line_of).collect::<Result<_, _>>()?;
         let content = lines.concat();
-        let path = self.folder.join(CELLS);
+        let path = self.folder.join(CELLS_FILE);
         replace(
             &LocalDisk,
             &path,
@@ -63,7 +63,7 @@
     pub(super) fn append(&self) -> Result<CellLog<'_>, ExperimentError> {
         let file = OpenOptions::new()
             .append(true)
-            .open(self.folder.join(CELLS))
+            .open(self.folder.join(CELLS_FILE))
             .map_err(|source| file_error(&self.folder, source))?;
         Ok(CellLog {
             folder: &self.folder,
@@ -78,9 +78,9 @@
         results: &[CellResult],
     ) -> Result<(), ExperimentError> {
         self.replace(results)?;
-        self.write(TABLE, &table(results))?;
+        self.write(TABLE_FILE, &table(results))?;
         let manifest = serde_json::to_string_pretty(&manifest(experiment))?;
-        self.write(MANIFEST, &(manifest + "\n"))
+        self.write(MANIFEST_FILE, &(manifest + "\n"))
     }
 
     fn write(&self, name: &str, content: &str) -> Result<(), ExperimentError> {
@@ -110,7 +110,7 @@
 /// # Errors
 /// Returns an error if the file cannot be read.
 pub fn read(folder: &Path) -> Result<Vec<CellResult>, ExperimentError> {
-    let path = folder.join(CELLS);
+    let path = folder.join(CELLS_FILE);
     match fs::read_to_string(&path) {
         Ok(text) => {
             let results = text
--- a/crates/simulation/src/plot.rs
+++ b/crates/simulation/src/plot.rs
@@ -60,7 +60,7 @@
 /// Factor by which the vertical axis exceeds the maximum value.
 const HEADROOM: f64 = 1.08;
 /// Minimum length of an axis.
-const MIN_AXIS: f64 = 1e-9;
+const MIN_AXIS_LENGTH: f64 = 1e-9;
 /// Width of an interval plot, in pixels.
 const INTERVAL_PLOT_WIDTH_PX: u32 = 880;
 /// Height of an interval plot without rows, in pixels.
@@ -153,8 +153,13 @@
 
     fn draw(&self, svg: &mut String) -> Result<(), Box<dyn Error>> {
         let points = || self.lines.iter().flat_map(|line| &line.points);
-        let max_x = points().map(|point| point.0).fold(MIN_AXIS, f64::max);
-        let max_y = points().map(|point| point.1).fold(MIN_AXIS, f64::max) * HEADROOM;
+        let max_x = points()
+            .map(|point| point.0)
+            .fold(MIN_AXIS_LENGTH, f64::max);
+        let max_y = points()
+            .map(|point| point.1)
+            .fold(MIN_AXIS_LENGTH, f64::max)
+            * HEADROOM;
         let size = (self.width_px, self.height_px);
         let area = SVGBackend::with_string(svg, size).into_drawing_area();
         let mut chart = ChartBuilder::on(&area)
@@ -237,9 +242,11 @@
 
     fn draw(&self, svg: &mut String) -> Result<(), Box<dyn Error>> {
         let intervals = || self.series.iter().flat_map(|series| &series.rows).flatten();
-        let min = intervals().map(|one| one.low).fold(f64::INFINITY, f64::min);
+        let min = intervals()
+            .map(|interval| interval.low)
+            .fold(f64::INFINITY, f64::min);
         let max = intervals()
-            .map(|one| one.high)
+            .map(|interval| interval.high)
             .fold(f64::NEG_INFINITY, f64::max);
         let margin = (max - min).max(0.01) * 0.05;
         let rows = self.row_names.len();
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -16,9 +16,9 @@
 /// Name of the file with the page.
 pub const PAGE_FILE: &str = "report.html";
 /// Name of the file with a stored run.
-const RUN: &str = "run.json";
+const RUN_FILE: &str = "run.json";
 /// Name of the file with the title of an experiment.
-const MANIFEST: &str = "manifest.json";
+const MANIFEST_FILE: &str = "manifest.json";
 
 /// Why a report cannot be created.
 #[derive(Debug, thiserror::Error)]
@@ -55,7 +55,7 @@
 /// # Errors
 /// Returns an error if the folder contains neither or cannot be read, or if a plot cannot be drawn.
 pub fn of_folder(folder: &Path) -> Result<String, ReportError> {
-    if folder.join(RUN).is_file() {
+    if folder.join(RUN_FILE).is_file() {
         return RunReport::read(folder)?.page();
     }
     let results = experiment::read(folder)?;
@@ -68,7 +68,7 @@
 
 /// Reads the title of an experiment. Errors are ignored, as the page is useful without the title.
 fn experiment_title(folder: &Path) -> Option<String> {
-    let manifest = std::fs::read(folder.join(MANIFEST)).ok()?;
+    let manifest = std::fs::read(folder.join(MANIFEST_FILE)).ok()?;
     let manifest: serde_json::Value = serde_json::from_slice(&manifest).ok()?;
     let title = manifest["title"].as_str()?;
     (!title.is_empty()).then(|| title.to_owned())
--- a/crates/simulation/src/report/run.rs
+++ b/crates/simulation/src/report/run.rs
@@ -1,6 +1,6 @@
 //! The data that the page of a run shows, in the form in which it is stored.
 
-use super::{ReportError, PAGE_FILE, RUN};
+use super::{ReportError, PAGE_FILE, RUN_FILE};
 use crate::destination::{Destination, Outage, OutageKind};
 use crate::metrics::{ClassMetrics, DestinationMetrics, MeasuredRun, Summary};
 use crate::scenario::Scenario;
@@ -172,7 +172,7 @@
     /// # Errors
     /// Returns an error if a file cannot be written or a plot cannot be drawn.
     pub fn write(&self, folder: &Path) -> Result<(), ReportError> {
-        let path = folder.join(RUN);
+        let path = folder.join(RUN_FILE);
         let text = serde_json::to_string(self).map_err(|source| ReportError::Run {
             path: path.clone(),
             source,
@@ -183,7 +183,7 @@
 
     /// Reads the run that is stored in a folder.
     pub(super) fn read(folder: &Path) -> Result<RunReport, ReportError> {
-        let path = folder.join(RUN);
+        let path = folder.join(RUN_FILE);
         let text = fs::read(&path).map_err(|source| ReportError::File {
             path: path.clone(),
             source,
--- a/crates/simulation/src/scenario/source.rs
+++ b/crates/simulation/src/scenario/source.rs
@@ -18,12 +18,12 @@
 impl SourceLines {
     /// Returns the file and line of a value, or of the innermost enclosing table that is in a file.
     pub(super) fn location(&self, path: &str) -> Option<&str> {
-        let mut known = path;
+        let mut ancestor = path;
         loop {
-            if let Some(location) = self.0.get(known) {
+            if let Some(location) = self.0.get(ancestor) {
                 return Some(location);
             }
-            known = known.rsplit_once('.')?.0;
+            ancestor = ancestor.rsplit_once('.')?.0;
         }
     }
 
@@ -94,7 +94,7 @@
     match table.get("include") {
         None => Some(Vec::new()),
         Some(Value::Array(all)) => all.iter().map(path).collect(),
-        Some(one) => Some(vec![path(one)?]),
+        Some(value) => Some(vec![path(value)?]),
     }
 }
 
@@ -133,16 +133,18 @@
     }
 }
 
-/// Merges `over` into `under`: tables are merged, lists of tables are concatenated, and other values are replaced.
-fn merge(under: &mut Table, over: Table) {
-    for (key, value) in over {
-        match (under.get_mut(&key), value) {
-            (Some(Value::Table(under)), Value::Table(over)) => merge(under, over),
-            (Some(Value::Array(under)), Value::Array(over)) if over.iter().all(Value::is_table) => {
-                under.extend(over);
+/// Merges `overlay` into `target`: tables are merged, lists of tables are concatenated, and other values are replaced.
+fn merge(target: &mut Table, overlay: Table) {
+    for (key, value) in overlay {
+        match (target.get_mut(&key), value) {
+            (Some(Value::Table(target)), Value::Table(overlay)) => merge(target, overlay),
+            (Some(Value::Array(target)), Value::Array(overlay))
+                if overlay.iter().all(Value::is_table) =>
+            {
+                target.extend(overlay);
             }
             (_, value) => {
-                under.insert(key, value);
+                target.insert(key, value);
             }
         }
     }
--- a/crates/simulation/src/seed_search/shrink.rs
+++ b/crates/simulation/src/seed_search/shrink.rs
@@ -207,7 +207,7 @@
     smaller.get_mut("partner")?.as_table_mut()?.remove(name)?;
     for list in DESTINATION_LISTS {
         if let Some(all) = smaller.get_mut(list).and_then(Value::as_array_mut) {
-            all.retain(|one| one.get("partner").and_then(Value::as_str) != Some(name));
+            all.retain(|entry| entry.get("partner").and_then(Value::as_str) != Some(name));
         }
     }
     Some(smaller)
