--- a/crates/simulation/src/arguments.rs
+++ b/crates/simulation/src/arguments.rs
@@ -11,7 +11,7 @@
 
 /// Plays scenarios in virtual time.
 ///
-/// Exit codes: 0 if all checks pass, 1 if an invariant is violated or the command fails, 2 if the arguments are invalid.
+/// Exit codes: 0 if all checks pass, 1 if a check or the command fails, 2 if the arguments are invalid.
 #[derive(Debug, Parser)]
 #[command(name = "marblefall-simulation", version)]
 pub(crate) struct Arguments {
@@ -203,7 +203,7 @@
 pub(crate) struct SeedSearchArguments {
     #[command(flatten)]
     pub(crate) scenario: ScenarioArguments,
-    /// Number of seeds, from 1.
+    /// Number of seeds played, starting with seed 1.
     #[arg(long, default_value_t = 100)]
     pub(crate) seeds: u64,
     /// File to which the shrunk scenario or schedule is written.
--- a/crates/simulation/src/capacity_search.rs
+++ b/crates/simulation/src/capacity_search.rs
@@ -16,7 +16,7 @@
     pub max_factor: f64,
     /// Share of the offered messages of a class that must be delivered for the class to be sustained.
     pub required_share: f64,
-    /// Number of seeds, from 1, with which each factor is played.
+    /// Number of seeds with which each factor is played, starting with seed 1.
     pub seeds: u64,
     /// Number of bisections, on a logarithmic scale.
     pub steps: u32,
--- a/crates/simulation/src/process_experiment.rs
+++ b/crates/simulation/src/process_experiment.rs
@@ -130,7 +130,7 @@
 pub struct Search<'a> {
     /// Path of the scenario.
     pub scenario: &'a Path,
-    /// Number of seeds, from 1.
+    /// Number of seeds played, starting with seed 1.
     pub seeds: u64,
     /// Time after which no further seed is started.
     pub time_limit: Duration,
